--- a/crates/stand-in/tests/relays.rs
+++ b/crates/emulator/tests/relays.rs
@@ -1,7 +1,7 @@
 //! The fault proxy: what each disturbance does to bytes and connections, seen from both ends.
-use birchhub_stand_in::Clock;
-use birchhub_stand_in::relay::{Disturbance, Relay, Window};
-use birchhub_stand_in::wire::listen;
+use birchhub_emulator::Clock;
+use birchhub_emulator::relay::{Disturbance, Relay, Window};
+use birchhub_emulator::wire::listen;
 use std::future::Future;
 use std::io::ErrorKind;
 use std::net::{IpAddr, Ipv4Addr};
--- a/crates/rehearsal/src/bin/birchhub-wrong-proxy.rs
+++ b/crates/rehearsal/src/bin/birchhub-wrong-proxy.rs
@@ -2,8 +2,8 @@
 //! which it is called: `resends` (sends again whatever failed), `ignores-drains` (keeps to the list of its
 //! start), `floods-cold` (sends everything to the node that started last); by any other name it keeps the rules.
 //! It takes the platform's configuration like birchhubd, and is no use for anything else.
-use birchhub_stand_in::Clock;
-use birchhub_stand_in::wire::{Kind, Message, Peer, listen, response};
+use birchhub_emulator::Clock;
+use birchhub_emulator::wire::{Kind, Message, Peer, listen, response};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/rehearsal/src/extras.rs
+++ b/crates/rehearsal/src/extras.rs
@@ -1,6 +1,6 @@
 //! What a soak adds to a rehearsal: faults that no scenario has.
-use birchhub_stand_in::Clock;
-use birchhub_stand_in::relay::Window;
+use birchhub_emulator::Clock;
+use birchhub_emulator::relay::Window;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -9,7 +9,7 @@
 use crate::settings;
 use crate::stage::{self, Block};
 use birchhub_audit::{Entry, Head, ledger};
-use birchhub_stand_in::{Clock, Notes};
+use birchhub_emulator::{Clock, Notes};
 use nix::sys::resource::{UsageWho, getrusage};
 use std::fs::File;
 use std::io::{BufReader, BufWriter, IsTerminal, Write};
--- a/crates/scale/src/backends.rs
+++ b/crates/scale/src/backends.rs
@@ -1,7 +1,7 @@
 //! Hollow backends: a few listeners that stand for as many backends as the list names. Their work is waited for, and each
 //! answer says how long it took, so that it can be taken off what a client waited.
-use birchhub_stand_in::Clock;
-use birchhub_stand_in::wire::{Kind, Peer, listen, response};
+use birchhub_emulator::Clock;
+use birchhub_emulator::wire::{Kind, Peer, listen, response};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
--- a/crates/scale/src/list.rs
+++ b/crates/scale/src/list.rs
@@ -1,8 +1,8 @@
 //! A list service at the size in lines: one thread, one address for all proxies, every answer encoded once for all that ask
 //! for the same.
 use crate::usage;
-use birchhub_stand_in::Clock;
-use birchhub_stand_in::wire::{Kind, Message, Peer, listen, response};
+use birchhub_emulator::Clock;
+use birchhub_emulator::wire::{Kind, Message, Peer, listen, response};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/scale/src/load.rs
+++ b/crates/scale/src/load.rs
@@ -1,7 +1,7 @@
 //! Clients of one proxy: RPCs at a rate, by chance, on connections that are kept.
 use crate::backends::served;
-use birchhub_stand_in::Clock;
-use birchhub_stand_in::wire::{Kind, Peer};
+use birchhub_emulator::Clock;
+use birchhub_emulator::wire::{Kind, Peer};
 use hdrhistogram::Histogram;
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp};
--- a/crates/scale/src/proxy.rs
+++ b/crates/scale/src/proxy.rs
@@ -1,7 +1,7 @@
 //! A real `birchhubd` before hollow backends: its process has one owner here.
 use crate::usage;
-use birchhub_stand_in::Clock;
-use birchhub_stand_in::wire::{Kind, Peer};
+use birchhub_emulator::Clock;
+use birchhub_emulator::wire::{Kind, Peer};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::{Value, json};
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,5 +1,5 @@
 //! A plan: what befalls whom, and when.
-use birchhub_stand_in::relay::Disturbance;
+use birchhub_emulator::relay::Disturbance;
 use serde::{Deserialize, Serialize};
 
 /// What a soak plays. The same plan plays the same faults again; only the machine's own timing differs.
--- a/crates/soak/src/scenario.rs
+++ b/crates/soak/src/scenario.rs
@@ -1,11 +1,11 @@
 //! The rehearsal behind a plan: its deployment, and the faults that scenarios know.
 use crate::fault::{Fault, FaultKind, SoakPlan};
+use birchhub_emulator::relay::Window;
 use birchhub_model::work::generator;
 use birchhub_rehearsal::extras::Extras;
 use birchhub_rehearsal::plan::Act;
 use birchhub_rehearsal::span::Span;
 use birchhub_rehearsal::{Plan, Scenario};
-use birchhub_stand_in::relay::Window;
 use rand::Rng;
 use rand::seq::index::sample;
 use std::fmt::Write;
