--- a/crates/model/tests/node.rs
+++ b/crates/backend-model/tests/node.rs
@@ -1,5 +1,5 @@
 //! The node against a plain model in small steps, and its edge cases.
-use birchhub_model::{
+use birchhub_backend_model::{
     Happening, Mark, Node, Offer, Repeats, Spec, Start, Why, work::Spread, work::Work,
 };
 use quickcheck::{Gen, QuickCheck, TestResult};
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,7 +1,7 @@
 //! What the nodes of a fleet share: what RPCs cost, which keys have run, and numbers for picks and lives.
 use crate::notes::Notes;
 use birchhub_audit::Kind;
-use birchhub_model::{Mark, Repeats, Work, work};
+use birchhub_backend_model::{Mark, Repeats, Work, work};
 use rand::Rng;
 use std::cell::{Cell, RefCell};
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on loopback sockets for what stands around a proxy: api nodes (the model of `birchhub-model`, served
+//! Stand-ins on loopback sockets for what stands around a proxy: api nodes (the model of `birchhub-backend-model`, served
 //! over HTTP/1.1), the list service, and clients' connections, with faults at the socket on demand. Everything
 //! runs on one thread's runtime, many nodes to a thread; work is waited for, not burnt. What happens is told
 //! to a `Notes`, which keeps it for the ledger.
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -6,7 +6,7 @@
 use crate::wire::{Kind, Message, Peer, listen, response};
 use birchhub_audit::Event;
 use birchhub_audit::event::{Left, Taken};
-use birchhub_model::{Happening, Job, Node, Offer, Report, Spec, Start, Why};
+use birchhub_backend_model::{Happening, Job, Node, Offer, Report, Spec, Start, Why};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
 use std::future::poll_fn;
--- a/crates/emulator/tests/stand_ins.rs
+++ b/crates/emulator/tests/stand_ins.rs
@@ -1,13 +1,13 @@
 //! Stand-ins over loopback sockets: each fault shows on the connection as a proxy would see it, and in the ledger.
 use birchhub_audit::event::{Left, Taken};
 use birchhub_audit::{Answer, Entry, Event, Group, Kind as Effect, State};
+use birchhub_backend_model::{Spec, Start, Work, work::Spread};
 use birchhub_emulator::fleet::attempt_of;
 use birchhub_emulator::list::{Capacity, Line};
 use birchhub_emulator::wire::{self, Kind, Message, Peer, Stop};
 use birchhub_emulator::{
     Call, Caller, Clock, Cost, Fault, Fleet, ListService, NodeHost, Notes, Place,
 };
-use birchhub_model::{Spec, Start, Work, work::Spread};
 use serde_json::Value;
 use std::future::Future;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -4,7 +4,7 @@
 use crate::scenario::{Fault, Scenario, Trouble, TroubleKind, line_of_key};
 use crate::select;
 use birchhub_audit::head;
-use birchhub_model::{Work, work::generator};
+use birchhub_backend_model::{Work, work::generator};
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 use serde::Serialize;
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -3,7 +3,7 @@
 use crate::span::Span;
 use birchhub_audit::head::Bars;
 use birchhub_audit::{Group, Kind};
-use birchhub_model::work::Spread;
+use birchhub_backend_model::work::Spread;
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::fmt;
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -2,7 +2,7 @@
 use crate::plan::proxy_name;
 use crate::scenario::{MethodKind, Reports, Scenario};
 use birchhub_audit::{Group, Head, Method, Rules, head};
-use birchhub_model::Spec;
+use birchhub_backend_model::Spec;
 use serde_json::{Value, json};
 
 fn ns(seconds: f64) -> u64 {
--- a/crates/rehearsal/tests/scenario_file.rs
+++ b/crates/rehearsal/tests/scenario_file.rs
@@ -2,7 +2,7 @@
 //! and each kind of fault; every key keeps its name and its meaning, and plans stay the plans that they were.
 use birchhub_audit::head::Bars;
 use birchhub_audit::{Group, Kind};
-use birchhub_model::work::Spread;
+use birchhub_backend_model::work::Spread;
 use birchhub_rehearsal::scenario::{
     Clients, List, Machine, Method, Phase, ProxySelector, Reports, Rules, Selector, Tenant,
     TroubleKind,
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -6,7 +6,7 @@
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::event::{Left, Taken};
 use birchhub_audit::{Answer, Event, Kind};
-use birchhub_model::{Mark, Offer, Why};
+use birchhub_backend_model::{Mark, Offer, Why};
 use birchhub_rehearsal::plan::Trick;
 use birchhub_rehearsal::scenario::Reports;
 
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -7,7 +7,7 @@
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::event::Left;
 use birchhub_audit::{Event, State};
-use birchhub_model::{Happening, Node, Repeats, Start};
+use birchhub_backend_model::{Happening, Node, Repeats, Start};
 
 /// s until a health check without an answer has timed out, by the proxy's own clock.
 const HEALTH_CHECK_TIMEOUT: f64 = 0.1;
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -7,7 +7,7 @@
 use birchhub::interface::AttemptOutcome;
 use birchhub_audit::event::End;
 use birchhub_audit::{Event, State};
-use birchhub_model::work::generator;
+use birchhub_backend_model::work::generator;
 use birchhub_rehearsal::plan::{Act, Trick};
 use rand::Rng;
 
--- a/crates/simulation/src/world/machine.rs
+++ b/crates/simulation/src/world/machine.rs
@@ -1,6 +1,6 @@
 //! A machine of the deployment, and the backend process on it.
 use super::event::SimulationEvent;
-use birchhub_model::{Node, Spec};
+use birchhub_backend_model::{Node, Spec};
 use birchhub_rehearsal::plan::{PlannedNode, Trick};
 use birchhub_rehearsal::scenario::Scenario;
 use birchhub_rehearsal::settings;
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -18,7 +18,7 @@
 use birchhub::interface::Settings;
 use birchhub_audit::event::End;
 use birchhub_audit::{Answer, Entry, Event, Head, State};
-use birchhub_model::{Repeats, Start};
+use birchhub_backend_model::{Repeats, Start};
 use birchhub_rehearsal::plan::Plan;
 use birchhub_rehearsal::scenario::Scenario;
 use birchhub_rehearsal::settings;
--- a/crates/simulation/src/world/proxies.rs
+++ b/crates/simulation/src/world/proxies.rs
@@ -7,7 +7,7 @@
 use birchhub::interface::EndpointUpdateKind;
 use birchhub_audit::event::End;
 use birchhub_audit::{Answer, Event};
-use birchhub_model::work::generator;
+use birchhub_backend_model::work::generator;
 use rand::Rng;
 
 /// s after SIGTERM for which connections still come.
--- a/crates/soak/src/draw.rs
+++ b/crates/soak/src/draw.rs
@@ -1,7 +1,7 @@
 //! Draws a plan from a seed.
 use crate::fault::{Fault, FaultKind, SoakPlan};
+use birchhub_backend_model::work::generator;
 use birchhub_emulator::relay::Disturbance;
-use birchhub_model::work::generator;
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
--- a/crates/soak/src/scenario.rs
+++ b/crates/soak/src/scenario.rs
@@ -1,7 +1,7 @@
 //! The rehearsal behind a plan: its deployment, and the faults that scenarios know.
 use crate::fault::{Fault, FaultKind, SoakPlan};
+use birchhub_backend_model::work::generator;
 use birchhub_emulator::relay::Window;
-use birchhub_model::work::generator;
 use birchhub_rehearsal::extras::Extras;
 use birchhub_rehearsal::plan::Act;
 use birchhub_rehearsal::span::Span;
--- a/crates/soak/src/stopped_clients.rs
+++ b/crates/soak/src/stopped_clients.rs
@@ -1,8 +1,8 @@
 //! Clients that stop in the middle of a request, or say nothing, and stay: each is owed an error or a close.
 use crate::fault::{FaultKind, SoakPlan};
 use crate::scenario::chosen;
+use birchhub_backend_model::work::generator;
 use birchhub_emulator::Clock;
-use birchhub_model::work::generator;
 use rand::Rng;
 use serde::Serialize;
 use std::io::{ErrorKind, Read, Write};
