--- a/crates/scale/tests/committed.rs
+++ b/crates/capacity/tests/committed.rs
@@ -1,5 +1,5 @@
 //! The committed page is made of the committed result.
-use birchhub_scale::{Report, page};
+use birchhub_capacity::{Report, page};
 use std::path::Path;
 
 /// `birchhub scale page docs/capacity.json` renews it.
--- a/crates/scale/tests/fits.rs
+++ b/crates/capacity/tests/fits.rs
@@ -1,6 +1,6 @@
 //! Fitted lines, and the figures as a page writes them.
-use birchhub_scale::fit::Fit;
-use birchhub_scale::page::figure;
+use birchhub_capacity::fit::Fit;
+use birchhub_capacity::page::figure;
 
 #[test]
 fn a_line_is_fitted_with_its_residual() {
--- a/crates/scale/tests/lists.rs
+++ b/crates/capacity/tests/lists.rs
@@ -1,7 +1,7 @@
 //! Hollow proxies at the list service: which updates each gets, by counts.
-use birchhub_scale::backends::Backends;
-use birchhub_scale::hollow::HollowProxies;
-use birchhub_scale::list::ListService;
+use birchhub_capacity::backends::Backends;
+use birchhub_capacity::hollow::HollowProxies;
+use birchhub_capacity::list::ListService;
 use std::time::Duration;
 use tokio::task::LocalSet;
 
--- a/crates/scale/tests/pages.rs
+++ b/crates/capacity/tests/pages.rs
@@ -1,6 +1,6 @@
 //! The tables of the page: made of a result, and stale if they are those of another one.
-use birchhub_scale::plan::size;
-use birchhub_scale::{Plan, Report, page, reckon};
+use birchhub_capacity::plan::size;
+use birchhub_capacity::{Plan, Report, page, reckon};
 
 const MARKS: [&str; 5] = ["targets", "roles", "hours", "candidates", "slopes"];
 
--- a/crates/scale/tests/stored_form.rs
+++ b/crates/capacity/tests/stored_form.rs
@@ -1,7 +1,7 @@
 //! The stored form of a result. `fixtures/result-form-1.json` was written by the code of 2026-12-02; it and the
 //! committed `docs/capacity.json` are read, and written again with the same names in the same order. Reading rounds
 //! the last digit of some numbers: they are the same to a part in 10^12.
-use birchhub_scale::Report;
+use birchhub_capacity::Report;
 use std::path::{Path, PathBuf};
 
 fn in_crate(path: &str) -> PathBuf {
@@ -34,7 +34,7 @@
 fn read_and_write_again(path: &Path) -> Report {
     let report = Report::read(path).expect("a result");
     let copy = std::env::temp_dir().join(format!(
-        "birchhub-scale-{}-{}.json",
+        "birchhub-capacity-{}-{}.json",
         std::process::id(),
         report.series.len()
     ));
@@ -80,7 +80,7 @@
 #[test]
 fn a_result_of_another_form_is_refused_by_name() {
     let text = std::fs::read_to_string(in_crate("tests/fixtures/result-form-1.json")).unwrap();
-    let path = std::env::temp_dir().join(format!("birchhub-scale-{}-form", std::process::id()));
+    let path = std::env::temp_dir().join(format!("birchhub-capacity-{}-form", std::process::id()));
     std::fs::write(&path, text.replacen("\"form\": 1", "\"form\": 2", 1)).expect("a file");
     let fault = Report::read(&path).expect_err("another form");
     std::fs::remove_file(&path).expect("the file to remove");
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -1,6 +1,6 @@
 //! `birchhub scale`: measures what a fleet of the planned size costs, and makes the page's tables of it.
 use crate::{Fault, print};
-use birchhub_scale::{Options, Plan, Report, measure, page};
+use birchhub_capacity::{Options, Plan, Report, measure, page};
 use clap::{Args, Subcommand};
 use std::path::{Path, PathBuf};
 
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -10,7 +10,7 @@
 impl Folder {
     fn new(name: &str) -> Self {
         let path =
-            std::env::temp_dir().join(format!("birchhub-scale-{}-{name}", std::process::id()));
+            std::env::temp_dir().join(format!("birchhub-capacity-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         Self(path)
     }
