--- a/crates/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -15,11 +15,13 @@
 const MALFORMED_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
-    std::panic::set_hook(Box::new(|panic| eprintln!("birchhub-benchlink: {panic}")));
+    std::panic::set_hook(Box::new(|panic| {
+        eprintln!("birchhub-simulator-adapter: {panic}")
+    }));
     match session::run(std::io::stdin().lock(), std::io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("birchhub-benchlink: {error}");
+            eprintln!("birchhub-simulator-adapter: {error}");
             ExitCode::from(MALFORMED_INPUT)
         }
     }
--- a/crates/benchlink/tests/malformed_input.rs
+++ b/crates/simulator-adapter/tests/malformed_input.rs
@@ -8,7 +8,7 @@
 const CASES: &str = include_str!("fixtures/malformed.json");
 
 fn run(input: &str) -> Output {
-    let mut adapter = Command::new(env!("CARGO_BIN_EXE_birchhub-benchlink"))
+    let mut adapter = Command::new(env!("CARGO_BIN_EXE_birchhub-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire of the adapter: `fixtures/every-message.in` has each message that it reads, and what it writes for that is
 //! `fixtures/every-message.out`, as the code of 2026-12-02 wrote it. Names and fields stay; where the decisions
-//! themselves change, so may numbers in it, and the file is made anew by `birchhub-benchlink <every-message.in`.
+//! themselves change, so may numbers in it, and the file is made anew by `birchhub-simulator-adapter <every-message.in`.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -9,7 +9,7 @@
 const BAD_INPUT: i32 = 2;
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_birchhub-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_birchhub-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -79,6 +79,6 @@
     assert_eq!(output.status.code(), Some(BAD_INPUT));
     assert_eq!(
         text(&output.stderr),
-        "birchhub-benchlink: line 2: the message name is not known: DANCE\n"
+        "birchhub-simulator-adapter: line 2: the message name is not known: DANCE\n"
     );
 }
