--- a/crates/rehearsal/tests/wrong.rs
+++ b/crates/rehearsal/tests/wrong.rs
@@ -73,7 +73,7 @@
     ));
     std::fs::create_dir_all(&folder).expect("a folder");
     let program = folder.join(misbehaviour);
-    std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_birchhub-wrong-proxy"), &program)
+    std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_birchhub-faulty-proxy"), &program)
         .expect("a link");
     let scenario = Scenario::read("wrong.toml", SCENARIO).expect("a scenario");
     let plan = Plan::draw(&scenario, 3, "wrong.toml", SCENARIO).expect("a plan");
