--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -29,7 +29,8 @@
         let now = platform.now();
         self.admission.last_attempt_at = now;
         self.retry_budget.pay(rpc);
-        to.recent_attempts.add(now, self.rules.slow_start.budget.window);
+        to.recent_attempts
+            .add(now, self.rules.slow_start.budget.window);
         if let Some(violation) = self.rules.slow_start.violation(&to, &self.fleet, now) {
             platform.report_violation(violation);
         }
@@ -38,14 +39,23 @@
         let time_allowed = deadlines::time_allowed(rpc, now);
         platform.start_attempt(rpc.id, to.id, deadlines::timeout(time_allowed));
         let light = recent_report(&to, now);
-        let attempt = AttemptState::new(to, now, time_allowed, load_ahead, light, rpc.streams_request);
+        let attempt = AttemptState::new(
+            to,
+            now,
+            time_allowed,
+            load_ahead,
+            light,
+            rpc.streams_request,
+        );
         rpc.attempts.borrow_mut().push(attempt);
     }
 
     /// Cancels the attempts in flight, where that is possible.
     pub(crate) fn cancel_attempts(&self, rpc: &RpcState, platform: &mut dyn Platform) {
         if self.rules.limits.can_cancel && !rpc.streaming.get() {
-            rpc.attempts_in_flight().into_iter().for_each(|n| platform.cancel_attempt(rpc.id, n));
+            rpc.attempts_in_flight()
+                .into_iter()
+                .for_each(|n| platform.cancel_attempt(rpc.id, n));
         }
     }
 
@@ -60,11 +70,19 @@
     pub(crate) fn schedule_timer(&mut self, platform: &mut dyn Platform) {
         let (now, checks) = (platform.now(), &self.health_checks);
         let idle = self.pending.is_empty();
-        let check_at =
-            if idle { checks.next_ahead_at(&self.fleet.estimates, now) } else { checks.next_round_at };
+        let check_at = if idle {
+            checks.next_ahead_at(&self.fleet.estimates, now)
+        } else {
+            checks.next_round_at
+        };
         let check_at = checks.enabled.then_some(check_at.max(now));
         let first_end = self.pending.first_end().map(|(end, _)| end);
-        let due = [first_end, check_at, self.discovery.poll_at, self.keyed.next_due()];
+        let due = [
+            first_end,
+            check_at,
+            self.discovery.poll_at,
+            self.keyed.next_due(),
+        ];
         let next = due.into_iter().flatten().fold(f64::INFINITY, f64::min);
         if next < self.timer_at.unwrap_or(f64::INFINITY) {
             self.timer_at = Some(next);
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -8,10 +8,17 @@
 
 impl Dispatcher {
     /// Takes over an update of the list.
-    pub(super) fn apply_endpoint_list(&mut self, kind: EndpointUpdateKind, entries: &[Endpoint], now: f64) {
+    pub(super) fn apply_endpoint_list(
+        &mut self,
+        kind: EndpointUpdateKind,
+        entries: &[Endpoint],
+        now: f64,
+    ) {
         self.rules.slow_start.budget.record_list(now);
         self.fleet.index.updates += 1;
-        entries.iter().for_each(|entry| self.apply_entry(entry, now));
+        entries
+            .iter()
+            .for_each(|entry| self.apply_entry(entry, now));
         if kind.is_snapshot() {
             self.remove_unlisted(now);
         }
@@ -30,7 +37,11 @@
             self.reindex(&backend, now);
         }
         if backend.started_at.replace(entry.started_at) != entry.started_at {
-            let before = self.rules.slow_start.budget.precedes_this_process(entry.started_at);
+            let before = self
+                .rules
+                .slow_start
+                .budget
+                .precedes_this_process(entry.started_at);
             backend.record_restart(now, before);
             self.reindex(&backend, now);
         }
@@ -40,7 +51,13 @@
     fn remove_unlisted(&mut self, now: f64) {
         let index = &self.fleet.index;
         let unlisted = |b: &&Rc<Backend>| b.last_update.get() != index.updates;
-        for backend in index.subset(Subset::Ready).iter().filter(unlisted).cloned().collect::<Vec<_>>() {
+        for backend in index
+            .subset(Subset::Ready)
+            .iter()
+            .filter(unlisted)
+            .cloned()
+            .collect::<Vec<_>>()
+        {
             self.fleet.index.remove_from_subsets(&backend);
             backend.ready.set(false);
             self.reindex(&backend, now);
@@ -51,7 +68,8 @@
     /// for as long as it binds.
     fn forget_unused(&mut self, now: f64) {
         let window = self.rules.slow_start.budget.window;
-        let used = |b: &Backend| b.in_flight.get() > 0 || b.recent_attempts.count(now, window) > 0.0;
+        let used =
+            |b: &Backend| b.in_flight.get() > 0 || b.recent_attempts.count(now, window) > 0.0;
         let unready = self.fleet.index.subset(Subset::Unready).iter();
         for backend in unready.filter(|b| !used(b)).cloned().collect::<Vec<_>>() {
             self.health_checks.tokens.finish(&backend);
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -10,7 +10,9 @@
 use crate::policy::health_checks::PER_ROUND;
 use crate::policy::{fairness, throttle};
 use crate::tenant::QuotaShare;
-use crate::{estimates::CLOCK_TOLERANCE, fleet::Fleet, limits::Limits, rng::Rng, rpc_state::RpcState};
+use crate::{
+    estimates::CLOCK_TOLERANCE, fleet::Fleet, limits::Limits, rng::Rng, rpc_state::RpcState,
+};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -22,15 +24,29 @@
 impl Balancer {
     /// A balancer that knows no backend yet.
     pub fn new(settings: &Settings, seed: u64) -> Self {
-        let fleet = Fleet { rng: Rng::new(seed), ..Fleet::default() };
-        let mut dispatcher = Dispatcher { fleet, ..Dispatcher::default() };
-        dispatcher.health_checks.tokens.add(PER_ROUND as f64, PER_ROUND as f64);
+        let fleet = Fleet {
+            rng: Rng::new(seed),
+            ..Fleet::default()
+        };
+        let mut dispatcher = Dispatcher {
+            fleet,
+            ..Dispatcher::default()
+        };
+        dispatcher
+            .health_checks
+            .tokens
+            .add(PER_ROUND as f64, PER_ROUND as f64);
         dispatcher.apply_settings(settings, &CarriedOver::default(), 0.0);
         Self(Rc::new(RefCell::new(dispatcher)))
     }
 
     /// Puts other settings in force. RPCs that were accepted keep the terms of their method.
-    pub fn apply_settings(&self, settings: &Settings, carried: &CarriedOver, platform: &mut dyn Platform) {
+    pub fn apply_settings(
+        &self,
+        settings: &Settings,
+        carried: &CarriedOver,
+        platform: &mut dyn Platform,
+    ) {
         let mut dispatcher = self.0.borrow_mut();
         dispatcher.apply_settings(settings, carried, platform.now());
         dispatcher.serve(platform);
@@ -38,13 +54,20 @@
 
     /// So many processes are this proxy, and keep to its part of a slow start budget together.
     pub fn set_process_count(&self, processes: usize) {
-        self.0.borrow_mut().rules.slow_start.budget.set_process_count(processes);
+        self.0
+            .borrow_mut()
+            .rules
+            .slow_start
+            .budget
+            .set_process_count(processes);
     }
 
     /// A poll of the endpoint list failed or the subscription ended; the old list stays.
     pub fn list_failed(&self, platform: &mut dyn Platform) {
         let dispatcher = &mut *self.0.borrow_mut();
-        dispatcher.discovery.record_failure(&dispatcher.fleet.rng, platform.now());
+        dispatcher
+            .discovery
+            .record_failure(&dispatcher.fleet.rng, platform.now());
         dispatcher.schedule_timer(platform);
     }
 
@@ -56,7 +79,9 @@
         platform: &mut dyn Platform,
     ) {
         let (dispatcher, now) = (&mut *self.0.borrow_mut(), platform.now());
-        dispatcher.discovery.record_update(kind, &dispatcher.fleet.rng, now);
+        dispatcher
+            .discovery
+            .record_update(kind, &dispatcher.fleet.rng, now);
         dispatcher.apply_endpoint_list(kind, entries, now);
         dispatcher.serve(platform);
     }
@@ -70,8 +95,14 @@
         platform: &mut dyn Platform,
     ) {
         let (mut dispatcher, now) = (self.0.borrow_mut(), platform.now());
-        let Some(backend) = dispatcher.fleet.index.get(backend).cloned() else { return };
-        let duration = dispatcher.health_checks.tokens.finish(&backend).map(|sent_at| now - sent_at);
+        let Some(backend) = dispatcher.fleet.index.get(backend).cloned() else {
+            return;
+        };
+        let duration = dispatcher
+            .health_checks
+            .tokens
+            .finish(&backend)
+            .map(|sent_at| now - sent_at);
         match outcome {
             AttemptOutcome::Succeeded => dispatcher.record_report(&backend, report, duration, now),
             AttemptOutcome::NotSent => {} // no backend is to blame for what this proxy could not send
@@ -85,12 +116,19 @@
     pub fn on_timer(&self, platform: &mut dyn Platform) {
         let (dispatcher, now) = (&mut *self.0.borrow_mut(), platform.now());
         // Only the latest timer asks for the next one: otherwise their number would grow.
-        dispatcher.timer_at.take_if(|at| now + CLOCK_TOLERANCE >= *at);
-        if dispatcher.discovery.take_due_poll(&dispatcher.fleet.rng, now) {
+        dispatcher
+            .timer_at
+            .take_if(|at| now + CLOCK_TOLERANCE >= *at);
+        if dispatcher
+            .discovery
+            .take_due_poll(&dispatcher.fleet.rng, now)
+        {
             platform.watch_endpoints();
         }
         let wanted = dispatcher.idle_queue.is_empty() && !dispatcher.rules.limits.key_affinity;
-        dispatcher.health_checks.start_ahead(wanted, &dispatcher.fleet, platform);
+        dispatcher
+            .health_checks
+            .start_ahead(wanted, &dispatcher.fleet, platform);
         dispatcher.serve(platform);
     }
 
@@ -99,7 +137,9 @@
         let (mut dispatcher, now) = (self.0.borrow_mut(), platform.now());
         let rpc = Rc::new(dispatcher.new_rpc(incoming, now));
         let responses_fill_queue = dispatcher.load_reports.responses_fill_queue(now);
-        dispatcher.health_checks.record_arrival(responses_fill_queue);
+        dispatcher
+            .health_checks
+            .record_arrival(responses_fill_queue);
         if let Some(key) = incoming.key.filter(|_| rpc.method.settings.ordered_by_key) {
             dispatcher.keyed.push(&rpc, key);
         }
@@ -119,11 +159,14 @@
     fn apply_settings(&mut self, settings: &Settings, carried: &CarriedOver, now: f64) {
         self.health_checks.apply_settings(settings);
         let (enabled, affordable) = (self.health_checks.enabled, self.health_checks.affordable);
-        self.load_reports.apply_settings(settings, enabled, affordable);
+        self.load_reports
+            .apply_settings(settings, enabled, affordable);
         self.admission.apply_settings(settings, carried, enabled);
         self.quotas.apply_settings(settings, carried, now);
         self.rules.limits = Limits::new(settings);
-        self.rules.slow_start.apply_settings(settings, self.health_checks.per_rpc);
+        self.rules
+            .slow_start
+            .apply_settings(settings, self.health_checks.per_rpc);
         self.fallback.apply_settings(settings);
         self.discovery.apply_settings(settings);
         self.fleet.estimates.apply_settings(settings);
@@ -142,8 +185,15 @@
         }
         // Cells that know its key, the same at every proxy: otherwise keys would go round the fleet.
         let key = incoming.key.filter(|_| self.rules.limits.key_affinity);
-        let cells = key.map_or(Vec::new(), |key| self.fleet.index.cells_of_key(key, CELLS_PER_KEY));
-        let throttles = tenant.iter().map(|t| &t.throttle).chain([&method.throttle]).cloned().collect();
+        let cells = key.map_or(Vec::new(), |key| {
+            self.fleet.index.cells_of_key(key, CELLS_PER_KEY)
+        });
+        let throttles = tenant
+            .iter()
+            .map(|t| &t.throttle)
+            .chain([&method.throttle])
+            .cloned()
+            .collect();
         RpcState::new(incoming, method, share, cells, throttles, now)
     }
 }
--- a/src/balancer/rpc_handle.rs
+++ b/src/balancer/rpc_handle.rs
@@ -26,8 +26,14 @@
     }
 
     /// The response has started; from here on it is the client's, without timeout or deadline.
-    pub fn on_response_started(&self, attempt: usize, paced_by: PacedBy, platform: &mut dyn Platform) {
-        self.rpc.record_response_started(attempt, paced_by, platform.now());
+    pub fn on_response_started(
+        &self,
+        attempt: usize,
+        paced_by: PacedBy,
+        platform: &mut dyn Platform,
+    ) {
+        self.rpc
+            .record_response_started(attempt, paced_by, platform.now());
     }
 
     /// The last byte of a streamed request has been sent: its backend begins, and its time counts from here.
@@ -60,7 +66,9 @@
         platform: &mut dyn Platform,
     ) {
         let (mut dispatcher, now) = (self.dispatcher.borrow_mut(), platform.now());
-        let Some(attempt) = self.rpc.end_attempt(attempt, outcome, now) else { return };
+        let Some(attempt) = self.rpc.end_attempt(attempt, outcome, now) else {
+            return;
+        };
         attempt.backend.change_in_flight(-1, now, AVERAGING_TIME);
         dispatcher.record_attempt(&self.rpc, &attempt, now);
         dispatcher.record_outcome(&attempt, report, now);
@@ -77,24 +85,38 @@
         let measured = attempt.is_timed() || attempt.was_rejected();
         if let Some(light) = attempt.light_report.filter(|_| measured) {
             let objectives = attempt.estimated_duration() / rpc.method.settings.latency_objective;
-            self.load_reports.quality.record_attempt(light, objectives, now);
+            self.load_reports
+                .quality
+                .record_attempt(light, objectives, now);
         }
         // Of rejections only that of the last attempt says how long the RPC would have waited.
         let last = attempt.number + 1 >= self.rules.limits.max_attempts;
         if attempt.is_timed() || attempt.was_rejected() && last {
             let estimates = &self.fleet.estimates;
             match attempt.load_ahead {
-                Some(load) => rpc.method.record_wait(attempt.estimated_duration(), load, estimates, now),
+                Some(load) => {
+                    rpc.method
+                        .record_wait(attempt.estimated_duration(), load, estimates, now)
+                }
                 None => self.idle_queue.record_attempt(attempt, estimates, now),
             }
         }
         self.admission.record_attempt(rpc, attempt, now);
         if attempt.is_timed() {
-            attempt.backend.response_time.add(attempt.estimated_duration(), now, AVERAGING_TIME);
-            throttle::record_attempt(rpc, attempt, self.load_reports.responses_fill_queue(now), now);
+            attempt
+                .backend
+                .response_time
+                .add(attempt.estimated_duration(), now, AVERAGING_TIME);
+            throttle::record_attempt(
+                rpc,
+                attempt,
+                self.load_reports.responses_fill_queue(now),
+                now,
+            );
         }
         if attempt.may_still_run() {
-            self.keyed.cool_down(rpc, now + self.rules.limits.key_cooldown);
+            self.keyed
+                .cool_down(rpc, now + self.rules.limits.key_cooldown);
         }
     }
 
@@ -104,9 +126,13 @@
         backend.record_outcome(outcome, now);
         match outcome {
             AttemptOutcome::Succeeded => self.record_success(attempt, report, now),
-            AttemptOutcome::Rejected => outlier_detection::record_rejection(backend, &mut self.fleet, now),
+            AttemptOutcome::Rejected => {
+                outlier_detection::record_rejection(backend, &mut self.fleet, now)
+            }
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
-            _ => self.outlier_detection.record_failure(backend, outcome, &mut self.fleet, now),
+            _ => self
+                .outlier_detection
+                .record_failure(backend, outcome, &mut self.fleet, now),
         }
     }
 
@@ -114,9 +140,14 @@
         let backend = &attempt.backend;
         self.outlier_detection.record_success(backend, now);
         self.retry_budget.record_success();
-        self.fleet.estimates.record_completion(attempt.duration, now);
+        self.fleet
+            .estimates
+            .record_completion(attempt.duration, now);
         let ready = self.fleet.index.ready_count();
-        self.rules.slow_start.budget.record_completion(backend, ready, now);
+        self.rules
+            .slow_start
+            .budget
+            .record_completion(backend, ready, now);
         self.record_report(backend, report, None, now);
         if report.is_none() && self.load_reports.responses_fill_queue(now) {
             self.enqueue_idle(backend, now);
@@ -131,10 +162,17 @@
         check_duration: Option<f64>,
         now: f64,
     ) {
-        let Some(load) = self.load_reports.load(report, check_duration, &self.fleet) else { return };
+        let Some(load) = self.load_reports.load(report, check_duration, &self.fleet) else {
+            return;
+        };
         let by_check = check_duration.is_some();
-        let idle = self.load_reports.record(backend, load, by_check, &self.fleet, now);
-        self.rules.slow_start.budget.record_report(backend, by_check, &self.fleet.rng, now);
+        let idle = self
+            .load_reports
+            .record(backend, load, by_check, &self.fleet, now);
+        self.rules
+            .slow_start
+            .budget
+            .record_report(backend, by_check, &self.fleet.rng, now);
         if idle {
             self.enqueue_idle(backend, now);
         }
@@ -152,12 +190,14 @@
             self.fleet.estimates.record_failed_check(duration, now);
         }
         if outcome != AttemptOutcome::Rejected {
-            self.outlier_detection.record_failure(backend, outcome, &mut self.fleet, now);
+            self.outlier_detection
+                .record_failure(backend, outcome, &mut self.fleet, now);
         }
     }
 
     fn enqueue_idle(&mut self, backend: &Rc<Backend>, now: f64) {
         let by_responses = self.load_reports.responses_fill_queue(now);
-        self.idle_queue.enqueue(backend, by_responses, &self.fleet, now);
+        self.idle_queue
+            .enqueue(backend, by_responses, &self.fleet, now);
     }
 }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -66,7 +66,10 @@
 impl Backend {
     /// A backend of which nothing is known yet.
     pub(crate) fn new(id: u32) -> Self {
-        Self { id, ..Self::default() }
+        Self {
+            id,
+            ..Self::default()
+        }
     }
 
     /// Takes over what its entry in the endpoint list says, except for the start time.
@@ -108,7 +111,9 @@
 
     /// Whether every attempt that ended within this time succeeded.
     pub(crate) fn finished_all(&self, now: f64, within: f64) -> bool {
-        self.last_unfinished_at.get().is_none_or(|at| now >= at + within)
+        self.last_unfinished_at
+            .get()
+            .is_none_or(|at| now >= at + within)
     }
 
     /// Attempts in flight that are work for the backend now.
@@ -118,20 +123,24 @@
 
     /// The number of attempts in flight has changed by this much.
     pub(crate) fn change_in_flight(&self, change: isize, now: f64, time_constant: f64) {
-        self.in_flight.set(self.in_flight.get().saturating_add_signed(change));
-        self.mean_in_flight.add(self.in_flight.get() as f64, now, time_constant);
+        self.in_flight
+            .set(self.in_flight.get().saturating_add_signed(change));
+        self.mean_in_flight
+            .add(self.in_flight.get() as f64, now, time_constant);
     }
 
     /// Its idle-queue entry is valid until then at the least; true if it had none.
     pub(crate) fn extend_queue_entry(&self, until: f64) -> bool {
         let before = self.queued_until.get();
-        self.queued_until.set(Some(before.map_or(until, |earlier| earlier.max(until))));
+        self.queued_until
+            .set(Some(before.map_or(until, |earlier| earlier.max(until))));
         before.is_none()
     }
 
     /// An entry that it has in the idle queue is valid no longer.
     pub(crate) fn invalidate_queue_entry(&self) {
-        self.queued_until.set(self.queued_until.get().map(|_| f64::MIN));
+        self.queued_until
+            .set(self.queued_until.get().map(|_| f64::MIN));
     }
 
     /// Whether it has a valid entry in the idle queue and still takes RPCs.
@@ -165,7 +174,14 @@
         while sent_at.front().is_some_and(|at| *at <= now - window) {
             sent_at.pop_front();
         }
-        let full = self.assumed_full_at.get().is_some_and(|at| now < at + window);
-        if full { f64::INFINITY } else { sent_at.len() as f64 }
+        let full = self
+            .assumed_full_at
+            .get()
+            .is_some_and(|at| now < at + window);
+        if full {
+            f64::INFINITY
+        } else {
+            sent_at.len() as f64
+        }
     }
 }
--- a/src/endpoint_index/mod.rs
+++ b/src/endpoint_index/mod.rs
@@ -66,7 +66,10 @@
 
     /// The backend of this number, made if it is not known.
     pub(crate) fn get_or_insert(&mut self, id: u32) -> Rc<Backend> {
-        self.by_id.entry(id).or_insert_with(|| Rc::new(Backend::new(id))).clone()
+        self.by_id
+            .entry(id)
+            .or_insert_with(|| Rc::new(Backend::new(id)))
+            .clone()
     }
 
     /// No backend is known.
@@ -92,12 +95,18 @@
     /// The `count` cells that come first for a key, by weighted rendezvous hash: the same at every proxy.
     pub(crate) fn cells_of_key(&self, key: u64, count: usize) -> Vec<Subset> {
         let score = |(subset, members): (&Subset, &Vec<_>)| match subset {
-            Subset::Cell(cell) => Some((pair_sample(key, *cell).ln() / members.len() as f64, *cell)),
+            Subset::Cell(cell) => {
+                Some((pair_sample(key, *cell).ln() / members.len() as f64, *cell))
+            }
             _ => None,
         };
         let mut cells: Vec<_> = self.subsets.iter().filter_map(score).collect();
         cells.sort_by(|a, b| b.partial_cmp(a).expect("no NaN"));
-        cells.iter().take(count).map(|(_, cell)| Subset::Cell(*cell)).collect()
+        cells
+            .iter()
+            .take(count)
+            .map(|(_, cell)| Subset::Cell(*cell))
+            .collect()
     }
 
     /// A random member that fits: some random ones are tried, then a stretch from a random place. This bounds
@@ -109,14 +118,22 @@
         fits: impl Fn(&Rc<Backend>) -> bool,
     ) -> Option<Rc<Backend>> {
         let members = self.subset(subset);
-        for _ in 0..if members.len() > SCAN_LIMIT { RANDOM_TRIES } else { 0 } {
+        for _ in 0..if members.len() > SCAN_LIMIT {
+            RANDOM_TRIES
+        } else {
+            0
+        } {
             let backend = &members[rng.index(members.len())];
             if fits(backend) {
                 return Some(backend.clone());
             }
         }
         let start = rng.index(members.len().max(1));
-        let stretch = members.iter().cycle().skip(start).take(members.len().min(SCAN_LIMIT));
+        let stretch = members
+            .iter()
+            .cycle()
+            .skip(start)
+            .take(members.len().min(SCAN_LIMIT));
         let mut fitting: Vec<_> = stretch.filter(|b| fits(b)).cloned().collect();
         rng.take_one(&mut fitting)
     }
@@ -131,7 +148,9 @@
                 members.push(backend.clone());
             }
             (Some(at), false) => {
-                let Some(members) = self.subsets.get_mut(&subset) else { return };
+                let Some(members) = self.subsets.get_mut(&subset) else {
+                    return;
+                };
                 position.set(None);
                 members.swap_remove(at);
                 match members.get(at) {
@@ -150,21 +169,46 @@
         let ready = backend.ready.get();
         let (zone, cell) = (backend.zone.get(), backend.cell.get());
         let available = ready && available;
-        self.set_member(backend, if ready { Subset::Ready } else { Subset::Unready }, true);
+        self.set_member(
+            backend,
+            if ready {
+                Subset::Ready
+            } else {
+                Subset::Unready
+            },
+            true,
+        );
         self.set_member(backend, Subset::Zone(zone), ready);
         self.set_member(backend, Subset::Cell(cell), ready);
         self.set_member(backend, Subset::Available, available);
-        self.set_member(backend, Subset::AvailableLocal, available && zone == self.own_zone);
+        self.set_member(
+            backend,
+            Subset::AvailableLocal,
+            available && zone == self.own_zone,
+        );
     }
 
     /// Takes a backend out of every subset, by the zone and cell it has had until now.
     pub(crate) fn remove_from_subsets(&mut self, backend: &Rc<Backend>) {
         let ready = backend.ready.get();
-        let (zone, cell) = (Subset::Zone(backend.zone.get()), Subset::Cell(backend.cell.get()));
-        let readiness = if ready { Subset::Ready } else { Subset::Unready };
-        [readiness, Subset::Available, Subset::AvailableLocal, zone, cell]
-            .into_iter()
-            .for_each(|subset| self.set_member(backend, subset, false));
+        let (zone, cell) = (
+            Subset::Zone(backend.zone.get()),
+            Subset::Cell(backend.cell.get()),
+        );
+        let readiness = if ready {
+            Subset::Ready
+        } else {
+            Subset::Unready
+        };
+        [
+            readiness,
+            Subset::Available,
+            Subset::AvailableLocal,
+            zone,
+            cell,
+        ]
+        .into_iter()
+        .for_each(|subset| self.set_member(backend, subset, false));
     }
 
     /// Removes it altogether.
@@ -175,7 +219,8 @@
 
     /// Something about the backend ends at this time, such as an ejection.
     pub(crate) fn add_expiry(&mut self, time: f64, backend: &Backend) {
-        self.expiries.push(Reverse((time.max(0.0).to_bits(), backend.id)));
+        self.expiries
+            .push(Reverse((time.max(0.0).to_bits(), backend.id)));
     }
 
     /// A backend about which something has ended by now; told once for each time that was added.
--- a/src/endpoint_index/tests.rs
+++ b/src/endpoint_index/tests.rs
@@ -19,7 +19,10 @@
         let backend = index.get_or_insert(id);
         // One zone at a time: a backend is in one only, as its description has it.
         if let Subset::Zone(zone) = subset {
-            if plain.iter().any(|(n, s)| *n == id && matches!(s, Subset::Zone(z) if *z != zone)) {
+            if plain
+                .iter()
+                .any(|(n, s)| *n == id && matches!(s, Subset::Zone(z) if *z != zone))
+            {
                 continue;
             }
             backend.zone.set(zone);
@@ -37,8 +40,16 @@
     SUBSETS.iter().all(|subset| {
         let mut members: Vec<_> = index.subset(*subset).iter().map(|b| b.id).collect();
         let position = |b: &Backend| b.index_positions[subset.slot()].get();
-        let placed = index.subset(*subset).iter().enumerate().all(|(n, b)| position(b) == Some(n));
-        let mut expected: Vec<_> = plain.iter().filter(|(_, s)| s == subset).map(|(id, _)| *id).collect();
+        let placed = index
+            .subset(*subset)
+            .iter()
+            .enumerate()
+            .all(|(n, b)| position(b) == Some(n));
+        let mut expected: Vec<_> = plain
+            .iter()
+            .filter(|(_, s)| s == subset)
+            .map(|(id, _)| *id)
+            .collect();
         members.sort_unstable();
         expected.sort_unstable();
         placed && members == expected
@@ -47,7 +58,9 @@
 
 #[test]
 fn subsets_follow_generated_moves() {
-    let mut check = QuickCheck::new().tests(500).rng(Gen::from_size_and_seed(120, 3));
+    let mut check = QuickCheck::new()
+        .tests(500)
+        .rng(Gen::from_size_and_seed(120, 3));
     check.quickcheck(subsets_are_those_of_a_plain_vector as fn(_) -> bool);
 }
 
--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -36,7 +36,9 @@
 
     /// Time from an attempt to its response, s.
     pub(crate) fn service_time(&self) -> f64 {
-        self.service_time.value_or(self.shortest_objective / 2.0).max(CLOCK_TOLERANCE)
+        self.service_time
+            .value_or(self.shortest_objective / 2.0)
+            .max(CLOCK_TOLERANCE)
     }
 
     /// Responses counted over [`AVERAGING_TIME`].
--- a/src/ewma.rs
+++ b/src/ewma.rs
@@ -39,12 +39,22 @@
     /// The average, or `default` before the first sample.
     pub(crate) fn value_or(&self, default: f64) -> f64 {
         let count = self.count.sum.get();
-        if count > 0.0 { self.total.sum.get() / count } else { default }
+        if count > 0.0 {
+            self.total.sum.get() / count
+        } else {
+            default
+        }
     }
 
     /// The average of the recent samples and of `prior_count` samples of `prior` beside them, so that few
     /// samples change little.
-    pub(crate) fn with_prior(&self, now: f64, time_constant: f64, prior_count: f64, prior: f64) -> f64 {
+    pub(crate) fn with_prior(
+        &self,
+        now: f64,
+        time_constant: f64,
+        prior_count: f64,
+        prior: f64,
+    ) -> f64 {
         let total = self.total.read(now, time_constant) + prior_count * prior;
         total / (self.count.read(now, time_constant) + prior_count)
     }
--- a/src/keyed_queue/tests.rs
+++ b/src/keyed_queue/tests.rs
@@ -14,7 +14,14 @@
     };
     let method = Rc::new(Method::new(&settings, 1.0, None));
     let (incoming, share) = (IncomingRpc::default(), QuotaShare::Within);
-    Rc::new(RpcState::new(&incoming, method, share, Vec::new(), Vec::new(), 0.0))
+    Rc::new(RpcState::new(
+        &incoming,
+        method,
+        share,
+        Vec::new(),
+        Vec::new(),
+        0.0,
+    ))
 }
 
 /// Memory must not grow with every key there ever was, also not with those that cooled down after their RPCs
@@ -33,7 +40,10 @@
         assert!(queue.next_ready(now).is_none());
         most = most.max(queue.keys.len() + queue.due.len());
     }
-    assert!(most < 60, "{most} entries at a thousand keys a second that cool down for 0.05 s");
+    assert!(
+        most < 60,
+        "{most} entries at a thousand keys a second that cool down for 0.05 s"
+    );
     assert!(queue.next_ready(f64::INFINITY).is_none());
     assert_eq!((queue.keys.len(), queue.next_due()), (0, None));
 }
@@ -50,6 +60,10 @@
     queue.remove(&rpcs[0]);
     queue.remove(&rpcs[0]);
     assert!(queue.next_ready(1.9).is_none() && queue.next_due() == Some(2.0));
-    assert!(queue.next_ready(2.0).is_some_and(|next| Rc::ptr_eq(&next, &rpcs[2])));
+    assert!(
+        queue
+            .next_ready(2.0)
+            .is_some_and(|next| Rc::ptr_eq(&next, &rpcs[2]))
+    );
     assert!(queue.next_ready(9.0).is_none());
 }
--- a/src/method.rs
+++ b/src/method.rs
@@ -25,10 +25,26 @@
 
 impl Method {
     /// A method; what was measured of it under earlier settings goes on, also by its RPCs in flight.
-    pub(crate) fn new(settings: &MethodSettings, latency_budget: f64, before: Option<&Rc<Self>>) -> Self {
-        let measured = before.map(|b| (b.time_per_rpc.clone(), b.throttle.clone(), b.arrivals.clone()));
+    pub(crate) fn new(
+        settings: &MethodSettings,
+        latency_budget: f64,
+        before: Option<&Rc<Self>>,
+    ) -> Self {
+        let measured = before.map(|b| {
+            (
+                b.time_per_rpc.clone(),
+                b.throttle.clone(),
+                b.arrivals.clone(),
+            )
+        });
         let (time_per_rpc, throttle, arrivals) = measured.unwrap_or_default();
-        Self { settings: settings.clone(), latency_budget, time_per_rpc, throttle, arrivals }
+        Self {
+            settings: settings.clone(),
+            latency_budget,
+            time_per_rpc,
+            throttle,
+            arrivals,
+        }
     }
 
     /// One of its RPCs has come in.
@@ -41,7 +57,11 @@
     pub(crate) fn record_wait(&self, duration: f64, load: f64, estimates: &Estimates, now: f64) {
         let load = load.max(estimates.recent_load(now)) + 1.0;
         let most = self.time_per_rpc.value_or(f64::INFINITY) * MAX_WAIT_MULTIPLE;
-        self.time_per_rpc.add((duration / load).min(most), now, estimates.wait_time_constant());
+        self.time_per_rpc.add(
+            (duration / load).min(most),
+            now,
+            estimates.wait_time_constant(),
+        );
     }
 
     /// Fraction of the recent RPCs of all methods that rank before one of this method by priority weight,
@@ -50,14 +70,22 @@
         let (mut before, mut all) = (0.0, 0.0);
         for method in methods {
             let arrivals = method.arrivals.read(now, ARRIVALS_TIME_CONSTANT);
-            let ahead = match method.settings.priority_weight.total_cmp(&self.settings.priority_weight) {
+            let ahead = match method
+                .settings
+                .priority_weight
+                .total_cmp(&self.settings.priority_weight)
+            {
                 Ordering::Greater => 1.0,
                 Ordering::Equal => among_equals,
                 Ordering::Less => 0.0,
             };
             (before, all) = (before + arrivals * ahead, all + arrivals);
         }
-        if all > 0.0 { before / all } else { among_equals }
+        if all > 0.0 {
+            before / all
+        } else {
+            among_equals
+        }
     }
 
     /// Time until which a response to the RPC has weight: the latency objective, or the deadline where late
@@ -66,6 +94,10 @@
         let stretch = self.settings.objective_stretch * incoming.expected_work.unwrap_or(0.0);
         let objective = now + self.settings.latency_objective + stretch;
         let late_counts = self.settings.late_weight_fraction > 0.0;
-        if late_counts { incoming.deadline } else { objective.min(incoming.deadline) }
+        if late_counts {
+            incoming.deadline
+        } else {
+            objective.min(incoming.deadline)
+        }
     }
 }
--- a/src/pending_queue/mod.rs
+++ b/src/pending_queue/mod.rs
@@ -56,12 +56,16 @@
     pub(crate) fn next_after(&self, position: Option<PendingPosition>) -> Option<Rc<RpcState>> {
         let from = position.map_or(Unbounded, Excluded);
         let next = self.by_priority.range((from, Unbounded)).next();
-        next.filter(|(position, _)| !position.key_blocked).map(|(_, rpc)| rpc.clone())
+        next.filter(|(position, _)| !position.key_blocked)
+            .map(|(_, rpc)| rpc.clone())
     }
 
     /// The one whose wait ends first, and when.
     pub(crate) fn first_end(&self) -> Option<(f64, Rc<RpcState>)> {
         let (end, position) = self.by_end.first()?;
-        Some((f64::from_bits(*end), self.by_priority.get(position)?.clone()))
+        Some((
+            f64::from_bits(*end),
+            self.by_priority.get(position)?.clone(),
+        ))
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -25,21 +25,50 @@
 
 impl Admission {
     /// Derives the methods and their latency budgets: the higher the priority, the lower the budget.
-    pub(crate) fn apply_settings(&mut self, settings: &Settings, carried: &CarriedOver, can_check: bool) {
-        let highest = settings.methods.iter().map(|m| m.priority_weight).fold(0.0, f64::max);
+    pub(crate) fn apply_settings(
+        &mut self,
+        settings: &Settings,
+        carried: &CarriedOver,
+        can_check: bool,
+    ) {
+        let highest = settings
+            .methods
+            .iter()
+            .map(|m| m.priority_weight)
+            .fold(0.0, f64::max);
         let method = |(n, method): (usize, &MethodSettings)| {
-            let budget = if method.late_weight_fraction > 0.0 { LATE_LATENCY_BUDGET } else { LATENCY_BUDGET };
-            let before = carried.methods.get(n).and_then(|index| self.methods.get((*index)?));
-            Rc::new(Method::new(method, budget * (highest / method.priority_weight).max(1.0).sqrt(), before))
+            let budget = if method.late_weight_fraction > 0.0 {
+                LATE_LATENCY_BUDGET
+            } else {
+                LATENCY_BUDGET
+            };
+            let before = carried
+                .methods
+                .get(n)
+                .and_then(|index| self.methods.get((*index)?));
+            Rc::new(Method::new(
+                method,
+                budget * (highest / method.priority_weight).max(1.0).sqrt(),
+                before,
+            ))
         };
         self.methods = settings.methods.iter().enumerate().map(method).collect();
-        self.by_priority = !can_check && settings.methods.iter().any(|m| m.priority_weight < highest);
-        self.least_budget = self.methods.iter().map(|m| m.latency_budget).fold(f64::INFINITY, f64::min);
+        self.by_priority =
+            !can_check && settings.methods.iter().any(|m| m.priority_weight < highest);
+        self.least_budget = self
+            .methods
+            .iter()
+            .map(|m| m.latency_budget)
+            .fold(f64::INFINITY, f64::min);
     }
 
     /// Whether an RPC may pick a random backend.
     pub(crate) fn admits(&self, rpc: &RpcState, estimates: &Estimates, now: f64) -> bool {
-        if self.by_priority { self.is_in_rank(rpc, now) } else { self.fits_deadline(rpc, estimates, now) }
+        if self.by_priority {
+            self.is_in_rank(rpc, now)
+        } else {
+            self.fits_deadline(rpc, estimates, now)
+        }
     }
 
     /// Additive increase, multiplicative decrease, by whether an attempt was answered in good time.
@@ -47,7 +76,9 @@
         let prompt = attempt.duration <= rpc.method.settings.latency_objective * PROMPT_PART;
         let rate = match attempt.outcome {
             AttemptOutcome::Succeeded if prompt => self.rate(now) + RATE_INCREASE,
-            _ if attempt.is_timed() || attempt.was_rejected() => self.rate(now) * (1.0 - RATE_DECREASE),
+            _ if attempt.is_timed() || attempt.was_rejected() => {
+                self.rate(now) * (1.0 - RATE_DECREASE)
+            }
             _ => return,
         };
         self.rate = Some((rate, now));
@@ -55,7 +86,9 @@
 
     /// Part of RPCs admitted by now.
     fn rate(&self, now: f64) -> f64 {
-        self.rate.map_or(1.0, |(rate, since)| (rate + (now - since).max(0.0) * RATE_RECOVERY).min(1.0))
+        self.rate.map_or(1.0, |(rate, since)| {
+            (rate + (now - since).max(0.0) * RATE_RECOVERY).min(1.0)
+        })
     }
 
     /// Whether an RPC ranks within the rate. Otherwise all backends would fill until little is in time, and a
@@ -63,16 +96,24 @@
     fn is_in_rank(&self, rpc: &RpcState, now: f64) -> bool {
         let (rate, sample) = (self.rate(now), pair_sample(rpc.id, 0));
         let ranked = rate < 1.0 && pair_sample(rpc.id, 1) < RANKED_PART;
-        let rank = if ranked { rpc.method.rank(&self.methods, sample, now) } else { sample };
+        let rank = if ranked {
+            rpc.method.rank(&self.methods, sample, now)
+        } else {
+            sample
+        };
         rank < rate || now > self.last_attempt_at + MAX_PAUSE
     }
 
     /// Whether a random pick would answer in time, as far as is known: otherwise all wait beyond use behind
     /// all. RPCs with long objectives must not fill the backends until short ones are shut out.
     fn fits_deadline(&self, rpc: &RpcState, estimates: &Estimates, now: f64) -> bool {
-        let (load, time_constant) = (estimates.recent_load(now) + 1.0, estimates.wait_time_constant());
+        let (load, time_constant) = (
+            estimates.recent_load(now) + 1.0,
+            estimates.wait_time_constant(),
+        );
         let time_per_rpc = |method: &Method| method.time_per_rpc.decayed(now, time_constant);
-        let most = |m: &Rc<Method>| m.settings.latency_objective / time_per_rpc(m) / self.least_budget;
+        let most =
+            |m: &Rc<Method>| m.settings.latency_objective / time_per_rpc(m) / self.least_budget;
         let tightest = self.methods.iter().map(most).fold(f64::INFINITY, f64::min);
         let wait = load * time_per_rpc(&rpc.method) * rpc.method.latency_budget;
         load <= tightest && wait <= rpc.useful_until - now
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -15,9 +15,19 @@
 }
 
 /// End of an RPC's wait: for an idle backend, or before that for its key while it could still be in time.
-pub(crate) fn pending_until(rpc: &RpcState, keys: &KeyedQueue, checks: bool, fleet: &Fleet, now: f64) -> f64 {
+pub(crate) fn pending_until(
+    rpc: &RpcState,
+    keys: &KeyedQueue,
+    checks: bool,
+    fleet: &Fleet,
+    now: f64,
+) -> f64 {
     let (service_time, queued) = (fleet.estimates.service_time(), keys.length(rpc) as f64);
-    let part = if checks && rpc.share < QuotaShare::Beyond { PENDING_PART } else { 0.0 };
+    let part = if checks && rpc.share < QuotaShare::Beyond {
+        PENDING_PART
+    } else {
+        0.0
+    };
     let until = if rpc.key_ready.get() {
         now + part * rpc.method.settings.latency_objective
     } else if now + queued * service_time > rpc.useful_until {
@@ -29,7 +39,16 @@
 }
 
 /// The longest time that clients honour; the RPCs of the same key may have ended sooner.
-pub(crate) fn retry_after(rpc: &RpcState, keys: &KeyedQueue, service_time: f64, longest: f64) -> f64 {
+pub(crate) fn retry_after(
+    rpc: &RpcState,
+    keys: &KeyedQueue,
+    service_time: f64,
+    longest: f64,
+) -> f64 {
     let key_wait = keys.length(rpc) as f64 * service_time;
-    longest.min(if rpc.key_position.get().is_some() { key_wait } else { f64::INFINITY })
+    longest.min(if rpc.key_position.get().is_some() {
+        key_wait
+    } else {
+        f64::INFINITY
+    })
 }
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -16,7 +16,8 @@
 impl Discovery {
     /// Takes over how the list is followed.
     pub(crate) fn apply_settings(&mut self, settings: &Settings) {
-        self.poll_interval = Some(settings.poll_within * POLL_PART).filter(|_| settings.polls_endpoint_list);
+        self.poll_interval =
+            Some(settings.poll_within * POLL_PART).filter(|_| settings.polls_endpoint_list);
     }
 
     /// A poll failed, or the subscription ended. Truncated exponential backoff with full jitter: each of many
@@ -24,14 +25,18 @@
     pub(crate) fn record_failure(&mut self, rng: &Rng, now: f64) {
         let backoff = FIRST_BACKOFF * 2_f64.powi(self.failures.min(1));
         self.failures += 1;
-        self.poll_at = self.poll_interval.map(|most| now + rng.uniform(0.0, backoff.min(most)));
+        self.poll_at = self
+            .poll_interval
+            .map(|most| now + rng.uniform(0.0, backoff.min(most)));
     }
 
     /// An update has come. A stale list is renewed soon, with jitter: proxies often start together.
     pub(crate) fn record_update(&mut self, kind: EndpointUpdateKind, rng: &Rng, now: f64) {
         match kind {
             EndpointUpdateKind::StaleSnapshot => {
-                self.poll_at = self.poll_interval.map(|_| now + rng.uniform(0.0, FIRST_BACKOFF));
+                self.poll_at = self
+                    .poll_interval
+                    .map(|_| now + rng.uniform(0.0, FIRST_BACKOFF));
             }
             EndpointUpdateKind::Incremental | EndpointUpdateKind::Snapshot => {
                 (self.failures, self.poll_at) = (0, None);
@@ -44,7 +49,9 @@
     pub(crate) fn take_due_poll(&mut self, rng: &Rng, now: f64) -> bool {
         let due = self.poll_at.is_some_and(|at| now >= at);
         if due {
-            self.poll_at = self.poll_interval.map(|every| now + every * rng.uniform(JITTER.0, JITTER.1));
+            self.poll_at = self
+                .poll_interval
+                .map(|every| now + every * rng.uniform(JITTER.0, JITTER.1));
         }
         due
     }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,8 +1,14 @@
 //! Dispatch: which RPC goes where. A pending RPC is served from the idle queue, or by the fallback when its
 //! wait is over; after a failed attempt there is a retry or the final answer.
-use super::{admission::Admission, discovery::Discovery, fallback::Fallback, load_reports::LoadReports};
-use super::{deadlines, health_checks, health_checks::HealthChecks, idle_queue, rules, rules::Rules};
-use super::{idle_queue::IdleQueue, outlier_detection::OutlierDetection, retry_budget::RetryBudget};
+use super::{
+    admission::Admission, discovery::Discovery, fallback::Fallback, load_reports::LoadReports,
+};
+use super::{
+    deadlines, health_checks, health_checks::HealthChecks, idle_queue, rules, rules::Rules,
+};
+use super::{
+    idle_queue::IdleQueue, outlier_detection::OutlierDetection, retry_budget::RetryBudget,
+};
 use crate::tenant::{QuotaShare, TenantQuotas};
 use crate::{endpoint::Backend, fleet::Fleet, interface::Platform, rpc_state::RpcState};
 use crate::{keyed_queue::KeyedQueue, pending_queue::PendingQueue};
@@ -37,9 +43,16 @@
         }
         self.serve_from_idle_queue(platform);
         if let Some(rpc) = self.pending.next_after(None)
-            && self.health_checks.take_due_round(self.fleet.estimates.service_time(), now)
+            && self
+                .health_checks
+                .take_due_round(self.fleet.estimates.service_time(), now)
         {
-            self.health_checks.start(health_checks::PER_ROUND, &rpc.preferred_cells, &self.fleet, platform);
+            self.health_checks.start(
+                health_checks::PER_ROUND,
+                &rpc.preferred_cells,
+                &self.fleet,
+                platform,
+            );
         }
         self.serve_by_fallback(platform);
         self.schedule_timer(platform);
@@ -49,7 +62,9 @@
     fn serve_from_idle_queue(&mut self, platform: &mut dyn Platform) {
         let (mut position, mut passed) = (None, 0);
         while passed < idle_queue::SCAN_LIMIT && !self.idle_queue.is_empty() {
-            let Some(rpc) = self.pending.next_after(position) else { return };
+            let Some(rpc) = self.pending.next_after(position) else {
+                return;
+            };
             position = rpc.pending_position.get();
             if self.attempt_idle(&rpc, platform) {
                 self.pending.remove(&rpc);
@@ -64,9 +79,21 @@
         let now = platform.now();
         let may_wait = self.health_checks.tokens.any_left() || self.fleet.index.is_empty();
         loop {
-            let ended = self.pending.first_end().filter(|(end, _)| *end <= now).map(|(_, rpc)| rpc);
-            let next = || if may_wait { None } else { self.pending.next_after(None) };
-            let Some(rpc) = ended.or_else(next) else { return };
+            let ended = self
+                .pending
+                .first_end()
+                .filter(|(end, _)| *end <= now)
+                .map(|(_, rpc)| rpc);
+            let next = || {
+                if may_wait {
+                    None
+                } else {
+                    self.pending.next_after(None)
+                }
+            };
+            let Some(rpc) = ended.or_else(next) else {
+                return;
+            };
             self.pending.remove(&rpc);
             if !self.attempt_fallback(&rpc, platform) {
                 self.give_up(&rpc, platform);
@@ -76,29 +103,44 @@
 
     /// Starts an attempt at a backend of the idle queue; false if none fits.
     fn attempt_idle(&mut self, rpc: &Rc<RpcState>, platform: &mut dyn Platform) -> bool {
-        let (rules, budget, fleet, now) = (&self.rules, &self.retry_budget, &self.fleet, platform.now());
-        let fits = |b: &Rc<Backend>| rules.may_attempt(rpc, b, None, fleet, now) && budget.allows(rpc, b);
+        let (rules, budget, fleet, now) =
+            (&self.rules, &self.retry_budget, &self.fleet, platform.now());
+        let fits =
+            |b: &Rc<Backend>| rules.may_attempt(rpc, b, None, fleet, now) && budget.allows(rpc, b);
         let backend = self.idle_queue.dequeue(rpc, &fleet.estimates, now, fits);
-        backend.map(|backend| self.start_attempt(rpc, backend, None, platform)).is_some()
+        backend
+            .map(|backend| self.start_attempt(rpc, backend, None, platform))
+            .is_some()
     }
 
     /// Starts an attempt at a random backend; false if the RPC is not admitted or none fits.
     fn attempt_fallback(&mut self, rpc: &Rc<RpcState>, platform: &mut dyn Platform) -> bool {
         let now = platform.now();
-        if !self.admission.admits(rpc, &self.fleet.estimates, now) || rpc.share == QuotaShare::Beyond {
+        if !self.admission.admits(rpc, &self.fleet.estimates, now)
+            || rpc.share == QuotaShare::Beyond
+        {
             return false;
         }
         self.reindex_expired(now);
         let load = Some(self.fleet.estimates.recent_load(now));
         let sample = Some(self.rules.slow_start.budget.record_random_pick(rpc.id, now));
         let (rules, budget, fleet) = (&self.rules, &self.retry_budget, &self.fleet);
-        let fits = |b: &Rc<Backend>| rules.may_attempt(rpc, b, sample, fleet, now) && budget.allows(rpc, b);
+        let fits = |b: &Rc<Backend>| {
+            rules.may_attempt(rpc, b, sample, fleet, now) && budget.allows(rpc, b)
+        };
         let backend = self.fallback.pick(rpc, fleet, now, fits);
-        backend.map(|backend| self.start_attempt(rpc, backend, load, platform)).is_some()
+        backend
+            .map(|backend| self.start_attempt(rpc, backend, load, platform))
+            .is_some()
     }
 
     /// After an attempt: its response is the final answer, else a retry where rules, time and budget allow.
-    pub(crate) fn finish_or_retry(&mut self, rpc: &Rc<RpcState>, done: bool, platform: &mut dyn Platform) {
+    pub(crate) fn finish_or_retry(
+        &mut self,
+        rpc: &Rc<RpcState>,
+        done: bool,
+        platform: &mut dyn Platform,
+    ) {
         if done || rpc.streaming.get() {
             rpc.answered.set(true);
             return self.cancel_attempts(rpc, platform);
@@ -107,7 +149,8 @@
             return;
         }
         let in_time = rpc.useful_until - platform.now() > self.fleet.estimates.service_time();
-        if !(in_time && (self.attempt_idle(rpc, platform) || self.attempt_fallback(rpc, platform))) {
+        if !(in_time && (self.attempt_idle(rpc, platform) || self.attempt_fallback(rpc, platform)))
+        {
             self.give_up(rpc, platform);
         }
     }
@@ -119,7 +162,10 @@
         if rules::may_reject(rpc) {
             let longest = self.rules.limits.max_retry_after;
             let service_time = self.fleet.estimates.service_time();
-            platform.reject(rpc.id, deadlines::retry_after(rpc, &self.keyed, service_time, longest));
+            platform.reject(
+                rpc.id,
+                deadlines::retry_after(rpc, &self.keyed, service_time, longest),
+            );
         } else {
             platform.fail(rpc.id);
         }
--- a/src/policy/fairness.rs
+++ b/src/policy/fairness.rs
@@ -5,7 +5,12 @@
 
 /// A tenant's share is an even split of its quota or, where this proxy carries more, a part of what it
 /// carries. What others leave may be used, also by clients' retries, which are not to crowd out others.
-pub(crate) fn share(quotas: &TenantQuotas, tenant: &Tenant, client_retry: bool, now: f64) -> QuotaShare {
+pub(crate) fn share(
+    quotas: &TenantQuotas,
+    tenant: &Tenant,
+    client_retry: bool,
+    now: f64,
+) -> QuotaShare {
     let all = quotas.all_tenants.used_fraction(now);
     let within = tenant.used_fraction(now) < (all * USAGE_MARGIN).max(1.0);
     match within {
--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -30,9 +30,16 @@
         may_attempt: impl Fn(&Rc<Backend>) -> bool,
     ) -> Option<Rc<Backend>> {
         let (index, rng, allowed) = (&fleet.index, &fleet.rng, allowed_subset(rpc));
-        let cells: &[Subset] = if allowed == Subset::Ready { &rpc.preferred_cells } else { &[] };
+        let cells: &[Subset] = if allowed == Subset::Ready {
+            &rpc.preferred_cells
+        } else {
+            &[]
+        };
         let fits = |b: &Rc<Backend>| may_attempt(b) && is_available(b, now);
-        if let Some(backend) = cells.iter().find_map(|cell| index.pick_random(*cell, rng, fits)) {
+        if let Some(backend) = cells
+            .iter()
+            .find_map(|cell| index.pick_random(*cell, rng, fits))
+        {
             return Some(backend);
         }
         let enough = index.count(Subset::Available) * MIN_AVAILABLE >= index.count(allowed);
@@ -44,6 +51,10 @@
         let local_part = index.count(local) as f64 / index.count(all) as f64;
         let stays_local = rng.uniform(0.0, 1.0) < self.local_weight * local_part;
         let pick = |subset| index.pick_random(subset, rng, &may_attempt);
-        Some(local).filter(|_| stays_local).and_then(pick).or_else(|| pick(all)).or_else(|| pick(allowed))
+        Some(local)
+            .filter(|_| stays_local)
+            .and_then(pick)
+            .or_else(|| pick(all))
+            .or_else(|| pick(allowed))
     }
 }
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -31,28 +31,46 @@
     pub(crate) fn apply_settings(&mut self, settings: &Settings) {
         let source = settings.load_report_source;
         let by_time = source == LoadReportSource::Responses && !settings.reports_include_queue;
-        self.enabled = settings.can_health_check && (by_time || source == LoadReportSource::HealthChecks);
-        let worth = (FIRST_CHECK_WORTH / settings.health_check_cost.max(MIN_COST)).log(1.0 / MISS_CHANCE);
+        self.enabled =
+            settings.can_health_check && (by_time || source == LoadReportSource::HealthChecks);
+        let worth =
+            (FIRST_CHECK_WORTH / settings.health_check_cost.max(MIN_COST)).log(1.0 / MISS_CHANCE);
         (self.affordable, self.per_rpc) = (worth >= 0.0, worth.clamp(MIN_PER_RPC, MAX_PER_RPC));
     }
 
     /// An RPC has come in and pays for checks: for few where responses fill the idle queue.
     pub(crate) fn record_arrival(&mut self, responses_fill_queue: bool) {
-        let tokens = if responses_fill_queue { MIN_PER_RPC } else { self.per_rpc };
-        self.tokens.add(tokens, tokens * SAVED_RPCS + PER_ROUND as f64);
+        let tokens = if responses_fill_queue {
+            MIN_PER_RPC
+        } else {
+            self.per_rpc
+        };
+        self.tokens
+            .add(tokens, tokens * SAVED_RPCS + PER_ROUND as f64);
     }
 
     /// Checks a few random backends, spread over these cells if there are any.
-    pub(crate) fn start(&mut self, max: usize, cells: &[Subset], fleet: &Fleet, platform: &mut dyn Platform) {
+    pub(crate) fn start(
+        &mut self,
+        max: usize,
+        cells: &[Subset],
+        fleet: &Fleet,
+        platform: &mut dyn Platform,
+    ) {
         let now = platform.now();
         let unknown = |b: &Backend| b.health_check_sent_at.get().is_none() && !b.is_queued(now);
         let fits = |b: &Rc<Backend>| is_healthy(b, now) && unknown(b);
         for number in 0..max {
-            let subset = cells.get(number * cells.len() / max).copied().unwrap_or(Subset::Ready);
+            let subset = cells
+                .get(number * cells.len() / max)
+                .copied()
+                .unwrap_or(Subset::Ready);
             if !self.enabled || !self.tokens.can_pay() {
                 return;
             }
-            let Some(backend) = fleet.index.pick_random(subset, &fleet.rng, fits) else { continue };
+            let Some(backend) = fleet.index.pick_random(subset, &fleet.rng, fits) else {
+                continue;
+            };
             self.tokens.start(&backend, now);
             platform.health_check(backend.id);
         }
@@ -70,7 +88,11 @@
     /// A round for pending RPCs is due; the next one is later.
     pub(crate) fn take_due_round(&mut self, service_time: f64, now: f64) -> bool {
         let due = now >= self.next_round_at;
-        self.next_round_at = if due { now + ROUND_SERVICE_TIMES * service_time } else { self.next_round_at };
+        self.next_round_at = if due {
+            now + ROUND_SERVICE_TIMES * service_time
+        } else {
+            self.next_round_at
+        };
         due
     }
 
--- a/src/policy/idle_queue.rs
+++ b/src/policy/idle_queue.rs
@@ -30,12 +30,27 @@
 
     /// Adds a backend, or extends its entry. Where responses fill the queue, the quickest backend is first,
     /// or all proxies would go round all they know; and entries last, or the queue would always be empty.
-    pub(crate) fn enqueue(&mut self, backend: &Rc<Backend>, by_responses: bool, fleet: &Fleet, now: f64) {
-        let lifetime = if by_responses { MAX_ENTRY_LIFETIME } else { entry_lifetime(&fleet.estimates) };
-        if backend.ready.get() && is_healthy(backend, now) && backend.extend_queue_entry(now + lifetime) {
+    pub(crate) fn enqueue(
+        &mut self,
+        backend: &Rc<Backend>,
+        by_responses: bool,
+        fleet: &Fleet,
+        now: f64,
+    ) {
+        let lifetime = if by_responses {
+            MAX_ENTRY_LIFETIME
+        } else {
+            entry_lifetime(&fleet.estimates)
+        };
+        if backend.ready.get()
+            && is_healthy(backend, now)
+            && backend.extend_queue_entry(now + lifetime)
+        {
             let response_time = |b: &Backend| b.response_time.value_or(0.0);
-            let ahead = |b: &Rc<Backend>| !by_responses || response_time(b) <= response_time(backend);
-            self.entries.insert(self.entries.partition_point(ahead), backend.clone());
+            let ahead =
+                |b: &Rc<Backend>| !by_responses || response_time(b) <= response_time(backend);
+            self.entries
+                .insert(self.entries.partition_point(ahead), backend.clone());
         }
     }
 
@@ -48,7 +63,9 @@
         may_attempt: impl Fn(&Rc<Backend>) -> bool,
     ) -> Option<Rc<Backend>> {
         // Reports may stand still: entries must fit by what attempts by earlier ones took.
-        let expected = self.time_part.with_prior(now, estimates.wait_time_constant(), PRIOR_ATTEMPTS, 0.0);
+        let expected =
+            self.time_part
+                .with_prior(now, estimates.wait_time_constant(), PRIOR_ATTEMPTS, 0.0);
         let doubted = expected * rpc.method.latency_budget > MAX_TIME_PART;
         let mut position = 0;
         while position < self.entries.len().min(SCAN_LIMIT) {
@@ -71,7 +88,13 @@
     }
 
     /// An attempt by the queue has ended.
-    pub(crate) fn record_attempt(&self, attempt: &CompletedAttempt, estimates: &Estimates, now: f64) {
-        self.time_part.add(attempt.time_part(), now, estimates.wait_time_constant());
+    pub(crate) fn record_attempt(
+        &self,
+        attempt: &CompletedAttempt,
+        estimates: &Estimates,
+        now: f64,
+    ) {
+        self.time_part
+            .add(attempt.time_part(), now, estimates.wait_time_constant());
     }
 }
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -16,20 +16,42 @@
 
 impl LoadReports {
     /// Takes over what reports carry and what checks cost.
-    pub(crate) fn apply_settings(&mut self, settings: &Settings, can_check: bool, affordable: bool) {
+    pub(crate) fn apply_settings(
+        &mut self,
+        settings: &Settings,
+        can_check: bool,
+        affordable: bool,
+    ) {
         self.checks_measure_queue = can_check && !settings.reports_include_queue;
         self.only_responses = !(can_check && affordable);
     }
 
     /// RPCs at a backend. A utilisation says nothing of a queue: there the time of the health check counts.
-    pub(crate) fn load(&self, report: Option<LoadReport>, check: Option<f64>, fleet: &Fleet) -> Option<f64> {
+    pub(crate) fn load(
+        &self,
+        report: Option<LoadReport>,
+        check: Option<f64>,
+        fleet: &Fleet,
+    ) -> Option<f64> {
         let queued = check.map(|duration| duration / fleet.estimates.service_time());
-        if self.checks_measure_queue { queued } else { report.and_then(|report| report.load()) }
+        if self.checks_measure_queue {
+            queued
+        } else {
+            report.and_then(|report| report.load())
+        }
     }
 
     /// Takes in a load. Returns whether the backend is idle by it.
-    pub(crate) fn record(&self, backend: &Backend, load: f64, check: bool, fleet: &Fleet, now: f64) -> bool {
-        let light = load <= fleet.estimates.reported_load() * LIGHT_LOAD * backend.relative_size.get();
+    pub(crate) fn record(
+        &self,
+        backend: &Backend,
+        load: f64,
+        check: bool,
+        fleet: &Fleet,
+        now: f64,
+    ) -> bool {
+        let light =
+            load <= fleet.estimates.reported_load() * LIGHT_LOAD * backend.relative_size.get();
         let load = load.max(backend.executing() as f64) / backend.relative_size.get();
         fleet.estimates.record_load(load, now);
         if self.checks_measure_queue {
@@ -45,7 +67,10 @@
     /// Responses fill the idle queue: reports cost too much, or hardly save time, as where all are light.
     /// Proxies that each see too little to pay for health checks would otherwise only pick at random.
     pub(crate) fn responses_fill_queue(&self, now: f64) -> bool {
-        let (light, ratio) = (self.quality.light_part(), self.quality.light_duration_ratio(now));
+        let (light, ratio) = (
+            self.quality.light_part(),
+            self.quality.light_duration_ratio(now),
+        );
         let saves = ratio <= (light * ratio + 1.0 - light) * (1.0 - MIN_TIME_SAVED);
         self.only_responses || !self.checks_measure_queue && !saves
     }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -21,18 +21,29 @@
 impl OutlierDetection {
     /// Counts a failure, and ejects the backend if it is one too many. A quick failure must not look idle,
     /// and a dead backend must not be picked again and again.
-    pub(crate) fn record_failure(&self, backend: &Backend, how: AttemptOutcome, fleet: &mut Fleet, now: f64) {
+    pub(crate) fn record_failure(
+        &self,
+        backend: &Backend,
+        how: AttemptOutcome,
+        fleet: &mut Fleet,
+        now: f64,
+    ) {
         // Timeouts and resets may come by chance and would eject all in turn; all else meets every attempt.
         let by_chance = matches!(how, AttemptOutcome::TimedOut | AttemptOutcome::Reset);
-        let failures =
-            (backend.consecutive_failures.get() + 1.0).max(if by_chance { 1.0 } else { FAILURES_TO_EJECT });
+        let failures = (backend.consecutive_failures.get() + 1.0).max(if by_chance {
+            1.0
+        } else {
+            FAILURES_TO_EJECT
+        });
         self.failure_rate.add(1.0, now, AVERAGING_TIME);
         backend.consecutive_failures.set(failures);
         backend.invalidate_queue_entry();
         if failures >= FAILURES_TO_EJECT && now >= backend.ejected_until.get() {
-            let least = EJECTION_RESPONSES * AVERAGING_TIME / fleet.estimates.recent_completions(now);
+            let least =
+                EJECTION_RESPONSES * AVERAGING_TIME / fleet.estimates.recent_completions(now);
             let doubled = FIRST_EJECTION * 2_f64.powf((failures - FAILURES_TO_EJECT).min(10.0));
-            let duration = doubled.max(least).min(MAX_EJECTION) * fleet.rng.uniform(JITTER.0, JITTER.1);
+            let duration =
+                doubled.max(least).min(MAX_EJECTION) * fleet.rng.uniform(JITTER.0, JITTER.1);
             backend.ejected_until.set(now + duration);
             fleet.index.add_expiry(now + duration, backend);
         }
@@ -44,7 +55,9 @@
         let rate = self.failure_rate.value_or(0.0);
         let forgiven = FORGIVEN.max(FORGIVEN_ODDS * rate / (1.0 - rate));
         let failures = backend.consecutive_failures.get().min(FAILURES_TO_EJECT);
-        backend.consecutive_failures.set((failures - forgiven).max(0.0));
+        backend
+            .consecutive_failures
+            .set((failures - forgiven).max(0.0));
     }
 }
 
@@ -58,7 +71,8 @@
 /// Neither ejected nor full. After an ejection one attempt at a time is let through, until one succeeds.
 pub(crate) fn is_healthy(backend: &Backend, now: f64) -> bool {
     let trial = now >= backend.ejected_until.get() && backend.in_flight.get() == 0;
-    (backend.consecutive_failures.get() < FAILURES_TO_EJECT || trial) && now >= backend.full_until.get()
+    (backend.consecutive_failures.get() < FAILURES_TO_EJECT || trial)
+        && now >= backend.full_until.get()
 }
 
 /// Healthy, and with no more in flight than usual: a backend that hangs collects RPCs.
--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -1,7 +1,9 @@
 //! The rules that no attempt and no rejection may break. Whether an attempt is wise is decided elsewhere.
 use super::{deadlines::SLACK, slow_start::SlowStart};
 use crate::interface::{DeduplicationScope as Scope, Idempotency};
-use crate::{endpoint::Backend, endpoint_index::Subset, fleet::Fleet, limits::Limits, rpc_state::RpcState};
+use crate::{
+    endpoint::Backend, endpoint_index::Subset, fleet::Fleet, limits::Limits, rpc_state::RpcState,
+};
 
 /// The limits of the deployment and the slow start budget.
 #[derive(Default)]
@@ -55,7 +57,10 @@
 /// Judges whether a client may be told that a retry is harmless.
 pub(crate) fn may_reject(rpc: &RpcState) -> bool {
     match rpc.method.settings.idempotency {
-        Idempotency::Idempotent | Idempotency::Deduplicated { scope: Scope::All, .. } => true,
+        Idempotency::Idempotent
+        | Idempotency::Deduplicated {
+            scope: Scope::All, ..
+        } => true,
         _ => !rpc.may_have_run(),
     }
 }
@@ -63,10 +68,23 @@
 /// The backends that rule 2 leaves: what may have run is tied to the scope that drops its duplicates.
 pub(crate) fn allowed_subset(rpc: &RpcState) -> Subset {
     let attempts = rpc.attempts.borrow();
-    let first = attempts.iter().find(|attempt| attempt.may_have_run()).map(|attempt| &attempt.backend);
+    let first = attempts
+        .iter()
+        .find(|attempt| attempt.may_have_run())
+        .map(|attempt| &attempt.backend);
     match (rpc.method.settings.idempotency, first) {
-        (Idempotency::Deduplicated { scope: Scope::Zone, .. }, Some(b)) => Subset::Zone(b.zone.get()),
-        (Idempotency::Deduplicated { scope: Scope::Cell, .. }, Some(b)) => Subset::Cell(b.cell.get()),
+        (
+            Idempotency::Deduplicated {
+                scope: Scope::Zone, ..
+            },
+            Some(b),
+        ) => Subset::Zone(b.zone.get()),
+        (
+            Idempotency::Deduplicated {
+                scope: Scope::Cell, ..
+            },
+            Some(b),
+        ) => Subset::Cell(b.cell.get()),
         _ => Subset::Ready,
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -16,14 +16,23 @@
 impl SlowStart {
     /// Takes over the budget.
     pub(crate) fn apply_settings(&mut self, settings: &Settings, health_checks_per_rpc: f64) {
-        self.budget.apply_settings(settings, SAFETY, health_checks_per_rpc);
+        self.budget
+            .apply_settings(settings, SAFETY, health_checks_per_rpc);
     }
 
     /// Whether this proxy's part has room for one more attempt. `sample` is that of a random pick, the same
     /// for all backends: otherwise picks would go on until a lucky one is found.
-    pub(crate) fn has_room(&self, to: &Backend, sample: Option<f64>, fleet: &Fleet, now: f64) -> bool {
+    pub(crate) fn has_room(
+        &self,
+        to: &Backend,
+        sample: Option<f64>,
+        fleet: &Fleet,
+        now: f64,
+    ) -> bool {
         let (budget, work_per_rpc) = (&self.budget, fleet.estimates.service_time());
-        let Some(work) = to.started_at.get().and_then(|at| budget.work(now - at)) else { return true };
+        let Some(work) = to.started_at.get().and_then(|at| budget.work(now - at)) else {
+            return true;
+        };
         let (proxies, rate) = (budget.proxies(), budget.completion_rate(now));
         let by_traffic = TRAFFIC_PART * rate * to.relative_size.get();
         let part = by_traffic + (1.0 - TRAFFIC_PART) / (work_per_rpc * proxies); // RPCs per second
@@ -49,6 +58,9 @@
         let sent = to.recent_attempts.count(now, budget.window);
         let limit = slow_start_limit(work / SAFETY / fleet.estimates.service_time());
         let is_counted = sent.is_finite() && sent > limit;
-        is_counted.then_some(Violation::SlowStart { sent: sent as u32, limit })
+        is_counted.then_some(Violation::SlowStart {
+            sent: sent as u32,
+            limit,
+        })
     }
 }
--- a/src/policy/throttle.rs
+++ b/src/policy/throttle.rs
@@ -19,9 +19,22 @@
 
 /// An attempt succeeded or timed out. A slow one leaves the rate as it is, unless late ones count or reports
 /// tell of loads.
-pub(crate) fn record_attempt(rpc: &RpcState, attempt: &CompletedAttempt, by_responses: bool, now: f64) {
+pub(crate) fn record_attempt(
+    rpc: &RpcState,
+    attempt: &CompletedAttempt,
+    by_responses: bool,
+    now: f64,
+) {
     let late_is_good = rpc.method.settings.late_weight_fraction > 0.0 || !by_responses;
     let prompt = attempt.duration <= attempt.time_allowed * PROMPT_PART;
-    let good = if late_is_good || prompt { ADMITTED_PER_GOOD } else { 1.0 };
-    rpc.record_throttle(if attempt.succeeded() { good } else { 0.0 }, now, TIME_CONSTANT);
+    let good = if late_is_good || prompt {
+        ADMITTED_PER_GOOD
+    } else {
+        1.0
+    };
+    rpc.record_throttle(
+        if attempt.succeeded() { good } else { 0.0 },
+        now,
+        TIME_CONSTANT,
+    );
 }
--- a/src/report_quality.rs
+++ b/src/report_quality.rs
@@ -26,7 +26,10 @@
 impl ReportQuality {
     /// A report has come.
     pub(crate) fn record_report(&self, backend: &Backend, light: bool, now: f64) {
-        backend.last_report.set(Some(LastReport { light, received_at: now }));
+        backend.last_report.set(Some(LastReport {
+            light,
+            received_at: now,
+        }));
         self.light.add(f64::from(light), now, TIME_CONSTANT);
     }
 
@@ -45,7 +48,8 @@
         let [heavy, light] = &self.durations;
         let quick = light.value_or(heavy.value_or(2.0) / 2.0);
         let slow = heavy.value_or(light.value_or(1.0) * 2.0);
-        let mean = |durations: &Ewma, prior| durations.with_prior(now, TIME_CONSTANT, PRIOR_COUNT, prior);
+        let mean =
+            |durations: &Ewma, prior| durations.with_prior(now, TIME_CONSTANT, PRIOR_COUNT, prior);
         mean(light, slow / 2.0) / mean(heavy, quick * 2.0).max(f64::MIN_POSITIVE)
     }
 }
@@ -53,5 +57,7 @@
 /// Whether the last report of a backend was light, if it is recent.
 pub(crate) fn recent_report(backend: &Backend, now: f64) -> Option<bool> {
     let report = backend.last_report.get();
-    report.filter(|report| now < report.received_at + REPORT_LIFETIME).map(|report| report.light)
+    report
+        .filter(|report| now < report.received_at + REPORT_LIFETIME)
+        .map(|report| report.light)
 }
--- a/src/rpc_state.rs
+++ b/src/rpc_state.rs
@@ -77,7 +77,10 @@
 
     /// It was answered or timed out: its duration is a measure.
     pub(crate) fn is_timed(&self) -> bool {
-        matches!(self.outcome, AttemptOutcome::Succeeded | AttemptOutcome::TimedOut)
+        matches!(
+            self.outcome,
+            AttemptOutcome::Succeeded | AttemptOutcome::TimedOut
+        )
     }
 
     /// The backend rejected it.
@@ -93,12 +96,21 @@
 
     /// Part of the time allowed that it took.
     pub(crate) fn time_part(&self) -> f64 {
-        if self.succeeded() { self.duration / self.time_allowed } else { NO_RESPONSE_FACTOR }
+        if self.succeeded() {
+            self.duration / self.time_allowed
+        } else {
+            NO_RESPONSE_FACTOR
+        }
     }
 
     /// Time that the backend needed, or is taken to have needed where no response came; s.
     pub(crate) fn estimated_duration(&self) -> f64 {
-        self.duration * if self.succeeded() { 1.0 } else { NO_RESPONSE_FACTOR }
+        self.duration
+            * if self.succeeded() {
+                1.0
+            } else {
+                NO_RESPONSE_FACTOR
+            }
     }
 }
 
@@ -129,7 +141,9 @@
 
     fn set_client_paced(&mut self, client_paced: bool) {
         let before = std::mem::replace(&mut self.client_paced, client_paced);
-        self.backend.client_paced.update(|all| all + usize::from(client_paced) - usize::from(before));
+        self.backend
+            .client_paced
+            .update(|all| all + usize::from(client_paced) - usize::from(before));
     }
 
     /// It has ended.
@@ -224,7 +238,9 @@
         now: f64,
     ) -> Option<CompletedAttempt> {
         let mut attempts = self.attempts.borrow_mut();
-        let attempt = attempts.get_mut(number).filter(|attempt| attempt.outcome.is_none())?;
+        let attempt = attempts
+            .get_mut(number)
+            .filter(|attempt| attempt.outcome.is_none())?;
         attempt.end(outcome);
         // A rejected one would have waited for longer than the time it had.
         let rejected = outcome == AttemptOutcome::Rejected;
@@ -232,7 +248,11 @@
             backend: attempt.backend.clone(),
             number,
             outcome,
-            duration: if rejected { attempt.time_allowed } else { attempt.duration(now) },
+            duration: if rejected {
+                attempt.time_allowed
+            } else {
+                attempt.duration(now)
+            },
             time_allowed: attempt.time_allowed,
             light_report: attempt.light_report,
             load_ahead: attempt.load_ahead,
@@ -242,7 +262,10 @@
     /// The last byte of an attempt has been sent: its time counts from here.
     pub(crate) fn record_request_sent(&self, number: usize, now: f64) {
         let mut attempts = self.attempts.borrow_mut();
-        if let Some(attempt) = attempts.get_mut(number).filter(|attempt| attempt.outcome.is_none()) {
+        if let Some(attempt) = attempts
+            .get_mut(number)
+            .filter(|attempt| attempt.outcome.is_none())
+        {
             attempt.sent_at = now;
             attempt.set_client_paced(false);
         }
@@ -252,7 +275,9 @@
     pub(crate) fn record_response_started(&self, number: usize, paced_by: PacedBy, now: f64) {
         self.streaming.set(true);
         let mut attempts = self.attempts.borrow_mut();
-        let attempt = attempts.get_mut(number).filter(|attempt| attempt.outcome.is_none());
+        let attempt = attempts
+            .get_mut(number)
+            .filter(|attempt| attempt.outcome.is_none());
         if let Some(attempt) = attempt.filter(|_| paced_by == PacedBy::Client) {
             attempt.response_started_at = Some(now);
             attempt.set_client_paced(true);
@@ -261,12 +286,18 @@
 
     /// Some attempt may have been executed.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.attempts.borrow().iter().any(AttemptState::may_have_run)
+        self.attempts
+            .borrow()
+            .iter()
+            .any(AttemptState::may_have_run)
     }
 
     /// It has been tried at this backend.
     pub(crate) fn was_tried_at(&self, backend: &Rc<Backend>) -> bool {
-        self.attempts.borrow().iter().any(|attempt| Rc::ptr_eq(&attempt.backend, backend))
+        self.attempts
+            .borrow()
+            .iter()
+            .any(|attempt| Rc::ptr_eq(&attempt.backend, backend))
     }
 
     /// The backend is in a cell that it is kept to; any is if it is kept to none.
@@ -276,25 +307,39 @@
     }
 
     /// The lowest rate that the throttles of its tenant and its method admit, 1 at the most.
-    pub(crate) fn least_throttle(&self, now: f64, time_constant: f64, prior_count: f64, prior: f64) -> f64 {
-        let rate = |throttle: &Rc<Ewma>| throttle.with_prior(now, time_constant, prior_count, prior);
+    pub(crate) fn least_throttle(
+        &self,
+        now: f64,
+        time_constant: f64,
+        prior_count: f64,
+        prior: f64,
+    ) -> f64 {
+        let rate =
+            |throttle: &Rc<Ewma>| throttle.with_prior(now, time_constant, prior_count, prior);
         self.throttles.iter().map(rate).fold(1.0, f64::min)
     }
 
     /// Adds a sample to the throttles of its tenant and its method.
     pub(crate) fn record_throttle(&self, rate: f64, now: f64, time_constant: f64) {
-        self.throttles.iter().for_each(|throttle| throttle.add(rate, now, time_constant));
+        self.throttles
+            .iter()
+            .for_each(|throttle| throttle.add(rate, now, time_constant));
     }
 
     /// Numbers of its attempts in flight.
     pub(crate) fn attempts_in_flight(&self) -> Vec<usize> {
         let attempts = self.attempts.borrow();
-        (0..attempts.len()).filter(|number| attempts[*number].outcome.is_none()).collect()
+        (0..attempts.len())
+            .filter(|number| attempts[*number].outcome.is_none())
+            .collect()
     }
 
     /// Some attempt is in flight.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
-        self.attempts.borrow().iter().any(|attempt| attempt.outcome.is_none())
+        self.attempts
+            .borrow()
+            .iter()
+            .any(|attempt| attempt.outcome.is_none())
     }
 
     /// It has its final answer and no attempt in flight.
--- a/src/slow_start_budget.rs
+++ b/src/slow_start_budget.rs
@@ -36,7 +36,12 @@
 
 impl SlowStartBudget {
     /// Takes over what settings say; what was measured stays.
-    pub(crate) fn apply_settings(&mut self, settings: &Settings, safety: f64, health_checks_per_rpc: f64) {
+    pub(crate) fn apply_settings(
+        &mut self,
+        settings: &Settings,
+        safety: f64,
+        health_checks_per_rpc: f64,
+    ) {
         self.window = settings.overload_window;
         self.initial_fraction = settings.slow_start_initial_fraction;
         self.duration = settings.slow_start_duration;
@@ -59,7 +64,8 @@
 
     /// An endpoint list has come.
     pub(crate) fn record_list(&self, now: f64) {
-        self.first_list_at.set(self.first_list_at.get().or(Some(now)));
+        self.first_list_at
+            .set(self.first_list_at.get().or(Some(now)));
     }
 
     /// Whether an earlier process of this proxy may have known a backend that started then.
@@ -76,8 +82,14 @@
     /// A load report has come. That of a health check offers a part of an RPC, and gives the backend another
     /// random sample; one with a response stands for an attempt that was sent already.
     pub(crate) fn record_report(&self, backend: &Backend, by_check: bool, rng: &Rng, now: f64) {
-        backend.slow_start_sample.set(if by_check { rng.uniform(0.0, 1.0) } else { 1.0 });
-        self.offered.add(f64::from(by_check) / self.health_checks_per_rpc, now, AVERAGING_TIME);
+        backend
+            .slow_start_sample
+            .set(if by_check { rng.uniform(0.0, 1.0) } else { 1.0 });
+        self.offered.add(
+            f64::from(by_check) / self.health_checks_per_rpc,
+            now,
+            AVERAGING_TIME,
+        );
     }
 
     /// RPCs per second that may have led to any backend.
@@ -90,8 +102,10 @@
     /// does. Those of a warming one count for as many as it could have been sent.
     pub(crate) fn record_completion(&self, backend: &Backend, ready: usize, now: f64) {
         let work = backend.started_at.get().and_then(|at| self.work(now - at));
-        let fraction = |work: f64| (work / self.safety / self.window).clamp(MIN_CAPACITY_FRACTION, 1.0);
-        let capacity = ready.max(1) as f64 * backend.relative_size.get() * work.map_or(1.0, fraction);
+        let fraction =
+            |work: f64| (work / self.safety / self.window).clamp(MIN_CAPACITY_FRACTION, 1.0);
+        let capacity =
+            ready.max(1) as f64 * backend.relative_size.get() * work.map_or(1.0, fraction);
         self.completed.add(1.0 / capacity, now, AVERAGING_TIME);
     }
 
@@ -107,14 +121,21 @@
 
     /// Seconds of a warm backend's work that one of this age may get in a window; none once it is warm.
     pub(crate) fn work(&self, age: f64) -> Option<f64> {
-        let fraction = self.initial_fraction + (1.0 - self.initial_fraction) * (age / self.duration).max(0.0);
+        let fraction =
+            self.initial_fraction + (1.0 - self.initial_fraction) * (age / self.duration).max(0.0);
         (age < self.duration).then_some(self.overload_multiple * self.window * fraction)
     }
 
     /// Whether one RPC of every proxy surely fits beside this work and what the backend completes in the
     /// window.
-    pub(crate) fn fits_one_from_each_proxy(&self, work: f64, work_per_rpc: f64, proxies: f64) -> bool {
-        let left = work / self.safety - work / self.overload_multiple - sure_work(work, work_per_rpc);
+    pub(crate) fn fits_one_from_each_proxy(
+        &self,
+        work: f64,
+        work_per_rpc: f64,
+        proxies: f64,
+    ) -> bool {
+        let left =
+            work / self.safety - work / self.overload_multiple - sure_work(work, work_per_rpc);
         sure_work(left.max(0.0), work_per_rpc) >= proxies * work_per_rpc
     }
 }
--- a/src/tenant.rs
+++ b/src/tenant.rs
@@ -42,19 +42,38 @@
     ) -> impl Iterator<Item = Self> {
         let mut before: Vec<_> = before.into_iter().map(Some).collect();
         let mut take = move |index: usize| before.get_mut(index).and_then(Option::take);
-        let indexes: Vec<_> = (0..count).map(|n| indexes.get(n).copied().flatten()).collect();
-        indexes.into_iter().map(move |index| index.and_then(&mut take).unwrap_or_default())
+        let indexes: Vec<_> = (0..count)
+            .map(|n| indexes.get(n).copied().flatten())
+            .collect();
+        indexes
+            .into_iter()
+            .map(move |index| index.and_then(&mut take).unwrap_or_default())
     }
 
     /// The tenant with another slice: the rate that it has used stays what it was. One that had no slice
     /// starts with the fraction `used_at_start` of it counted as used.
-    pub(crate) fn with_slice(self, quota_slice: f64, window: f64, used_at_start: f64, now: f64) -> Self {
+    pub(crate) fn with_slice(
+        self,
+        quota_slice: f64,
+        window: f64,
+        used_at_start: f64,
+        now: f64,
+    ) -> Self {
         let had_slice = self.window > 0.0;
-        let ratio =
-            Some(window / self.window).filter(|ratio| ratio.is_finite() && *ratio > 0.0).unwrap_or(1.0);
-        let used =
-            if had_slice { self.used.read(now, self.window) * ratio } else { quota_slice * used_at_start };
-        let tenant = Self { quota_slice, window, used: DecayingCounter::default(), throttle: self.throttle };
+        let ratio = Some(window / self.window)
+            .filter(|ratio| ratio.is_finite() && *ratio > 0.0)
+            .unwrap_or(1.0);
+        let used = if had_slice {
+            self.used.read(now, self.window) * ratio
+        } else {
+            quota_slice * used_at_start
+        };
+        let tenant = Self {
+            quota_slice,
+            window,
+            used: DecayingCounter::default(),
+            throttle: self.throttle,
+        };
         tenant.record(used, now);
         tenant
     }
@@ -91,7 +110,11 @@
         };
         let tenants = &settings.tenants;
         let before = Tenant::carried_over(take(&mut self.tenants), &carried.tenants, tenants.len());
-        self.tenants = tenants.iter().zip(before).map(|(t, before)| with_quota(t.quota, before)).collect();
+        self.tenants = tenants
+            .iter()
+            .zip(before)
+            .map(|(t, before)| with_quota(t.quota, before))
+            .collect();
         let total = tenants.iter().map(|t| t.quota).sum();
         self.all_tenants = with_quota(total, take(&mut self.all_tenants));
     }
