--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -59,7 +59,7 @@
         health_check_cost: 0.002,
         load_report_source: reports,
         reports_include_queue: true,
-        poll_within: 10.0,
+        max_poll_interval: 10.0,
         drain_grace: 0.3,
         slow_start_initial_fraction: 0.3,
         slow_start_duration: 8.0,
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -98,7 +98,7 @@
             if let Err(fault) = self.watch().await {
                 log::debug!("hollow proxy {}: {fault}", self.number);
             }
-            self.balancer.list_failed(&mut self.door);
+            self.balancer.on_discovery_failure(&mut self.door);
         }
     }
 
--- a/crates/daemon/src/config/shadow/mod.rs
+++ b/crates/daemon/src/config/shadow/mod.rs
@@ -98,7 +98,7 @@
     /// A call to the list service failed.
     pub(crate) fn on_discovery_failed(&mut self, call: RecordedCall) {
         self.replay(call, None, |shadow| {
-            shadow.balancer.list_failed(&mut shadow.platform);
+            shadow.balancer.on_discovery_failure(&mut shadow.platform);
         });
     }
 
--- a/crates/daemon/src/decision/updates.rs
+++ b/crates/daemon/src/decision/updates.rs
@@ -38,7 +38,7 @@
 
     /// A call to the list service failed.
     pub(super) fn on_discovery_failed(&mut self) {
-        self.call_balancer(|actor| actor.balancer.list_failed(&mut actor.platform));
+        self.call_balancer(|actor| actor.balancer.on_discovery_failure(&mut actor.platform));
         self.replay_to_shadow(|shadow, call| shadow.on_discovery_failed(call));
     }
 
--- a/crates/settings/src/decision_keys.rs
+++ b/crates/settings/src/decision_keys.rs
@@ -36,7 +36,7 @@
         a.reports_include_queue != b.reports_include_queue
     }),
     ("contract.ask-within-ns", |a, b| {
-        a.poll_within != b.poll_within
+        a.max_poll_interval != b.max_poll_interval
     }),
     ("contract.drain-grace-ns", |a, b| {
         a.drain_grace != b.drain_grace
@@ -91,7 +91,7 @@
         target_nines: _,
         load_report_source: _,
         reports_include_queue: _,
-        poll_within: _,
+        max_poll_interval: _,
         drain_grace: _,
         only_draining_is_binding: _,
         key_cooldown: _,
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -8,7 +8,7 @@
 
 /// Time within which an endpoint list is polled again where the settings do not say, s. Short, so that no deployment's
 /// limit is exceeded.
-const DEFAULT_POLL_WITHIN: f64 = 2.0;
+const DEFAULT_MAX_POLL_INTERVAL: f64 = 2.0;
 
 /// All of the settings object except its methods and accounts.
 pub(crate) struct Sections {
@@ -72,7 +72,7 @@
             load_report_source: self.reports.source,
             reports_include_queue: self.reports.include_queue,
             polls_endpoint_list: self.polls_endpoint_list,
-            poll_within: self.contract.poll_within,
+            max_poll_interval: self.contract.max_poll_interval,
             drain_grace: self.contract.drain_grace,
             only_draining_is_binding: self.contract.only_draining_is_binding,
             key_cooldown: self.contract.key_cooldown,
@@ -193,7 +193,7 @@
 
 /// `contract`: what backends and the endpoint list are held to.
 struct Contract {
-    poll_within: f64,
+    max_poll_interval: f64,
     drain_grace: f64,
     only_draining_is_binding: bool,
     key_cooldown: f64,
@@ -206,7 +206,7 @@
 impl Contract {
     fn parse(contract: &JsonReader) -> Result<Self, SettingsError> {
         Ok(Self {
-            poll_within: contract.timeout_or("ask-within-ns", DEFAULT_POLL_WITHIN)?,
+            max_poll_interval: contract.timeout_or("ask-within-ns", DEFAULT_MAX_POLL_INTERVAL)?,
             drain_grace: contract.required("drain-grace-ns")?.seconds()?,
             only_draining_is_binding: contract.boolean_or_false("removal-not-binding")?,
             key_cooldown: contract.seconds_or("key-quiet-ns", 0.0)?,
--- a/crates/settings/tests/compatibility.rs
+++ b/crates/settings/tests/compatibility.rs
@@ -59,7 +59,7 @@
         load_report_source: LoadReportSource::HealthChecks,
         reports_include_queue: true,
         polls_endpoint_list: true,
-        poll_within: 4.0,
+        max_poll_interval: 4.0,
         drain_grace: 0.5,
         only_draining_is_binding: true,
         key_cooldown: 0.05,
--- a/crates/settings/tests/parse.rs
+++ b/crates/settings/tests/parse.rs
@@ -46,8 +46,12 @@
 #[test]
 fn missing_times_have_defaults_of_their_own() {
     let parsed = parse_changed(|_| ()).expect("settings");
-    let poll_within = parsed.settings.poll_within;
-    let times = (poll_within, parsed.connect_timeout, parsed.idle_timeout);
+    let max_poll_interval = parsed.settings.max_poll_interval;
+    let times = (
+        max_poll_interval,
+        parsed.connect_timeout,
+        parsed.idle_timeout,
+    );
     assert_eq!(times, (2.0, 1.0, 1.0));
     assert_eq!(parsed.longest_deadline, None);
 }
--- a/crates/simulation/src/world/rpcs.rs
+++ b/crates/simulation/src/world/rpcs.rs
@@ -100,7 +100,7 @@
             }),
             ProcessEvent::EndpointUpdate(update) => self.update_endpoints(proxy, &update),
             ProcessEvent::ListFailed => self.run_decision(proxy, |balancer, _, platform| {
-                balancer.list_failed(platform)
+                balancer.on_discovery_failure(platform)
             }),
         }
     }
--- a/crates/simulator-adapter/src/process.rs
+++ b/crates/simulator-adapter/src/process.rs
@@ -77,7 +77,7 @@
             UpdateKind::List(kind) => kind,
             UpdateKind::Failed => {
                 self.call(proxy, |instance, platform| {
-                    instance.balancer.list_failed(platform);
+                    instance.balancer.on_discovery_failure(platform);
                 });
                 return Ok(());
             }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -63,7 +63,7 @@
     }
 
     /// A poll of the endpoint list failed or the subscription ended; the old list stays.
-    pub fn list_failed(&self, platform: &mut dyn Platform) {
+    pub fn on_discovery_failure(&self, platform: &mut dyn Platform) {
         let dispatcher = &mut *self.0.borrow_mut();
         dispatcher
             .discovery
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -42,8 +42,8 @@
     pub reports_include_queue: bool,
     /// The endpoint list is polled; otherwise its changes are pushed.
     pub polls_endpoint_list: bool,
-    /// Time within which a polled list has to be asked for again, s.
-    pub poll_within: f64,
+    /// Longest time allowed between two polls of the endpoint list, s.
+    pub max_poll_interval: f64,
     /// Time that RPCs may still be sent to a draining backend after its drain was announced, s.
     pub drain_grace: f64,
     /// Of the endpoint list only `Draining` binds: a backend that is removed or no longer listed may still run.
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -17,7 +17,7 @@
     /// Takes over how the list is followed.
     pub(crate) fn apply_settings(&mut self, settings: &Settings) {
         self.poll_interval =
-            Some(settings.poll_within * POLL_PART).filter(|_| settings.polls_endpoint_list);
+            Some(settings.max_poll_interval * POLL_PART).filter(|_| settings.polls_endpoint_list);
     }
 
     /// A poll failed, or the subscription ended. Truncated exponential backoff with full jitter: each of many
--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -23,7 +23,7 @@
         load_report_source: LoadReportSource::HealthChecks,
         reports_include_queue: true,
         polls_endpoint_list: true,
-        poll_within: 10.0,
+        max_poll_interval: 10.0,
         drain_grace: 0.25,
         slow_start_initial_fraction: 0.3,
         slow_start_duration: 8.0,
--- a/tests/polling.rs
+++ b/tests/polling.rs
@@ -24,7 +24,7 @@
     for ask_within in [4.0, 10.0, 20.0] {
         let conf = Settings {
             can_health_check: false,
-            poll_within: ask_within,
+            max_poll_interval: ask_within,
             ..settings(&[Idempotency::Idempotent])
         };
         let mut proxy = proxy_of(3, conf);
@@ -33,7 +33,7 @@
             proxy.advance(0.01);
             if proxy.platform.watch_times.len() > asked {
                 asked = proxy.platform.watch_times.len();
-                proxy.balancer.list_failed(&mut proxy.platform);
+                proxy.balancer.on_discovery_failure(&mut proxy.platform);
             }
         }
         let gaps: Vec<_> = proxy
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -106,7 +106,7 @@
         9 => proxy.complete_health_checks(OUTCOMES[which % 9], |b| f64::from(b % 3) * size.round()),
         10 => change_an_endpoint(proxy, which, size),
         11 => replace_the_list(proxy, which, size),
-        12 => proxy.balancer.list_failed(&mut proxy.platform),
+        12 => proxy.balancer.on_discovery_failure(&mut proxy.platform),
         13 => disconnect_or_start_response(proxy, which, size),
         _ => proxy.advance(size * size * 0.4),
     }
