--- a/crates/daemon/src/decision/endpoints.rs
+++ b/crates/daemon/src/decision/endpoints.rs
@@ -3,7 +3,7 @@
 use crate::decision::start_times::StartTime;
 use crate::discovery::update::{EndpointUpdate, ListedEndpoint};
 use crate::invariants::Invariants;
-use crate::lifecycle::admin_state::AdminState;
+use crate::lifecycle::admin_state::{AdminState, EndpointStatus};
 use crate::net::socket_budget::SocketBudget;
 use crate::upstream::endpoint::{ConnectionLimits, EndpointHandle};
 use crate::upstream::endpoint_state::EndpointInfo;
@@ -141,8 +141,14 @@
             self.listed.insert(line.uid.clone(), line.clone());
         }
         // The one place where maintenance counts: all that follows takes the backend for what this says.
-        let (readiness, boot_ms) =
-            admin.effective_readiness(&line.uid, line.readiness, line.boot_ms);
+        let listed = EndpointStatus {
+            readiness: line.readiness,
+            started_at_ms: line.boot_ms,
+        };
+        let EndpointStatus {
+            readiness,
+            started_at_ms: boot_ms,
+        } = admin.effective_status(&line.uid, listed);
         let start = || StartTime::read(boot_ms, changed_since, clock);
         let known = self.known(&line.uid, start);
         if !known.start.is_of(boot_ms) {
--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -2,6 +2,7 @@
 use crate::downstream::head_scan::Framings;
 use crate::downstream::message_scan::MessageScan;
 use crate::end_reason::EndReason;
+use crate::lifecycle::state::DrainDeadlines;
 use crate::net::body::DeliveryStatus;
 use crate::net::observed_stream::IoObserver;
 use crate::net::progress_deadline::ProgressDeadline;
@@ -80,15 +81,6 @@
     ReadingBody,
 }
 
-/// By when connections without an RPC in flight end while the proxy drains.
-#[derive(Clone, Copy)]
-pub(crate) struct DrainDeadlines {
-    /// Of a connection between messages.
-    pub idle: Instant,
-    /// Of a connection that has sent a part of a message.
-    pub incomplete_message: Instant,
-}
-
 /// The state of a client's connection, shared by its task, the observer of its stream and the socket budget.
 pub(crate) struct ClientConnection {
     /// Its number in the log.
--- a/crates/daemon/src/downstream/connection_task.rs
+++ b/crates/daemon/src/downstream/connection_task.rs
@@ -1,7 +1,7 @@
 //! The task of one client's connection: it owns the socket and its permit, and decides when the connection ends.
 use crate::clock::until;
 use crate::downstream::body_deadline::body_deadline;
-use crate::downstream::connection::{ClientConnection, DrainDeadlines, Phase};
+use crate::downstream::connection::{ClientConnection, Phase};
 use crate::downstream::head_scan::HEAD_LIMIT;
 use crate::downstream::response::ProxyResponse;
 use crate::downstream::rpc_service::RpcService;
@@ -143,7 +143,7 @@
                     Poll::Pending
                 }
             });
-            let (ends_at, _) = client.ends_at(drain_deadlines(&state.borrow_and_update()));
+            let (ends_at, _) = client.ends_at(state.borrow_and_update().drain_deadlines());
             let settles_at = client.settles_at();
             select! {
                 biased;
@@ -156,7 +156,7 @@
                     if let Poll::Ready(result) = read_once_more(connection, read_ahead).await {
                         return end_of_stream(&result, client);
                     }
-                    let (ends_at, reason) = client.ends_at(drain_deadlines(&state.borrow()));
+                    let (ends_at, reason) = client.ends_at(state.borrow().drain_deadlines());
                     if ends_at <= Instant::now() {
                         return reason;
                     }
@@ -176,16 +176,6 @@
     }
 }
 
-/// By when connections end in this state of the proxy.
-fn drain_deadlines(state: &ProxyState) -> Option<DrainDeadlines> {
-    state
-        .connection_deadlines()
-        .map(|(idle, incomplete_message)| DrainDeadlines {
-            idle,
-            incomplete_message,
-        })
-}
-
 /// Reads what the system received since the event loop polled it; ready if the connection has ended.
 async fn read_once_more<C: Future + Unpin>(
     connection: &mut C,
--- a/crates/daemon/src/lifecycle/admin_api/tests.rs
+++ b/crates/daemon/src/lifecycle/admin_api/call/tests.rs
@@ -1,8 +1,8 @@
-//! Reading the calls of administrators.
+//! Parsing of the parameters of admin calls.
 use super::*;
 
 #[test]
-fn members_are_read_once_and_unescaped() {
+fn member_parameter_is_unescaped_and_must_occur_once() {
     assert_eq!(
         parse_member("a=1&member=s%2D5%c3%A9"),
         Ok("s-5é".to_owned())
--- a/crates/daemon/src/lifecycle/admin_state.rs
+++ b/crates/daemon/src/lifecycle/admin_state.rs
@@ -1,7 +1,7 @@
-//! What administrators set: standby of the proxy, and maintenance of single endpoints.
+//! The administrative state: standby of the proxy and maintenance of single endpoints.
 //!
-//! It is common to all processes of a proxy and outlives them in a file, whose form is fixed: an older process may read
-//! it, and a newer one finds it. There the names differ from those of the code.
+//! All processes of a proxy share it, and it outlives them in a file. Processes of other versions read the file: its
+//! field names, given by `serde(rename)`, must not change.
 
 use birchhub::interface::Readiness;
 use serde::{Deserialize, Serialize};
@@ -11,62 +11,72 @@
 /// The maintenance of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Maintenance {
-    /// It gets no new RPCs.
+    /// The endpoint gets no new RPCs.
     #[serde(rename = "InForce")]
     Active,
-    /// It is back since this time, in Unix ms: whatever the endpoint list says, it started no earlier.
+    /// The maintenance ended at this time, in Unix ms. The endpoint counts as started no earlier, whatever start time the
+    /// endpoint list carries.
     #[serde(rename = "Over")]
     EndedAt(f64),
 }
 
-/// What administrators set, and the names of endpoints that they may set it for.
+/// The state that operators set by [`AdminCommand`]s, and the endpoint names that commands may use.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct AdminState {
-    /// On standby since this time, in Unix ms.
+    /// Start of the standby, in Unix ms; `None` while the proxy is active.
     #[serde(rename = "standby")]
     pub standby_since: Option<f64>,
-    /// By name of the endpoint.
+    /// Maintenance by endpoint name.
     #[serde(rename = "bans")]
     pub maintenance: BTreeMap<String, Maintenance>,
-    /// Endpoints that were ever listed.
+    /// Names of all endpoints that discovery ever listed.
     #[serde(rename = "names")]
     pub(super) known_names: BTreeSet<String>,
 }
 
+/// Readiness and start time of an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct EndpointStatus {
+    /// Whether the endpoint takes RPCs.
+    pub readiness: Readiness,
+    /// Start of the endpoint's process, in Unix ms.
+    pub started_at_ms: f64,
+}
+
 /// A change of the administrative state.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum AdminCommand {
-    /// Starts the maintenance of the endpoint of this name.
+    /// Starts the maintenance of the endpoint with this name.
     EnterMaintenance(String),
-    /// Ends it.
+    /// Ends the maintenance of the endpoint with this name.
     ExitMaintenance(String),
-    /// Sends clients to other proxies.
+    /// Starts the standby: the proxy reports itself as unhealthy, so that clients move to other proxies.
     Standby,
     /// Ends the standby.
     Activate,
 }
 
-/// A command and when it was given, in Unix ms: it takes effect from then on, however late it can be stored.
+/// A command with its time. The command takes effect from that time on, however late it can be stored.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct TimedCommand {
     command: AdminCommand,
-    given_at: f64,
+    /// Time at which the command was given, in Unix ms.
+    given_at_ms: f64,
 }
 
 impl TimedCommand {
-    /// A command that is given now.
+    /// Returns a command that is given now.
     pub(super) fn now(command: AdminCommand) -> Self {
         Self {
             command,
-            given_at: unix_ms(),
+            given_at_ms: unix_ms(),
         }
     }
 }
 
 impl AdminState {
-    /// Applies a command. The same command again changes nothing.
+    /// Applies a command. Repeating a command changes nothing.
     pub(super) fn apply(&mut self, command: &TimedCommand) {
-        let given_at = command.given_at;
         match &command.command {
             AdminCommand::EnterMaintenance(name) => {
                 self.maintenance.insert(name.clone(), Maintenance::Active);
@@ -75,17 +85,17 @@
                 if let Some(maintenance) = self.maintenance.get_mut(name)
                     && *maintenance == Maintenance::Active
                 {
-                    *maintenance = Maintenance::EndedAt(given_at);
+                    *maintenance = Maintenance::EndedAt(command.given_at_ms);
                 }
             }
             AdminCommand::Standby => {
-                self.standby_since.get_or_insert(given_at);
+                self.standby_since.get_or_insert(command.given_at_ms);
             }
             AdminCommand::Activate => self.standby_since = None,
         }
     }
 
-    /// How many endpoints are in maintenance.
+    /// Returns the number of endpoints that are in maintenance.
     pub(crate) fn count_in_maintenance(&self) -> usize {
         self.maintenance
             .values()
@@ -93,29 +103,28 @@
             .count()
     }
 
-    /// An endpoint of this name was listed once.
-    pub(crate) fn knows(&self, name: &str) -> bool {
+    /// Whether an endpoint with this name was ever listed.
+    pub(crate) fn knows_name(&self, name: &str) -> bool {
         self.known_names.contains(name)
     }
 
-    /// The readiness and start time, in Unix ms, with which an endpoint counts that is listed with these.
-    pub(crate) fn effective_readiness(
-        &self,
-        name: &str,
-        listed: Readiness,
-        boot_ms: f64,
-    ) -> (Readiness, f64) {
+    /// Applies the maintenance of an endpoint to its readiness and start time in the endpoint list.
+    pub(crate) fn effective_status(&self, name: &str, listed: EndpointStatus) -> EndpointStatus {
         match self.maintenance.get(name) {
-            Some(Maintenance::Active) if listed == Readiness::Ready => {
-                (Readiness::Draining, boot_ms)
-            }
-            Some(Maintenance::EndedAt(ended_at)) => (listed, boot_ms.max(*ended_at)),
-            _ => (listed, boot_ms),
+            Some(Maintenance::Active) if listed.readiness == Readiness::Ready => EndpointStatus {
+                readiness: Readiness::Draining,
+                ..listed
+            },
+            Some(Maintenance::EndedAt(ended_at_ms)) => EndpointStatus {
+                started_at_ms: listed.started_at_ms.max(*ended_at_ms),
+                ..listed
+            },
+            _ => listed,
         }
     }
 }
 
-/// The wall clock, in Unix ms.
+/// Returns the time of the wall clock, in Unix ms.
 pub(super) fn unix_ms() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/daemon/src/lifecycle/admin_state/tests.rs
+++ b/crates/daemon/src/lifecycle/admin_state/tests.rs
@@ -1,11 +1,10 @@
-//! The stored form of the administrative state, by files that an earlier version wrote.
+//! Stored form of the administrative state, checked against files that an earlier version wrote.
 use super::*;
-use crate::lifecycle::siblings::ProcessGroup;
+use crate::lifecycle::process_group::ProcessGroup;
 
-/// What an older process left in the folder is read, and an older process reads what this one leaves: the stored form
-/// stays to the byte.
+/// Processes of different versions read each other's file: it is read, and written back to the same bytes.
 #[test]
-fn the_stored_form_of_the_admin_state_is_unchanged() {
+fn stored_admin_state_is_read_and_written_back_unchanged() {
     let full = AdminState {
         standby_since: Some(1_796_191_200_123.25),
         maintenance: BTreeMap::from([
--- a/crates/daemon/src/lifecycle/graceful_shutdown.rs
+++ b/crates/daemon/src/lifecycle/graceful_shutdown.rs
@@ -1,27 +1,29 @@
-//! The deadlines that SIGTERM sets.
+//! The deadlines of a graceful shutdown, counted from SIGTERM.
 //!
-//! Counted from SIGTERM: for [`ACCEPT_GRACE`] connections are still accepted, then the longest RPC may take its time,
-//! and [`FLUSH_GRACE`] later the process exits, whoever is still connected.
+//! Connections are accepted for [`ACCEPT_GRACE`], the longest RPC may then take its time, and [`FLUSH_GRACE`] later the
+//! process exits, even if clients are still connected.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// For which connections are accepted after SIGTERM without a successor: they still come for up to 0.4 s.
-const ACCEPT_GRACE: Duration = Duration::from_millis(500);
-/// The longest time that an RPC is granted: SIGKILL comes 0.7 s after the longest deadline, or after this if shorter.
+/// Time after SIGTERM for which connections are accepted without a successor. New connections arrive for up to 0.4 s.
+pub(super) const ACCEPT_GRACE: Duration = Duration::from_millis(500);
+/// Upper bound of the time that an RPC is granted. SIGKILL follows 0.7 s after the longest deadline of any method or,
+/// if that deadline is longer than this bound, 0.7 s after this bound.
 const MAX_RPC_TIME: Duration = Duration::from_secs(3);
-/// For the last responses to leave before the process exits, still ahead of SIGKILL.
+/// Time between the last response and the exit, in which the response is flushed. The exit is still ahead of SIGKILL.
 const FLUSH_GRACE: Duration = Duration::from_millis(100);
 
-/// A shutdown under way: when SIGTERM came, and how long an RPC may take from then on.
+/// A graceful shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GracefulShutdown {
     started_at: Instant,
+    /// Time that an RPC is granted after connections are no longer accepted.
     longest_rpc: Duration,
 }
 
 impl GracefulShutdown {
-    /// A shutdown that starts now; `longest_rpc` is the longest deadline that the settings know.
+    /// Starts a shutdown now. `longest_rpc` is the longest deadline of any method.
     pub(crate) fn start(longest_rpc: Duration) -> Self {
         Self {
             started_at: Instant::now(),
@@ -29,7 +31,7 @@
         }
     }
 
-    /// Until when connections are accepted: no longer than SIGTERM if a successor accepts them.
+    /// Returns the time at which connections are no longer accepted: that of SIGTERM if a successor accepts them.
     pub(crate) fn accept_deadline(&self, has_successor: bool) -> Instant {
         if has_successor {
             self.started_at
@@ -38,17 +40,17 @@
         }
     }
 
-    /// By when an idle connection is closed.
+    /// Returns the time at which idle connections are closed.
     pub(crate) fn idle_deadline(&self) -> Instant {
         self.started_at + ACCEPT_GRACE
     }
 
-    /// By when every RPC has its response.
+    /// Returns the time by which every RPC is answered.
     pub(crate) fn response_deadline(&self) -> Instant {
         self.idle_deadline() + self.longest_rpc
     }
 
-    /// By when the process exits.
+    /// Returns the time at which the process exits.
     pub(crate) fn exit_deadline(&self) -> Instant {
         self.response_deadline() + FLUSH_GRACE
     }
--- a/crates/daemon/src/lifecycle/listeners.rs
+++ b/crates/daemon/src/lifecycle/listeners.rs
@@ -1,4 +1,4 @@
-//! The sockets on which a process accepts: the clients' and the administrators'.
+//! The listening sockets of a process: for clients and for the admin API.
 
 use crate::config::file::Config;
 use crate::lifecycle::start_error::StartError;
@@ -9,26 +9,30 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::{Instant, sleep};
 
-/// Connections that wait to be accepted: none of a burst may be refused.
+/// Largest number of connections that wait to be accepted: none of a burst may be refused.
 const BACKLOG: u32 = 1024;
+/// Variable that names the address for clients.
+const CLIENT_ADDRESS_VARIABLE: &str = "LB_LISTEN";
+/// Variable that names the address of the admin API.
+const ADMIN_ADDRESS_VARIABLE: &str = "LB_MANAGEMENT";
 
-/// For which a start waits for a socket that this machine has none for.
+/// Longest time for which binding is retried while the machine is short of sockets or memory.
 const BIND_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between tries.
+/// Delay between attempts to bind.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// The listening sockets of a process.
 pub(crate) struct Listeners {
-    /// For clients.
+    /// The socket for clients.
     pub clients: TcpListener,
-    /// The one for clients was inherited: it belongs to the platform and outlives this process.
+    /// Whether the socket for clients was inherited: it belongs to the platform and outlives this process.
     pub inherited: bool,
-    /// For administrators, where they have an address.
+    /// The socket of the admin API, if it has an address.
     pub admin: Option<TcpListener>,
 }
 
 impl Listeners {
-    /// Binds the addresses of the configuration; clients are accepted on `inherited` instead, if there is such a socket.
+    /// Binds the addresses of the configuration. An `inherited` socket replaces the one for clients.
     pub(crate) async fn bind(
         config: &Config,
         inherited: Option<std::net::TcpListener>,
@@ -36,10 +40,10 @@
         let is_inherited = inherited.is_some();
         let clients = match inherited {
             Some(socket) => TcpListener::from_std(socket).map_err(StartError::InheritedListener)?,
-            None => bind("LB_LISTEN", config.listen).await?,
+            None => bind(CLIENT_ADDRESS_VARIABLE, config.listen).await?,
         };
         let admin = match config.management {
-            Some(address) => Some(bind("LB_MANAGEMENT", address).await?),
+            Some(address) => Some(bind(ADMIN_ADDRESS_VARIABLE, address).await?),
             None => None,
         };
         Ok(Self {
@@ -50,13 +54,13 @@
     }
 }
 
-/// Binds an address; a failure of this machine that is over soon does not end the start.
+/// Binds an address. Failures for lack of local resources are retried for [`BIND_TIMEOUT`].
 async fn bind(setting: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
-    let give_up_at = Instant::now() + BIND_TIMEOUT;
+    let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
         match listen(address) {
             Ok(listener) => return Ok(listener),
-            Err(error) if is_local(&error) && Instant::now() < give_up_at => {
+            Err(error) if is_local(&error) && Instant::now() < deadline => {
                 sleep(BIND_RETRY_DELAY).await;
             }
             Err(source) => {
@@ -76,7 +80,7 @@
     } else {
         TcpSocket::new_v6()
     }?;
-    // A restart takes its address over at once.
+    // A restarted process can bind the address of its predecessor at once.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
--- /dev/null
+++ b/crates/daemon/src/lifecycle/process_group/folder.rs
@@ -0,0 +1,63 @@
+//! The names of the shared folder and of its files.
+//!
+//! Processes of different versions share the folder: the names must not change.
+
+use crate::lifecycle::process_group::ProcessGroupError;
+use std::fs::File;
+use std::path::{Path, PathBuf};
+
+/// Start of the folder's name, before the proxy's name.
+const FOLDER_PREFIX: &str = "birchhub-";
+/// Start of the name of a slot file, before a dot and the slot's number.
+const SLOT_FILE: &str = "birchhub.life";
+/// File whose lock is held while the administrative state is changed.
+const LOCK_FILE: &str = "birchhub.lock";
+/// File with the administrative state.
+const STATE_FILE: &str = "birchhub.standing";
+/// File into which the next administrative state is written before it replaces [`STATE_FILE`].
+const NEW_STATE_FILE: &str = "birchhub.standing.new";
+
+/// Returns the name of the folder of a proxy.
+///
+/// Characters that a file name can't have are escaped, so that two proxies never share a folder and its state. Usual
+/// names stay as they are: processes of older versions use the same folder.
+pub(super) fn folder_name(proxy_name: &str) -> String {
+    let mut folder = FOLDER_PREFIX.to_owned();
+    for byte in proxy_name.bytes() {
+        match byte {
+            b'-' | b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' => folder.push(byte.into()),
+            other => folder.push_str(&format!("%{other:02x}")),
+        }
+    }
+    folder
+}
+
+/// Returns the path of the file of the slot with this number.
+pub(super) fn slot_path(folder: &Path, number: usize) -> PathBuf {
+    folder.join(format!("{SLOT_FILE}.{number}"))
+}
+
+/// Returns the path of the lock file of the administrative state.
+pub(super) fn lock_path(folder: &Path) -> PathBuf {
+    folder.join(LOCK_FILE)
+}
+
+/// Returns the path of the administrative state.
+pub(super) fn state_path(folder: &Path) -> PathBuf {
+    folder.join(STATE_FILE)
+}
+
+/// Returns the path into which the next administrative state is written.
+pub(super) fn new_state_path(folder: &Path) -> PathBuf {
+    folder.join(NEW_STATE_FILE)
+}
+
+/// Opens a file for locking and writing, and creates it if it does not exist.
+pub(super) fn open_file(path: &Path) -> Result<File, ProcessGroupError> {
+    File::options()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(path)
+        .map_err(ProcessGroupError::io(path))
+}
--- /dev/null
+++ b/crates/daemon/src/lifecycle/process_group/mod.rs
@@ -0,0 +1,82 @@
+//! The processes of one proxy while one replaces another: which of them run, which accept clients, and the
+//! administrative state that they share.
+//!
+//! They communicate through files in one folder below `$TMPDIR` ([`folder`]): a slot for each process ([`slots`]) and
+//! the administrative state ([`state_file`]).
+
+mod error;
+mod folder;
+mod slots;
+mod state_file;
+
+pub(crate) use error::ProcessGroupError;
+
+use crate::lifecycle::admin_state::AdminState;
+use folder::folder_name;
+use slots::{ProcessSlots, SLOT_COUNT};
+use state_file::StateFile;
+use std::path::{Path, PathBuf};
+
+/// Descriptors that a group holds at most: the slot files, the lock file, and the state file while it is read or
+/// written.
+pub(crate) const MAX_DESCRIPTORS: usize = SLOT_COUNT + 2;
+
+/// The other processes of this proxy.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(crate) struct Siblings {
+    /// Number of sibling processes that run.
+    pub alive: usize,
+    /// Number of siblings that accept clients and are not shutting down.
+    pub accepting: usize,
+}
+
+/// The membership of this process in the group of its proxy's processes.
+pub(crate) struct ProcessGroup {
+    slots: ProcessSlots,
+    state_file: StateFile,
+}
+
+impl ProcessGroup {
+    /// Opens the folder of the proxy with this name.
+    pub(crate) fn open(proxy_name: &str) -> Result<Self, ProcessGroupError> {
+        let parent = std::env::var_os("TMPDIR").ok_or(ProcessGroupError::NoFolder)?;
+        Self::open_in(Path::new(&parent).join(folder_name(proxy_name)))
+    }
+
+    /// Opens this folder and creates it if it does not exist. The first call of [`Self::siblings`] takes a slot.
+    pub(super) fn open_in(folder: PathBuf) -> Result<Self, ProcessGroupError> {
+        std::fs::create_dir_all(&folder).map_err(ProcessGroupError::io(&folder))?;
+        Ok(Self {
+            slots: ProcessSlots::open(&folder)?,
+            state_file: StateFile::open(folder)?,
+        })
+    }
+
+    /// Publishes to the siblings whether this process accepts clients, once it holds a slot.
+    pub(crate) fn publish_accepting(&mut self, accepting: bool) {
+        self.slots.publish_accepting(accepting);
+    }
+
+    /// Counts the siblings, after taking a slot if this process has none.
+    pub(crate) fn siblings(&mut self) -> Siblings {
+        self.slots.siblings()
+    }
+
+    /// Reads the shared administrative state if it has changed since this process last read or wrote it.
+    pub(crate) fn read_if_changed(&mut self) -> Result<Option<AdminState>, ProcessGroupError> {
+        self.state_file.read_if_changed()
+    }
+
+    /// Applies a change to the shared administrative state, or to `own` if no readable state is stored, and returns the
+    /// new state.
+    pub(crate) async fn update(
+        &mut self,
+        own: &AdminState,
+        change: impl FnOnce(&mut AdminState),
+    ) -> Result<AdminState, ProcessGroupError> {
+        self.state_file.update(own, change).await
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/daemon/src/lifecycle/shutdown.rs
+++ b/crates/daemon/src/lifecycle/shutdown.rs
@@ -1,6 +1,7 @@
-//! The shutdown after SIGTERM: the wait for the last client.
+//! The course of the graceful shutdown: waits for the last client, or for the exit deadline.
 
 use crate::clock::until;
+use crate::lifecycle::graceful_shutdown::ACCEPT_GRACE;
 use crate::lifecycle::state_store::StateStore;
 use crate::net::socket_budget::{SocketBudget, SocketClass};
 use std::future::Future;
@@ -8,11 +9,11 @@
 use tokio::select;
 use tokio::time::sleep;
 
-/// Between checks of whether the last client has disconnected.
+/// Interval of checking whether the last client has disconnected.
 const CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Starts the shutdown after SIGTERM and waits until the listener has ended and the last client has disconnected, or
-/// until the exit deadline.
+/// Shuts down after SIGTERM: returns when the listener has ended and the last client has disconnected, or at the exit
+/// deadline. `longest_rpc` is the longest deadline of any method; `None` if a method has no deadline.
 pub(crate) async fn drain(
     state_store: &StateStore,
     longest_rpc: Option<Duration>,
@@ -20,24 +21,33 @@
     budget: &SocketBudget,
 ) {
     state_store.begin_shutdown(longest_rpc.unwrap_or(Duration::MAX));
-    if state_store.current().has_successor() {
-        log::info!("SIGTERM: stops accepting, a sibling process accepts");
-    } else {
-        log::info!("SIGTERM: keeps accepting the connections that still come");
-    }
+    log_start(state_store);
     let exit_deadline = state_store.current().exit_deadline();
-    let last_client_left = async {
-        accepting.await;
-        while budget.open_sockets(SocketClass::Clients) > 0 {
-            sleep(CLIENT_CHECK_INTERVAL).await;
-        }
-    };
     select! {
-        () = last_client_left => {}
+        () = last_client_disconnected(accepting, budget) => {}
         () = until(exit_deadline) => {}
     }
     log::info!(
-        "ends with {} client connections open",
+        "graceful shutdown complete: exiting with {} client connections open",
         budget.open_sockets(SocketClass::Clients)
     );
 }
+
+fn log_start(state_store: &StateStore) {
+    if state_store.current().has_successor() {
+        log::info!("SIGTERM received: draining, a sibling process accepts new connections");
+    } else {
+        log::info!(
+            "SIGTERM received: draining, accepting new connections for another {} s",
+            ACCEPT_GRACE.as_secs_f64()
+        );
+    }
+}
+
+/// Waits until the listener has ended and no client connection is open.
+async fn last_client_disconnected(accepting: impl Future, budget: &SocketBudget) {
+    accepting.await;
+    while budget.open_sockets(SocketClass::Clients) > 0 {
+        sleep(CLIENT_CHECK_INTERVAL).await;
+    }
+}
--- a/crates/daemon/src/lifecycle/start_error.rs
+++ b/crates/daemon/src/lifecycle/start_error.rs
@@ -1,30 +1,30 @@
-//! Why a process could not start.
+//! Errors that prevent a process from starting.
 
 use crate::config::error::ConfigError;
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a process could not start: the one line that it leaves on standard error.
+/// Why a process could not start. The text is the one line that is written to standard error.
 #[derive(Debug, Error)]
 pub(crate) enum StartError {
-    /// The configuration can't be read, or the inherited socket is none for clients.
+    /// The configuration or the inherited socket can't be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The event loop could not be set up.
-    #[error("no event loop: {0}")]
+    /// The event loop could not be created.
+    #[error("creating the event loop failed: {0}")]
     EventLoop(io::Error),
-    /// The signals could not be subscribed to.
-    #[error("no signals: {0}")]
+    /// The signal handlers could not be installed.
+    #[error("subscribing to signals failed: {0}")]
     Signals(io::Error),
     /// An address could not be bound.
     #[error("{setting} cannot be bound: {address}: {source}")]
     Bind {
-        /// The setting that names the address.
+        /// The variable that names the address.
         setting: &'static str,
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the system call.
         source: io::Error,
     },
     /// The inherited socket can't be used by the event loop.
--- a/crates/daemon/src/lifecycle/startup.rs
+++ b/crates/daemon/src/lifecycle/startup.rs
@@ -1,50 +1,60 @@
-//! When a process that starts becomes ready, and when it begins to accept clients.
+//! The start of a process: joining the process group, becoming ready, and accepting clients.
 
 use crate::config::file::Config;
 use crate::downstream::listener::Listener;
-use crate::lifecycle::siblings::ProcessGroup;
+use crate::lifecycle::process_group::ProcessGroup;
+use crate::lifecycle::state::ProxyState;
 use crate::lifecycle::state_store::{SIBLING_POLL_INTERVAL, StateStore};
 use crate::net::socket_budget::SocketBudget;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
+use tokio::sync::watch;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Where endpoint lists are pushed, for the agent's first message; one that sends nothing has nothing new.
+/// Longest wait for the first endpoint list where lists are pushed. An agent that sends none has nothing new.
 const AGENT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Looks of a sibling at this process before it begins to accept: until then the sibling makes room for its sockets.
-const SIBLING_LOOKS: u32 = 2;
+/// Number of poll intervals for which this process waits before it accepts clients beside a sibling, which reduces its
+/// socket budget meanwhile.
+const SIBLING_POLLS: u32 = 2;
 
-/// Joins the processes of this proxy, where it may have several: on an inherited socket, or with administrators.
+/// Joins the process group of this proxy if the proxy may have several processes: with an inherited socket, or with an
+/// admin API.
 pub(crate) fn join_process_group(config: &Config, inherited: bool) -> Option<ProcessGroup> {
     if !inherited && config.management.is_none() {
         return None;
     }
     ProcessGroup::open(&config.name)
-        .inspect_err(|error| log::warn!("nothing is shared with sibling processes: {error}"))
+        .inspect_err(|error| {
+            log::warn!("process group unavailable, running without sibling processes: {error}")
+        })
         .ok()
 }
 
-/// Follows the siblings, and leaves them their part of the sockets while they run.
+/// Follows the siblings, and divides the socket budget among all running processes of the proxy.
 pub(crate) async fn share_sockets(budget: Rc<SocketBudget>, state_store: Rc<StateStore>) {
-    let mut state = state_store.subscribe();
-    let divide = async {
-        loop {
-            let siblings = state.borrow_and_update().siblings.alive;
-            budget.divide(siblings + 1);
-            let changed = state.wait_for(|state| state.siblings.alive != siblings);
-            if changed.await.is_err() {
-                return;
-            }
+    tokio::join!(
+        state_store.follow_siblings(),
+        divide_budget(&budget, state_store.subscribe())
+    );
+}
+
+/// Divides the socket budget again whenever the number of running siblings changes.
+async fn divide_budget(budget: &SocketBudget, mut state: watch::Receiver<ProxyState>) {
+    loop {
+        let siblings = state.borrow_and_update().siblings.alive;
+        budget.divide(siblings + 1);
+        let changed = state.wait_for(|state| state.siblings.alive != siblings);
+        if changed.await.is_err() {
+            return;
         }
-    };
-    tokio::join!(state_store.follow_siblings(), divide);
+    }
 }
 
-/// Makes the process ready by the cached endpoint list, if there is one: it is enough to decide by. Where lists are
-/// pushed the agent's first one comes before, if it comes in time. Without a cached list the first answer of discovery
-/// is waited for.
+/// Makes the process ready if there is a cached endpoint list, which is enough to decide RPCs. Where lists are pushed,
+/// the first pushed list is awaited for [`AGENT_TIMEOUT`]. Without a cached list, discovery's first response makes the
+/// process ready.
 pub(crate) fn use_cached_endpoints(config: &Config, state_store: &Rc<StateStore>, pushed: bool) {
     let Some(cached) = &config.cached_endpoints else {
         return;
@@ -63,31 +73,39 @@
     });
 }
 
-/// Accepts clients: at once on an own socket, where the health check tells what is missing; on an inherited one once
-/// RPCs can be decided and the siblings have made room.
+/// Accepts clients. On a socket of its own the process accepts at once, and its health check reports whether it is
+/// ready. On an inherited socket it accepts once it is ready and the siblings have reduced their socket budgets.
 pub(crate) async fn accept_clients(
     listener: Listener,
     socket: TcpListener,
     state_store: Rc<StateStore>,
     pushed: bool,
 ) {
-    let (inherited, siblings) = {
-        let state = state_store.current();
-        (state.inherited_listener, state.siblings.alive)
-    };
+    let inherited = state_store.current().inherited_listener;
+    let siblings = state_store.current().siblings.alive;
     if pushed {
-        let mut state = state_store.subscribe();
-        let _ = timeout(AGENT_TIMEOUT, state.wait_for(|state| state.ready)).await;
+        await_ready(&state_store).await;
     }
     if inherited {
-        let mut state = state_store.subscribe();
-        let _ = state
-            .wait_for(|state| state.ready || state.shutdown.is_some())
-            .await;
+        await_ready_or_shutdown(&state_store).await;
     }
     if siblings > 0 {
-        sleep(SIBLING_POLL_INTERVAL * SIBLING_LOOKS).await;
+        sleep(SIBLING_POLL_INTERVAL * SIBLING_POLLS).await;
     }
     state_store.set_accepting();
     Rc::new(listener).run(socket).await;
 }
+
+/// Waits until RPCs can be decided, for [`AGENT_TIMEOUT`] at most.
+async fn await_ready(state_store: &StateStore) {
+    let mut state = state_store.subscribe();
+    let _ = timeout(AGENT_TIMEOUT, state.wait_for(|state| state.ready)).await;
+}
+
+/// Waits until RPCs can be decided or the process shuts down.
+async fn await_ready_or_shutdown(state_store: &StateStore) {
+    let mut state = state_store.subscribe();
+    let _ = state
+        .wait_for(|state| state.ready || state.shutdown.is_some())
+        .await;
+}
--- a/crates/daemon/src/lifecycle/state_store.rs
+++ b/crates/daemon/src/lifecycle/state_store.rs
@@ -1,77 +1,74 @@
-//! The one owner of the proxy's state: all changes are made here, and every actor may read or follow it.
+//! The owner of the [`ProxyState`]: all changes are made here, and every actor may read or follow the state.
 
 use crate::lifecycle::admin_state::{AdminCommand, AdminState, TimedCommand};
 use crate::lifecycle::graceful_shutdown::GracefulShutdown;
-use crate::lifecycle::siblings::{ProcessGroup, ProcessGroupError};
+use crate::lifecycle::process_group::{ProcessGroup, ProcessGroupError};
 use crate::lifecycle::state::ProxyState;
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeSet;
+use crate::lifecycle::unstored_changes::{ChangeBatch, UnstoredChanges};
+use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::{Mutex, watch};
 use tokio::time::sleep;
 
-/// Between looks at what the siblings do: a drain's grace is six times as long.
+/// Interval of polling the siblings' slots and the shared administrative state. The drain grace is six times as long.
 pub(crate) const SIBLING_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Names of endpoints that are kept: some fleets give out new ones with each start.
+/// Largest number of known endpoint names. Some fleets give endpoints new names with each start.
 const MAX_KNOWN_NAMES: usize = 20_000;
-/// Looks between writes of new names, which come with each change of a fleet, and of commands that could not be stored.
-const LOOKS_PER_WRITE: u32 = 20;
+/// Number of sibling polls between writes of changes that are not stored yet.
+const POLLS_PER_WRITE: u32 = 20;
 
 /// The owner of the [`ProxyState`].
 pub(crate) struct StateStore {
     state: watch::Sender<ProxyState>,
-    /// The last generation of the administrative state that the decision actor has applied.
+    /// Latest generation of the administrative state that the decision actor has applied.
     applied_generation: watch::Sender<u64>,
+    /// `None` if the proxy can't have other processes.
     process_group: Option<Mutex<ProcessGroup>>,
-    /// Commands that are in force here and could not be stored yet, in the order in which they were given: they are
-    /// stored as soon as that can be done, and no state that comes from the file undoes them.
-    unstored: RefCell<Vec<TimedCommand>>,
-    /// The last try to store failed, and that was logged.
-    warned_of_storing: Cell<bool>,
-    /// Names of listed endpoints that are not in the administrative state yet.
-    new_names: RefCell<BTreeSet<String>>,
-    /// The warning that there are too many names was logged.
-    warned_of_names: Cell<bool>,
+    /// Changes of the administrative state that wait to be stored.
+    unstored: UnstoredChanges,
+    /// Whether the last periodic write failed, which was logged.
+    logged_write_failure: Cell<bool>,
+    /// Whether the excess of endpoint names was logged.
+    logged_excess_names: Cell<bool>,
 }
 
 impl StateStore {
-    /// A store for a process that starts; with a `process_group` where the proxy may have other processes, whose
-    /// administrative state holds from the start.
+    /// Creates the store of a process that starts. With a `process_group`, the administrative state of that group is in
+    /// force from the start.
     pub(crate) fn new(mut process_group: Option<ProcessGroup>, inherited_listener: bool) -> Self {
         let mut state = ProxyState::new(inherited_listener);
         if let Some(group) = &mut process_group {
             state.siblings = group.siblings();
             state.set_admin_state(read_admin_state(group).unwrap_or_default());
-            log::info!("{state}");
+            log::info!("initial state: {state}");
         }
         Self {
             state: watch::Sender::new(state),
             applied_generation: watch::Sender::default(),
             process_group: process_group.map(Mutex::new),
-            unstored: RefCell::default(),
-            warned_of_storing: Cell::default(),
-            new_names: RefCell::default(),
-            warned_of_names: Cell::default(),
+            unstored: UnstoredChanges::default(),
+            logged_write_failure: Cell::default(),
+            logged_excess_names: Cell::default(),
         }
     }
 
-    /// A reader that can wait for changes.
+    /// Returns a receiver of the state and its changes.
     pub(crate) fn subscribe(&self) -> watch::Receiver<ProxyState> {
         self.state.subscribe()
     }
 
-    /// The state now.
+    /// Returns the current state.
     pub(crate) fn current(&self) -> watch::Ref<'_, ProxyState> {
         self.state.borrow()
     }
 
-    /// RPCs can be decided from now on.
+    /// Records that RPCs can be decided.
     pub(crate) fn set_ready(&self) {
         self.state
             .send_if_modified(|state| !std::mem::replace(&mut state.ready, true));
     }
 
-    /// Connections of clients are accepted from now on.
+    /// Records that client connections are accepted.
     pub(crate) fn set_accepting(&self) {
         self.state.send_modify(|state| state.accepting = true);
         if let Some(Ok(mut group)) = self.process_group.as_ref().map(Mutex::try_lock) {
@@ -79,11 +76,11 @@
         }
     }
 
-    /// SIGTERM has come; `longest_rpc` is the longest deadline that the settings know.
+    /// Starts a graceful shutdown after SIGTERM. `longest_rpc` is the longest deadline of any method.
     ///
-    /// The siblings are looked at in this moment, as the last look may be older than what they do now. The own end is
-    /// published before: of two processes that shut down at the same moment neither takes the other for its successor.
-    /// While another task uses the group both follow with the next look.
+    /// The siblings are counted now, as the last poll may be out of date. That this process stops accepting is published
+    /// before: of two processes that shut down at the same moment, neither takes the other for its successor. If another
+    /// task uses the process group, the next poll does both.
     pub(crate) fn begin_shutdown(&self, longest_rpc: Duration) {
         let shutdown = GracefulShutdown::start(longest_rpc);
         let siblings = self.process_group.as_ref().and_then(|group| {
@@ -97,85 +94,52 @@
         });
     }
 
-    /// Keeps the names of listed endpoints, which admin commands may name.
+    /// Records the names of listed endpoints, for which admin commands are accepted from now on.
     pub(crate) fn record_listed_names<'a>(&self, names: impl Iterator<Item = &'a str>) {
         let known = &self.state.borrow().admin_state.known_names;
-        let mut new_names = self.new_names.borrow_mut();
         for name in names.filter(|name| !known.contains(*name)) {
-            // Without a process group the names stay new: each list brings them again.
-            if new_names.contains(name) {
+            // Without a process group names are never stored, and each endpoint list repeats them.
+            if self.unstored.contains_name(name) {
                 continue;
             }
-            if known.len() + new_names.len() < MAX_KNOWN_NAMES {
-                new_names.insert(name.to_owned());
-            } else if !self.warned_of_names.replace(true) {
+            if known.len() + self.unstored.name_count() < MAX_KNOWN_NAMES {
+                self.unstored.add_name(name);
+            } else if !self.logged_excess_names.replace(true) {
                 log::warn!(
-                    "{MAX_KNOWN_NAMES} endpoint names were listed: admin commands for others are rejected"
+                    "{MAX_KNOWN_NAMES} endpoint names are known: admin commands for further endpoints are rejected"
                 );
             }
         }
     }
 
-    /// An endpoint of this name was listed once.
+    /// Whether an endpoint with this name was ever listed.
     pub(crate) fn knows_name(&self, name: &str) -> bool {
-        self.state.borrow().admin_state.knows(name) || self.new_names.borrow().contains(name)
+        self.state.borrow().admin_state.knows_name(name) || self.unstored.contains_name(name)
     }
 
-    /// The decision actor has applied the administrative state up to this generation.
+    /// Records that the decision actor has applied the administrative state up to this generation.
     pub(crate) fn confirm_applied(&self, generation: u64) {
         self.applied_generation.send_replace(generation);
     }
 
-    fn replace_admin_state(&self, admin_state: AdminState) {
-        self.state
-            .send_if_modified(|state| state.set_admin_state(admin_state));
-    }
-
-    /// Puts what is not stored yet in force, for the siblings too if there is a group; an error tells why not for them.
-    async fn store(&self) -> Result<(), ProcessGroupError> {
-        let new_names = self.new_names.take();
-        let commands = self.unstored.borrow().clone();
-        let change = |admin_state: &mut AdminState| {
-            admin_state.known_names.extend(new_names.iter().cloned());
-            commands
-                .iter()
-                .for_each(|command| admin_state.apply(command));
-        };
-        let mut own = self.state.borrow().admin_state.clone();
-        let stored = match &self.process_group {
-            Some(group) => group.lock().await.update(&own, change).await.map(Some),
-            None => Ok(None),
-        };
-        let (admin_state, outcome) = match stored {
-            Ok(Some(admin_state)) => (admin_state, Ok(())),
-            other => {
-                change(&mut own);
-                (own, other.map(drop))
-            }
-        };
-        self.replace_admin_state(admin_state);
-        if outcome.is_ok() {
-            let mut unstored = self.unstored.borrow_mut();
-            unstored.retain(|command| !commands.contains(command));
-        } else {
-            self.new_names.borrow_mut().extend(new_names);
-        }
-        outcome
-    }
-
-    /// Executes an admin command and returns once the decisions follow it. An error tells why a sibling does not.
+    /// Executes an admin command and returns once the decision actor has applied it.
+    ///
+    /// # Errors
+    ///
+    /// A sibling process runs and can't learn of the command. The command is in force in this process.
     pub(crate) async fn execute(&self, command: &AdminCommand) -> Result<(), ProcessGroupError> {
-        let timed = TimedCommand::now(command.clone());
-        self.unstored.borrow_mut().push(timed);
-        let outcome = self.store().await;
+        self.unstored
+            .add_command(TimedCommand::now(command.clone()));
+        let result = self.store().await;
         let generation = self.current().admin_generation;
-        log::info!("admin command: {command:?}; {}", *self.current());
-        let mut applied = self.applied_generation.subscribe();
-        let _ = applied.wait_for(|applied| *applied >= generation).await;
-        let Err(error) = outcome else {
+        log::info!("admin command {command:?} executed: {}", *self.current());
+        self.await_applied(generation).await;
+        let Err(error) = result else {
             return Ok(());
         };
-        log::warn!("the admin command is in force in this process only: {error}");
+        log::warn!(
+            "storing an admin command failed, it is in force in this process only and will be stored later: {error}"
+        );
         if self.current().siblings.alive > 0 {
             Err(error)
         } else {
@@ -183,58 +147,112 @@
         }
     }
 
-    /// Follows what the siblings do and what they change, for as long as this process lives.
+    /// Waits until the decision actor has applied this generation of the administrative state.
+    async fn await_applied(&self, generation: u64) {
+        let mut applied = self.applied_generation.subscribe();
+        let _ = applied.wait_for(|applied| *applied >= generation).await;
+    }
+
+    /// Polls the process group until dropped, and stores changes that are not stored yet. Returns at once without a
+    /// process group.
     pub(crate) async fn follow_siblings(&self) {
-        let mut looks: u32 = 0;
+        let mut polls: u32 = 0;
         while let Some(group) = &self.process_group {
             sleep(SIBLING_POLL_INTERVAL).await;
-            looks = looks.wrapping_add(1);
-            self.look_at_siblings(&mut *group.lock().await);
-            if looks.is_multiple_of(LOOKS_PER_WRITE) {
-                self.store_pending().await;
+            polls = polls.wrapping_add(1);
+            self.poll_siblings(&mut *group.lock().await);
+            if polls.is_multiple_of(POLLS_PER_WRITE) {
+                self.store_unstored().await;
             }
         }
     }
 
-    fn look_at_siblings(&self, group: &mut ProcessGroup) {
+    /// Publishes the state of this process, and reads that of the siblings and the shared administrative state.
+    fn poll_siblings(&self, group: &mut ProcessGroup) {
         group.publish_accepting(self.current().accepts_clients());
-        let (siblings, admin_state) = (group.siblings(), read_admin_state(group));
+        let siblings = group.siblings();
+        let admin_state = read_admin_state(group);
         let before = self.current().siblings;
         if before != siblings {
             self.state.send_modify(|state| state.siblings = siblings);
             if before.alive != siblings.alive {
-                log::info!("{}", *self.current());
+                log::info!("number of sibling processes changed: {}", *self.current());
             }
         }
         if let Some(mut admin_state) = admin_state {
-            let unstored = self.unstored.borrow();
-            unstored
-                .iter()
-                .for_each(|command| admin_state.apply(command));
+            self.unstored.apply_commands_to(&mut admin_state);
             self.replace_admin_state(admin_state);
-            log::info!("admin state of a sibling process: {}", *self.current());
+            log::info!("admin state read from a sibling: {}", *self.current());
         }
     }
 
-    /// Stores new names, and again what could not be stored before.
-    async fn store_pending(&self) {
-        if self.new_names.borrow().is_empty() && self.unstored.borrow().is_empty() {
+    /// Stores new names and the changes that could not be stored before. Logs the first of several failures.
+    async fn store_unstored(&self) {
+        if self.unstored.is_empty() {
             return;
         }
-        let outcome = self.store().await;
-        let is_repeated = self.warned_of_storing.replace(outcome.is_err());
-        if let Err(error) = outcome
-            && !is_repeated
+        let result = self.store().await;
+        let was_logged = self.logged_write_failure.replace(result.is_err());
+        if let Err(error) = result
+            && !was_logged
         {
-            log::warn!("new names and commands are known to this process only: {error}");
+            log::warn!("storing the admin state failed, retrying each second: {error}");
+        }
+    }
+
+    /// Puts the unstored changes in force in this process, and in its siblings by storing them.
+    ///
+    /// # Errors
+    ///
+    /// The changes could not be stored. They are in force in this process.
+    async fn store(&self) -> Result<(), ProcessGroupError> {
+        let batch = self.unstored.take_batch();
+        let mut own = self.state.borrow().admin_state.clone();
+        match self.update_stored(&own, &batch).await {
+            Ok(Some(admin_state)) => {
+                self.replace_admin_state(admin_state);
+                self.unstored.remove_stored(&batch);
+                Ok(())
+            }
+            Ok(None) => {
+                batch.apply_to(&mut own);
+                self.replace_admin_state(own);
+                self.unstored.remove_stored(&batch);
+                Ok(())
+            }
+            Err(error) => {
+                batch.apply_to(&mut own);
+                self.replace_admin_state(own);
+                self.unstored.restore_names(batch);
+                Err(error)
+            }
         }
     }
+
+    /// Applies changes to the stored state and returns the new state; `None` without a process group.
+    async fn update_stored(
+        &self,
+        own: &AdminState,
+        batch: &ChangeBatch,
+    ) -> Result<Option<AdminState>, ProcessGroupError> {
+        let Some(group) = &self.process_group else {
+            return Ok(None);
+        };
+        let mut group = group.lock().await;
+        let admin_state = group.update(own, |state| batch.apply_to(state)).await?;
+        Ok(Some(admin_state))
+    }
+
+    fn replace_admin_state(&self, admin_state: AdminState) {
+        self.state
+            .send_if_modified(|state| state.set_admin_state(admin_state));
+    }
 }
 
-/// The administrative state that a sibling stored, if it is new.
+/// Returns the stored administrative state if it has changed since the last read.
 fn read_admin_state(group: &mut ProcessGroup) -> Option<AdminState> {
     group.read_if_changed().unwrap_or_else(|error| {
-        log::warn!("the stored admin state can't be read and is ignored: {error}");
+        log::warn!("reading the stored admin state failed, it is ignored: {error}");
         None
     })
 }
--- a/crates/daemon/src/net/socket_budget.rs
+++ b/crates/daemon/src/net/socket_budget.rs
@@ -3,7 +3,7 @@
 //!
 //! Whoever opens a socket first acquires a [`SocketPermit`] and keeps it for as long as the socket is open.
 //! The count goes down in one place only, when the permit is dropped.
-use crate::lifecycle::siblings::MAX_DESCRIPTORS as PROCESS_GROUP_DESCRIPTORS;
+use crate::lifecycle::process_group::MAX_DESCRIPTORS as PROCESS_GROUP_DESCRIPTORS;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
