--- a/crates/audit/src/audit.rs
+++ b/crates/audit/src/audit.rs
@@ -240,7 +240,7 @@
                     .asked(at, rpc, method as usize, tenant as usize, within);
             }
             Event::Sent {
-                attempt,
+                request_id,
                 rpc,
                 proxy,
                 patience,
@@ -248,7 +248,7 @@
                 self.counts.tries += 1;
                 let (patience, picks) = (f64::from(patience), Vec::new());
                 // The first pick may have overtaken the note of the send.
-                let known = self.tries.remove(&attempt).map_or(picks, |t| t.picks);
+                let known = self.tries.remove(&request_id).map_or(picks, |t| t.picks);
                 let entry = Try {
                     rpc,
                     proxy,
@@ -257,9 +257,9 @@
                     answer: None,
                     picks: known,
                 };
-                self.tries.insert(attempt, entry);
+                self.tries.insert(request_id, entry);
             }
-            Event::Answered { attempt, answer } => self.answered(at, attempt, answer),
+            Event::Answered { request_id, answer } => self.answered(at, request_id, answer),
             Event::Born {
                 life, node, cold, ..
             } => {
@@ -279,15 +279,15 @@
             Event::Got {
                 life,
                 job,
-                attempt,
+                request_id,
                 proxy,
                 begun,
                 work,
                 pushed,
                 taken,
             } => {
-                self.got(life, job, attempt, begun, taken);
-                self.after_told(life, attempt, proxy, begun);
+                self.got(life, job, request_id, begun, taken);
+                self.after_told(life, request_id, proxy, begun);
                 self.pushed(at, life, proxy, f64::from(work), f64::from(pushed));
             }
             Event::Started { job } => self.started(at, job),
@@ -343,16 +343,16 @@
     }
 
     fn pick_mut(&mut self, job: u64) -> Option<&mut Pick> {
-        let attempt = self.jobs.get(&job)?;
+        let request_id = self.jobs.get(&job)?;
         self.tries
-            .get_mut(attempt)?
+            .get_mut(request_id)?
             .picks
             .iter_mut()
             .find(|p| p.job == job)
     }
 
-    fn answered(&mut self, at: f64, attempt: u64, answer: Answer) {
-        let Some(entry) = self.tries.get_mut(&attempt) else {
+    fn answered(&mut self, at: f64, request_id: u64, answer: Answer) {
+        let Some(entry) = self.tries.get_mut(&request_id) else {
             return;
         };
         let (rpc, before, deadline) = (entry.rpc, entry.answer, entry.deadline());
@@ -385,12 +385,12 @@
         }
     }
 
-    fn got(&mut self, life: u32, job: u64, attempt: u64, begun: f64, taken: Taken) {
+    fn got(&mut self, life: u32, job: u64, request_id: u64, begun: f64, taken: Taken) {
         self.counts.picks += 1;
         self.counts.turned_away += usize::from(taken == Taken::TurnedAway);
-        self.jobs.insert(job, attempt);
+        self.jobs.insert(job, request_id);
         let (rpc, proxy, sent, patience) = (u32::MAX, u16::MAX, begun, f64::INFINITY);
-        let entry = self.tries.entry(attempt);
+        let entry = self.tries.entry(request_id);
         let entry = entry.or_insert(Try {
             rpc,
             proxy,
@@ -411,7 +411,7 @@
     }
 
     /// Rule 3, for one pick.
-    fn after_told(&mut self, life: u32, attempt: u64, proxy: u16, begun: f64) {
+    fn after_told(&mut self, life: u32, request_id: u64, proxy: u16, begun: f64) {
         let Some(node) = self.lives.get(&life).map(|l| l.node) else {
             return;
         };
@@ -427,7 +427,7 @@
         let late = begun - off;
         self.latest_after_told = self.latest_after_told.max(late);
         if late > self.head.rules.drain_grace + self.head.rules.slack {
-            let rpc = self.tries.get(&attempt).map_or(u32::MAX, |t| t.rpc);
+            let rpc = self.tries.get(&request_id).map_or(u32::MAX, |t| t.rpc);
             let what = format!(
                 "sent to {} {:.0} ms after {} was told that it takes nothing new",
                 self.node_name(node),
@@ -521,7 +521,7 @@
 
     /// Rules 1 and 2 over the picks of one try, once all is known.
     #[expect(clippy::too_many_lines)]
-    fn judge(&mut self, attempt: u64, entry: &Try) {
+    fn judge(&mut self, request_id: u64, entry: &Try) {
         let (rules, slack) = (&self.head.rules, self.head.rules.slack);
         let name = || Self::rpc_name(entry.rpc);
         let Some(kind) = self.kind(entry.rpc) else {
@@ -530,7 +530,7 @@
                 self.breach(
                     Rule::OneAnswer,
                     pick.begun,
-                    format!("try {attempt:016x}"),
+                    format!("try {request_id:016x}"),
                     what,
                     false,
                 );
@@ -663,8 +663,8 @@
 
     pub fn finish(mut self) -> Findings {
         let tries = std::mem::take(&mut self.tries);
-        for (attempt, entry) in &tries {
-            self.judge(*attempt, entry);
+        for (request_id, entry) in &tries {
+            self.judge(*request_id, entry);
         }
         let cold = |l: &Life| ColdLife {
             node: self.node_name(l.node).to_owned(),
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -74,7 +74,7 @@
     Over,
 }
 
-/// One thing that happened. `attempt` is a try of a client, with an id of its own; `life` one life of a node, from its
+/// One thing that happened. `request_id` is one request of a client for an RPC (its first or a retry); `life` one life of a node, from its
 /// start to its end; `job` a pick at a node. Times are seconds since the rehearsal began.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
@@ -85,15 +85,17 @@
         tenant: u8,
         within: bool,
     },
-    /// A client's try: its last byte left at this time.
+    /// A client's request: its last byte left at this time.
     Sent {
-        attempt: u64,
+        #[serde(rename = "attempt")]
+        request_id: u64,
         rpc: u32,
         proxy: u16,
         patience: f32,
     },
     Answered {
-        attempt: u64,
+        #[serde(rename = "attempt")]
+        request_id: u64,
         answer: Answer,
     },
     /// A life of a node began; `able` is what it can do when warm, in standard cores.
@@ -117,7 +119,8 @@
     Got {
         life: u32,
         job: u64,
-        attempt: u64,
+        #[serde(rename = "attempt")]
+        request_id: u64,
         proxy: u16,
         begun: f64,
         work: f32,
--- a/crates/audit/src/story.rs
+++ b/crates/audit/src/story.rs
@@ -22,8 +22,12 @@
         };
         for entry in entries {
             match entry.event {
-                Event::Sent { attempt, rpc, .. } => drop(story.rpcs.insert(attempt, rpc)),
-                Event::Got { job, attempt, .. } => drop(story.jobs.insert(job, attempt)),
+                Event::Sent {
+                    request_id, rpc, ..
+                } => drop(story.rpcs.insert(request_id, rpc)),
+                Event::Got {
+                    job, request_id, ..
+                } => drop(story.jobs.insert(job, request_id)),
                 Event::Born { life, node, .. } => drop(story.nodes.insert(life, node)),
                 _ => {}
             }
@@ -36,8 +40,8 @@
         let of_job = |job: &u64| self.rpcs.get(self.jobs.get(job)?).copied();
         match event {
             Event::Asked { rpc, .. } | Event::Sent { rpc, .. } => Some(*rpc),
-            Event::Answered { attempt, .. } | Event::Got { attempt, .. } => {
-                self.rpcs.get(attempt).copied()
+            Event::Answered { request_id, .. } | Event::Got { request_id, .. } => {
+                self.rpcs.get(request_id).copied()
             }
             Event::Started { job }
             | Event::Repeated { job }
@@ -87,18 +91,18 @@
                 format!("rpc {rpc} due: {} of {}{quota}", method(*m), tenant(*t))
             }
             Event::Sent {
-                attempt,
+                request_id,
                 rpc,
                 proxy,
                 patience,
             } => {
                 format!(
-                    "rpc {rpc} try {attempt:016x} sent to {}, waits {patience:.3} s",
+                    "rpc {rpc} try {request_id:016x} sent to {}, waits {patience:.3} s",
                     self.proxy(*proxy)
                 )
             }
-            Event::Answered { attempt, answer } => {
-                format!("try {attempt:016x} answered: {answer:?}")
+            Event::Answered { request_id, answer } => {
+                format!("try {request_id:016x} answered: {answer:?}")
             }
             Event::Born {
                 life, cold, able, ..
@@ -115,14 +119,14 @@
             Event::Got {
                 life,
                 job,
-                attempt,
+                request_id,
                 proxy,
                 begun,
                 work,
                 pushed,
                 taken,
             } => format!(
-                "try {attempt:016x} pick {job} at {} from {}, first byte at {begun:.4}, work {:.1} ms, pushed {:.0}%: \
+                "try {request_id:016x} pick {job} at {} from {}, first byte at {begun:.4}, work {:.1} ms, pushed {:.0}%: \
                  {taken:?}",
                 self.life(*life),
                 self.proxy(*proxy),
--- a/crates/audit/tests/audit.rs
+++ b/crates/audit/tests/audit.rs
@@ -95,25 +95,25 @@
         );
         self.sent(at, u64::from(rpc), rpc)
     }
-    fn sent(&mut self, at: f64, attempt: u64, rpc: u32) -> &mut Self {
+    fn sent(&mut self, at: f64, request_id: u64, rpc: u32) -> &mut Self {
         self.at(
             at,
             Event::Sent {
-                attempt,
+                request_id,
                 rpc,
                 proxy: 0,
                 patience: 0.5,
             },
         )
     }
-    fn got(&mut self, at: f64, attempt: u64, job: u64, life: u32, taken: Taken) -> &mut Self {
+    fn got(&mut self, at: f64, request_id: u64, job: u64, life: u32, taken: Taken) -> &mut Self {
         let (proxy, begun, work, pushed) = (0, at, 0.1, 0.0);
         self.at(
             at,
             Event::Got {
                 life,
                 job,
-                attempt,
+                request_id,
                 proxy,
                 begun,
                 work,
@@ -129,17 +129,17 @@
     fn left(&mut self, at: f64, job: u64, how: Left) -> &mut Self {
         self.at(at, Event::Left { job, how })
     }
-    fn answered(&mut self, at: f64, attempt: u64, answer: Answer) -> &mut Self {
-        self.at(at, Event::Answered { attempt, answer })
+    fn answered(&mut self, at: f64, request_id: u64, answer: Answer) -> &mut Self {
+        self.at(at, Event::Answered { request_id, answer })
     }
     /// An RPC that succeeds.
     fn good(&mut self, at: f64, rpc: u32, method: u8) -> &mut Self {
-        let (attempt, job) = (u64::from(rpc), u64::from(rpc) + 1000);
+        let (request_id, job) = (u64::from(rpc), u64::from(rpc) + 1000);
         self.asked(at, rpc, method)
-            .got(at + 0.001, attempt, job, 0, Taken::Held)
+            .got(at + 0.001, request_id, job, 0, Taken::Held)
             .runs(at + 0.001, job);
         self.left(at + 0.06, job, Left::Replied)
-            .answered(at + 0.061, attempt, Answer::Ok)
+            .answered(at + 0.061, request_id, Answer::Ok)
     }
     fn audit(&mut self) -> Findings {
         self.at(
@@ -356,7 +356,7 @@
         builder.at(
             1.0,
             Event::Sent {
-                attempt: 7,
+                request_id: 7,
                 rpc: 7,
                 proxy: 0,
                 patience: 5.0,
@@ -501,7 +501,7 @@
     };
     ledger.at(1.0, born).at(1.0, notified);
     for rpc in 0..3 {
-        let (at, attempt) = (1.2 + f64::from(rpc) * 0.1, u64::from(rpc));
+        let (at, request_id) = (1.2 + f64::from(rpc) * 0.1, u64::from(rpc));
         let proxy = u16::from(rpc >= from_notified_proxy);
         let asked = Event::Asked {
             rpc,
@@ -510,15 +510,15 @@
             within: true,
         };
         let sent = Event::Sent {
-            attempt,
+            request_id,
             rpc,
             proxy,
             patience: 0.5,
         };
         let got = Event::Got {
             life: LIFE,
-            job: attempt,
-            attempt,
+            job: request_id,
+            request_id,
             proxy,
             begun: at,
             work: 1.0,
@@ -526,7 +526,7 @@
             taken: Taken::Held,
         };
         ledger.at(at, asked).at(at, sent).at(at, got);
-        ledger.answered(1.5, attempt, Answer::Aborted(502));
+        ledger.answered(1.5, request_id, Answer::Aborted(502));
     }
     ledger.at(1.5, Event::Fell { life: LIFE });
     ledger
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -94,7 +94,7 @@
     let got = |taken| Event::Got {
         life: 3,
         job: 4,
-        attempt: 5,
+        request_id: 5,
         proxy: 1,
         begun: 0.75,
         work: 0.125,
@@ -167,13 +167,16 @@
             within: true,
         },
         Event::Sent {
-            attempt: 5,
+            request_id: 5,
             rpc: 9,
             proxy: 1,
             patience: 0.5,
         },
     ];
-    events.extend(answers().map(|answer| Event::Answered { attempt: 5, answer }));
+    events.extend(answers().map(|answer| Event::Answered {
+        request_id: 5,
+        answer,
+    }));
     events.extend(backend_events());
     events.extend(endpoint_list_events());
     events.extend(proxy_events());
@@ -265,7 +268,7 @@
         .iter()
         .map(|answer| {
             record(&Event::Answered {
-                attempt: 5,
+                request_id: 5,
                 answer: *answer,
             })[2]
         })
--- a/crates/cli/tests/exit_codes.rs
+++ b/crates/cli/tests/exit_codes.rs
@@ -83,13 +83,13 @@
         within: true,
     };
     let sent = Event::Sent {
-        attempt: 1,
+        request_id: 1,
         rpc: 1,
         proxy: 0,
         patience: 0.5,
     };
     let answered = Event::Answered {
-        attempt: 1,
+        request_id: 1,
         answer: Answer::Aborted(502),
     };
     vec![(1.0, asked), (1.0, sent), (1.9, answered)]
--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -17,7 +17,7 @@
 /// One try of an RPC, as it goes out.
 #[derive(Clone, Debug)]
 pub struct Call {
-    pub attempt: u64,
+    pub request_id: u64,
     pub rpc: u32,
     pub proxy: u16,
     pub verb: &'static str,
@@ -40,7 +40,7 @@
             "{} {} HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: {:016x}\r\nRequest-Timeout-Ms: {:.0}\r\n",
             self.verb,
             self.path,
-            self.attempt,
+            self.request_id,
             self.patience * 1e3
         );
         if let Some(tenant) = &self.tenant {
@@ -131,13 +131,13 @@
 
     fn sent(&self, call: &Call) {
         let Call {
-            attempt,
+            request_id,
             rpc,
             proxy,
             ..
         } = *call;
         self.notes.tell(Event::Sent {
-            attempt,
+            request_id,
             rpc,
             proxy,
             patience: call.patience as f32,
@@ -146,7 +146,7 @@
 
     fn answered(&self, call: &Call, answer: Answer) -> Answer {
         self.notes.tell(Event::Answered {
-            attempt: call.attempt,
+            request_id: call.request_id,
             answer,
         });
         answer
@@ -235,7 +235,7 @@
     match message.status {
         200 if message
             .body
-            .starts_with(format!("{:016x} ", call.attempt).as_bytes()) =>
+            .starts_with(format!("{:016x} ", call.request_id).as_bytes()) =>
         {
             Answer::Ok
         }
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -14,12 +14,12 @@
 }
 
 /// The RPC behind a client's try: its tries have ids that differ in the last byte.
-pub fn rpc_of(attempt: u64) -> u32 {
-    (attempt >> 8) as u32
+pub fn rpc_of(request_id: u64) -> u32 {
+    (request_id >> 8) as u32
 }
 
 /// The id of a client's try.
-pub fn attempt_of(rpc: u32, number: u8) -> u64 {
+pub fn request_id_of(rpc: u32, number: u8) -> u64 {
     u64::from(rpc) << 8 | u64::from(number)
 }
 
@@ -76,14 +76,14 @@
     pub fn cost(
         &self,
         class: &str,
-        attempt: u64,
+        request_id: u64,
         key: Option<&str>,
         zone: u32,
         rack: u32,
     ) -> Option<(f64, Option<Mark>)> {
         let method = self.costs.iter().position(|c| c.name == class)?;
         let cost = &self.costs[method];
-        let drawn = cost.work.draw(self.seed, u64::from(rpc_of(attempt)));
+        let drawn = cost.work.draw(self.seed, u64::from(rpc_of(request_id)));
         let mark = match (cost.kind, key) {
             (Kind::Deduplicated { group, window }, Some(key)) => {
                 // FNV-1a: keys are texts of the client's own.
@@ -99,7 +99,7 @@
     }
 
     /// Chance that depends on the seed, a purpose and an RPC's try alone: whether a share is hit.
-    pub fn hits(&self, purpose: u64, attempt: u64, share: f64) -> bool {
-        share > 0.0 && work::generator(self.seed ^ purpose, attempt).random::<f64>() < share
+    pub fn hits(&self, purpose: u64, request_id: u64, share: f64) -> bool {
+        share > 0.0 && work::generator(self.seed ^ purpose, request_id).random::<f64>() < share
     }
 }
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -554,13 +554,13 @@
     ) -> Next {
         let (fleet, life) = (&self.fleet, slot.life);
         let id = message.header("request-id");
-        let Some(attempt) = id.and_then(|id| u64::from_str_radix(id, 16).ok()) else {
+        let Some(request_id) = id.and_then(|id| u64::from_str_radix(id, 16).ok()) else {
             let status = if id.is_some() { 400 } else { 404 };
             return self.answer(peer, life, status, &[], b"no such RPC\n").await;
         };
         let key = message.header("idempotency-key");
         let (zone, rack) = (self.place.zone, self.place.rack);
-        let Some((work, mark)) = fleet.cost(message.class(), attempt, key, zone, rack) else {
+        let Some((work, mark)) = fleet.cost(message.class(), request_id, key, zone, rack) else {
             return self.answer(peer, life, 404, &[], b"no such method\n").await;
         };
         let job = fleet.job();
@@ -573,7 +573,7 @@
                 Event::Got {
                     life,
                     job,
-                    attempt,
+                    request_id,
                     proxy,
                     begun,
                     work,
@@ -587,7 +587,7 @@
         };
         let fault = self
             .faults
-            .for_rpc(|number, share| fleet.hits(number, attempt, share));
+            .for_rpc(|number, share| fleet.hits(number, request_id, share));
         let mut pick = Pick {
             host: self,
             life,
@@ -661,7 +661,7 @@
                 return Next::Close;
             }
         }
-        let body = format!("{attempt:016x} {}\n", self.place.name);
+        let body = format!("{request_id:016x} {}\n", self.place.name);
         let bytes = self.encode(life, 200, &[], body.as_bytes());
         let (next, how) = write_with(peer, &bytes, fault).await;
         pick.how = how;
--- a/crates/emulator/tests/stand_ins.rs
+++ b/crates/emulator/tests/stand_ins.rs
@@ -2,7 +2,7 @@
 use birchhub_audit::event::{Left, Taken};
 use birchhub_audit::{Answer, Entry, Event, Group, Kind as Effect, State};
 use birchhub_backend_model::{Spec, Start, Work, work::Spread};
-use birchhub_emulator::fleet::attempt_of;
+use birchhub_emulator::fleet::request_id_of;
 use birchhub_emulator::list::{Capacity, Line};
 use birchhub_emulator::wire::{self, Kind, Message, Peer, Stop};
 use birchhub_emulator::{
@@ -80,8 +80,8 @@
     node
 }
 
-fn request(verb: &str, path: &str, attempt: u64, more: &str) -> Vec<u8> {
-    format!("{verb} {path} HTTP/1.1\r\nHost: n\r\nRequest-Id: {attempt:016x}\r\n{more}\r\n")
+fn request(verb: &str, path: &str, request_id: u64, more: &str) -> Vec<u8> {
+    format!("{verb} {path} HTTP/1.1\r\nHost: n\r\nRequest-Id: {request_id:016x}\r\n{more}\r\n")
         .into_bytes()
 }
 
@@ -101,17 +101,17 @@
             clock: notes.clock,
         }
     }
-    async fn send(&mut self, attempt: u64) {
+    async fn send(&mut self, request_id: u64) {
         self.peer
-            .write(&request("GET", "/read/1", attempt, ""))
+            .write(&request("GET", "/read/1", request_id, ""))
             .await
             .expect("a send");
     }
     async fn answer(&mut self) -> Result<Message, Stop> {
         self.peer.read(Kind::Response, &self.clock).await
     }
-    async fn call(&mut self, attempt: u64) -> Result<Message, Stop> {
-        self.send(attempt).await;
+    async fn call(&mut self, request_id: u64) -> Result<Message, Stop> {
+        self.send(request_id).await;
         self.answer().await
     }
 }
@@ -144,7 +144,10 @@
     on_one_thread(|notes, entries| async move {
         let node = warm_node(&notes, 0.005);
         let mut connection = Connection::open(&node, &notes, 1).await;
-        let answer = connection.call(attempt_of(7, 0)).await.expect("an answer");
+        let answer = connection
+            .call(request_id_of(7, 0))
+            .await
+            .expect("an answer");
         assert_eq!(
             (answer.status, answer.body.as_slice()),
             (200, &b"0000000000000700 n0\n"[..])
@@ -157,10 +160,10 @@
         let got = events.iter().find_map(|e| match e {
             Event::Got {
                 proxy,
-                attempt,
+                request_id,
                 taken,
                 ..
-            } => Some((*proxy, *attempt, *taken)),
+            } => Some((*proxy, *request_id, *taken)),
             _ => None,
         });
         assert_eq!(got, Some((1, 0x700, Taken::Held)));
@@ -208,10 +211,10 @@
     on_one_thread(|notes, _entries| async move {
         let node = warm_node(&notes, 60.0);
         let mut connections = Vec::new();
-        for attempt in 0..4 {
+        for request_id in 0..4 {
             let mut connection = Connection::open(&node, &notes, 0).await;
-            connection.send(attempt).await;
-            while attempt < 2 && node.in_flight() <= attempt as usize {
+            connection.send(request_id).await;
+            while request_id < 2 && node.in_flight() <= request_id as usize {
                 sleep(Duration::from_millis(1)).await;
             }
             connections.push(connection);
@@ -313,7 +316,7 @@
 fn each_fault_has_its_effect_on_the_connection() {
     on_one_thread(|notes, entries| async move {
         let node = warm_node(&notes, 0.001);
-        let mut attempt = 0;
+        let mut request_id = 0;
         for (fault, runs, expected) in [
             (Fault::Reset { share: 1.0 }, true, Err(Stop::Broken)),
             (Fault::Half { share: 1.0 }, true, Err(Stop::Broken)),
@@ -329,15 +332,15 @@
             ),
             (Fault::Reset { share: 0.0 }, true, Ok(200)),
         ] {
-            attempt += 1;
-            node.begin_fault(attempt, fault);
+            request_id += 1;
+            node.begin_fault(request_id, fault);
             let mut connection = Connection::open(&node, &notes, 0).await;
             let got = connection
-                .call(attempt_of(attempt as u32, 0))
+                .call(request_id_of(request_id as u32, 0))
                 .await
                 .map(|m| m.status);
             assert_eq!(got, expected, "{fault:?}");
-            node.end_fault(attempt);
+            node.end_fault(request_id);
             let mut seen = Vec::new();
             while !seen.iter().any(is_left) {
                 seen.extend(events_so_far(&entries, |_| true));
@@ -463,8 +466,11 @@
         let node = node(&notes, 0.5);
         node.start(Start::Cold).expect("a life");
         // Its capacity is half of a core, and it fails at three times that within a second.
-        for attempt in 0..4 {
-            Connection::open(&node, &notes, 0).await.send(attempt).await;
+        for request_id in 0..4 {
+            Connection::open(&node, &notes, 0)
+                .await
+                .send(request_id)
+                .await;
         }
         await_event(&entries, |e| matches!(e, Event::Fell { .. })).await;
         while Peer::connect(node.door(0).expect("a door")).await.is_ok() {
@@ -479,11 +485,11 @@
     on_one_thread(|notes, entries| async move {
         let node = warm_node(&notes, 0.001);
         let mut connection = Connection::open(&node, &notes, 0).await;
-        for attempt in [attempt_of(3, 0), attempt_of(3, 1)] {
+        for request_id in [request_id_of(3, 0), request_id_of(3, 1)] {
             let bytes = request(
                 "POST",
                 "/log/3",
-                attempt,
+                request_id,
                 "Idempotency-Key: k\r\nContent-Length: 0\r\n",
             );
             connection.peer.write(&bytes).await.expect("a send");
@@ -665,11 +671,11 @@
     });
 }
 
-fn call(attempt: u64, patience: f64) -> Call {
+fn call(request_id: u64, patience: f64) -> Call {
     let (path, body) = ("/read/1".into(), 0);
     let (tenant, key, leaves_after) = (None, None, None);
     Call {
-        attempt,
+        request_id,
         rpc: 1,
         proxy: 0,
         verb: "GET",
@@ -701,7 +707,8 @@
 #[test]
 fn a_client_distinguishes_the_answers() {
     on_one_thread(|notes, _entries| async move {
-        let ok = |attempt: u64| wire::response(200, &[], format!("{attempt:016x} n\n").as_bytes());
+        let ok =
+            |request_id: u64| wire::response(200, &[], format!("{request_id:016x} n\n").as_bytes());
         let retry_after = [("Retry-After", "0.5")];
         let truncated = b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n".to_vec();
         let cases: Vec<(Vec<u8>, Answer)> = vec![
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::proxies::Front;
 use crate::scenario::{Clients, Method, MethodKind, Scenario};
 use birchhub_audit::{Answer, Event, Group, Kind as Effect};
-use birchhub_emulator::fleet::attempt_of;
+use birchhub_emulator::fleet::request_id_of;
 use birchhub_emulator::{Call, Caller, Notes};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -136,7 +136,7 @@
                 arrival.deal.rotate_left(u32::from(number) * 8),
             );
             let call = Call {
-                attempt: attempt_of(rpc, number),
+                request_id: request_id_of(rpc, number),
                 rpc,
                 proxy,
                 verb: if method.kind == MethodKind::Idempotent {
--- a/crates/rehearsal/tests/verdicts.rs
+++ b/crates/rehearsal/tests/verdicts.rs
@@ -11,7 +11,7 @@
 }
 
 fn asked(due: f64, rpc: u32, method: u8, answered: Option<f64>) -> Vec<Entry> {
-    let attempt = u64::from(rpc) << 8;
+    let request_id = u64::from(rpc) << 8;
     let mut entries = vec![
         Entry {
             at: due,
@@ -25,7 +25,7 @@
         Entry {
             at: due,
             event: Event::Sent {
-                attempt,
+                request_id,
                 rpc,
                 proxy: 0,
                 patience: 0.6,
@@ -35,7 +35,7 @@
     entries.extend(answered.map(|at| Entry {
         at,
         event: Event::Answered {
-            attempt,
+            request_id,
             answer: Answer::Ok,
         },
     }));
@@ -64,13 +64,14 @@
 /// A second attempt of an RPC that must not run twice.
 fn second_attempt(rpc: u32) -> Vec<Entry> {
     let got = |at: f64, job| {
-        let (life, attempt, proxy, begun, work, pushed) = (1, u64::from(rpc) << 8, 0, at, 0.0, 0.0);
+        let (life, request_id, proxy, begun, work, pushed) =
+            (1, u64::from(rpc) << 8, 0, at, 0.0, 0.0);
         Entry {
             at,
             event: Event::Got {
                 life,
                 job,
-                attempt,
+                request_id,
                 proxy,
                 begun,
                 work,
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -1,5 +1,5 @@
 //! A proxy's attempts at backends, from their arrival at the machine to their outcome at the proxy.
-use super::clients::rpc_of_attempt;
+use super::clients::rpc_of_request;
 use super::event::{ProcessEvent, SimulationEvent};
 use super::process::ProcessId;
 use super::{NETWORK_DELAY, World};
@@ -14,8 +14,8 @@
 pub(super) struct ProxyAttempt {
     /// The process that made it.
     pub(super) process: ProcessId,
-    /// The client's attempt that it serves.
-    pub(super) attempt: u64,
+    /// The client's request that it serves.
+    pub(super) request_id: u64,
     /// Its place among the attempts for that one.
     pub(super) attempt_index: usize,
     /// The machine that it was sent to.
@@ -29,7 +29,7 @@
 /// An attempt that a running backend has received.
 struct ReceivedAttempt {
     job: u64,
-    attempt: u64,
+    request_id: u64,
     proxy: u16,
     node: u32,
     life: u32,
@@ -45,7 +45,7 @@
         Event::Got {
             life: self.life,
             job: self.job,
-            attempt: self.attempt,
+            request_id: self.request_id,
             proxy: self.proxy,
             begun: self.begun,
             work: self.work as f32,
@@ -64,7 +64,7 @@
         let running = self.proxies[entry.process.proxy as usize]
             .as_ref()
             .filter(|running| running.id == entry.process);
-        let held = running.and_then(|running| running.in_flight.get(&entry.attempt));
+        let held = running.and_then(|running| running.in_flight.get(&entry.request_id));
         held.is_some_and(|held| held.open_job(entry.attempt_index).is_some())
     }
 
@@ -81,21 +81,21 @@
         let Some(entry) = self.proxy_attempts.get(&job) else {
             return;
         };
-        let (proxy, attempt) = (entry.process.proxy, entry.attempt);
+        let (proxy, request_id) = (entry.process.proxy, entry.request_id);
         let attempt_index = entry.attempt_index;
         if entry.life.is_none() {
             self.proxy_attempts.remove(&job);
         }
         if outcome == AttemptOutcome::Succeeded {
-            self.send_answer(proxy, attempt, Answer::Ok);
+            self.send_answer(proxy, request_id, Answer::Ok);
         }
         let running = self.proxies[proxy as usize].as_mut();
-        let Some(held) = running.and_then(|running| running.in_flight.get_mut(&attempt)) else {
+        let Some(held) = running.and_then(|running| running.in_flight.get_mut(&request_id)) else {
             return;
         };
         held.attempts[attempt_index] = None;
         let answered = held.answered;
-        self.run_rpc_decision(proxy, attempt, |rpc, platform| {
+        self.run_rpc_decision(proxy, request_id, |rpc, platform| {
             rpc.on_attempt_ended(attempt_index, outcome, answered, report, platform)
         });
     }
@@ -144,7 +144,7 @@
         let Some(entry) = self.proxy_attempts.get(&job) else {
             return;
         };
-        let (proxy, attempt, node) = (entry.process.proxy, entry.attempt, entry.node);
+        let (proxy, request_id, node) = (entry.process.proxy, entry.request_id, entry.node);
         if self.is_partitioned(node, proxy) || !self.is_attempt_open(job) {
             return;
         }
@@ -156,17 +156,17 @@
         let Some(life) = machine.life() else {
             return self.send_outcome(job, AttemptOutcome::ConnectFailed, 0.0);
         };
-        let arrival = &self.plan.arrivals[rpc_of_attempt(attempt) as usize];
+        let arrival = &self.plan.arrivals[rpc_of_request(request_id) as usize];
         let received = ReceivedAttempt {
             job,
-            attempt,
+            request_id,
             proxy,
             node,
             life,
             begun,
             work: arrival.work * self.method_slowdown[arrival.method as usize],
         };
-        match self.injected_fault(node, attempt) {
+        match self.injected_fault(node, request_id) {
             Some(Trick::Mute(_)) => self.swallow(&received),
             Some(Trick::Error(_)) => self.reply_error(&received),
             fault => self.start_work(&received, fault),
@@ -225,7 +225,7 @@
 
     /// The key by which a group of backends drops a repeat of this RPC, where its method has one.
     fn deduplication_mark(&self, received: &ReceivedAttempt) -> Option<Mark> {
-        let rpc = rpc_of_attempt(received.attempt);
+        let rpc = rpc_of_request(received.request_id);
         let method = self.plan.arrivals[rpc as usize].method;
         let machine = &self.machines[received.node as usize];
         match self.scenario.method[method as usize].effect() {
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -8,14 +8,14 @@
 /// s that a client listens on after its patience: an answer that leaves in time may arrive late.
 const CLIENT_GRACE: f64 = 0.25;
 
-/// The lowest bits of the number of a client's attempt count the attempts of its RPC, those above are the RPC's number.
+/// The lowest bits of the number of a client's request count the attempts of its RPC, those above are the RPC's number.
 const ATTEMPT_BITS: u32 = 8;
 
 /// The largest exponent of a client's back-off.
 const MAX_BACKOFF_EXPONENT: u8 = 16;
 
-/// A client's attempt that has no answer yet.
-pub(super) struct ClientAttempt {
+/// A client's request that has no answer yet.
+pub(super) struct ClientRequest {
     /// The proxy that it was sent to.
     pub(super) proxy: u16,
     /// How long the client waits, s.
@@ -23,18 +23,18 @@
 }
 
 /// The ledger's number of an attempt; the first attempt of an RPC has the number 0.
-fn client_attempt_id(rpc: u32, number: u8) -> u64 {
+fn client_request_id(rpc: u32, number: u8) -> u64 {
     u64::from(rpc) << ATTEMPT_BITS | u64::from(number)
 }
 
-/// The RPC that a client's attempt is for.
-pub(super) fn rpc_of_attempt(attempt: u64) -> u32 {
-    (attempt >> ATTEMPT_BITS) as u32
+/// The RPC that a client's request is for.
+pub(super) fn rpc_of_request(request_id: u64) -> u32 {
+    (request_id >> ATTEMPT_BITS) as u32
 }
 
-/// The number of a client's attempt among those for its RPC.
-pub(super) fn client_attempt_number(attempt: u64) -> u8 {
-    attempt as u8
+/// The number of a client's request among those for its RPC.
+pub(super) fn request_number(request_id: u64) -> u8 {
+    request_id as u8
 }
 
 impl World<'_> {
@@ -48,11 +48,11 @@
             tenant,
             within,
         });
-        self.send_client_attempt(rpc, 0);
+        self.send_client_request(rpc, 0);
     }
 
     /// A client sends an attempt to a proxy that accepts traffic, if its RPC has time left.
-    pub(super) fn send_client_attempt(&mut self, rpc: u32, number: u8) {
+    pub(super) fn send_client_request(&mut self, rpc: u32, number: u8) {
         let (scenario, arrival) = (self.scenario, &self.plan.arrivals[rpc as usize]);
         let method = &scenario.method[arrival.method as usize];
         let left = arrival.due + method.deadline.0 - self.now;
@@ -60,21 +60,21 @@
             return;
         };
         let proxy = self.choose_proxy(rpc, number);
-        let attempt = client_attempt_id(rpc, number);
-        self.client_attempts
-            .insert(attempt, ClientAttempt { proxy, patience });
+        let request_id = client_request_id(rpc, number);
+        self.client_requests
+            .insert(request_id, ClientRequest { proxy, patience });
         self.record(Event::Sent {
-            attempt,
+            request_id,
             rpc,
             proxy,
             patience: patience as f32,
         });
-        let at_proxy = SimulationEvent::AttemptAtProxy { attempt, proxy };
+        let at_proxy = SimulationEvent::RequestAtProxy { request_id, proxy };
         self.schedule(NETWORK_DELAY, at_proxy);
-        let give_up = SimulationEvent::ClientGivesUp { attempt };
+        let give_up = SimulationEvent::ClientGivesUp { request_id };
         self.schedule(patience + CLIENT_GRACE, give_up);
         if let Some(part) = arrival.leaves.filter(|_| number == 0) {
-            let disconnect = SimulationEvent::ClientDisconnects { attempt };
+            let disconnect = SimulationEvent::ClientDisconnects { request_id };
             self.schedule(part * patience, disconnect);
         }
     }
@@ -89,12 +89,12 @@
     }
 
     /// A client has the answer to an attempt, and retries where its policy says so. Later answers are dropped.
-    pub(super) fn answer_client(&mut self, attempt: u64, answer: Answer) {
-        if self.client_attempts.remove(&attempt).is_none() {
+    pub(super) fn answer_client(&mut self, request_id: u64, answer: Answer) {
+        if self.client_requests.remove(&request_id).is_none() {
             return;
         }
-        self.record(Event::Answered { attempt, answer });
-        let (rpc, number) = (rpc_of_attempt(attempt), client_attempt_number(attempt));
+        self.record(Event::Answered { request_id, answer });
+        let (rpc, number) = (rpc_of_request(request_id), request_number(request_id));
         let arrival = &self.plan.arrivals[rpc as usize];
         let method = &self.scenario.method[arrival.method as usize];
         let elapsed = self.now - arrival.due;
@@ -103,7 +103,7 @@
             let number = number + 1;
             self.schedule(
                 self.retry_delay(number - 1, answer),
-                SimulationEvent::SendClientAttempt { rpc, number },
+                SimulationEvent::SendClientRequest { rpc, number },
             );
         }
     }
@@ -124,13 +124,13 @@
     }
 
     /// A client closes the connection of an attempt that has no answer.
-    pub(super) fn disconnect_client(&mut self, attempt: u64) {
-        let Some(sent) = self.client_attempts.get(&attempt) else {
+    pub(super) fn disconnect_client(&mut self, request_id: u64) {
+        let Some(sent) = self.client_requests.get(&request_id) else {
             return;
         };
         let proxy = sent.proxy;
-        self.answer_client(attempt, Answer::HungUp);
-        let disconnected = ProcessEvent::ClientDisconnected(attempt);
+        self.answer_client(request_id, Answer::HungUp);
+        let disconnected = ProcessEvent::ClientDisconnected(request_id);
         self.send_to_process(proxy, NETWORK_DELAY, disconnected);
     }
 }
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -37,25 +37,25 @@
     pub(super) fn run_rpc_decision(
         &mut self,
         proxy: u16,
-        attempt: u64,
+        request_id: u64,
         decide: impl FnOnce(&RpcHandle, &mut SimulationPlatform),
     ) {
         self.run_decision(proxy, |_, in_flight, platform| {
-            let held = in_flight.get(&attempt);
+            let held = in_flight.get(&request_id);
             if let Some(rpc) = held.and_then(|held| held.rpc.as_ref()) {
                 decide(rpc, platform);
             }
         });
-        self.release_if_finished(proxy, attempt);
+        self.release_if_finished(proxy, request_id);
     }
 
-    fn release_if_finished(&mut self, proxy: u16, attempt: u64) {
+    fn release_if_finished(&mut self, proxy: u16, request_id: u64) {
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
         };
-        let held = running.in_flight.get(&attempt);
+        let held = running.in_flight.get(&request_id);
         if held.is_some_and(InFlightRpc::is_finished) {
-            running.in_flight.remove(&attempt);
+            running.in_flight.remove(&request_id);
         }
     }
 
@@ -63,23 +63,23 @@
         let proxy = process.proxy;
         match command {
             Command::StartAttempt {
-                attempt,
+                request_id,
                 backend,
                 timeout,
-            } => self.start_attempt(process, attempt, backend, timeout),
+            } => self.start_attempt(process, request_id, backend, timeout),
             Command::CancelAttempt {
-                attempt,
+                request_id,
                 attempt_index,
-            } => self.cancel_attempt(proxy, attempt, attempt_index),
+            } => self.cancel_attempt(proxy, request_id, attempt_index),
             Command::Reject {
-                attempt,
+                request_id,
                 retry_after,
             } => {
                 let retry_after = (retry_after > 0.0).then_some(retry_after as f32);
-                self.send_answer(proxy, attempt, Answer::PushedBack(retry_after));
+                self.send_answer(proxy, request_id, Answer::PushedBack(retry_after));
             }
-            Command::Fail { attempt } => {
-                self.send_answer(proxy, attempt, Answer::Aborted(BAD_GATEWAY))
+            Command::Fail { request_id } => {
+                self.send_answer(proxy, request_id, Answer::Aborted(BAD_GATEWAY))
             }
             Command::HealthCheck { backend } => {
                 let node = backend;
@@ -93,12 +93,12 @@
         }
     }
 
-    fn start_attempt(&mut self, process: ProcessId, attempt: u64, backend: u32, timeout: f64) {
+    fn start_attempt(&mut self, process: ProcessId, request_id: u64, backend: u32, timeout: f64) {
         let now = self.now;
         let Some(running) = self.proxies[process.proxy as usize].as_mut() else {
             return;
         };
-        let Some(held) = running.in_flight.get_mut(&attempt) else {
+        let Some(held) = running.in_flight.get_mut(&request_id) else {
             return;
         };
         let job = self.next_job;
@@ -110,7 +110,7 @@
             job,
             ProxyAttempt {
                 process,
-                attempt,
+                request_id,
                 attempt_index,
                 node: backend,
                 life: None,
@@ -129,9 +129,9 @@
         );
     }
 
-    fn cancel_attempt(&mut self, proxy: u16, attempt: u64, attempt_index: usize) {
+    fn cancel_attempt(&mut self, proxy: u16, request_id: u64, attempt_index: usize) {
         let running = self.proxies[proxy as usize].as_ref();
-        let held = running.and_then(|running| running.in_flight.get(&attempt));
+        let held = running.and_then(|running| running.in_flight.get(&request_id));
         let Some(job) = held.and_then(|held| held.open_job(attempt_index)) else {
             return;
         };
@@ -166,17 +166,17 @@
     }
 
     /// Sends the answer to a client that has none yet.
-    pub(super) fn send_answer(&mut self, proxy: u16, attempt: u64, answer: Answer) {
+    pub(super) fn send_answer(&mut self, proxy: u16, request_id: u64, answer: Answer) {
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
         };
-        let Some(held) = running.in_flight.get_mut(&attempt) else {
+        let Some(held) = running.in_flight.get_mut(&request_id) else {
             return;
         };
         if !std::mem::replace(&mut held.answered, true) {
             self.schedule(
                 NETWORK_DELAY,
-                SimulationEvent::AnswerAtClient { attempt, answer },
+                SimulationEvent::AnswerAtClient { request_id, answer },
             );
         }
     }
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -5,7 +5,7 @@
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::Answer;
 
-/// An event in the queue. `attempt` is the ledger's number of a client's attempt, `job` that of a proxy's attempt at a
+/// An event in the queue. `request_id` is the ledger's number of a client's request, `job` that of a proxy's attempt at a
 /// backend, and `node` the index of a machine.
 #[derive(Clone, Debug)]
 pub(super) enum SimulationEvent {
@@ -14,9 +14,9 @@
     /// An RPC of the plan begins at its client.
     RpcDue(u32),
     /// A client retries an RPC.
-    SendClientAttempt { rpc: u32, number: u8 },
-    /// A client's attempt arrives at a proxy.
-    AttemptAtProxy { attempt: u64, proxy: u16 },
+    SendClientRequest { rpc: u32, number: u8 },
+    /// A client's request arrives at a proxy.
+    RequestAtProxy { request_id: u64, proxy: u16 },
     /// A process receives an event, unless it has ended by then.
     ToProcess {
         process: ProcessId,
@@ -31,11 +31,11 @@
     /// A proxy's health check arrives at a machine.
     HealthCheckAtBackend { process: ProcessId, node: u32 },
     /// An answer arrives at the client.
-    AnswerAtClient { attempt: u64, answer: Answer },
-    /// The client waits for this attempt no longer.
-    ClientGivesUp { attempt: u64 },
+    AnswerAtClient { request_id: u64, answer: Answer },
+    /// The client no longer waits for this request.
+    ClientGivesUp { request_id: u64 },
     /// The client closes its connection before it has an answer.
-    ClientDisconnects { attempt: u64 },
+    ClientDisconnects { request_id: u64 },
     /// The endpoint list service learns of a change.
     PublishEndpoint { node: u32, list_entry: ListEntry },
     /// A proxy's call arrives at the endpoint list service.
@@ -59,7 +59,7 @@
 pub(super) enum ProcessEvent {
     /// A timer of the decision module fires.
     Timer,
-    /// The deadline of a client's attempt has passed.
+    /// The deadline of a client's request has passed.
     Deadline(u64),
     /// The client of an attempt has closed its connection.
     ClientDisconnected(u64),
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -190,11 +190,11 @@
     }
 
     /// The fault that an attempt at a machine meets: drawn by attempt, with the chance that it has on sockets too.
-    pub(super) fn injected_fault(&self, node: u32, attempt: u64) -> Option<Trick> {
+    pub(super) fn injected_fault(&self, node: u32, request_id: u64) -> Option<Trick> {
         let hits = |fault: &&InjectedFault| {
             let share = affected_share(&fault.trick);
             let seed = self.plan.seed ^ fault.number;
-            share > 0.0 && generator(seed, attempt).random::<f64>() < share
+            share > 0.0 && generator(seed, request_id).random::<f64>() < share
         };
         let fault = self.machines[node as usize].faults.iter().find(hits);
         fault.map(|fault| fault.trick.clone())
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -22,7 +22,7 @@
 use birchhub_rehearsal::plan::Plan;
 use birchhub_rehearsal::scenario::Scenario;
 use birchhub_rehearsal::settings;
-use clients::ClientAttempt;
+use clients::ClientRequest;
 use endpoint_list::{EndpointListService, ListEntry};
 use event::SimulationEvent;
 use machine::Machine;
@@ -76,7 +76,7 @@
     /// By job.
     proxy_attempts: HashMap<u64, ProxyAttempt>,
     /// By the attempt's number in the ledger.
-    client_attempts: HashMap<u64, ClientAttempt>,
+    client_requests: HashMap<u64, ClientRequest>,
     next_job: u64,
     next_life: u32,
     /// By proxy.
@@ -128,7 +128,7 @@
             list: EndpointListService::new(proxies, scenario.list.calls),
             list_delay: 0.0,
             proxy_attempts: HashMap::new(),
-            client_attempts: HashMap::new(),
+            client_requests: HashMap::new(),
             next_job: 1,
             next_life: 1,
             settings: settings.collect::<Result<_, _>>()?,
@@ -196,16 +196,18 @@
         match event {
             Due::PlannedAct(act) => self.apply_planned_act(self.plan.acts[act].1.clone()),
             Due::RpcDue(rpc) => self.start_rpc(rpc),
-            Due::SendClientAttempt { rpc, number } => self.send_client_attempt(rpc, number),
-            Due::AttemptAtProxy { attempt, proxy } => self.accept_client_attempt(attempt, proxy),
+            Due::SendClientRequest { rpc, number } => self.send_client_request(rpc, number),
+            Due::RequestAtProxy { request_id, proxy } => {
+                self.accept_client_request(request_id, proxy)
+            }
             Due::ToProcess { process, event } => self.deliver_to_process(process, event),
             Due::AttemptAtBackend { job, begun } => self.offer_to_backend(job, begun),
             Due::BackendDue { node, version } => self.advance_backend(node, version),
             Due::ConnectionClosed { job } => self.close_connection(job),
             Due::HealthCheckAtBackend { process, node } => self.answer_health_check(process, node),
-            Due::AnswerAtClient { attempt, answer } => self.answer_client(attempt, answer),
-            Due::ClientGivesUp { attempt } => self.answer_client(attempt, Answer::Silence),
-            Due::ClientDisconnects { attempt } => self.disconnect_client(attempt),
+            Due::AnswerAtClient { request_id, answer } => self.answer_client(request_id, answer),
+            Due::ClientGivesUp { request_id } => self.answer_client(request_id, Answer::Silence),
+            Due::ClientDisconnects { request_id } => self.disconnect_client(request_id),
             Due::PublishEndpoint { node, list_entry } => self.publish_endpoint(node, list_entry),
             Due::ListCallArrives(process) => self.start_list_call(process),
             Due::ListCallServed(process) => self.finish_list_call(process),
--- a/crates/simulation/src/world/platform.rs
+++ b/crates/simulation/src/world/platform.rs
@@ -1,21 +1,24 @@
 //! The platform of the decision module in simulated time: it notes the commands that the decisions give.
 use birchhub::interface::Platform;
 
-/// A command of the decision module. `attempt` is a client's attempt, `attempt_index` counts its attempts at backends.
+/// A command of the decision module. `request_id` is the number of a client's request, `attempt_index` counts its attempts at backends.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Command {
     /// Sends the RPC to a backend, for at most `timeout` s.
     StartAttempt {
-        attempt: u64,
+        request_id: u64,
         backend: u32,
         timeout: f64,
     },
     /// Withdraws the RPC from a backend.
-    CancelAttempt { attempt: u64, attempt_index: usize },
+    CancelAttempt {
+        request_id: u64,
+        attempt_index: usize,
+    },
     /// Answers the client that it may retry after so many s; 0 names no time.
-    Reject { attempt: u64, retry_after: f64 },
+    Reject { request_id: u64, retry_after: f64 },
     /// Answers the client that the RPC has failed.
-    Fail { attempt: u64 },
+    Fail { request_id: u64 },
     /// Checks the health of a backend.
     HealthCheck { backend: u32 },
     /// Calls the endpoint list service.
@@ -37,27 +40,27 @@
     fn now(&self) -> f64 {
         self.now
     }
-    fn start_attempt(&mut self, attempt: u64, backend: u32, timeout: f64) {
+    fn start_attempt(&mut self, request_id: u64, backend: u32, timeout: f64) {
         self.commands.push(Command::StartAttempt {
-            attempt,
+            request_id,
             backend,
             timeout,
         });
     }
-    fn cancel_attempt(&mut self, attempt: u64, attempt_index: usize) {
+    fn cancel_attempt(&mut self, request_id: u64, attempt_index: usize) {
         self.commands.push(Command::CancelAttempt {
-            attempt,
+            request_id,
             attempt_index,
         });
     }
-    fn reject(&mut self, attempt: u64, retry_after: f64) {
+    fn reject(&mut self, request_id: u64, retry_after: f64) {
         self.commands.push(Command::Reject {
-            attempt,
+            request_id,
             retry_after,
         });
     }
-    fn fail(&mut self, attempt: u64) {
-        self.commands.push(Command::Fail { attempt });
+    fn fail(&mut self, request_id: u64) {
+        self.commands.push(Command::Fail { request_id });
     }
     fn health_check(&mut self, backend: u32) {
         self.commands.push(Command::HealthCheck { backend });
--- a/crates/simulation/src/world/process.rs
+++ b/crates/simulation/src/world/process.rs
@@ -52,7 +52,7 @@
     pub id: ProcessId,
     balancer: Balancer,
     platform: SimulationPlatform,
-    /// The RPCs that it holds, by client's attempt.
+    /// The RPCs that it holds, by client's request.
     pub in_flight: BTreeMap<u64, InFlightRpc>,
     /// How far its clock is behind the simulation's because of pauses, s.
     pub clock_lag: f64,
--- a/crates/simulation/src/world/proxies.rs
+++ b/crates/simulation/src/world/proxies.rs
@@ -89,9 +89,9 @@
             return;
         };
         self.record(Event::ProxyEnded { proxy, how });
-        for (attempt, held) in &ended.in_flight {
+        for (request_id, held) in &ended.in_flight {
             if !held.answered {
-                self.lose_client_attempt(*attempt);
+                self.lose_client_attempt(*request_id);
             }
             for job in held.attempts.iter().flatten() {
                 let closed = SimulationEvent::ConnectionClosed { job: *job };
@@ -100,17 +100,17 @@
         }
         // What had arrived during a pause and was not read is lost too.
         for event in std::mem::take(&mut self.deferred_events[proxy as usize]) {
-            if let SimulationEvent::AttemptAtProxy { attempt, .. } = event {
-                self.lose_client_attempt(attempt);
+            if let SimulationEvent::RequestAtProxy { request_id, .. } = event {
+                self.lose_client_attempt(request_id);
             }
         }
         let noticed = SimulationEvent::FrontNoticesStop(ended.id);
         self.schedule(self.scenario.proxies.front_notices.0, noticed);
     }
 
-    fn lose_client_attempt(&mut self, attempt: u64) {
+    fn lose_client_attempt(&mut self, request_id: u64) {
         let answer = Answer::Lost;
-        let lost = SimulationEvent::AnswerAtClient { attempt, answer };
+        let lost = SimulationEvent::AnswerAtClient { request_id, answer };
         self.schedule(NETWORK_DELAY, lost);
     }
 
--- a/crates/simulation/src/world/rpcs.rs
+++ b/crates/simulation/src/world/rpcs.rs
@@ -1,5 +1,5 @@
-//! What a proxy's process receives: clients' attempts, and the events that are sent to it.
-use super::clients::{client_attempt_number, rpc_of_attempt};
+//! What a proxy's process receives: clients' requests, and the events that are sent to it.
+use super::clients::{request_number, rpc_of_request};
 use super::commands::BAD_GATEWAY;
 use super::endpoint_list::ListEntry;
 use super::event::{ProcessEvent, SimulationEvent};
@@ -25,40 +25,40 @@
         running.is_some_and(|running| running.paused.is_some())
     }
 
-    /// A client's attempt arrives at a proxy, which accepts it if it runs.
-    pub(super) fn accept_client_attempt(&mut self, attempt: u64, proxy: u16) {
+    /// A client's request arrives at a proxy, which accepts it if it runs.
+    pub(super) fn accept_client_request(&mut self, request_id: u64, proxy: u16) {
         if self.is_paused(proxy) {
-            let arrival = SimulationEvent::AttemptAtProxy { attempt, proxy };
+            let arrival = SimulationEvent::RequestAtProxy { request_id, proxy };
             return self.deferred_events[proxy as usize].push(arrival);
         }
-        let Some(sent) = self.client_attempts.get(&attempt) else {
+        let Some(sent) = self.client_requests.get(&request_id) else {
             return;
         };
         let Some(running) = self.proxies[proxy as usize].as_ref() else {
             let answer = Answer::Unreachable;
-            let refusal = SimulationEvent::AnswerAtClient { attempt, answer };
+            let refusal = SimulationEvent::AnswerAtClient { request_id, answer };
             return self.schedule(NETWORK_DELAY, refusal);
         };
         let until = self.now + sent.patience - NETWORK_DELAY;
-        let incoming = self.incoming_rpc(attempt, until - DEADLINE_MARGIN - running.clock_lag);
+        let incoming = self.incoming_rpc(request_id, until - DEADLINE_MARGIN - running.clock_lag);
         let accepted = InFlightRpc::new(until - DEADLINE_MARGIN);
-        self.send_to_process(proxy, until - self.now, ProcessEvent::Deadline(attempt));
+        self.send_to_process(proxy, until - self.now, ProcessEvent::Deadline(request_id));
         self.run_decision(proxy, |balancer, in_flight, platform| {
-            in_flight.insert(attempt, accepted);
+            in_flight.insert(request_id, accepted);
             let rpc = balancer.accept(&incoming, platform);
-            if let Some(held) = in_flight.get_mut(&attempt) {
+            if let Some(held) = in_flight.get_mut(&request_id) {
                 held.rpc = Some(rpc);
             }
         });
     }
 
-    /// A client's attempt as the decision module sees it; the deadline is by the proxy's own clock.
-    fn incoming_rpc(&self, attempt: u64, deadline: f64) -> IncomingRpc {
-        let arrival = &self.plan.arrivals[rpc_of_attempt(attempt) as usize];
+    /// A client's request as the decision module sees it; the deadline is by the proxy's own clock.
+    fn incoming_rpc(&self, request_id: u64, deadline: f64) -> IncomingRpc {
+        let arrival = &self.plan.arrivals[rpc_of_request(request_id) as usize];
         let has_tenants = !self.scenario.tenant.is_empty();
-        let is_retry = client_attempt_number(attempt) > 0;
+        let is_retry = request_number(request_id) > 0;
         IncomingRpc {
-            id: attempt,
+            id: request_id,
             method: arrival.method as usize,
             tenant: has_tenants.then_some(arrival.tenant as usize),
             deadline,
@@ -81,8 +81,8 @@
         }
         match event {
             ProcessEvent::Timer => self.fire_timer(proxy),
-            ProcessEvent::Deadline(attempt) => self.expire_rpc(proxy, attempt),
-            ProcessEvent::ClientDisconnected(attempt) => self.abandon_rpc(proxy, attempt),
+            ProcessEvent::Deadline(request_id) => self.expire_rpc(proxy, request_id),
+            ProcessEvent::ClientDisconnected(request_id) => self.abandon_rpc(proxy, request_id),
             ProcessEvent::AttemptEnded {
                 job,
                 outcome,
@@ -117,24 +117,24 @@
     }
 
     /// Fails an RPC that has no answer at its deadline.
-    fn expire_rpc(&mut self, proxy: u16, attempt: u64) {
+    fn expire_rpc(&mut self, proxy: u16, request_id: u64) {
         let running = self.proxies[proxy as usize].as_ref();
-        let held = running.and_then(|running| running.in_flight.get(&attempt));
+        let held = running.and_then(|running| running.in_flight.get(&request_id));
         if held.is_some_and(|held| !held.answered) {
-            self.send_answer(proxy, attempt, Answer::Aborted(BAD_GATEWAY));
-            self.run_rpc_decision(proxy, attempt, |rpc, platform| {
+            self.send_answer(proxy, request_id, Answer::Aborted(BAD_GATEWAY));
+            self.run_rpc_decision(proxy, request_id, |rpc, platform| {
                 rpc.on_client_disconnected(platform)
             });
         }
     }
 
     /// Ends an RPC whose client has disconnected.
-    fn abandon_rpc(&mut self, proxy: u16, attempt: u64) {
+    fn abandon_rpc(&mut self, proxy: u16, request_id: u64) {
         let running = self.proxies[proxy as usize].as_mut();
-        if let Some(held) = running.and_then(|running| running.in_flight.get_mut(&attempt)) {
+        if let Some(held) = running.and_then(|running| running.in_flight.get_mut(&request_id)) {
             held.answered = true;
         }
-        self.run_rpc_decision(proxy, attempt, |rpc, platform| {
+        self.run_rpc_decision(proxy, request_id, |rpc, platform| {
             rpc.on_client_disconnected(platform)
         });
     }
