--- a/crates/audit/src/audit.rs
+++ b/crates/audit/src/audit.rs
@@ -90,7 +90,7 @@
 
 #[derive(Clone, Debug)]
 struct Pick {
-    job: u64,
+    attempt_id: u64,
     life: u32,
     begun: f64,
     taken: Taken,
@@ -137,7 +137,7 @@
     head: &'a Head,
     rpcs: HashMap<u32, Asked>,
     tries: BTreeMap<u64, Try>,
-    jobs: HashMap<u64, u64>,
+    attempt_ids: HashMap<u64, u64>,
     lives: HashMap<u32, Life>,
     /// What each proxy was told last of a node: its life, and since when it takes nothing new.
     told: HashMap<(u16, u32), (u32, Option<f64>)>,
@@ -158,7 +158,7 @@
             head,
             rpcs: HashMap::new(),
             tries: BTreeMap::new(),
-            jobs: HashMap::new(),
+            attempt_ids: HashMap::new(),
             lives: HashMap::new(),
             told: HashMap::new(),
             ended: HashMap::new(),
@@ -278,7 +278,7 @@
             Event::Fell { life } => self.fell(at, life),
             Event::Got {
                 life,
-                job,
+                attempt_id,
                 request_id,
                 proxy,
                 begun,
@@ -286,15 +286,15 @@
                 pushed,
                 taken,
             } => {
-                self.got(life, job, request_id, begun, taken);
+                self.got(life, attempt_id, request_id, begun, taken);
                 self.after_told(life, request_id, proxy, begun);
                 self.pushed(at, life, proxy, f64::from(work), f64::from(pushed));
             }
-            Event::Started { job } => self.started(at, job),
+            Event::Started { attempt_id } => self.started(at, attempt_id),
             Event::Repeated { .. } => self.counts.dropped_repeats += 1,
-            Event::Left { job, how } => {
+            Event::Left { attempt_id, how } => {
                 self.counts.withdrawn += usize::from(how == Left::Withdrawn);
-                if let Some(pick) = self.pick_mut(job) {
+                if let Some(pick) = self.pick_mut(attempt_id) {
                     pick.over.get_or_insert(at);
                 }
             }
@@ -328,8 +328,11 @@
             }
             Event::KitLate { by } => self.late.push(f64::from(by)),
             Event::StageLate { by } => self.stage_late.push(f64::from(by)),
-            Event::TimeTold { job, seconds } => {
-                if let Some(pick) = self.pick_mut(job) {
+            Event::TimeTold {
+                attempt_id,
+                seconds,
+            } => {
+                if let Some(pick) = self.pick_mut(attempt_id) {
                     pick.time = Some(f64::from(seconds));
                 }
             }
@@ -342,13 +345,13 @@
         }
     }
 
-    fn pick_mut(&mut self, job: u64) -> Option<&mut Pick> {
-        let request_id = self.jobs.get(&job)?;
+    fn pick_mut(&mut self, attempt_id: u64) -> Option<&mut Pick> {
+        let request_id = self.attempt_ids.get(&attempt_id)?;
         self.tries
             .get_mut(request_id)?
             .picks
             .iter_mut()
-            .find(|p| p.job == job)
+            .find(|p| p.attempt_id == attempt_id)
     }
 
     fn answered(&mut self, at: f64, request_id: u64, answer: Answer) {
@@ -385,10 +388,10 @@
         }
     }
 
-    fn got(&mut self, life: u32, job: u64, request_id: u64, begun: f64, taken: Taken) {
+    fn got(&mut self, life: u32, attempt_id: u64, request_id: u64, begun: f64, taken: Taken) {
         self.counts.picks += 1;
         self.counts.turned_away += usize::from(taken == Taken::TurnedAway);
-        self.jobs.insert(job, request_id);
+        self.attempt_ids.insert(attempt_id, request_id);
         let (rpc, proxy, sent, patience) = (u32::MAX, u16::MAX, begun, f64::INFINITY);
         let entry = self.tries.entry(request_id);
         let entry = entry.or_insert(Try {
@@ -401,7 +404,7 @@
         });
         let over = (taken == Taken::TurnedAway).then_some(begun);
         entry.picks.push(Pick {
-            job,
+            attempt_id,
             life,
             begun,
             taken,
@@ -491,11 +494,11 @@
     }
 
     /// An effect happened.
-    fn started(&mut self, at: f64, job: u64) {
+    fn started(&mut self, at: f64, attempt_id: u64) {
         self.counts.runs += 1;
         let Some(rpc) = self
-            .jobs
-            .get(&job)
+            .attempt_ids
+            .get(&attempt_id)
             .and_then(|a| self.tries.get(a))
             .map(|t| t.rpc)
         else {
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -75,7 +75,7 @@
 }
 
 /// One thing that happened. `request_id` is one request of a client for an RPC (its first or a retry); `life` one life of a node, from its
-/// start to its end; `job` a pick at a node. Times are seconds since the rehearsal began.
+/// start to its end; `attempt_id` a pick at a node. Times are seconds since the rehearsal began.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// An RPC was due, whether or not it could be sent.
@@ -118,7 +118,8 @@
     /// A pick arrived whole; its first byte came at `begun`. `pushed` is how far it pushed a cold node to its fall.
     Got {
         life: u32,
-        job: u64,
+        #[serde(rename = "job")]
+        attempt_id: u64,
         #[serde(rename = "attempt")]
         request_id: u64,
         proxy: u16,
@@ -128,17 +129,21 @@
         taken: Taken,
     },
     Started {
-        job: u64,
+        #[serde(rename = "job")]
+        attempt_id: u64,
     },
     /// Dropped as a repeat: answered as done, with no effect.
     Repeated {
-        job: u64,
+        #[serde(rename = "job")]
+        attempt_id: u64,
     },
     Finished {
-        job: u64,
+        #[serde(rename = "job")]
+        attempt_id: u64,
     },
     Left {
-        job: u64,
+        #[serde(rename = "job")]
+        attempt_id: u64,
         how: Left,
     },
     /// The truth about a node changed and the list service knows.
@@ -180,7 +185,8 @@
     },
     /// A pick told its node that the proxy waits for so long, s.
     TimeTold {
-        job: u64,
+        #[serde(rename = "job")]
+        attempt_id: u64,
         seconds: f32,
     },
 }
--- a/crates/audit/src/story.rs
+++ b/crates/audit/src/story.rs
@@ -6,9 +6,9 @@
 /// Which entries belong to an RPC, and the names behind the numbers.
 pub struct Story<'a> {
     head: &'a Head,
-    /// RPC of each try, try of each job, node of each life.
+    /// RPC of each request, request of each attempt, node of each life.
     rpcs: HashMap<u64, u32>,
-    jobs: HashMap<u64, u64>,
+    attempt_ids: HashMap<u64, u64>,
     nodes: HashMap<u32, u32>,
 }
 
@@ -17,7 +17,7 @@
         let mut story = Self {
             head,
             rpcs: HashMap::new(),
-            jobs: HashMap::new(),
+            attempt_ids: HashMap::new(),
             nodes: HashMap::new(),
         };
         for entry in entries {
@@ -26,8 +26,10 @@
                     request_id, rpc, ..
                 } => drop(story.rpcs.insert(request_id, rpc)),
                 Event::Got {
-                    job, request_id, ..
-                } => drop(story.jobs.insert(job, request_id)),
+                    attempt_id,
+                    request_id,
+                    ..
+                } => drop(story.attempt_ids.insert(attempt_id, request_id)),
                 Event::Born { life, node, .. } => drop(story.nodes.insert(life, node)),
                 _ => {}
             }
@@ -37,17 +39,17 @@
 
     /// The RPC that an event belongs to.
     pub fn rpc(&self, event: &Event) -> Option<u32> {
-        let of_job = |job: &u64| self.rpcs.get(self.jobs.get(job)?).copied();
+        let of_attempt = |attempt_id: &u64| self.rpcs.get(self.attempt_ids.get(attempt_id)?).copied();
         match event {
             Event::Asked { rpc, .. } | Event::Sent { rpc, .. } => Some(*rpc),
             Event::Answered { request_id, .. } | Event::Got { request_id, .. } => {
                 self.rpcs.get(request_id).copied()
             }
-            Event::Started { job }
-            | Event::Repeated { job }
-            | Event::Finished { job }
-            | Event::Left { job, .. }
-            | Event::TimeTold { job, .. } => of_job(job),
+            Event::Started { attempt_id }
+            | Event::Repeated { attempt_id }
+            | Event::Finished { attempt_id }
+            | Event::Left { attempt_id, .. }
+            | Event::TimeTold { attempt_id, .. } => of_attempt(attempt_id),
             _ => None,
         }
     }
@@ -118,7 +120,7 @@
             Event::Fell { life } => format!("{} is pushed over", self.life(*life)),
             Event::Got {
                 life,
-                job,
+                attempt_id,
                 request_id,
                 proxy,
                 begun,
@@ -126,17 +128,17 @@
                 pushed,
                 taken,
             } => format!(
-                "try {request_id:016x} pick {job} at {} from {}, first byte at {begun:.4}, work {:.1} ms, pushed {:.0}%: \
+                "try {request_id:016x} pick {attempt_id} at {} from {}, first byte at {begun:.4}, work {:.1} ms, pushed {:.0}%: \
                  {taken:?}",
                 self.life(*life),
                 self.proxy(*proxy),
                 work * 1e3,
                 pushed * 1e2
             ),
-            Event::Started { job } => format!("pick {job} runs"),
-            Event::Repeated { job } => format!("pick {job} dropped as a repeat"),
-            Event::Finished { job } => format!("pick {job} has run"),
-            Event::Left { job, how } => format!("pick {job} is over: {how:?}"),
+            Event::Started { attempt_id } => format!("pick {attempt_id} runs"),
+            Event::Repeated { attempt_id } => format!("pick {attempt_id} dropped as a repeat"),
+            Event::Finished { attempt_id } => format!("pick {attempt_id} has run"),
+            Event::Left { attempt_id, how } => format!("pick {attempt_id} is over: {how:?}"),
             Event::Changed { node, life, state } => {
                 format!("{} (life {life}) is {state:?}", self.node(*node))
             }
@@ -163,8 +165,11 @@
                     .map_or("?", |t| &t.name);
                 format!("trouble {name} {}", if *begins { "begins" } else { "ends" })
             }
-            Event::TimeTold { job, seconds } => {
-                format!("job {job} was told that the proxy waits {seconds:.3} s")
+            Event::TimeTold {
+                attempt_id,
+                seconds,
+            } => {
+                format!("job {attempt_id} was told that the proxy waits {seconds:.3} s")
             }
             Event::StageLate { by } => format!("a stand-in is {:.2} ms late", by * 1e3),
             Event::KitLate { by } => format!("the kit is {:.2} ms late", by * 1e3),
--- a/crates/audit/tests/audit.rs
+++ b/crates/audit/tests/audit.rs
@@ -106,13 +106,20 @@
             },
         )
     }
-    fn got(&mut self, at: f64, request_id: u64, job: u64, life: u32, taken: Taken) -> &mut Self {
+    fn got(
+        &mut self,
+        at: f64,
+        request_id: u64,
+        attempt_id: u64,
+        life: u32,
+        taken: Taken,
+    ) -> &mut Self {
         let (proxy, begun, work, pushed) = (0, at, 0.1, 0.0);
         self.at(
             at,
             Event::Got {
                 life,
-                job,
+                attempt_id,
                 request_id,
                 proxy,
                 begun,
@@ -122,23 +129,23 @@
             },
         )
     }
-    fn runs(&mut self, at: f64, job: u64) -> &mut Self {
-        self.at(at, Event::Started { job })
-            .at(at + 0.05, Event::Finished { job })
+    fn runs(&mut self, at: f64, attempt_id: u64) -> &mut Self {
+        self.at(at, Event::Started { attempt_id })
+            .at(at + 0.05, Event::Finished { attempt_id })
     }
-    fn left(&mut self, at: f64, job: u64, how: Left) -> &mut Self {
-        self.at(at, Event::Left { job, how })
+    fn left(&mut self, at: f64, attempt_id: u64, how: Left) -> &mut Self {
+        self.at(at, Event::Left { attempt_id, how })
     }
     fn answered(&mut self, at: f64, request_id: u64, answer: Answer) -> &mut Self {
         self.at(at, Event::Answered { request_id, answer })
     }
     /// An RPC that succeeds.
     fn good(&mut self, at: f64, rpc: u32, method: u8) -> &mut Self {
-        let (request_id, job) = (u64::from(rpc), u64::from(rpc) + 1000);
+        let (request_id, attempt_id) = (u64::from(rpc), u64::from(rpc) + 1000);
         self.asked(at, rpc, method)
-            .got(at + 0.001, request_id, job, 0, Taken::Held)
-            .runs(at + 0.001, job);
-        self.left(at + 0.06, job, Left::Replied)
+            .got(at + 0.001, request_id, attempt_id, 0, Taken::Held)
+            .runs(at + 0.001, attempt_id);
+        self.left(at + 0.06, attempt_id, Left::Replied)
             .answered(at + 0.061, request_id, Answer::Ok)
     }
     fn audit(&mut self) -> Findings {
@@ -223,9 +230,13 @@
 fn a_time_that_a_backend_is_told_beyond_what_is_left_is_found() {
     let told = |seconds: f32| {
         let mut builder = LedgerBuilder::new();
-        builder
-            .good(1.0, 7, READ)
-            .at(1.001, Event::TimeTold { job: 1007, seconds });
+        builder.good(1.0, 7, READ).at(
+            1.001,
+            Event::TimeTold {
+                attempt_id: 1007,
+                seconds,
+            },
+        );
         builder
     };
     told(0.69).clean();
@@ -517,7 +528,7 @@
         };
         let got = Event::Got {
             life: LIFE,
-            job: request_id,
+            attempt_id: request_id,
             request_id,
             proxy,
             begun: at,
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -93,7 +93,7 @@
 fn backend_events() -> Vec<Event> {
     let got = |taken| Event::Got {
         life: 3,
-        job: 4,
+        attempt_id: 4,
         request_id: 5,
         proxy: 1,
         begun: 0.75,
@@ -101,7 +101,7 @@
         pushed: 0.0625,
         taken,
     };
-    let left = |how| Event::Left { job: 4, how };
+    let left = |how| Event::Left { attempt_id: 4, how };
     vec![
         Event::Born {
             life: 3,
@@ -116,9 +116,9 @@
         got(Taken::TurnedAway),
         got(Taken::Swallowed),
         got(Taken::Error),
-        Event::Started { job: 4 },
-        Event::Repeated { job: 4 },
-        Event::Finished { job: 4 },
+        Event::Started { attempt_id: 4 },
+        Event::Repeated { attempt_id: 4 },
+        Event::Finished { attempt_id: 4 },
         left(Left::Replied),
         left(Left::Withdrawn),
         left(Left::Broken),
@@ -188,7 +188,7 @@
         Event::KitLate { by: 0.25 },
         Event::StageLate { by: 0.5 },
         Event::TimeTold {
-            job: 77,
+            attempt_id: 77,
             seconds: 0.5,
         },
     ]);
--- a/crates/backend-model/src/lib.rs
+++ b/crates/backend-model/src/lib.rs
@@ -12,6 +12,6 @@
 pub mod repeats;
 pub mod work;
 
-pub use node::{Happening, Job, Node, Offer, Report, Spec, Start, Why};
+pub use node::{AttemptId, Happening, Node, Offer, Report, Spec, Start, Why};
 pub use repeats::{Mark, Repeats};
 pub use work::Work;
--- a/crates/backend-model/src/node.rs
+++ b/crates/backend-model/src/node.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Names one pick at this node; given by the caller, never twice.
-pub type Job = u64;
+pub type AttemptId = u64;
 
 /// What a node is.
 #[derive(Clone, Debug, PartialEq)]
@@ -41,7 +41,7 @@
 /// An RPC sent to the node.
 #[derive(Clone, Copy, Debug)]
 pub struct Offer {
-    pub job: Job,
+    pub attempt_id: AttemptId,
     /// s of a standard core.
     pub work: f64,
     /// The key by which a repeat is dropped.
@@ -63,10 +63,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Happening {
     /// The run began: from here on its effect counts.
-    Started(Job),
-    Finished(Job),
+    Started(AttemptId),
+    Finished(AttemptId),
     /// A repeat was dropped: answered as done, with no effect.
-    Repeated(Job),
+    Repeated(AttemptId),
     /// Pushed over: all it held is lost, and it stays down.
     Fell,
 }
@@ -98,9 +98,9 @@
 pub struct Node {
     spec: Spec,
     pace: Pace,
-    waiting: BTreeMap<u64, (Job, Held)>,
-    running: BTreeMap<(u64, Job), Held>,
-    places: HashMap<Job, Place>,
+    waiting: BTreeMap<u64, (AttemptId, Held)>,
+    running: BTreeMap<(u64, AttemptId), Held>,
+    places: HashMap<AttemptId, Place>,
     next: u64,
     connections: usize,
     push: Push,
@@ -176,14 +176,15 @@
         self.waiting.insert(
             self.next,
             (
-                offer.job,
+                offer.attempt_id,
                 Held {
                     work,
                     mark: offer.mark,
                 },
             ),
         );
-        self.places.insert(offer.job, Place::Waiting(self.next));
+        self.places
+            .insert(offer.attempt_id, Place::Waiting(self.next));
         self.next += 1;
         self.fill(now, repeats, out);
         Ok(())
@@ -202,18 +203,18 @@
     /// Lets waiting RPCs begin on cores that are free.
     fn fill(&mut self, now: f64, repeats: &mut Repeats, out: &mut Vec<Happening>) {
         while self.running.len() < self.spec.cores {
-            let Some((_, (job, held))) = self.waiting.pop_first() else {
+            let Some((_, (attempt_id, held))) = self.waiting.pop_first() else {
                 return;
             };
             if held.mark.is_some_and(|mark| !repeats.first(now, mark)) {
-                self.places.remove(&job);
-                out.push(Happening::Repeated(job));
+                self.places.remove(&attempt_id);
+                out.push(Happening::Repeated(attempt_id));
                 continue;
             }
             let end = (self.pace.done() + held.work).to_bits();
-            self.running.insert((end, job), held);
-            self.places.insert(job, Place::Running(end));
-            out.push(Happening::Started(job));
+            self.running.insert((end, attempt_id), held);
+            self.places.insert(attempt_id, Place::Running(end));
+            out.push(Happening::Started(attempt_id));
         }
     }
 
@@ -227,11 +228,11 @@
     pub fn advance(&mut self, now: f64, repeats: &mut Repeats, out: &mut Vec<Happening>) {
         while let Some(at) = self.next_event().filter(|at| *at <= now) {
             self.pace.settle(at);
-            let Some(((_, job), _)) = self.running.pop_first() else {
+            let Some(((_, attempt_id), _)) = self.running.pop_first() else {
                 break;
             };
-            self.places.remove(&job);
-            out.push(Happening::Finished(job));
+            self.places.remove(&attempt_id);
+            out.push(Happening::Finished(attempt_id));
             self.fill(at, repeats, out);
         }
         self.pace.settle(now);
@@ -241,21 +242,21 @@
     pub fn cancel(
         &mut self,
         now: f64,
-        job: Job,
+        attempt_id: AttemptId,
         repeats: &mut Repeats,
         out: &mut Vec<Happening>,
     ) -> bool {
         self.advance(now, repeats, out);
-        match self.places.get(&job).copied() {
+        match self.places.get(&attempt_id).copied() {
             Some(Place::Waiting(number)) => {
                 self.waiting.remove(&number);
             }
             Some(Place::Running(end)) if self.spec.cancel_stops => {
-                self.running.remove(&(end, job));
+                self.running.remove(&(end, attempt_id));
             }
             _ => return false,
         }
-        self.places.remove(&job);
+        self.places.remove(&attempt_id);
         self.fill(now, repeats, out);
         true
     }
--- a/crates/backend-model/tests/node.rs
+++ b/crates/backend-model/tests/node.rs
@@ -36,11 +36,11 @@
             events: vec![],
         }
     }
-    fn offer(&mut self, now: f64, job: u64, work: f64) -> Result<(), Why> {
+    fn offer(&mut self, now: f64, attempt_id: u64, work: f64) -> Result<(), Why> {
         self.offer_as(
             now,
             Offer {
-                job,
+                attempt_id,
                 work,
                 mark: None,
                 fresh: false,
@@ -51,9 +51,9 @@
         self.node
             .offer(now, offer, &mut self.repeats, &mut self.events)
     }
-    fn cancel(&mut self, now: f64, job: u64) -> bool {
+    fn cancel(&mut self, now: f64, attempt_id: u64) -> bool {
         self.node
-            .cancel(now, job, &mut self.repeats, &mut self.events)
+            .cancel(now, attempt_id, &mut self.repeats, &mut self.events)
     }
     fn advance(&mut self, now: f64) -> Vec<Happening> {
         self.node.advance(now, &mut self.repeats, &mut self.events);
@@ -68,8 +68,8 @@
         let mut ends = vec![];
         while let Some(at) = self.node.next_event().filter(|at| *at <= now) {
             for happening in self.advance(at) {
-                if let Happening::Finished(job) = happening {
-                    ends.push((job, at));
+                if let Happening::Finished(attempt_id) = happening {
+                    ends.push((attempt_id, at));
                 }
             }
         }
@@ -103,7 +103,7 @@
             if core.is_none() {
                 *core = queue.pop_front();
             }
-            if let Some((job, left)) = core {
+            if let Some((attempt_id, left)) = core {
                 *left -= if standing {
                     0.0
                 } else {
@@ -111,17 +111,17 @@
                 };
                 if *left <= 0.0 {
                     // What the step did beyond the end goes to the next job: steps must not add up to a drift.
-                    ends.push((*job, now + STEP));
+                    ends.push((*attempt_id, now + STEP));
                     let beyond = *left;
                     *core = queue
                         .pop_front()
-                        .map(|(job, work): (u64, f64)| (job, work + beyond));
+                        .map(|(attempt_id, work): (u64, f64)| (attempt_id, work + beyond));
                 }
             }
         }
         now += STEP;
     }
-    ends.sort_by_key(|(job, _)| *job);
+    ends.sort_by_key(|(attempt_id, _)| *attempt_id);
     ends
 }
 
@@ -156,17 +156,17 @@
         }
     }
     ends.extend(modelled.ends());
-    ends.sort_by_key(|(job, _)| *job);
+    ends.sort_by_key(|(attempt_id, _)| *attempt_id);
     ends
 }
 
 /// Completion times agree with the plain model within a few of its steps, warm or in slow start, with a stall anywhere.
 fn completion_times_are_those_of_the_plain_model(
-    jobs: Vec<(u8, u8)>,
+    attempt_ids: Vec<(u8, u8)>,
     cold: bool,
     stall: (u8, u8),
 ) -> TestResult {
-    if jobs.is_empty() || jobs.len() > 30 {
+    if attempt_ids.is_empty() || attempt_ids.len() > 30 {
         return TestResult::discard();
     }
     let spec = Spec {
@@ -179,7 +179,7 @@
         at += f64::from(*gap) / 1000.0;
         (at, 0.002 + f64::from(*work) / 1000.0)
     };
-    let arrivals: Vec<_> = jobs.iter().map(arrival).collect();
+    let arrivals: Vec<_> = attempt_ids.iter().map(arrival).collect();
     let stall = (f64::from(stall.0) / 100.0, f64::from(stall.1) / 200.0);
     let start = if cold { Start::Cold } else { Start::Warm };
     let ends = completion_times(&spec, start, stall, &arrivals);
@@ -192,15 +192,15 @@
 fn each_job_ends_once(moves: Vec<(u8, u8, u8)>) -> bool {
     let mut modelled = ModelledNode::new(spec(), Start::Warm);
     let (mut now, mut taken, mut dropped) = (0.0, 0, 0);
-    for (job, (gap, work, what)) in moves.iter().enumerate() {
+    for (attempt_id, (gap, work, what)) in moves.iter().enumerate() {
         now += f64::from(*gap) / 2000.0;
         taken += usize::from(
             modelled
-                .offer(now, job as u64, f64::from(*work) / 500.0)
+                .offer(now, attempt_id as u64, f64::from(*work) / 500.0)
                 .is_ok(),
         );
         if what % 4 == 0 {
-            dropped += usize::from(modelled.cancel(now, job as u64 / 2));
+            dropped += usize::from(modelled.cancel(now, attempt_id as u64 / 2));
         }
     }
     let before = std::mem::take(&mut modelled.events);
@@ -243,8 +243,8 @@
 #[test]
 fn a_full_queue_rejects_and_a_draining_node_finishes_its_jobs() {
     let mut modelled = ModelledNode::new(spec(), Start::Warm);
-    for job in 0..6 {
-        modelled.offer(0.0, job, 1.0).expect("room");
+    for attempt_id in 0..6 {
+        modelled.offer(0.0, attempt_id, 1.0).expect("room");
     }
     assert_eq!(modelled.offer(0.0, 6, 1.0), Err(Why::QueueFull));
     modelled.node.drain();
@@ -258,7 +258,7 @@
     // Its capacity is 2 x 0.25; it fails at 3 times that within 1 s.
     let mut cold = ModelledNode::new(spec(), Start::Cold);
     let pushed = (0..17)
-        .map(|job| cold.offer(0.01, job, 0.1))
+        .map(|attempt_id| cold.offer(0.01, attempt_id, 0.1))
         .filter(|r| *r == Err(Why::Down))
         .count();
     assert_eq!(
@@ -273,8 +273,8 @@
         1
     );
     let mut paced = ModelledNode::new(spec(), Start::Cold);
-    for job in 0..140 {
-        let _ = paced.offer(job as f64 * 0.1, job, 0.1);
+    for attempt_id in 0..140 {
+        let _ = paced.offer(attempt_id as f64 * 0.1, attempt_id, 0.1);
     }
     assert!(
         !paced.node.is_down() && paced.node.peak() > 0.4 && paced.node.peak() < 0.6,
@@ -282,8 +282,8 @@
         paced.node.peak()
     );
     let mut warm = ModelledNode::new(spec(), Start::Warm);
-    for job in 0..1000 {
-        let _ = warm.offer(0.01, job, 0.1);
+    for attempt_id in 0..1000 {
+        let _ = warm.offer(0.01, attempt_id, 0.1);
     }
     assert!(!warm.node.is_down());
 }
@@ -299,8 +299,8 @@
             },
             Start::Warm,
         );
-        for job in 0..3 {
-            modelled.offer(0.0, job, 1.0).expect("room");
+        for attempt_id in 0..3 {
+            modelled.offer(0.0, attempt_id, 1.0).expect("room");
         }
         assert_eq!(
             (
@@ -322,7 +322,7 @@
 #[test]
 fn repeats_are_deduplicated_within_their_group_and_window() {
     let mut modelled = ModelledNode::new(spec(), Start::Warm);
-    let mut run = |now: f64, job, group, key| {
+    let mut run = |now: f64, attempt_id, group, key| {
         let mark = Some(Mark {
             group,
             key,
@@ -332,7 +332,7 @@
             .offer_as(
                 now,
                 Offer {
-                    job,
+                    attempt_id,
                     work: 0.1,
                     mark,
                     fresh: false,
@@ -341,7 +341,7 @@
             .expect("room");
         modelled
             .advance(now + 0.2)
-            .contains(&Happening::Repeated(job))
+            .contains(&Happening::Repeated(attempt_id))
     };
     assert!(!run(0.0, 1, 1, 5) && run(1.0, 2, 1, 5) && !run(2.0, 3, 2, 5) && !run(3.0, 4, 1, 6));
     assert!(!run(4.5, 5, 1, 5), "the window is over");
@@ -382,7 +382,7 @@
         .offer_as(
             0.0,
             Offer {
-                job: 1,
+                attempt_id: 1,
                 work: 0.1,
                 mark: None,
                 fresh: true,
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -36,7 +36,7 @@
     pub repeats: RefCell<Repeats>,
     /// How much slower each method is now: 1 is as usual.
     slow: RefCell<Vec<f64>>,
-    next_job: Cell<u64>,
+    next_attempt_id: Cell<u64>,
     next_life: Cell<u32>,
 }
 
@@ -52,13 +52,13 @@
             probes: true,
             repeats: RefCell::default(),
             slow,
-            next_job: Cell::new(1),
+            next_attempt_id: Cell::new(1),
             next_life: Cell::new(1),
         }
     }
 
-    pub fn job(&self) -> u64 {
-        self.next_job.replace(self.next_job.get() + 1)
+    pub fn new_attempt_id(&self) -> u64 {
+        self.next_attempt_id.replace(self.next_attempt_id.get() + 1)
     }
 
     pub fn life(&self) -> u32 {
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -6,7 +6,7 @@
 use crate::wire::{Kind, Message, Peer, listen, response};
 use birchhub_audit::Event;
 use birchhub_audit::event::{Left, Taken};
-use birchhub_backend_model::{Happening, Job, Node, Offer, Report, Spec, Start, Why};
+use birchhub_backend_model::{AttemptId, Happening, Node, Offer, Report, Spec, Start, Why};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
 use std::future::poll_fn;
@@ -53,7 +53,7 @@
 struct Life {
     number: u32,
     node: Node,
-    waiting: HashMap<Job, oneshot::Sender<Done>>,
+    waiting: HashMap<AttemptId, oneshot::Sender<Done>>,
     over: watch::Sender<Over>,
     /// Stalls that last, by their numbers.
     stalls: BTreeSet<u64>,
@@ -101,7 +101,7 @@
 struct Pick<'a> {
     host: &'a NodeHost,
     life: u32,
-    job: Job,
+    attempt_id: AttemptId,
     how: Left,
     /// When the proxy gave it up, if that was before the node could take it.
     closed_at: Option<f64>,
@@ -112,9 +112,9 @@
     fn withdrawn(mut self) {
         self.how = Left::Withdrawn;
         self.host.change(self.life, |life, now, fleet, out| {
-            life.waiting.remove(&self.job);
+            life.waiting.remove(&self.attempt_id);
             life.node
-                .cancel(now, self.job, &mut fleet.repeats.borrow_mut(), out);
+                .cancel(now, self.attempt_id, &mut fleet.repeats.borrow_mut(), out);
         });
     }
 }
@@ -123,8 +123,8 @@
     fn drop(&mut self) {
         let notes = &self.host.fleet.notes;
         let at = self.closed_at.unwrap_or_else(|| notes.clock.now());
-        let (job, how) = (self.job, self.how);
-        notes.tell_at(at, Event::Left { job, how });
+        let (attempt_id, how) = (self.attempt_id, self.how);
+        notes.tell_at(at, Event::Left { attempt_id, how });
     }
 }
 
@@ -310,17 +310,17 @@
         let notes = &self.fleet.notes;
         for happening in happened {
             let over = match happening {
-                Happening::Started(job) => {
-                    notes.tell(Event::Started { job });
+                Happening::Started(attempt_id) => {
+                    notes.tell(Event::Started { attempt_id });
                     continue;
                 }
-                Happening::Finished(job) => {
-                    notes.tell(Event::Finished { job });
-                    job
+                Happening::Finished(attempt_id) => {
+                    notes.tell(Event::Finished { attempt_id });
+                    attempt_id
                 }
-                Happening::Repeated(job) => {
-                    notes.tell(Event::Repeated { job });
-                    job
+                Happening::Repeated(attempt_id) => {
+                    notes.tell(Event::Repeated { attempt_id });
+                    attempt_id
                 }
                 Happening::Fell => {
                     notes.tell(Event::Fell { life: number });
@@ -328,7 +328,7 @@
                     continue;
                 }
             };
-            // A probe's job has nobody who waits, nor has one that was withdrawn.
+            // Nobody waits for the work of a health check, nor for a cancelled attempt.
             if let Some(waiter) = self
                 .with(number, |life| life.waiting.remove(&over))
                 .flatten()
@@ -523,7 +523,7 @@
         }
         if self.fleet.probe_work > 0.0 {
             let offer = Offer {
-                job: self.fleet.job(),
+                attempt_id: self.fleet.new_attempt_id(),
                 work: self.fleet.probe_work,
                 mark: None,
                 fresh: false,
@@ -563,7 +563,7 @@
         let Some((work, mark)) = fleet.cost(message.class(), request_id, key, zone, rack) else {
             return self.answer(peer, life, 404, &[], b"no such method\n").await;
         };
-        let job = fleet.job();
+        let attempt_id = fleet.new_attempt_id();
         let got = |taken, pushed: f64| {
             let (begun, work, pushed) = (message.begun, work as f32, pushed as f32);
             // A pick that was given up before the node could take it had come by then.
@@ -572,7 +572,7 @@
                 at,
                 Event::Got {
                     life,
-                    job,
+                    attempt_id,
                     request_id,
                     proxy,
                     begun,
@@ -582,7 +582,10 @@
                 },
             );
             if let Some(seconds) = time_told(message) {
-                fleet.notes.tell(Event::TimeTold { job, seconds });
+                fleet.notes.tell(Event::TimeTold {
+                    attempt_id,
+                    seconds,
+                });
             }
         };
         let fault = self
@@ -591,7 +594,7 @@
         let mut pick = Pick {
             host: self,
             life,
-            job,
+            attempt_id,
             how: Left::Broken,
             closed_at,
         };
@@ -611,7 +614,7 @@
         }
         let (done, mut ended) = oneshot::channel();
         let offer = Offer {
-            job,
+            attempt_id,
             work,
             mark,
             fresh: peer.messages == 1,
@@ -621,12 +624,12 @@
             if !slot.held {
                 return (Err(Why::QueueFull), life.node.pushed());
             }
-            life.waiting.insert(job, done);
+            life.waiting.insert(attempt_id, done);
             let taken = life
                 .node
                 .offer(now, offer, &mut fleet.repeats.borrow_mut(), &mut out);
             if taken.is_err() {
-                life.waiting.remove(&job);
+                life.waiting.remove(&attempt_id);
             }
             (taken, life.node.pushed())
         });
--- a/crates/rehearsal/src/page.rs
+++ b/crates/rehearsal/src/page.rs
@@ -131,7 +131,7 @@
 fn held(head: &Head, entries: &[Entry], seconds: usize) -> Vec<Vec<u32>> {
     let mut most = vec![vec![0; seconds]; head.nodes.len()];
     let mut now = vec![0u32; head.nodes.len()];
-    let (mut nodes, mut jobs) = (HashMap::new(), HashMap::new());
+    let (mut nodes, mut attempt_ids) = (HashMap::new(), HashMap::new());
     let mut second = 0;
     for entry in entries {
         // What is held goes on being held in the seconds between.
@@ -143,15 +143,17 @@
         }
         match entry.event {
             Event::Born { life, node, .. } => drop(nodes.insert(life, node as usize)),
-            Event::Got { life, job, .. } => {
+            Event::Got {
+                life, attempt_id, ..
+            } => {
                 if let Some(node) = nodes.get(&life).copied().filter(|node| *node < now.len()) {
-                    jobs.insert(job, node);
+                    attempt_ids.insert(attempt_id, node);
                     now[node] += 1;
                     most[node][second] = most[node][second].max(now[node]);
                 }
             }
-            Event::Left { job, .. } => {
-                if let Some(node) = jobs.remove(&job) {
+            Event::Left { attempt_id, .. } => {
+                if let Some(node) = attempt_ids.remove(&attempt_id) {
                     now[node] -= 1;
                 }
             }
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -28,7 +28,7 @@
 
 /// An attempt that a running backend has received.
 struct ReceivedAttempt {
-    job: u64,
+    attempt_id: u64,
     request_id: u64,
     proxy: u16,
     node: u32,
@@ -44,7 +44,7 @@
     fn record(&self, taken: Taken, pushed: f64) -> Event {
         Event::Got {
             life: self.life,
-            job: self.job,
+            attempt_id: self.attempt_id,
             request_id: self.request_id,
             proxy: self.proxy,
             begun: self.begun,
@@ -57,34 +57,34 @@
 
 impl World<'_> {
     /// Whether the process that made an attempt still runs and waits for its outcome.
-    fn is_attempt_open(&self, job: u64) -> bool {
-        let Some(entry) = self.proxy_attempts.get(&job) else {
+    fn is_attempt_open(&self, attempt_id: u64) -> bool {
+        let Some(entry) = self.proxy_attempts.get(&attempt_id) else {
             return false;
         };
         let running = self.proxies[entry.process.proxy as usize]
             .as_ref()
             .filter(|running| running.id == entry.process);
         let held = running.and_then(|running| running.in_flight.get(&entry.request_id));
-        held.is_some_and(|held| held.open_job(entry.attempt_index).is_some())
+        held.is_some_and(|held| held.open_attempt(entry.attempt_index).is_some())
     }
 
     /// Gives the outcome of an open attempt to the decision module, and a good one to the client.
     pub(super) fn end_attempt(
         &mut self,
-        job: u64,
+        attempt_id: u64,
         outcome: AttemptOutcome,
         report: Option<LoadReport>,
     ) {
-        if !self.is_attempt_open(job) {
+        if !self.is_attempt_open(attempt_id) {
             return;
         }
-        let Some(entry) = self.proxy_attempts.get(&job) else {
+        let Some(entry) = self.proxy_attempts.get(&attempt_id) else {
             return;
         };
         let (proxy, request_id) = (entry.process.proxy, entry.request_id);
         let attempt_index = entry.attempt_index;
         if entry.life.is_none() {
-            self.proxy_attempts.remove(&job);
+            self.proxy_attempts.remove(&attempt_id);
         }
         if outcome == AttemptOutcome::Succeeded {
             self.send_answer(proxy, request_id, Answer::Ok);
@@ -101,16 +101,19 @@
     }
 
     /// Ends an open attempt from the proxy's side, and closes its connection.
-    pub(super) fn abort_attempt(&mut self, job: u64, outcome: AttemptOutcome) {
-        if self.is_attempt_open(job) {
-            self.schedule(NETWORK_DELAY, SimulationEvent::ConnectionClosed { job });
-            self.end_attempt(job, outcome, None);
+    pub(super) fn abort_attempt(&mut self, attempt_id: u64, outcome: AttemptOutcome) {
+        if self.is_attempt_open(attempt_id) {
+            self.schedule(
+                NETWORK_DELAY,
+                SimulationEvent::ConnectionClosed { attempt_id },
+            );
+            self.end_attempt(attempt_id, outcome, None);
         }
     }
 
     /// Sends the outcome of an attempt to its proxy after `delay` s, unless a partition is between them.
-    pub(super) fn send_outcome(&mut self, job: u64, outcome: AttemptOutcome, delay: f64) {
-        let Some(entry) = self.proxy_attempts.get_mut(&job) else {
+    pub(super) fn send_outcome(&mut self, attempt_id: u64, outcome: AttemptOutcome, delay: f64) {
+        let Some(entry) = self.proxy_attempts.get_mut(&attempt_id) else {
             return;
         };
         entry.life = None;
@@ -129,7 +132,7 @@
             None
         };
         let event = ProcessEvent::AttemptEnded {
-            job,
+            attempt_id,
             outcome,
             report,
         };
@@ -140,25 +143,25 @@
     }
 
     /// An attempt arrives at its machine: the backend there takes it in, unless a fault keeps it from doing so.
-    pub(super) fn offer_to_backend(&mut self, job: u64, begun: f64) {
-        let Some(entry) = self.proxy_attempts.get(&job) else {
+    pub(super) fn offer_to_backend(&mut self, attempt_id: u64, begun: f64) {
+        let Some(entry) = self.proxy_attempts.get(&attempt_id) else {
             return;
         };
         let (proxy, request_id, node) = (entry.process.proxy, entry.request_id, entry.node);
-        if self.is_partitioned(node, proxy) || !self.is_attempt_open(job) {
+        if self.is_partitioned(node, proxy) || !self.is_attempt_open(attempt_id) {
             return;
         }
         let machine = &mut self.machines[node as usize];
         if machine.is_stalled() {
-            let arrival = SimulationEvent::AttemptAtBackend { job, begun };
+            let arrival = SimulationEvent::AttemptAtBackend { attempt_id, begun };
             return machine.deferred_events.push(arrival);
         }
         let Some(life) = machine.life() else {
-            return self.send_outcome(job, AttemptOutcome::ConnectFailed, 0.0);
+            return self.send_outcome(attempt_id, AttemptOutcome::ConnectFailed, 0.0);
         };
         let arrival = &self.plan.arrivals[rpc_of_request(request_id) as usize];
         let received = ReceivedAttempt {
-            job,
+            attempt_id,
             request_id,
             proxy,
             node,
@@ -181,19 +184,19 @@
 
     /// The backend answers with an error at once.
     fn reply_error(&mut self, received: &ReceivedAttempt) {
-        let job = received.job;
+        let attempt_id = received.attempt_id;
         self.record(received.record(Taken::Error, 0.0));
         self.record(Event::Left {
-            job,
+            attempt_id,
             how: Left::Replied,
         });
-        self.send_outcome(job, AttemptOutcome::Failed, 0.0);
+        self.send_outcome(attempt_id, AttemptOutcome::Failed, 0.0);
     }
 
     /// The backend takes the attempt in, or turns it away.
     fn start_work(&mut self, received: &ReceivedAttempt, fault: Option<Trick>) {
         let offer = Offer {
-            job: received.job,
+            attempt_id: received.attempt_id,
             work: received.work,
             mark: self.deduplication_mark(received),
             fresh: false,
@@ -213,11 +216,11 @@
             }
             Err(Why::Down) => {
                 self.record(received.record(Taken::Swallowed, pushed));
-                self.refuse(received.job, Left::Broken, AttemptOutcome::Reset);
+                self.refuse(received.attempt_id, Left::Broken, AttemptOutcome::Reset);
             }
             Err(_) => {
                 self.record(received.record(Taken::TurnedAway, pushed));
-                self.refuse(received.job, Left::Replied, AttemptOutcome::Rejected);
+                self.refuse(received.attempt_id, Left::Replied, AttemptOutcome::Rejected);
             }
         }
         self.apply_happenings(received.node, happenings);
@@ -240,23 +243,26 @@
 
     fn hold(&mut self, received: &ReceivedAttempt, fault: Option<Trick>) {
         let machine = &mut self.machines[received.node as usize];
-        machine.held_jobs.insert(received.job);
-        if let Some(entry) = self.proxy_attempts.get_mut(&received.job) {
+        machine.held_attempts.insert(received.attempt_id);
+        if let Some(entry) = self.proxy_attempts.get_mut(&received.attempt_id) {
             (entry.life, entry.fault) = (Some(received.life), fault);
         }
     }
 
-    fn refuse(&mut self, job: u64, how: Left, outcome: AttemptOutcome) {
-        self.record(Event::Left { job, how });
-        self.send_outcome(job, outcome, 0.0);
+    fn refuse(&mut self, attempt_id: u64, how: Left, outcome: AttemptOutcome) {
+        self.record(Event::Left { attempt_id, how });
+        self.send_outcome(attempt_id, outcome, 0.0);
     }
 
     /// The work on an attempt is done: its answer leaves, altered by the fault that it met.
-    pub(super) fn send_reply(&mut self, node: u32, job: u64) {
-        if !self.machines[node as usize].held_jobs.remove(&job) {
+    pub(super) fn send_reply(&mut self, node: u32, attempt_id: u64) {
+        if !self.machines[node as usize]
+            .held_attempts
+            .remove(&attempt_id)
+        {
             return;
         }
-        let entry = self.proxy_attempts.get(&job);
+        let entry = self.proxy_attempts.get(&attempt_id);
         let (outcome, how, delay) = match entry.and_then(|entry| entry.fault.as_ref()) {
             Some(Trick::Reset(_) | Trick::Half(_) | Trick::Garbage(_)) => {
                 (AttemptOutcome::Reset, Left::Broken, 0.0)
@@ -264,26 +270,26 @@
             Some(Trick::Trickle(_, over)) => (AttemptOutcome::Succeeded, Left::Replied, *over),
             _ => (AttemptOutcome::Succeeded, Left::Replied, 0.0),
         };
-        self.record(Event::Left { job, how });
-        self.send_outcome(job, outcome, delay);
+        self.record(Event::Left { attempt_id, how });
+        self.send_outcome(attempt_id, outcome, delay);
     }
 
     /// The backend withdraws an attempt whose connection the proxy has closed.
-    pub(super) fn close_connection(&mut self, job: u64) {
-        let Some(entry) = self.proxy_attempts.remove(&job) else {
+    pub(super) fn close_connection(&mut self, attempt_id: u64) {
+        let Some(entry) = self.proxy_attempts.remove(&attempt_id) else {
             return;
         };
         let machine = &mut self.machines[entry.node as usize];
-        if entry.life.is_none() || !machine.held_jobs.remove(&job) {
+        if entry.life.is_none() || !machine.held_attempts.remove(&attempt_id) {
             return;
         }
         let mut happenings = Vec::new();
         if let Some(backend) = machine.backend.as_mut() {
             let node = &mut backend.node;
-            node.cancel(self.now, job, &mut self.repeats, &mut happenings);
+            node.cancel(self.now, attempt_id, &mut self.repeats, &mut happenings);
         }
         self.record(Event::Left {
-            job,
+            attempt_id,
             how: Left::Withdrawn,
         });
         self.apply_happenings(entry.node, happenings);
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -64,21 +64,21 @@
     fn stop_backend(&mut self, node: u32) -> Option<u32> {
         let machine = &mut self.machines[node as usize];
         let Backend { life, .. } = machine.backend.take()?;
-        let held_jobs = std::mem::take(&mut machine.held_jobs);
+        let held_attempts = std::mem::take(&mut machine.held_attempts);
         let deferred_events = std::mem::take(&mut machine.deferred_events);
         machine.stalls.clear();
         machine.version += 1;
         self.record(Event::Died { life });
-        for job in held_jobs {
+        for attempt_id in held_attempts {
             self.record(Event::Left {
-                job,
+                attempt_id,
                 how: Left::Broken,
             });
-            self.send_outcome(job, AttemptOutcome::Reset, 0.0);
+            self.send_outcome(attempt_id, AttemptOutcome::Reset, 0.0);
         }
         for event in deferred_events {
-            if let SimulationEvent::AttemptAtBackend { job, .. } = event {
-                self.send_outcome(job, AttemptOutcome::Reset, 0.0);
+            if let SimulationEvent::AttemptAtBackend { attempt_id, .. } = event {
+                self.send_outcome(attempt_id, AttemptOutcome::Reset, 0.0);
             }
         }
         Some(life)
@@ -148,14 +148,14 @@
     pub(super) fn apply_happenings(&mut self, node: u32, happenings: Vec<Happening>) {
         for happening in happenings {
             match happening {
-                Happening::Started(job) => self.record(Event::Started { job }),
-                Happening::Finished(job) => {
-                    self.record(Event::Finished { job });
-                    self.send_reply(node, job);
+                Happening::Started(attempt_id) => self.record(Event::Started { attempt_id }),
+                Happening::Finished(attempt_id) => {
+                    self.record(Event::Finished { attempt_id });
+                    self.send_reply(node, attempt_id);
                 }
-                Happening::Repeated(job) => {
-                    self.record(Event::Repeated { job });
-                    self.send_reply(node, job);
+                Happening::Repeated(attempt_id) => {
+                    self.record(Event::Repeated { attempt_id });
+                    self.send_reply(node, attempt_id);
                 }
                 Happening::Fell => {
                     if let Some(life) = self.machines[node as usize].life() {
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -101,13 +101,13 @@
         let Some(held) = running.in_flight.get_mut(&request_id) else {
             return;
         };
-        let job = self.next_job;
-        self.next_job += 1;
+        let attempt_id = self.next_attempt_id;
+        self.next_attempt_id += 1;
         let attempt_index = held.attempts.len();
-        held.attempts.push(Some(job));
+        held.attempts.push(Some(attempt_id));
         let until = (now + timeout).min(held.deadline);
         self.proxy_attempts.insert(
-            job,
+            attempt_id,
             ProxyAttempt {
                 process,
                 request_id,
@@ -120,27 +120,30 @@
         let begun = now + NETWORK_DELAY;
         self.schedule(
             NETWORK_DELAY,
-            SimulationEvent::AttemptAtBackend { job, begun },
+            SimulationEvent::AttemptAtBackend { attempt_id, begun },
         );
         self.send_to_process(
             process.proxy,
             (until - now).max(0.0),
-            ProcessEvent::AttemptTimeout { job },
+            ProcessEvent::AttemptTimeout { attempt_id },
         );
     }
 
     fn cancel_attempt(&mut self, proxy: u16, request_id: u64, attempt_index: usize) {
         let running = self.proxies[proxy as usize].as_ref();
         let held = running.and_then(|running| running.in_flight.get(&request_id));
-        let Some(job) = held.and_then(|held| held.open_job(attempt_index)) else {
+        let Some(attempt_id) = held.and_then(|held| held.open_attempt(attempt_index)) else {
             return;
         };
-        self.schedule(NETWORK_DELAY, SimulationEvent::ConnectionClosed { job });
+        self.schedule(
+            NETWORK_DELAY,
+            SimulationEvent::ConnectionClosed { attempt_id },
+        );
         self.send_to_process(
             proxy,
             0.0,
             ProcessEvent::AttemptEnded {
-                job,
+                attempt_id,
                 outcome: AttemptOutcome::Cancelled,
                 report: None,
             },
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -5,7 +5,7 @@
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::Answer;
 
-/// An event in the queue. `request_id` is the ledger's number of a client's request, `job` that of a proxy's attempt at a
+/// An event in the queue. `request_id` is the ledger's number of a client's request, `attempt_id` that of a proxy's attempt at a
 /// backend, and `node` the index of a machine.
 #[derive(Clone, Debug)]
 pub(super) enum SimulationEvent {
@@ -23,11 +23,11 @@
         event: ProcessEvent,
     },
     /// A proxy's attempt arrives at its backend; its connection was opened at `begun`.
-    AttemptAtBackend { job: u64, begun: f64 },
+    AttemptAtBackend { attempt_id: u64, begun: f64 },
     /// A backend's own next event is due, unless the machine has had a later version since.
     BackendDue { node: u32, version: u64 },
     /// The backend learns that the proxy has closed the connection of this attempt.
-    ConnectionClosed { job: u64 },
+    ConnectionClosed { attempt_id: u64 },
     /// A proxy's health check arrives at a machine.
     HealthCheckAtBackend { process: ProcessId, node: u32 },
     /// An answer arrives at the client.
@@ -65,12 +65,12 @@
     ClientDisconnected(u64),
     /// An attempt at a backend has its outcome.
     AttemptEnded {
-        job: u64,
+        attempt_id: u64,
         outcome: AttemptOutcome,
         report: Option<LoadReport>,
     },
     /// The time for an attempt at a backend has passed.
-    AttemptTimeout { job: u64 },
+    AttemptTimeout { attempt_id: u64 },
     /// A health check has its outcome.
     HealthChecked {
         node: u32,
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -168,9 +168,9 @@
             match event {
                 // A time-out during a noticed pause says nothing of the backend.
                 SimulationEvent::ToProcess {
-                    event: ProcessEvent::AttemptTimeout { job },
+                    event: ProcessEvent::AttemptTimeout { attempt_id },
                     ..
-                } if is_noticed => self.abort_attempt(job, AttemptOutcome::Cancelled),
+                } if is_noticed => self.abort_attempt(attempt_id, AttemptOutcome::Cancelled),
                 event => self.dispatch(event),
             }
         }
--- a/crates/simulation/src/world/machine.rs
+++ b/crates/simulation/src/world/machine.rs
@@ -42,8 +42,8 @@
     pub(super) deferred_events: Vec<SimulationEvent>,
     /// The faults at its sockets, in the order in which they began.
     pub(super) faults: Vec<InjectedFault>,
-    /// The jobs that its backend holds.
-    pub(super) held_jobs: BTreeSet<u64>,
+    /// The attempts that its backend holds.
+    pub(super) held_attempts: BTreeSet<u64>,
     /// Changes with the backend's next event: a scheduled one of an earlier version is dropped.
     pub(super) version: u64,
     /// Whether its backend is being replaced.
@@ -63,7 +63,7 @@
             stalls: BTreeSet::new(),
             deferred_events: Vec::new(),
             faults: Vec::new(),
-            held_jobs: BTreeSet::new(),
+            held_attempts: BTreeSet::new(),
             version: 0,
             retiring: false,
         }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -73,11 +73,11 @@
     list: EndpointListService,
     /// s that faults add to the delay of the endpoint list service.
     list_delay: f64,
-    /// By job.
+    /// By attempt id.
     proxy_attempts: HashMap<u64, ProxyAttempt>,
     /// By the attempt's number in the ledger.
     client_requests: HashMap<u64, ClientRequest>,
-    next_job: u64,
+    next_attempt_id: u64,
     next_life: u32,
     /// By proxy.
     settings: Vec<Settings>,
@@ -129,7 +129,7 @@
             list_delay: 0.0,
             proxy_attempts: HashMap::new(),
             client_requests: HashMap::new(),
-            next_job: 1,
+            next_attempt_id: 1,
             next_life: 1,
             settings: settings.collect::<Result<_, _>>()?,
             longest_deadline: deadlines.fold(0.0, f64::max),
@@ -201,9 +201,9 @@
                 self.accept_client_request(request_id, proxy)
             }
             Due::ToProcess { process, event } => self.deliver_to_process(process, event),
-            Due::AttemptAtBackend { job, begun } => self.offer_to_backend(job, begun),
+            Due::AttemptAtBackend { attempt_id, begun } => self.offer_to_backend(attempt_id, begun),
             Due::BackendDue { node, version } => self.advance_backend(node, version),
-            Due::ConnectionClosed { job } => self.close_connection(job),
+            Due::ConnectionClosed { attempt_id } => self.close_connection(attempt_id),
             Due::HealthCheckAtBackend { process, node } => self.answer_health_check(process, node),
             Due::AnswerAtClient { request_id, answer } => self.answer_client(request_id, answer),
             Due::ClientGivesUp { request_id } => self.answer_client(request_id, Answer::Silence),
--- a/crates/simulation/src/world/process.rs
+++ b/crates/simulation/src/world/process.rs
@@ -20,7 +20,7 @@
     pub deadline: f64,
     /// Whether the client has its answer, or wants none.
     pub answered: bool,
-    /// The jobs of its attempts at backends in their order; `None` once one has ended.
+    /// The ids of its attempts at backends in their order; `None` once one has ended.
     pub attempts: Vec<Option<u64>>,
 }
 
@@ -35,8 +35,8 @@
         }
     }
 
-    /// The job of an attempt that has not ended.
-    pub(crate) fn open_job(&self, attempt_index: usize) -> Option<u64> {
+    /// The id of an attempt that has not ended.
+    pub(crate) fn open_attempt(&self, attempt_index: usize) -> Option<u64> {
         self.attempts.get(attempt_index).copied().flatten()
     }
 
--- a/crates/simulation/src/world/proxies.rs
+++ b/crates/simulation/src/world/proxies.rs
@@ -93,8 +93,10 @@
             if !held.answered {
                 self.lose_client_attempt(*request_id);
             }
-            for job in held.attempts.iter().flatten() {
-                let closed = SimulationEvent::ConnectionClosed { job: *job };
+            for attempt_id in held.attempts.iter().flatten() {
+                let closed = SimulationEvent::ConnectionClosed {
+                    attempt_id: *attempt_id,
+                };
                 self.schedule(NETWORK_DELAY, closed);
             }
         }
--- a/crates/simulation/src/world/rpcs.rs
+++ b/crates/simulation/src/world/rpcs.rs
@@ -84,12 +84,12 @@
             ProcessEvent::Deadline(request_id) => self.expire_rpc(proxy, request_id),
             ProcessEvent::ClientDisconnected(request_id) => self.abandon_rpc(proxy, request_id),
             ProcessEvent::AttemptEnded {
-                job,
+                attempt_id,
                 outcome,
                 report,
-            } => self.end_attempt(job, outcome, report),
-            ProcessEvent::AttemptTimeout { job } => {
-                self.abort_attempt(job, AttemptOutcome::TimedOut)
+            } => self.end_attempt(attempt_id, outcome, report),
+            ProcessEvent::AttemptTimeout { attempt_id } => {
+                self.abort_attempt(attempt_id, AttemptOutcome::TimedOut)
             }
             ProcessEvent::HealthChecked {
                 node,
