--- a/crates/audit/src/story.rs
+++ b/crates/audit/src/story.rs
@@ -39,7 +39,8 @@
 
     /// The RPC that an event belongs to.
     pub fn rpc(&self, event: &Event) -> Option<u32> {
-        let of_attempt = |attempt_id: &u64| self.rpcs.get(self.attempt_ids.get(attempt_id)?).copied();
+        let of_attempt =
+            |attempt_id: &u64| self.rpcs.get(self.attempt_ids.get(attempt_id)?).copied();
         match event {
             Event::Asked { rpc, .. } | Event::Sent { rpc, .. } => Some(*rpc),
             Event::Answered { request_id, .. } | Event::Got { request_id, .. } => {
--- a/crates/backend-model/src/node.rs
+++ b/crates/backend-model/src/backend.rs
@@ -1,7 +1,7 @@
 //! The node: cores, a queue before them, and what befalls them.
-use crate::pace::Pace;
-use crate::push::Push;
-use crate::repeats::{Mark, Repeats};
+use crate::capacity_model::CapacityModel;
+use crate::deduplication::{DeduplicationCache, IdempotencyKey};
+use crate::overload_window::OverloadWindow;
 use std::collections::{BTreeMap, HashMap};
 
 /// Names one pick at this node; given by the caller, never twice.
@@ -14,17 +14,17 @@
     /// Of a core, in standard cores.
     pub speed: f64,
     /// RPCs that may wait; beyond, they are turned away.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// Part of its capacity that it starts with, 0 to 1, and the seconds until it has all of it.
-    pub cold_from: f64,
-    pub cold_for: f64,
+    pub initial_capacity: f64,
+    pub warm_up_seconds: f64,
     /// Sent this multiple of what it can do, for so many seconds, while cold, it falls over.
-    pub fall_multiple: f64,
-    pub fall_window: f64,
+    pub collapse_factor: f64,
+    pub overload_window_seconds: f64,
     /// Its load report is as old as this at most, s.
-    pub report_every: f64,
+    pub report_interval: f64,
     /// Whether running work stops when its RPC is cancelled; waiting work always does.
-    pub cancel_stops: bool,
+    pub cancel_stops_execution: bool,
     /// Connections it holds at most.
     pub connections: usize,
     /// Work that the first RPC of a connection brings with it, s of a standard core.
@@ -40,19 +40,19 @@
 
 /// An RPC sent to the node.
 #[derive(Clone, Copy, Debug)]
-pub struct Offer {
+pub struct IncomingWork {
     pub attempt_id: AttemptId,
     /// s of a standard core.
     pub work: f64,
     /// The key by which a repeat is dropped.
-    pub mark: Option<Mark>,
+    pub idempotency_key: Option<IdempotencyKey>,
     /// It is the first on its connection.
-    pub fresh: bool,
+    pub first_on_connection: bool,
 }
 
 /// Why an RPC was turned away before it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RejectionReason {
     QueueFull,
     Draining,
     /// Fallen over or crashed: nobody is there to answer.
@@ -61,19 +61,19 @@
 
 /// What happened by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Happening {
+pub enum BackendEvent {
     /// The run began: from here on its effect counts.
     Started(AttemptId),
     Finished(AttemptId),
     /// A repeat was dropped: answered as done, with no effect.
-    Repeated(AttemptId),
+    DuplicateDropped(AttemptId),
     /// Pushed over: all it held is lost, and it stays down.
-    Fell,
+    Collapsed,
 }
 
 /// What the node tells of its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     pub in_flight: usize,
     pub queued: usize,
     /// Part of its cores that are busy, 0 to 1.
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Held {
     work: f64,
-    mark: Option<Mark>,
+    idempotency_key: Option<IdempotencyKey>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -95,39 +95,45 @@
 
 /// One life of one node, from its start to its end. Every call first lets happen what was due.
 #[derive(Debug)]
-pub struct Node {
+pub struct Backend {
     spec: Spec,
-    pace: Pace,
+    capacity: CapacityModel,
     waiting: BTreeMap<u64, (AttemptId, Held)>,
     running: BTreeMap<(u64, AttemptId), Held>,
     places: HashMap<AttemptId, Place>,
     next: u64,
     connections: usize,
-    push: Push,
-    pushed: f64,
-    peak: f64,
+    overload_window: OverloadWindow,
+    overload: f64,
+    peak_overload: f64,
     draining: bool,
     down: bool,
-    told: (f64, Report),
+    told: (f64, LoadReport),
 }
 
-impl Node {
+impl Backend {
     pub fn new(spec: Spec, now: f64, start: Start) -> Self {
         let cold = start == Start::Cold;
         Self {
-            pace: Pace::new(spec.speed, spec.cold_from, spec.cold_for, now, cold),
-            push: Push::new(spec.fall_window),
+            capacity: CapacityModel::new(
+                spec.speed,
+                spec.initial_capacity,
+                spec.warm_up_seconds,
+                now,
+                cold,
+            ),
+            overload_window: OverloadWindow::new(spec.overload_window_seconds),
             spec,
             waiting: BTreeMap::new(),
             running: BTreeMap::new(),
             places: HashMap::new(),
             next: 0,
             connections: 0,
-            pushed: 0.0,
-            peak: 0.0,
+            overload: 0.0,
+            peak_overload: 0.0,
             draining: false,
             down: false,
-            told: (f64::NEG_INFINITY, Report::default()),
+            told: (f64::NEG_INFINITY, LoadReport::default()),
         }
     }
 
@@ -144,98 +150,112 @@
     }
 
     /// Takes an RPC in or tells why not. What reaches a cold node counts as a push also when it is turned away.
-    pub fn offer(
+    pub fn receive(
         &mut self,
         now: f64,
-        offer: Offer,
-        repeats: &mut Repeats,
-        out: &mut Vec<Happening>,
-    ) -> Result<(), Why> {
-        self.advance(now, repeats, out);
+        incoming: IncomingWork,
+        deduplication: &mut DeduplicationCache,
+        out: &mut Vec<BackendEvent>,
+    ) -> Result<(), RejectionReason> {
+        self.advance(now, deduplication, out);
         if self.down {
-            return Err(Why::Down);
+            return Err(RejectionReason::Down);
         }
-        let work = offer.work
-            + if offer.fresh {
+        let work = incoming.work
+            + if incoming.first_on_connection {
                 self.spec.connection_work
             } else {
                 0.0
             };
         self.weigh(now, work);
-        if self.pushed >= 1.0 {
+        if self.overload >= 1.0 {
             self.crash();
-            out.push(Happening::Fell);
-            return Err(Why::Down);
+            out.push(BackendEvent::Collapsed);
+            return Err(RejectionReason::Down);
         }
-        let full = self.running.len() >= self.spec.cores && self.waiting.len() >= self.spec.queue;
+        let full =
+            self.running.len() >= self.spec.cores && self.waiting.len() >= self.spec.queue_capacity;
         match () {
-            () if self.draining => return Err(Why::Draining),
-            () if full => return Err(Why::QueueFull),
+            () if self.draining => return Err(RejectionReason::Draining),
+            () if full => return Err(RejectionReason::QueueFull),
             () => {}
         }
         self.waiting.insert(
             self.next,
             (
-                offer.attempt_id,
+                incoming.attempt_id,
                 Held {
                     work,
-                    mark: offer.mark,
+                    idempotency_key: incoming.idempotency_key,
                 },
             ),
         );
         self.places
-            .insert(offer.attempt_id, Place::Waiting(self.next));
+            .insert(incoming.attempt_id, Place::Waiting(self.next));
         self.next += 1;
-        self.fill(now, repeats, out);
+        self.fill(now, deduplication, out);
         Ok(())
     }
 
     fn weigh(&mut self, now: f64, work: f64) {
-        self.pushed = 0.0;
-        if self.pace.is_cold(now) {
-            let able = self.spec.cores as f64 * self.spec.speed * self.pace.warmth(now);
-            let bearable = self.spec.fall_multiple * able * self.spec.fall_window;
-            self.pushed = self.push.add(now, work) / bearable;
-            self.peak = self.peak.max(self.pushed);
+        self.overload = 0.0;
+        if self.capacity.is_cold(now) {
+            let able = self.spec.cores as f64 * self.spec.speed * self.capacity.warmth(now);
+            let bearable = self.spec.collapse_factor * able * self.spec.overload_window_seconds;
+            self.overload = self.overload_window.add(now, work) / bearable;
+            self.peak_overload = self.peak_overload.max(self.overload);
         }
     }
 
     /// Lets waiting RPCs begin on cores that are free.
-    fn fill(&mut self, now: f64, repeats: &mut Repeats, out: &mut Vec<Happening>) {
+    fn fill(
+        &mut self,
+        now: f64,
+        deduplication: &mut DeduplicationCache,
+        out: &mut Vec<BackendEvent>,
+    ) {
         while self.running.len() < self.spec.cores {
             let Some((_, (attempt_id, held))) = self.waiting.pop_first() else {
                 return;
             };
-            if held.mark.is_some_and(|mark| !repeats.first(now, mark)) {
+            if held
+                .idempotency_key
+                .is_some_and(|idempotency_key| !deduplication.first(now, idempotency_key))
+            {
                 self.places.remove(&attempt_id);
-                out.push(Happening::Repeated(attempt_id));
+                out.push(BackendEvent::DuplicateDropped(attempt_id));
                 continue;
             }
-            let end = (self.pace.done() + held.work).to_bits();
+            let end = (self.capacity.done() + held.work).to_bits();
             self.running.insert((end, attempt_id), held);
             self.places.insert(attempt_id, Place::Running(end));
-            out.push(Happening::Started(attempt_id));
+            out.push(BackendEvent::Started(attempt_id));
         }
     }
 
     /// When something will happen by itself, if nothing comes in between.
     pub fn next_event(&self) -> Option<f64> {
         let ((end, _), _) = self.running.first_key_value()?;
-        self.pace.when(f64::from_bits(*end))
+        self.capacity.when(f64::from_bits(*end))
     }
 
     /// Lets time pass until `now`: runs end, and others begin in the order in which they came, each at its own time.
-    pub fn advance(&mut self, now: f64, repeats: &mut Repeats, out: &mut Vec<Happening>) {
+    pub fn advance(
+        &mut self,
+        now: f64,
+        deduplication: &mut DeduplicationCache,
+        out: &mut Vec<BackendEvent>,
+    ) {
         while let Some(at) = self.next_event().filter(|at| *at <= now) {
-            self.pace.settle(at);
+            self.capacity.settle(at);
             let Some(((_, attempt_id), _)) = self.running.pop_first() else {
                 break;
             };
             self.places.remove(&attempt_id);
-            out.push(Happening::Finished(attempt_id));
-            self.fill(at, repeats, out);
+            out.push(BackendEvent::Finished(attempt_id));
+            self.fill(at, deduplication, out);
         }
-        self.pace.settle(now);
+        self.capacity.settle(now);
     }
 
     /// The RPC's proxy no longer waits. False where its run goes on, or it is not here any more.
@@ -243,21 +263,21 @@
         &mut self,
         now: f64,
         attempt_id: AttemptId,
-        repeats: &mut Repeats,
-        out: &mut Vec<Happening>,
+        deduplication: &mut DeduplicationCache,
+        out: &mut Vec<BackendEvent>,
     ) -> bool {
-        self.advance(now, repeats, out);
+        self.advance(now, deduplication, out);
         match self.places.get(&attempt_id).copied() {
             Some(Place::Waiting(number)) => {
                 self.waiting.remove(&number);
             }
-            Some(Place::Running(end)) if self.spec.cancel_stops => {
+            Some(Place::Running(end)) if self.spec.cancel_stops_execution => {
                 self.running.remove(&(end, attempt_id));
             }
             _ => return false,
         }
         self.places.remove(&attempt_id);
-        self.fill(now, repeats, out);
+        self.fill(now, deduplication, out);
         true
     }
 
@@ -279,11 +299,11 @@
         &mut self,
         now: f64,
         stalled: bool,
-        repeats: &mut Repeats,
-        out: &mut Vec<Happening>,
+        deduplication: &mut DeduplicationCache,
+        out: &mut Vec<BackendEvent>,
     ) {
-        self.advance(now, repeats, out);
-        self.pace.stall(now, stalled);
+        self.advance(now, deduplication, out);
+        self.capacity.stall(now, stalled);
     }
 
     /// From now on it works `factor` times as fast: a neighbour comes (below 1) or goes (its reciprocal).
@@ -291,21 +311,21 @@
         &mut self,
         now: f64,
         factor: f64,
-        repeats: &mut Repeats,
-        out: &mut Vec<Happening>,
+        deduplication: &mut DeduplicationCache,
+        out: &mut Vec<BackendEvent>,
     ) {
-        self.advance(now, repeats, out);
-        self.pace.scale_by(now, factor);
+        self.advance(now, deduplication, out);
+        self.capacity.scale_by(now, factor);
     }
 
     /// Its load, renewed when the last one is old enough.
-    pub fn report(&mut self, now: f64) -> Report {
-        if now - self.told.0 >= self.spec.report_every {
+    pub fn report(&mut self, now: f64) -> LoadReport {
+        if now - self.told.0 >= self.spec.report_interval {
             let (queued, running) = (self.waiting.len(), self.running.len());
             let utilisation = running as f64 / self.spec.cores as f64;
             self.told = (
                 now,
-                Report {
+                LoadReport {
                     in_flight: queued + running,
                     queued,
                     utilisation,
@@ -321,13 +341,13 @@
     }
 
     /// How far the last offer pushed it towards its fall; 1 is the fall, 0 whenever it is warm.
-    pub fn pushed(&self) -> f64 {
-        self.pushed
+    pub fn overload(&self) -> f64 {
+        self.overload
     }
 
     /// The most it was ever pushed.
-    pub fn peak(&self) -> f64 {
-        self.peak
+    pub fn peak_overload(&self) -> f64 {
+        self.peak_overload
     }
 
     pub fn is_down(&self) -> bool {
--- a/crates/backend-model/src/pace.rs
+++ b/crates/backend-model/src/capacity_model.rs
@@ -1,14 +1,14 @@
 //! How fast a node's cores work: all at the same pace, so that one clock of work done tells when each run ends.
 //!
-//! The pace rises linearly from `cold_from` to 1 over `cold_for` seconds after the start, and is scaled by speed, by
+//! The pace rises linearly from `initial_capacity` to 1 over `warm_up_seconds` seconds after the start, and is scaled by speed, by
 //! slowness, and by what neighbours leave. Its integral is a parabola and then a line, so both directions are solved exactly.
 
 /// The work clock of one core.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct CapacityModel {
     speed: f64,
-    cold_from: f64,
-    cold_for: f64,
+    initial_capacity: f64,
+    warm_up_seconds: f64,
     started: f64,
     /// Up to here, s, `done` is settled.
     at: f64,
@@ -19,14 +19,20 @@
     stalls: usize,
 }
 
-impl Pace {
+impl CapacityModel {
     /// `cold`: it starts now; else it has been warm for ever.
-    pub fn new(speed: f64, cold_from: f64, cold_for: f64, now: f64, cold: bool) -> Self {
+    pub fn new(
+        speed: f64,
+        initial_capacity: f64,
+        warm_up_seconds: f64,
+        now: f64,
+        cold: bool,
+    ) -> Self {
         let started = if cold { now } else { f64::NEG_INFINITY };
         Self {
             speed,
-            cold_from,
-            cold_for,
+            initial_capacity,
+            warm_up_seconds,
             started,
             at: now,
             done: 0.0,
@@ -36,15 +42,15 @@
     }
 
     fn slope(&self) -> f64 {
-        if self.cold_for > 0.0 {
-            (1.0 - self.cold_from) / self.cold_for
+        if self.warm_up_seconds > 0.0 {
+            (1.0 - self.initial_capacity) / self.warm_up_seconds
         } else {
             0.0
         }
     }
 
     fn warm_at(&self) -> f64 {
-        self.started + self.cold_for
+        self.started + self.warm_up_seconds
     }
 
     /// Part of its capacity that it has by its age alone, 0 to 1.
@@ -52,7 +58,7 @@
         if now >= self.warm_at() {
             1.0
         } else {
-            self.cold_from + self.slope() * (now - self.started).max(0.0)
+            self.initial_capacity + self.slope() * (now - self.started).max(0.0)
         }
     }
 
--- a/crates/backend-model/src/repeats.rs
+++ b/crates/backend-model/src/deduplication.rs
@@ -5,7 +5,7 @@
 
 /// The key of a deduplicated RPC, with the group whose nodes drop its repeats and for how long, s.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Mark {
+pub struct IdempotencyKey {
     pub group: u64,
     pub key: u64,
     pub window: f64,
@@ -13,7 +13,7 @@
 
 /// The memory of a whole fleet, by group and key.
 #[derive(Debug, Default)]
-pub struct Repeats {
+pub struct DeduplicationCache {
     until: HashMap<(u64, u64), f64>,
     expiry: BTreeSet<(u64, u64, u64)>, // bits of the time (not negative, so they sort as it does), group, key
 }
@@ -22,9 +22,9 @@
     time.max(0.0).to_bits()
 }
 
-impl Repeats {
+impl DeduplicationCache {
     /// Whether this is the first run within its window; if so, the window begins.
-    pub fn first(&mut self, now: f64, mark: Mark) -> bool {
+    pub fn first(&mut self, now: f64, idempotency_key: IdempotencyKey) -> bool {
         for _ in 0..FORGET {
             match self.expiry.first().copied() {
                 Some(old) if old.0 <= bits(now) => {
@@ -34,15 +34,20 @@
                 _ => break,
             }
         }
-        let at = (mark.group, mark.key);
+        let at = (idempotency_key.group, idempotency_key.key);
         match self.until.get(&at) {
             Some(until) if now < *until => return false,
-            Some(until) => drop(self.expiry.remove(&(bits(*until), mark.group, mark.key))),
+            Some(until) => drop(self.expiry.remove(&(
+                bits(*until),
+                idempotency_key.group,
+                idempotency_key.key,
+            ))),
             None => {}
         }
-        let until = now + mark.window;
+        let until = now + idempotency_key.window;
         self.until.insert(at, until);
-        self.expiry.insert((bits(until), mark.group, mark.key));
+        self.expiry
+            .insert((bits(until), idempotency_key.group, idempotency_key.key));
         true
     }
 
--- a/crates/backend-model/src/lib.rs
+++ b/crates/backend-model/src/lib.rs
@@ -6,12 +6,14 @@
     reason = "docs/ROADMAP.md lists the crates that are not documented yet"
 )]
 
-pub mod node;
-pub mod pace;
-pub mod push;
-pub mod repeats;
+pub mod backend;
+pub mod capacity_model;
+pub mod deduplication;
+pub mod overload_window;
 pub mod work;
 
-pub use node::{AttemptId, Happening, Node, Offer, Report, Spec, Start, Why};
-pub use repeats::{Mark, Repeats};
+pub use backend::{
+    AttemptId, Backend, BackendEvent, IncomingWork, LoadReport, RejectionReason, Spec, Start,
+};
+pub use deduplication::{DeduplicationCache, IdempotencyKey};
 pub use work::Work;
--- a/crates/backend-model/src/push.rs
+++ b/crates/backend-model/src/overload_window.rs
@@ -4,14 +4,14 @@
 
 /// A sum over the last `window` seconds, kept in slots; adding and reading cost the same whatever was added.
 #[derive(Clone, Debug)]
-pub struct Push {
+pub struct OverloadWindow {
     slot: f64,
     sums: [f64; SLOTS],
     newest: i64,
     total: f64,
 }
 
-impl Push {
+impl OverloadWindow {
     /// `window` in s, above 0.
     pub fn new(window: f64) -> Self {
         Self {
--- a/crates/backend-model/tests/node.rs
+++ b/crates/backend-model/tests/backend.rs
@@ -1,6 +1,7 @@
 //! The node against a plain model in small steps, and its edge cases.
 use birchhub_backend_model::{
-    Happening, Mark, Node, Offer, Repeats, Spec, Start, Why, work::Spread, work::Work,
+    Backend, BackendEvent, DeduplicationCache, IdempotencyKey, IncomingWork, RejectionReason, Spec,
+    Start, work::Spread, work::Work,
 };
 use quickcheck::{Gen, QuickCheck, TestResult};
 use std::collections::VecDeque;
@@ -9,13 +10,13 @@
     Spec {
         cores: 2,
         speed: 1.0,
-        queue: 4,
-        cold_from: 0.25,
-        cold_for: 8.0,
-        fall_multiple: 3.0,
-        fall_window: 1.0,
-        report_every: 0.5,
-        cancel_stops: true,
+        queue_capacity: 4,
+        initial_capacity: 0.25,
+        warm_up_seconds: 8.0,
+        collapse_factor: 3.0,
+        overload_window_seconds: 1.0,
+        report_interval: 0.5,
+        cancel_stops_execution: true,
         connections: 2,
         connection_work: 0.01,
     }
@@ -23,52 +24,53 @@
 
 /// A node and the events of it.
 struct ModelledNode {
-    node: Node,
-    repeats: Repeats,
-    events: Vec<Happening>,
+    node: Backend,
+    deduplication: DeduplicationCache,
+    events: Vec<BackendEvent>,
 }
 
 impl ModelledNode {
     fn new(spec: Spec, start: Start) -> Self {
         Self {
-            node: Node::new(spec, 0.0, start),
-            repeats: Repeats::default(),
+            node: Backend::new(spec, 0.0, start),
+            deduplication: DeduplicationCache::default(),
             events: vec![],
         }
     }
-    fn offer(&mut self, now: f64, attempt_id: u64, work: f64) -> Result<(), Why> {
-        self.offer_as(
+    fn receive(&mut self, now: f64, attempt_id: u64, work: f64) -> Result<(), RejectionReason> {
+        self.receive_work(
             now,
-            Offer {
+            IncomingWork {
                 attempt_id,
                 work,
-                mark: None,
-                fresh: false,
+                idempotency_key: None,
+                first_on_connection: false,
             },
         )
     }
-    fn offer_as(&mut self, now: f64, offer: Offer) -> Result<(), Why> {
+    fn receive_work(&mut self, now: f64, incoming: IncomingWork) -> Result<(), RejectionReason> {
         self.node
-            .offer(now, offer, &mut self.repeats, &mut self.events)
+            .receive(now, incoming, &mut self.deduplication, &mut self.events)
     }
     fn cancel(&mut self, now: f64, attempt_id: u64) -> bool {
         self.node
-            .cancel(now, attempt_id, &mut self.repeats, &mut self.events)
+            .cancel(now, attempt_id, &mut self.deduplication, &mut self.events)
     }
-    fn advance(&mut self, now: f64) -> Vec<Happening> {
-        self.node.advance(now, &mut self.repeats, &mut self.events);
+    fn advance(&mut self, now: f64) -> Vec<BackendEvent> {
+        self.node
+            .advance(now, &mut self.deduplication, &mut self.events);
         std::mem::take(&mut self.events)
     }
     fn stall(&mut self, now: f64, stalled: bool) {
         self.node
-            .stall(now, stalled, &mut self.repeats, &mut self.events);
+            .stall(now, stalled, &mut self.deduplication, &mut self.events);
     }
     /// When jobs end up to this time.
     fn ends_until(&mut self, now: f64) -> Vec<(u64, f64)> {
         let mut ends = vec![];
         while let Some(at) = self.node.next_event().filter(|at| *at <= now) {
-            for happening in self.advance(at) {
-                if let Happening::Finished(attempt_id) = happening {
+            for event in self.advance(at) {
+                if let BackendEvent::Finished(attempt_id) = event {
                     ends.push((attempt_id, at));
                 }
             }
@@ -84,24 +86,25 @@
 /// The same node in small steps: each core has its part of the speed; no work clock, no heap.
 fn plain(spec: &Spec, cold: bool, stall: (f64, f64), arrivals: &[(f64, f64)]) -> Vec<(u64, f64)> {
     const STEP: f64 = 0.0005;
-    let (mut cores, mut queue, mut ends) = (vec![None; spec.cores], VecDeque::new(), vec![]);
+    let (mut cores, mut queue_capacity, mut ends) =
+        (vec![None; spec.cores], VecDeque::new(), vec![]);
     let mut next = 0;
     let mut now = 0.0;
     while ends.len() < arrivals.len() {
         while next < arrivals.len() && arrivals[next].0 <= now {
-            queue.push_back((next as u64, arrivals[next].1));
+            queue_capacity.push_back((next as u64, arrivals[next].1));
             next += 1;
         }
         let age = if cold {
-            (now + STEP / 2.0) / spec.cold_for
+            (now + STEP / 2.0) / spec.warm_up_seconds
         } else {
             1.0
         };
-        let warmth = spec.cold_from + (1.0 - spec.cold_from) * age.min(1.0);
+        let warmth = spec.initial_capacity + (1.0 - spec.initial_capacity) * age.min(1.0);
         let standing = now >= stall.0 && now < stall.0 + stall.1;
         for core in &mut cores {
             if core.is_none() {
-                *core = queue.pop_front();
+                *core = queue_capacity.pop_front();
             }
             if let Some((attempt_id, left)) = core {
                 *left -= if standing {
@@ -113,7 +116,7 @@
                     // What the step did beyond the end goes to the next job: steps must not add up to a drift.
                     ends.push((*attempt_id, now + STEP));
                     let beyond = *left;
-                    *core = queue
+                    *core = queue_capacity
                         .pop_front()
                         .map(|(attempt_id, work): (u64, f64)| (attempt_id, work + beyond));
                 }
@@ -128,7 +131,7 @@
 /// What happens at a time on the way through the generated input.
 #[derive(Clone, Copy)]
 enum Step {
-    Offer(usize),
+    IncomingWork(usize),
     Stall(bool),
 }
 
@@ -145,13 +148,15 @@
         (stall.0 + stall.1, Step::Stall(false)),
     ];
     let offers = arrivals.iter().enumerate();
-    steps.extend(offers.map(|(n, (at, _))| (*at, Step::Offer(n))));
+    steps.extend(offers.map(|(n, (at, _))| (*at, Step::IncomingWork(n))));
     steps.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut ends = vec![];
     for (now, step) in steps {
         ends.extend(modelled.ends_until(now));
         match step {
-            Step::Offer(n) => modelled.offer(now, n as u64, arrivals[n].1).expect("room"),
+            Step::IncomingWork(n) => modelled
+                .receive(now, n as u64, arrivals[n].1)
+                .expect("room"),
             Step::Stall(stalled) => modelled.stall(now, stalled),
         }
     }
@@ -170,8 +175,8 @@
         return TestResult::discard();
     }
     let spec = Spec {
-        queue: 1000,
-        fall_multiple: 1e9,
+        queue_capacity: 1000,
+        collapse_factor: 1e9,
         ..spec()
     };
     let mut at = 0.0;
@@ -196,7 +201,7 @@
         now += f64::from(*gap) / 2000.0;
         taken += usize::from(
             modelled
-                .offer(now, attempt_id as u64, f64::from(*work) / 500.0)
+                .receive(now, attempt_id as u64, f64::from(*work) / 500.0)
                 .is_ok(),
         );
         if what % 4 == 0 {
@@ -206,7 +211,7 @@
     let before = std::mem::take(&mut modelled.events);
     let before = before
         .iter()
-        .filter(|h| matches!(h, Happening::Finished(_)))
+        .filter(|h| matches!(h, BackendEvent::Finished(_)))
         .count();
     let after = modelled.ends().len();
     modelled.node.in_flight() == 0 && before + after + dropped == taken
@@ -232,11 +237,11 @@
 #[test]
 fn a_node_in_slow_start_warms_up_over_its_time() {
     let mut cold = ModelledNode::new(spec(), Start::Cold);
-    cold.offer(0.0, 1, 1.0).expect("room");
+    cold.receive(0.0, 1, 1.0).expect("room");
     // 0.25 t + 0.75 t² / 16 = 1
     let at = (-0.25 + (0.0625 + 0.1875f64).sqrt()) * 32.0 / 3.0;
     assert!((cold.ends()[0].1 - at).abs() < 1e-9);
-    cold.offer(20.0, 2, 1.0).expect("room");
+    cold.receive(20.0, 2, 1.0).expect("room");
     assert_eq!(cold.ends(), [(2, 21.0)]);
 }
 
@@ -244,11 +249,17 @@
 fn a_full_queue_rejects_and_a_draining_node_finishes_its_jobs() {
     let mut modelled = ModelledNode::new(spec(), Start::Warm);
     for attempt_id in 0..6 {
-        modelled.offer(0.0, attempt_id, 1.0).expect("room");
+        modelled.receive(0.0, attempt_id, 1.0).expect("room");
     }
-    assert_eq!(modelled.offer(0.0, 6, 1.0), Err(Why::QueueFull));
+    assert_eq!(
+        modelled.receive(0.0, 6, 1.0),
+        Err(RejectionReason::QueueFull)
+    );
     modelled.node.drain();
-    assert_eq!(modelled.offer(3.5, 7, 1.0), Err(Why::Draining));
+    assert_eq!(
+        modelled.receive(3.5, 7, 1.0),
+        Err(RejectionReason::Draining)
+    );
     assert_eq!(modelled.node.in_flight(), 0);
 }
 
@@ -257,33 +268,35 @@
 fn a_node_in_slow_start_fails_under_overload_and_a_warm_one_does_not() {
     // Its capacity is 2 x 0.25; it fails at 3 times that within 1 s.
     let mut cold = ModelledNode::new(spec(), Start::Cold);
-    let pushed = (0..17)
-        .map(|attempt_id| cold.offer(0.01, attempt_id, 0.1))
-        .filter(|r| *r == Err(Why::Down))
+    let overload = (0..17)
+        .map(|attempt_id| cold.receive(0.01, attempt_id, 0.1))
+        .filter(|r| *r == Err(RejectionReason::Down))
         .count();
     assert_eq!(
-        (pushed, cold.node.is_down(), cold.node.in_flight()),
+        (overload, cold.node.is_down(), cold.node.in_flight()),
         (2, true, 0)
     );
     assert_eq!(
         cold.events
             .iter()
-            .filter(|h| **h == Happening::Fell)
+            .filter(|h| **h == BackendEvent::Collapsed)
             .count(),
         1
     );
     let mut paced = ModelledNode::new(spec(), Start::Cold);
     for attempt_id in 0..140 {
-        let _ = paced.offer(attempt_id as f64 * 0.1, attempt_id, 0.1);
+        let _ = paced.receive(attempt_id as f64 * 0.1, attempt_id, 0.1);
     }
     assert!(
-        !paced.node.is_down() && paced.node.peak() > 0.4 && paced.node.peak() < 0.6,
+        !paced.node.is_down()
+            && paced.node.peak_overload() > 0.4
+            && paced.node.peak_overload() < 0.6,
         "{}",
-        paced.node.peak()
+        paced.node.peak_overload()
     );
     let mut warm = ModelledNode::new(spec(), Start::Warm);
     for attempt_id in 0..1000 {
-        let _ = warm.offer(0.01, attempt_id, 0.1);
+        let _ = warm.receive(0.01, attempt_id, 0.1);
     }
     assert!(!warm.node.is_down());
 }
@@ -293,14 +306,14 @@
     for stops in [true, false] {
         let mut modelled = ModelledNode::new(
             Spec {
-                cancel_stops: stops,
+                cancel_stops_execution: stops,
                 cores: 1,
                 ..spec()
             },
             Start::Warm,
         );
         for attempt_id in 0..3 {
-            modelled.offer(0.0, attempt_id, 1.0).expect("room");
+            modelled.receive(0.0, attempt_id, 1.0).expect("room");
         }
         assert_eq!(
             (
@@ -323,25 +336,25 @@
 fn repeats_are_deduplicated_within_their_group_and_window() {
     let mut modelled = ModelledNode::new(spec(), Start::Warm);
     let mut run = |now: f64, attempt_id, group, key| {
-        let mark = Some(Mark {
+        let idempotency_key = Some(IdempotencyKey {
             group,
             key,
             window: 4.0,
         });
         modelled
-            .offer_as(
+            .receive_work(
                 now,
-                Offer {
+                IncomingWork {
                     attempt_id,
                     work: 0.1,
-                    mark,
-                    fresh: false,
+                    idempotency_key,
+                    first_on_connection: false,
                 },
             )
             .expect("room");
         modelled
             .advance(now + 0.2)
-            .contains(&Happening::Repeated(attempt_id))
+            .contains(&BackendEvent::DuplicateDropped(attempt_id))
     };
     assert!(!run(0.0, 1, 1, 5) && run(1.0, 2, 1, 5) && !run(2.0, 3, 2, 5) && !run(3.0, 4, 1, 6));
     assert!(!run(4.5, 5, 1, 5), "the window is over");
@@ -349,9 +362,9 @@
     assert!(!run(50.0, 7, 9, 9));
     assert!(!run(60.0, 8, 9, 8));
     assert!(
-        modelled.repeats.len() <= 3,
+        modelled.deduplication.len() <= 3,
         "old marks are removed: {}",
-        modelled.repeats.len()
+        modelled.deduplication.len()
     );
 }
 
@@ -359,15 +372,15 @@
 fn a_neighbour_slows_a_node_and_load_reports_have_their_age() {
     let mut modelled = ModelledNode::new(spec(), Start::Warm);
     modelled.node.report(0.0);
-    modelled.offer(0.1, 1, 1.0).expect("room");
+    modelled.receive(0.1, 1, 1.0).expect("room");
     assert_eq!(modelled.node.report(0.2).in_flight, 0);
     assert_eq!(modelled.node.report(0.6).in_flight, 1);
     modelled
         .node
-        .scale(0.6, 0.25, &mut modelled.repeats, &mut modelled.events);
+        .scale(0.6, 0.25, &mut modelled.deduplication, &mut modelled.events);
     modelled
         .node
-        .scale(1.6, 4.0, &mut modelled.repeats, &mut modelled.events);
+        .scale(1.6, 4.0, &mut modelled.deduplication, &mut modelled.events);
     let ends = modelled.ends();
     assert!((ends[0].1 - 1.85).abs() < 1e-9, "{ends:?}");
 }
@@ -379,13 +392,13 @@
     modelled.node.disconnect();
     assert!(modelled.node.connect());
     modelled
-        .offer_as(
+        .receive_work(
             0.0,
-            Offer {
+            IncomingWork {
                 attempt_id: 1,
                 work: 0.1,
-                mark: None,
-                fresh: true,
+                idempotency_key: None,
+                first_on_connection: true,
             },
         )
         .expect("room");
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,7 +1,7 @@
 //! What the nodes of a fleet share: what RPCs cost, which keys have run, and numbers for picks and lives.
 use crate::notes::Notes;
 use birchhub_audit::Kind;
-use birchhub_backend_model::{Mark, Repeats, Work, work};
+use birchhub_backend_model::{DeduplicationCache, IdempotencyKey, Work, work};
 use rand::Rng;
 use std::cell::{Cell, RefCell};
 
@@ -33,7 +33,7 @@
     /// Whether answers, probes, or neither carry reports.
     pub reports_in_answers: bool,
     pub probes: bool,
-    pub repeats: RefCell<Repeats>,
+    pub deduplication: RefCell<DeduplicationCache>,
     /// How much slower each method is now: 1 is as usual.
     slow: RefCell<Vec<f64>>,
     next_attempt_id: Cell<u64>,
@@ -50,7 +50,7 @@
             probe_work: 0.0,
             reports_in_answers: true,
             probes: true,
-            repeats: RefCell::default(),
+            deduplication: RefCell::default(),
             slow,
             next_attempt_id: Cell::new(1),
             next_life: Cell::new(1),
@@ -80,22 +80,22 @@
         key: Option<&str>,
         zone: u32,
         rack: u32,
-    ) -> Option<(f64, Option<Mark>)> {
+    ) -> Option<(f64, Option<IdempotencyKey>)> {
         let method = self.costs.iter().position(|c| c.name == class)?;
         let cost = &self.costs[method];
         let drawn = cost.work.draw(self.seed, u64::from(rpc_of(request_id)));
-        let mark = match (cost.kind, key) {
+        let idempotency_key = match (cost.kind, key) {
             (Kind::Deduplicated { group, window }, Some(key)) => {
                 // FNV-1a: keys are texts of the client's own.
                 let fold =
                     |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
                 let key = key.bytes().fold(0xcbf2_9ce4_8422_2325, fold);
                 let group = group.number(zone, rack);
-                Some(Mark { group, key, window })
+                Some(IdempotencyKey { group, key, window })
             }
             _ => None,
         };
-        Some((drawn * self.slow.borrow()[method], mark))
+        Some((drawn * self.slow.borrow()[method], idempotency_key))
     }
 
     /// Chance that depends on the seed, a purpose and an RPC's try alone: whether a share is hit.
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -6,7 +6,9 @@
 use crate::wire::{Kind, Message, Peer, listen, response};
 use birchhub_audit::Event;
 use birchhub_audit::event::{Left, Taken};
-use birchhub_backend_model::{AttemptId, Happening, Node, Offer, Report, Spec, Start, Why};
+use birchhub_backend_model::{
+    AttemptId, Backend, BackendEvent, IncomingWork, LoadReport, RejectionReason, Spec, Start,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
 use std::future::poll_fn;
@@ -52,7 +54,7 @@
 
 struct Life {
     number: u32,
-    node: Node,
+    node: Backend,
     waiting: HashMap<AttemptId, oneshot::Sender<Done>>,
     over: watch::Sender<Over>,
     /// Stalls that last, by their numbers.
@@ -113,8 +115,12 @@
         self.how = Left::Withdrawn;
         self.host.change(self.life, |life, now, fleet, out| {
             life.waiting.remove(&self.attempt_id);
-            life.node
-                .cancel(now, self.attempt_id, &mut fleet.repeats.borrow_mut(), out);
+            life.node.cancel(
+                now,
+                self.attempt_id,
+                &mut fleet.deduplication.borrow_mut(),
+                out,
+            );
         });
     }
 }
@@ -183,11 +189,11 @@
         let now = self.fleet.notes.clock.now();
         let spec = &self.place.spec;
         let able = (spec.cores as f64 * spec.speed) as f32;
-        let mut node = Node::new(spec.clone(), now, start);
+        let mut node = Backend::new(spec.clone(), now, start);
         node.scale(
             now,
             self.machine.get(),
-            &mut self.fleet.repeats.borrow_mut(),
+            &mut self.fleet.deduplication.borrow_mut(),
             &mut Vec::new(),
         );
         let (over, seen) = watch::channel(Over::Not);
@@ -257,7 +263,7 @@
             let stands = !life.stalls.is_empty();
             if stands == before {
                 life.node
-                    .stall(now, stands, &mut fleet.repeats.borrow_mut(), out);
+                    .stall(now, stands, &mut fleet.deduplication.borrow_mut(), out);
             }
         });
         self.weather.send_modify(|n| *n += 1);
@@ -269,7 +275,7 @@
         if let Some(number) = self.life() {
             self.change(number, |life, now, fleet, out| {
                 life.node
-                    .scale(now, factor, &mut fleet.repeats.borrow_mut(), out);
+                    .scale(now, factor, &mut fleet.deduplication.borrow_mut(), out);
             });
         }
     }
@@ -297,7 +303,7 @@
     fn change<R>(
         &self,
         number: u32,
-        change: impl FnOnce(&mut Life, f64, &Fleet, &mut Vec<Happening>) -> R,
+        change: impl FnOnce(&mut Life, f64, &Fleet, &mut Vec<BackendEvent>) -> R,
     ) -> Option<R> {
         let (now, mut out) = (self.fleet.notes.clock.now(), Vec::new());
         let result = self.with(number, |life| change(life, now, &self.fleet, &mut out));
@@ -306,23 +312,23 @@
         result
     }
 
-    fn tell(&self, number: u32, happened: Vec<Happening>) {
+    fn tell(&self, number: u32, happened: Vec<BackendEvent>) {
         let notes = &self.fleet.notes;
-        for happening in happened {
-            let over = match happening {
-                Happening::Started(attempt_id) => {
+        for event in happened {
+            let over = match event {
+                BackendEvent::Started(attempt_id) => {
                     notes.tell(Event::Started { attempt_id });
                     continue;
                 }
-                Happening::Finished(attempt_id) => {
+                BackendEvent::Finished(attempt_id) => {
                     notes.tell(Event::Finished { attempt_id });
                     attempt_id
                 }
-                Happening::Repeated(attempt_id) => {
+                BackendEvent::DuplicateDropped(attempt_id) => {
                     notes.tell(Event::Repeated { attempt_id });
                     attempt_id
                 }
-                Happening::Fell => {
+                BackendEvent::Collapsed => {
                     notes.tell(Event::Fell { life: number });
                     self.end(Over::Crashed);
                     continue;
@@ -357,7 +363,7 @@
             }
             self.with(number, |life| {
                 life.node
-                    .advance(now, &mut self.fleet.repeats.borrow_mut(), &mut out)
+                    .advance(now, &mut self.fleet.deduplication.borrow_mut(), &mut out)
             });
             self.tell(number, out);
         }
@@ -485,7 +491,7 @@
         }
     }
 
-    fn report(&self, life: u32) -> Report {
+    fn report(&self, life: u32) -> LoadReport {
         let now = self.fleet.notes.clock.now();
         self.with(life, |life| life.node.report(now))
             .unwrap_or_default()
@@ -522,17 +528,17 @@
             return self.answer(peer, life, 404, &[], b"no probes here\n").await;
         }
         if self.fleet.probe_work > 0.0 {
-            let offer = Offer {
+            let incoming = IncomingWork {
                 attempt_id: self.fleet.new_attempt_id(),
                 work: self.fleet.probe_work,
-                mark: None,
-                fresh: false,
+                idempotency_key: None,
+                first_on_connection: false,
             };
             // A probe is answered also where its work found no room.
             self.change(life, |life, now, fleet, out| {
-                let _ = life
-                    .node
-                    .offer(now, offer, &mut fleet.repeats.borrow_mut(), out);
+                let _ =
+                    life.node
+                        .receive(now, incoming, &mut fleet.deduplication.borrow_mut(), out);
             });
         }
         let body = if message.path == "/stats" {
@@ -560,7 +566,9 @@
         };
         let key = message.header("idempotency-key");
         let (zone, rack) = (self.place.zone, self.place.rack);
-        let Some((work, mark)) = fleet.cost(message.class(), request_id, key, zone, rack) else {
+        let Some((work, idempotency_key)) =
+            fleet.cost(message.class(), request_id, key, zone, rack)
+        else {
             return self.answer(peer, life, 404, &[], b"no such method\n").await;
         };
         let attempt_id = fleet.new_attempt_id();
@@ -613,31 +621,34 @@
             _ => {}
         }
         let (done, mut ended) = oneshot::channel();
-        let offer = Offer {
+        let incoming = IncomingWork {
             attempt_id,
             work,
-            mark,
-            fresh: peer.messages == 1,
+            idempotency_key,
+            first_on_connection: peer.messages == 1,
         };
         let (now, mut out) = (fleet.notes.clock.now(), Vec::new());
         let taken = self.with(life, |life| {
             if !slot.held {
-                return (Err(Why::QueueFull), life.node.pushed());
+                return (Err(RejectionReason::QueueFull), life.node.overload());
             }
             life.waiting.insert(attempt_id, done);
-            let taken = life
-                .node
-                .offer(now, offer, &mut fleet.repeats.borrow_mut(), &mut out);
+            let taken = life.node.receive(
+                now,
+                incoming,
+                &mut fleet.deduplication.borrow_mut(),
+                &mut out,
+            );
             if taken.is_err() {
                 life.waiting.remove(&attempt_id);
             }
-            (taken, life.node.pushed())
+            (taken, life.node.overload())
         });
-        let (taken, pushed) = taken.unwrap_or((Err(Why::Down), 0.0));
+        let (taken, pushed) = taken.unwrap_or((Err(RejectionReason::Down), 0.0));
         got(
             match taken {
                 Ok(()) => Taken::Held,
-                Err(Why::Down) => Taken::Swallowed,
+                Err(RejectionReason::Down) => Taken::Swallowed,
                 Err(_) => Taken::TurnedAway,
             },
             pushed,
@@ -646,7 +657,7 @@
         self.moved.notify_one();
         match taken {
             Ok(()) => {}
-            Err(Why::Down) => return Next::Reset,
+            Err(RejectionReason::Down) => return Next::Reset,
             Err(_) => {
                 pick.how = Left::Replied;
                 let next = self
@@ -678,7 +689,7 @@
     Some(ms / 1e3)
 }
 
-fn load_text(report: &Report) -> String {
+fn load_text(report: &LoadReport) -> String {
     format!(
         "inflight={},queue={},util={:.3}",
         report.in_flight, report.queued, report.utilisation
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -6,7 +6,7 @@
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::event::{Left, Taken};
 use birchhub_audit::{Answer, Event, Kind};
-use birchhub_backend_model::{Mark, Offer, Why};
+use birchhub_backend_model::{IdempotencyKey, IncomingWork, RejectionReason};
 use birchhub_rehearsal::plan::Trick;
 use birchhub_rehearsal::scenario::Reports;
 
@@ -195,26 +195,26 @@
 
     /// The backend takes the attempt in, or turns it away.
     fn start_work(&mut self, received: &ReceivedAttempt, fault: Option<Trick>) {
-        let offer = Offer {
+        let incoming = IncomingWork {
             attempt_id: received.attempt_id,
             work: received.work,
-            mark: self.deduplication_mark(received),
-            fresh: false,
+            idempotency_key: self.deduplication_key(received),
+            first_on_connection: false,
         };
-        let (now, mut happenings) = (self.now, Vec::new());
+        let (now, mut events) = (self.now, Vec::new());
         let machine = &mut self.machines[received.node as usize];
         let Some(backend) = machine.backend.as_mut() else {
             return;
         };
-        let node = &mut backend.node;
-        let taken = node.offer(now, offer, &mut self.repeats, &mut happenings);
-        let pushed = node.pushed();
+        let node = &mut backend.model;
+        let taken = node.receive(now, incoming, &mut self.deduplication, &mut events);
+        let pushed = node.overload();
         match taken {
             Ok(()) => {
                 self.hold(received, fault);
                 self.record(received.record(Taken::Held, pushed));
             }
-            Err(Why::Down) => {
+            Err(RejectionReason::Down) => {
                 self.record(received.record(Taken::Swallowed, pushed));
                 self.refuse(received.attempt_id, Left::Broken, AttemptOutcome::Reset);
             }
@@ -223,16 +223,16 @@
                 self.refuse(received.attempt_id, Left::Replied, AttemptOutcome::Rejected);
             }
         }
-        self.apply_happenings(received.node, happenings);
+        self.apply_backend_events(received.node, events);
     }
 
     /// The key by which a group of backends drops a repeat of this RPC, where its method has one.
-    fn deduplication_mark(&self, received: &ReceivedAttempt) -> Option<Mark> {
+    fn deduplication_key(&self, received: &ReceivedAttempt) -> Option<IdempotencyKey> {
         let rpc = rpc_of_request(received.request_id);
         let method = self.plan.arrivals[rpc as usize].method;
         let machine = &self.machines[received.node as usize];
         match self.scenario.method[method as usize].effect() {
-            Kind::Deduplicated { group, window } => Some(Mark {
+            Kind::Deduplicated { group, window } => Some(IdempotencyKey {
                 group: group.number(machine.zone, machine.rack),
                 key: u64::from(rpc),
                 window,
@@ -283,15 +283,15 @@
         if entry.life.is_none() || !machine.held_attempts.remove(&attempt_id) {
             return;
         }
-        let mut happenings = Vec::new();
+        let mut events = Vec::new();
         if let Some(backend) = machine.backend.as_mut() {
-            let node = &mut backend.node;
-            node.cancel(self.now, attempt_id, &mut self.repeats, &mut happenings);
+            let node = &mut backend.model;
+            node.cancel(self.now, attempt_id, &mut self.deduplication, &mut events);
         }
         self.record(Event::Left {
             attempt_id,
             how: Left::Withdrawn,
         });
-        self.apply_happenings(entry.node, happenings);
+        self.apply_backend_events(entry.node, events);
     }
 }
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -1,13 +1,13 @@
 //! The life cycle of backends, their load reports and health checks.
 use super::endpoint_list::ListEntry;
 use super::event::{ProcessEvent, SimulationEvent};
-use super::machine::Backend;
+use super::machine::BackendProcess;
 use super::process::ProcessId;
 use super::{NETWORK_DELAY, POLL_INTERVAL, World};
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::event::Left;
 use birchhub_audit::{Event, State};
-use birchhub_backend_model::{Happening, Node, Repeats, Start};
+use birchhub_backend_model::{Backend, BackendEvent, DeduplicationCache, Start};
 
 /// s until a health check without an answer has timed out, by the proxy's own clock.
 const HEALTH_CHECK_TIMEOUT: f64 = 0.1;
@@ -32,10 +32,10 @@
         self.next_life += 1;
         let machine = &mut self.machines[node as usize];
         let factor = machine.capacity_factor;
-        let mut model = Node::new(machine.spec.clone(), now, how);
-        model.scale(now, factor, &mut self.repeats, &mut Vec::new());
+        let mut model = Backend::new(machine.spec.clone(), now, how);
+        model.scale(now, factor, &mut self.deduplication, &mut Vec::new());
         let able = (machine.spec.cores as f64 * machine.spec.speed) as f32;
-        machine.backend = Some(Backend { life, node: model });
+        machine.backend = Some(BackendProcess { life, model });
         machine.cold_started_at = (how == Start::Cold).then_some(now);
         machine.stalls.clear();
         self.record(Event::Born {
@@ -63,7 +63,7 @@
     /// Ends the backend of a machine, and breaks the connections of the attempts there; returns its life.
     fn stop_backend(&mut self, node: u32) -> Option<u32> {
         let machine = &mut self.machines[node as usize];
-        let Backend { life, .. } = machine.backend.take()?;
+        let BackendProcess { life, .. } = machine.backend.take()?;
         let held_attempts = std::mem::take(&mut machine.held_attempts);
         let deferred_events = std::mem::take(&mut machine.deferred_events);
         machine.stalls.clear();
@@ -95,7 +95,7 @@
     pub(super) fn retire_backend(&mut self, retirement: Retirement) {
         let machine = &self.machines[retirement.node as usize];
         let backend = machine.backend.as_ref();
-        let is_busy = backend.is_some_and(|backend| backend.node.in_flight() > 0);
+        let is_busy = backend.is_some_and(|backend| backend.model.in_flight() > 0);
         if is_busy && self.now < retirement.by {
             let retry = SimulationEvent::RetireBackend(retirement);
             return self.schedule(POLL_INTERVAL, retry);
@@ -109,7 +109,7 @@
     pub(super) fn load_report(&mut self, node: u32) -> Option<LoadReport> {
         let now = self.now;
         let backend = self.machines[node as usize].backend.as_mut()?;
-        let load = backend.node.report(now);
+        let load = backend.model.report(now);
         Some(LoadReport {
             in_flight: Some(load.in_flight as f64),
             queued: Some(load.queued as f64),
@@ -120,8 +120,8 @@
     /// Applies a backend's own event that was scheduled, unless another one has taken its place.
     pub(super) fn advance_backend(&mut self, node: u32, version: u64) {
         if self.machines[node as usize].version == version {
-            self.change_backend(node, |node, now, repeats, happenings| {
-                node.advance(now, repeats, happenings)
+            self.change_backend(node, |node, now, deduplication, events| {
+                node.advance(now, deduplication, events)
             });
         }
     }
@@ -130,34 +130,34 @@
     pub(super) fn change_backend(
         &mut self,
         node: u32,
-        change: impl FnOnce(&mut Node, f64, &mut Repeats, &mut Vec<Happening>),
+        change: impl FnOnce(&mut Backend, f64, &mut DeduplicationCache, &mut Vec<BackendEvent>),
     ) {
-        let mut happenings = Vec::new();
+        let mut events = Vec::new();
         if let Some(backend) = self.machines[node as usize].backend.as_mut() {
             change(
-                &mut backend.node,
+                &mut backend.model,
                 self.now,
-                &mut self.repeats,
-                &mut happenings,
+                &mut self.deduplication,
+                &mut events,
             );
-            self.apply_happenings(node, happenings);
+            self.apply_backend_events(node, events);
         }
     }
 
     /// Records what happened at a backend, sends its replies, and schedules its next event.
-    pub(super) fn apply_happenings(&mut self, node: u32, happenings: Vec<Happening>) {
-        for happening in happenings {
-            match happening {
-                Happening::Started(attempt_id) => self.record(Event::Started { attempt_id }),
-                Happening::Finished(attempt_id) => {
+    pub(super) fn apply_backend_events(&mut self, node: u32, events: Vec<BackendEvent>) {
+        for event in events {
+            match event {
+                BackendEvent::Started(attempt_id) => self.record(Event::Started { attempt_id }),
+                BackendEvent::Finished(attempt_id) => {
                     self.record(Event::Finished { attempt_id });
                     self.send_reply(node, attempt_id);
                 }
-                Happening::Repeated(attempt_id) => {
+                BackendEvent::DuplicateDropped(attempt_id) => {
                     self.record(Event::Repeated { attempt_id });
                     self.send_reply(node, attempt_id);
                 }
-                Happening::Fell => {
+                BackendEvent::Collapsed => {
                     if let Some(life) = self.machines[node as usize].life() {
                         self.record(Event::Fell { life });
                         self.stop_backend(node);
@@ -173,7 +173,7 @@
         machine.version += 1;
         let version = machine.version;
         let backend = machine.backend.as_ref();
-        if let Some(at) = backend.and_then(|backend| backend.node.next_event()) {
+        if let Some(at) = backend.and_then(|backend| backend.model.next_event()) {
             self.queue.put(
                 at.max(self.now),
                 SimulationEvent::BackendDue { node, version },
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -63,8 +63,8 @@
 
     fn scale_machine(&mut self, node: u32, factor: f64) {
         self.machines[node as usize].capacity_factor *= factor;
-        self.change_backend(node, |node, now, repeats, happenings| {
-            node.scale(now, factor, repeats, happenings)
+        self.change_backend(node, |node, now, deduplication, events| {
+            node.scale(now, factor, deduplication, events)
         });
     }
 
@@ -85,7 +85,7 @@
     fn drain_backend(&mut self, node: u32) {
         if let Some(backend) = self.machines[node as usize].backend.as_mut() {
             let life = backend.life;
-            backend.node.drain();
+            backend.model.drain();
             self.record(Event::Drained { life });
         }
     }
@@ -132,8 +132,8 @@
         }
         let is_stalled = !machine.stalls.is_empty();
         if is_stalled != was_stalled {
-            self.change_backend(node, |node, now, repeats, happenings| {
-                node.stall(now, is_stalled, repeats, happenings)
+            self.change_backend(node, |node, now, deduplication, events| {
+                node.stall(now, is_stalled, deduplication, events)
             });
         }
         if !is_stalled {
--- a/crates/simulation/src/world/machine.rs
+++ b/crates/simulation/src/world/machine.rs
@@ -1,17 +1,17 @@
 //! A machine of the deployment, and the backend process on it.
 use super::event::SimulationEvent;
-use birchhub_backend_model::{Node, Spec};
+use birchhub_backend_model::{Backend, Spec};
 use birchhub_rehearsal::plan::{PlannedNode, Trick};
 use birchhub_rehearsal::scenario::Scenario;
 use birchhub_rehearsal::settings;
 use std::collections::BTreeSet;
 
 /// A backend process.
-pub(super) struct Backend {
+pub(super) struct BackendProcess {
     /// The ledger's number of this process: each start is a new life.
     pub(super) life: u32,
     /// The model that works on its RPCs.
-    pub(super) node: Node,
+    pub(super) model: Backend,
 }
 
 /// A fault at a machine's sockets.
@@ -31,7 +31,7 @@
     /// The rack that it is in.
     pub(super) rack: u32,
     /// The backend process that runs on it.
-    pub(super) backend: Option<Backend>,
+    pub(super) backend: Option<BackendProcess>,
     /// When its backend started, s; `None` for one that has long run.
     pub(super) cold_started_at: Option<f64>,
     /// The product of the planned changes of its speed; a new backend starts with it.
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -18,7 +18,7 @@
 use birchhub::interface::Settings;
 use birchhub_audit::event::End;
 use birchhub_audit::{Answer, Entry, Event, Head, State};
-use birchhub_backend_model::{Repeats, Start};
+use birchhub_backend_model::{DeduplicationCache, Start};
 use birchhub_rehearsal::plan::Plan;
 use birchhub_rehearsal::scenario::Scenario;
 use birchhub_rehearsal::settings;
@@ -59,7 +59,7 @@
     entries: Vec<Entry>,
     machines: Vec<Machine>,
     /// What groups of backends remember in order to drop repeats.
-    repeats: Repeats,
+    deduplication: DeduplicationCache,
     /// By method: the factor that faults put on its work.
     method_slowdown: Vec<f64>,
     /// By proxy: the process that runs.
@@ -119,7 +119,7 @@
             queue: Queue::default(),
             entries: Vec::new(),
             machines: machines.collect(),
-            repeats: Repeats::default(),
+            deduplication: DeduplicationCache::default(),
             method_slowdown: vec![1.0; scenario.method.len()],
             proxies: (0..proxies).map(|_| None).collect(),
             processes: 0,
