--- a/crates/audit/src/audit.rs
+++ b/crates/audit/src/audit.rs
@@ -64,7 +64,7 @@
     pub withdrawn: usize,
 }
 
-/// A cold life and how near to its fall it came.
+/// A cold incarnation and how near to its fall it came.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ColdLife {
     pub node: String,
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug)]
 struct Pick {
     attempt_id: u64,
-    life: u32,
+    incarnation: u32,
     begun: f64,
     taken: Taken,
     /// When it was over for its proxy.
@@ -123,9 +123,9 @@
 }
 
 #[derive(Debug)]
-struct Life {
+struct Incarnation {
     node: u32,
-    born: f64,
+    started_at: f64,
     cold: bool,
     peak: f64,
     /// Work of the last window: when, how much, from an informed proxy or not.
@@ -138,8 +138,8 @@
     rpcs: HashMap<u32, Asked>,
     tries: BTreeMap<u64, Try>,
     attempt_ids: HashMap<u64, u64>,
-    lives: HashMap<u32, Life>,
-    /// What each proxy was told last of a node: its life, and since when it takes nothing new.
+    incarnations: HashMap<u32, Incarnation>,
+    /// What each proxy was told last of a node: its incarnation, and since when it takes nothing new.
     told: HashMap<(u16, u32), (u32, Option<f64>)>,
     /// When each proxy's process ended.
     ended: HashMap<u16, Vec<(f64, End)>>,
@@ -159,7 +159,7 @@
             rpcs: HashMap::new(),
             tries: BTreeMap::new(),
             attempt_ids: HashMap::new(),
-            lives: HashMap::new(),
+            incarnations: HashMap::new(),
             told: HashMap::new(),
             ended: HashMap::new(),
             breaches: BTreeMap::new(),
@@ -260,24 +260,27 @@
                 self.tries.insert(request_id, entry);
             }
             Event::Answered { request_id, answer } => self.answered(at, request_id, answer),
-            Event::Born {
-                life, node, cold, ..
+            Event::BackendStarted {
+                incarnation,
+                node,
+                cold,
+                ..
             } => {
                 let push = VecDeque::new();
-                self.lives.insert(
-                    life,
-                    Life {
+                self.incarnations.insert(
+                    incarnation,
+                    Incarnation {
                         node,
-                        born: at,
+                        started_at: at,
                         cold,
                         peak: 0.0,
                         push,
                     },
                 );
             }
-            Event::Fell { life } => self.fell(at, life),
+            Event::BackendCollapsed { incarnation } => self.fell(at, incarnation),
             Event::Got {
-                life,
+                incarnation,
                 attempt_id,
                 request_id,
                 proxy,
@@ -286,9 +289,9 @@
                 pushed,
                 taken,
             } => {
-                self.got(life, attempt_id, request_id, begun, taken);
-                self.after_told(life, request_id, proxy, begun);
-                self.pushed(at, life, proxy, f64::from(work), f64::from(pushed));
+                self.got(incarnation, attempt_id, request_id, begun, taken);
+                self.after_told(incarnation, request_id, proxy, begun);
+                self.pushed(at, incarnation, proxy, f64::from(work), f64::from(pushed));
             }
             Event::Started { attempt_id } => self.started(at, attempt_id),
             Event::Repeated { .. } => self.counts.dropped_repeats += 1,
@@ -301,13 +304,15 @@
             Event::Told {
                 proxy,
                 node,
-                life,
+                incarnation,
                 state,
             } => {
                 let off = (state != State::Ready).then_some(at);
-                let slot = self.told.entry((proxy, node)).or_insert((life, off));
-                let still = slot.1.filter(|_| slot.0 == life && state != State::Ready);
-                *slot = (life, still.or(off));
+                let slot = self.told.entry((proxy, node)).or_insert((incarnation, off));
+                let still = slot
+                    .1
+                    .filter(|_| slot.0 == incarnation && state != State::Ready);
+                *slot = (incarnation, still.or(off));
             }
             Event::ProxyStarted { proxy } => {
                 // It starts from what it is told now and has forgotten the rest.
@@ -336,8 +341,8 @@
                     pick.time = Some(f64::from(seconds));
                 }
             }
-            Event::Drained { .. }
-            | Event::Died { .. }
+            Event::BackendDraining { .. }
+            | Event::BackendEnded { .. }
             | Event::Finished { .. }
             | Event::Changed { .. }
             | Event::ProxyReady { .. }
@@ -388,7 +393,14 @@
         }
     }
 
-    fn got(&mut self, life: u32, attempt_id: u64, request_id: u64, begun: f64, taken: Taken) {
+    fn got(
+        &mut self,
+        incarnation: u32,
+        attempt_id: u64,
+        request_id: u64,
+        begun: f64,
+        taken: Taken,
+    ) {
         self.counts.picks += 1;
         self.counts.turned_away += usize::from(taken == Taken::TurnedAway);
         self.attempt_ids.insert(attempt_id, request_id);
@@ -405,7 +417,7 @@
         let over = (taken == Taken::TurnedAway).then_some(begun);
         entry.picks.push(Pick {
             attempt_id,
-            life,
+            incarnation,
             begun,
             taken,
             over,
@@ -414,15 +426,15 @@
     }
 
     /// Rule 3, for one pick.
-    fn after_told(&mut self, life: u32, request_id: u64, proxy: u16, begun: f64) {
-        let Some(node) = self.lives.get(&life).map(|l| l.node) else {
+    fn after_told(&mut self, incarnation: u32, request_id: u64, proxy: u16, begun: f64) {
+        let Some(node) = self.incarnations.get(&incarnation).map(|l| l.node) else {
             return;
         };
-        // Off since then, for this life: what was said of an earlier one does not count.
+        // Off since then, for this incarnation: what was said of an earlier one does not count.
         let Some((_, Some(off))) = self
             .told
             .get(&(proxy, node))
-            .filter(|told| told.0 == life)
+            .filter(|told| told.0 == incarnation)
             .copied()
         else {
             return;
@@ -441,9 +453,9 @@
         }
     }
 
-    fn pushed(&mut self, at: f64, life: u32, proxy: u16, work: f64, pushed: f64) {
+    fn pushed(&mut self, at: f64, incarnation: u32, proxy: u16, work: f64, pushed: f64) {
         let window = self.head.rules.fall_window;
-        let Some(entry) = self.lives.get_mut(&life) else {
+        let Some(entry) = self.incarnations.get_mut(&incarnation) else {
             return;
         };
         if !entry.cold {
@@ -452,7 +464,7 @@
         let informed = self
             .told
             .get(&(proxy, entry.node))
-            .is_some_and(|told| told.0 == life);
+            .is_some_and(|told| told.0 == incarnation);
         entry.peak = entry.peak.max(pushed);
         entry.push.push_back((at, work, informed));
         while entry
@@ -465,9 +477,9 @@
     }
 
     /// Rule 4.
-    fn fell(&mut self, at: f64, life: u32) {
+    fn fell(&mut self, at: f64, incarnation: u32) {
         self.counts.fallen += 1;
-        let Some(entry) = self.lives.get_mut(&life) else {
+        let Some(entry) = self.incarnations.get_mut(&incarnation) else {
             return;
         };
         entry.peak = entry.peak.max(1.0);
@@ -480,7 +492,7 @@
                 .sum()
         };
         let (all, informed) = (sum(&|_| true), sum(&|informed| informed));
-        let (node, age) = (entry.node, at - entry.born);
+        let (node, age) = (entry.node, at - entry.started_at);
         if informed < INFORMED * all {
             self.counts.fallen_uninformed += 1;
             return;
@@ -586,8 +598,12 @@
                 found.push((Rule::NoEffectTwice, pick.begun, what, true));
             }
             for first in before.iter().filter(ran) {
-                let node = |life| self.lives.get(&life).map_or(u32::MAX, |l| l.node);
-                let (one, other) = (node(first.life), node(pick.life));
+                let node = |incarnation| {
+                    self.incarnations
+                        .get(&incarnation)
+                        .map_or(u32::MAX, |l| l.node)
+                };
+                let (one, other) = (node(first.incarnation), node(pick.incarnation));
                 let (what, timed) = match kind {
                     Kind::Idempotent => continue,
                     Kind::NonIdempotent => ("sent again after it may have run".to_owned(), false),
@@ -669,12 +685,17 @@
         for (request_id, entry) in &tries {
             self.judge(*request_id, entry);
         }
-        let cold = |l: &Life| ColdLife {
+        let cold = |l: &Incarnation| ColdLife {
             node: self.node_name(l.node).to_owned(),
-            from: l.born,
+            from: l.started_at,
             peak: l.peak,
         };
-        let mut cold: Vec<_> = self.lives.values().filter(|l| l.cold).map(cold).collect();
+        let mut cold: Vec<_> = self
+            .incarnations
+            .values()
+            .filter(|l| l.cold)
+            .map(cold)
+            .collect();
         cold.sort_by(|a, b| a.from.total_cmp(&b.from).then_with(|| a.node.cmp(&b.node)));
         let (kit_late, stage_late) = (parts(&mut self.late), parts(&mut self.stage_late));
         let mut breaches: Vec<_> = self.breaches.into_values().collect();
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -74,7 +74,7 @@
     Over,
 }
 
-/// One thing that happened. `request_id` is one request of a client for an RPC (its first or a retry); `life` one life of a node, from its
+/// One thing that happened. `request_id` is one request of a client for an RPC (its first or a retry); `incarnation` one run of a backend's process, from its
 /// start to its end; `attempt_id` a pick at a node. Times are seconds since the rehearsal began.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
@@ -98,26 +98,35 @@
         request_id: u64,
         answer: Answer,
     },
-    /// A life of a node began; `able` is what it can do when warm, in standard cores.
-    Born {
-        life: u32,
+    /// An incarnation of a node began; `able` is what it can do when warm, in standard cores.
+    #[serde(rename = "Born")]
+    BackendStarted {
+        #[serde(rename = "life")]
+        incarnation: u32,
         node: u32,
         cold: bool,
         able: f32,
     },
-    Drained {
-        life: u32,
+    #[serde(rename = "Drained")]
+    BackendDraining {
+        #[serde(rename = "life")]
+        incarnation: u32,
     },
-    Died {
-        life: u32,
+    #[serde(rename = "Died")]
+    BackendEnded {
+        #[serde(rename = "life")]
+        incarnation: u32,
     },
     /// Pushed over.
-    Fell {
-        life: u32,
+    #[serde(rename = "Fell")]
+    BackendCollapsed {
+        #[serde(rename = "life")]
+        incarnation: u32,
     },
     /// A pick arrived whole; its first byte came at `begun`. `pushed` is how far it pushed a cold node to its fall.
     Got {
-        life: u32,
+        #[serde(rename = "life")]
+        incarnation: u32,
         #[serde(rename = "job")]
         attempt_id: u64,
         #[serde(rename = "attempt")]
@@ -149,14 +158,16 @@
     /// The truth about a node changed and the list service knows.
     Changed {
         node: u32,
-        life: u32,
+        #[serde(rename = "life")]
+        incarnation: u32,
         state: State,
     },
     /// The list service wrote it to a proxy, or the proxy started with it.
     Told {
         proxy: u16,
         node: u32,
-        life: u32,
+        #[serde(rename = "life")]
+        incarnation: u32,
         state: State,
     },
     /// A proxy's process began, ended, and answered that it is ready.
--- a/crates/audit/src/story.rs
+++ b/crates/audit/src/story.rs
@@ -6,7 +6,7 @@
 /// Which entries belong to an RPC, and the names behind the numbers.
 pub struct Story<'a> {
     head: &'a Head,
-    /// RPC of each request, request of each attempt, node of each life.
+    /// RPC of each request, request of each attempt, node of each incarnation.
     rpcs: HashMap<u64, u32>,
     attempt_ids: HashMap<u64, u64>,
     nodes: HashMap<u32, u32>,
@@ -30,7 +30,9 @@
                     request_id,
                     ..
                 } => drop(story.attempt_ids.insert(attempt_id, request_id)),
-                Event::Born { life, node, .. } => drop(story.nodes.insert(life, node)),
+                Event::BackendStarted {
+                    incarnation, node, ..
+                } => drop(story.nodes.insert(incarnation, node)),
                 _ => {}
             }
         }
@@ -59,10 +61,12 @@
         self.head.nodes.get(node as usize).map_or("?", |n| &n.name)
     }
 
-    fn life(&self, life: u32) -> String {
+    fn incarnation(&self, incarnation: u32) -> String {
         format!(
-            "{} (life {life})",
-            self.nodes.get(&life).map_or("?", |node| self.node(*node))
+            "{} (life {incarnation})",
+            self.nodes
+                .get(&incarnation)
+                .map_or("?", |node| self.node(*node))
         )
     }
 
@@ -107,20 +111,29 @@
             Event::Answered { request_id, answer } => {
                 format!("try {request_id:016x} answered: {answer:?}")
             }
-            Event::Born {
-                life, cold, able, ..
+            Event::BackendStarted {
+                incarnation,
+                cold,
+                able,
+                ..
             } => {
                 format!(
                     "{} starts {}, able {able:.2}",
-                    self.life(*life),
+                    self.incarnation(*incarnation),
                     if *cold { "cold" } else { "warm" }
                 )
             }
-            Event::Drained { life } => format!("{} drains", self.life(*life)),
-            Event::Died { life } => format!("{} ends", self.life(*life)),
-            Event::Fell { life } => format!("{} is pushed over", self.life(*life)),
+            Event::BackendDraining { incarnation } => {
+                format!("{} drains", self.incarnation(*incarnation))
+            }
+            Event::BackendEnded { incarnation } => {
+                format!("{} ends", self.incarnation(*incarnation))
+            }
+            Event::BackendCollapsed { incarnation } => {
+                format!("{} is pushed over", self.incarnation(*incarnation))
+            }
             Event::Got {
-                life,
+                incarnation,
                 attempt_id,
                 request_id,
                 proxy,
@@ -131,7 +144,7 @@
             } => format!(
                 "try {request_id:016x} pick {attempt_id} at {} from {}, first byte at {begun:.4}, work {:.1} ms, pushed {:.0}%: \
                  {taken:?}",
-                self.life(*life),
+                self.incarnation(*incarnation),
                 self.proxy(*proxy),
                 work * 1e3,
                 pushed * 1e2
@@ -140,17 +153,21 @@
             Event::Repeated { attempt_id } => format!("pick {attempt_id} dropped as a repeat"),
             Event::Finished { attempt_id } => format!("pick {attempt_id} has run"),
             Event::Left { attempt_id, how } => format!("pick {attempt_id} is over: {how:?}"),
-            Event::Changed { node, life, state } => {
-                format!("{} (life {life}) is {state:?}", self.node(*node))
+            Event::Changed {
+                node,
+                incarnation,
+                state,
+            } => {
+                format!("{} (life {incarnation}) is {state:?}", self.node(*node))
             }
             Event::Told {
                 proxy,
                 node,
-                life,
+                incarnation,
                 state,
             } => {
                 format!(
-                    "{} told: {} (life {life}) is {state:?}",
+                    "{} told: {} (life {incarnation}) is {state:?}",
                     self.proxy(*proxy),
                     self.node(*node)
                 )
--- a/crates/audit/tests/audit.rs
+++ b/crates/audit/tests/audit.rs
@@ -65,12 +65,12 @@
 impl LedgerBuilder {
     fn new() -> Self {
         let mut builder = Self::default();
-        for life in 0..3 {
+        for incarnation in 0..3 {
             builder.at(
                 0.0,
-                Event::Born {
-                    life,
-                    node: life,
+                Event::BackendStarted {
+                    incarnation,
+                    node: incarnation,
                     cold: false,
                     able: 2.0,
                 },
@@ -111,14 +111,14 @@
         at: f64,
         request_id: u64,
         attempt_id: u64,
-        life: u32,
+        incarnation: u32,
         taken: Taken,
     ) -> &mut Self {
         let (proxy, begun, work, pushed) = (0, at, 0.1, 0.0);
         self.at(
             at,
             Event::Got {
-                life,
+                incarnation,
                 attempt_id,
                 request_id,
                 proxy,
@@ -322,14 +322,14 @@
 }
 
 /// Two attempts of one RPC, the first accepted in this way, the second at this time and node; then success.
-fn twice(method: u8, first: Taken, second: f64, life: u32) -> LedgerBuilder {
+fn twice(method: u8, first: Taken, second: f64, incarnation: u32) -> LedgerBuilder {
     let mut builder = LedgerBuilder::new();
     builder
         .asked(1.0, 7, method)
         .got(1.001, 7, 100, 0, first)
         .left(1.01, 100, Left::Broken);
     builder
-        .got(second, 7, 101, life, Taken::Held)
+        .got(second, 7, 101, incarnation, Taken::Held)
         .left(second + 0.01, 101, Left::Replied);
     builder.answered(second + 0.02, 7, Answer::Ok);
     builder
@@ -452,10 +452,10 @@
 
 #[test]
 fn an_attempt_at_a_draining_node_is_found_once_its_proxy_was_notified() {
-    let told = |state, life, at| Event::Told {
+    let told = |state, incarnation, at| Event::Told {
         proxy: at,
         node: 0,
-        life,
+        incarnation,
         state,
     };
     for state in [State::Draining, State::Gone] {
@@ -498,8 +498,8 @@
 fn overloaded_in_slow_start(from_notified_proxy: u32) -> LedgerBuilder {
     const LIFE: u32 = 9;
     let mut ledger = LedgerBuilder::new();
-    let born = Event::Born {
-        life: LIFE,
+    let started_at = Event::BackendStarted {
+        incarnation: LIFE,
         node: 2,
         cold: true,
         able: 2.0,
@@ -507,10 +507,10 @@
     let notified = Event::Told {
         proxy: 0,
         node: 2,
-        life: LIFE,
+        incarnation: LIFE,
         state: State::Ready,
     };
-    ledger.at(1.0, born).at(1.0, notified);
+    ledger.at(1.0, started_at).at(1.0, notified);
     for rpc in 0..3 {
         let (at, request_id) = (1.2 + f64::from(rpc) * 0.1, u64::from(rpc));
         let proxy = u16::from(rpc >= from_notified_proxy);
@@ -527,7 +527,7 @@
             patience: 0.5,
         };
         let got = Event::Got {
-            life: LIFE,
+            incarnation: LIFE,
             attempt_id: request_id,
             request_id,
             proxy,
@@ -539,7 +539,7 @@
         ledger.at(at, asked).at(at, sent).at(at, got);
         ledger.answered(1.5, request_id, Answer::Aborted(502));
     }
-    ledger.at(1.5, Event::Fell { life: LIFE });
+    ledger.at(1.5, Event::BackendCollapsed { incarnation: LIFE });
     ledger
 }
 
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -92,7 +92,7 @@
 
 fn backend_events() -> Vec<Event> {
     let got = |taken| Event::Got {
-        life: 3,
+        incarnation: 3,
         attempt_id: 4,
         request_id: 5,
         proxy: 1,
@@ -103,15 +103,15 @@
     };
     let left = |how| Event::Left { attempt_id: 4, how };
     vec![
-        Event::Born {
-            life: 3,
+        Event::BackendStarted {
+            incarnation: 3,
             node: 2,
             cold: true,
             able: 1.5,
         },
-        Event::Drained { life: 3 },
-        Event::Died { life: 3 },
-        Event::Fell { life: 3 },
+        Event::BackendDraining { incarnation: 3 },
+        Event::BackendEnded { incarnation: 3 },
+        Event::BackendCollapsed { incarnation: 3 },
         got(Taken::Held),
         got(Taken::TurnedAway),
         got(Taken::Swallowed),
@@ -129,13 +129,13 @@
     let states = [State::Ready, State::Draining, State::Gone];
     let changed = states.map(|state| Event::Changed {
         node: 2,
-        life: 3,
+        incarnation: 3,
         state,
     });
     let told = states.map(|state| Event::Told {
         proxy: 1,
         node: 2,
-        life: 3,
+        incarnation: 3,
         state,
     });
     changed.into_iter().chain(told).collect()
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What the nodes of a fleet share: what RPCs cost, which keys have run, and numbers for picks and lives.
+//! What the nodes of a fleet share: what RPCs cost, which keys have run, and numbers for picks and incarnations.
 use crate::notes::Notes;
 use birchhub_audit::Kind;
 use birchhub_backend_model::{DeduplicationCache, IdempotencyKey, Work, work};
@@ -37,7 +37,7 @@
     /// How much slower each method is now: 1 is as usual.
     slow: RefCell<Vec<f64>>,
     next_attempt_id: Cell<u64>,
-    next_life: Cell<u32>,
+    next_incarnation: Cell<u32>,
 }
 
 impl Fleet {
@@ -53,7 +53,7 @@
             deduplication: RefCell::default(),
             slow,
             next_attempt_id: Cell::new(1),
-            next_life: Cell::new(1),
+            next_incarnation: Cell::new(1),
         }
     }
 
@@ -61,8 +61,9 @@
         self.next_attempt_id.replace(self.next_attempt_id.get() + 1)
     }
 
-    pub fn life(&self) -> u32 {
-        self.next_life.replace(self.next_life.get() + 1)
+    pub fn new_incarnation(&self) -> u32 {
+        self.next_incarnation
+            .replace(self.next_incarnation.get() + 1)
     }
 
     /// From now on a method's work is multiplied by this once more.
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -31,7 +31,7 @@
     /// Its address for each proxy.
     pub doors: Vec<SocketAddr>,
     pub state: State,
-    pub life: u32,
+    pub incarnation: u32,
     /// When it last started, Unix time in ms; 0 for long ago.
     pub boot_ms: f64,
 }
@@ -158,7 +158,7 @@
     pub fn change(&self, node: u32, line: Line) {
         self.notes.tell(Event::Changed {
             node,
-            life: line.life,
+            incarnation: line.incarnation,
             state: line.state,
         });
         let mut now = self.now.borrow_mut();
@@ -230,7 +230,7 @@
                 .collect();
             let told = lines
                 .iter()
-                .map(|(node, (_, line))| (**node, line.life, line.state))
+                .map(|(node, (_, line))| (**node, line.incarnation, line.state))
                 .collect();
             (
                 json!({"rev": copy.version, "all": from.is_none(), "targets": targets}),
@@ -244,19 +244,19 @@
         let mut known = self.told.borrow_mut();
         let mut news = told;
         if whole {
-            let left_out = |((p, node), (life, _)): (&(u16, u32), &(u32, State))| {
+            let left_out = |((p, node), (incarnation, _)): (&(u16, u32), &(u32, State))| {
                 let missing = *p == proxy && news.iter().all(|(n, ..)| n != node);
-                missing.then_some((*node, *life, State::Gone))
+                missing.then_some((*node, *incarnation, State::Gone))
             };
             let gone: Vec<_> = known.iter().filter_map(left_out).collect();
             news.extend(gone);
         }
-        for (node, life, state) in news {
-            if known.insert((proxy, node), (life, state)) != Some((life, state)) {
+        for (node, incarnation, state) in news {
+            if known.insert((proxy, node), (incarnation, state)) != Some((incarnation, state)) {
                 self.notes.tell(Event::Told {
                     proxy,
                     node,
-                    life,
+                    incarnation,
                     state,
                 });
             }
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,4 +1,4 @@
-//! One api node on sockets: the model behind a door for each proxy, so that it knows who sends what. Each life of the node
+//! One api node on sockets: the model behind a door for each proxy, so that it knows who sends what. Each incarnation of the node
 //! has tasks of its own (one that accepts at each door, one a connection, and the one that drives the model), and
 //! all of them end with it.
 use crate::faults::{Fault, Faults};
@@ -38,7 +38,7 @@
     pub idle_limit: f64,
 }
 
-/// How a life ends for those who are connected.
+/// How an incarnation ends for those who are connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Over {
     Not,
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Done;
 
-struct Life {
+struct Incarnation {
     number: u32,
     node: Backend,
     waiting: HashMap<AttemptId, oneshot::Sender<Done>>,
@@ -61,13 +61,13 @@
     stalls: BTreeSet<u64>,
 }
 
-/// The node. Its addresses stay the same over all its lives.
+/// The node. Its addresses stay the same over all its incarnations.
 pub struct NodeHost {
     pub place: Place,
     fleet: Rc<Fleet>,
     pub faults: Faults,
     doors: Vec<SocketAddr>,
-    life: RefCell<Option<Life>>,
+    incarnation: RefCell<Option<Incarnation>>,
     /// Part of the machine that neighbours leave.
     machine: Cell<f64>,
     /// The model's next event may have moved.
@@ -87,14 +87,16 @@
 /// A connection's place among those that the node holds, given back when it is dropped.
 struct Slot {
     host: Rc<NodeHost>,
-    life: u32,
+    incarnation: u32,
     held: bool,
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
         if self.held {
-            self.host.with(self.life, |life| life.node.disconnect());
+            self.host.with(self.incarnation, |incarnation| {
+                incarnation.node.disconnect()
+            });
         }
     }
 }
@@ -102,7 +104,7 @@
 /// A pick that the node holds; however it ends, that is told once.
 struct Pick<'a> {
     host: &'a NodeHost,
-    life: u32,
+    incarnation: u32,
     attempt_id: AttemptId,
     how: Left,
     /// When the proxy gave it up, if that was before the node could take it.
@@ -113,15 +115,16 @@
     /// The proxy no longer waits: the work is dropped where the model says so.
     fn withdrawn(mut self) {
         self.how = Left::Withdrawn;
-        self.host.change(self.life, |life, now, fleet, out| {
-            life.waiting.remove(&self.attempt_id);
-            life.node.cancel(
-                now,
-                self.attempt_id,
-                &mut fleet.deduplication.borrow_mut(),
-                out,
-            );
-        });
+        self.host
+            .change(self.incarnation, |incarnation, now, fleet, out| {
+                incarnation.waiting.remove(&self.attempt_id);
+                incarnation.node.cancel(
+                    now,
+                    self.attempt_id,
+                    &mut fleet.deduplication.borrow_mut(),
+                    out,
+                );
+            });
     }
 }
 
@@ -139,14 +142,14 @@
     pub fn new(place: Place, fleet: Rc<Fleet>, doors: &[IpAddr]) -> io::Result<Rc<Self>> {
         let reserve = |ip: &IpAddr| std::net::TcpListener::bind((*ip, 0))?.local_addr();
         let doors = doors.iter().map(reserve).collect::<io::Result<_>>()?;
-        let (life, faults, moved) = (RefCell::new(None), Faults::default(), Notify::new());
+        let (incarnation, faults, moved) = (RefCell::new(None), Faults::default(), Notify::new());
         let machine = Cell::new(1.0);
         Ok(Rc::new(Self {
             place,
             fleet,
             faults,
             doors,
-            life,
+            incarnation,
             machine,
             moved,
             weather: watch::channel(0).0,
@@ -158,34 +161,37 @@
         self.doors.get(proxy as usize).copied()
     }
 
-    /// Number of the life it is in.
-    pub fn life(&self) -> Option<u32> {
-        self.life.borrow().as_ref().map(|life| life.number)
+    /// Number of the incarnation it is in.
+    pub fn incarnation(&self) -> Option<u32> {
+        self.incarnation
+            .borrow()
+            .as_ref()
+            .map(|incarnation| incarnation.number)
     }
 
     /// Whether it holds nothing, or is not there.
     pub fn is_idle(&self) -> bool {
-        self.life
+        self.incarnation
             .borrow()
             .as_ref()
-            .is_none_or(|life| life.node.in_flight() == 0)
+            .is_none_or(|incarnation| incarnation.node.in_flight() == 0)
     }
 
     pub fn in_flight(&self) -> usize {
-        self.life
+        self.incarnation
             .borrow()
             .as_ref()
-            .map_or(0, |life| life.node.in_flight())
+            .map_or(0, |incarnation| incarnation.node.in_flight())
     }
 
-    /// Begins a life; the one before must have ended.
+    /// Begins an incarnation; the one before must have ended.
     pub fn start(self: &Rc<Self>, start: Start) -> io::Result<u32> {
         let listeners = self
             .doors
             .iter()
             .map(|at| listen(*at, BACKLOG))
             .collect::<io::Result<Vec<_>>>()?;
-        let number = self.fleet.life();
+        let number = self.fleet.new_incarnation();
         let now = self.fleet.notes.clock.now();
         let spec = &self.place.spec;
         let able = (spec.cores as f64 * spec.speed) as f32;
@@ -197,13 +203,13 @@
             &mut Vec::new(),
         );
         let (over, seen) = watch::channel(Over::Not);
-        self.fleet.notes.tell(Event::Born {
-            life: number,
+        self.fleet.notes.tell(Event::BackendStarted {
+            incarnation: number,
             node: self.place.index,
             cold: start == Start::Cold,
             able,
         });
-        *self.life.borrow_mut() = Some(Life {
+        *self.incarnation.borrow_mut() = Some(Incarnation {
             number,
             node,
             waiting: HashMap::new(),
@@ -231,18 +237,22 @@
     }
 
     fn end(&self, how: Over) {
-        if let Some(mut life) = self.life.borrow_mut().take() {
-            life.node.crash();
-            self.fleet.notes.tell(Event::Died { life: life.number });
-            life.over.send_replace(how);
+        if let Some(mut incarnation) = self.incarnation.borrow_mut().take() {
+            incarnation.node.crash();
+            self.fleet.notes.tell(Event::BackendEnded {
+                incarnation: incarnation.number,
+            });
+            incarnation.over.send_replace(how);
         }
     }
 
     /// It finishes what it has and turns away what is new.
     pub fn drain(&self) {
-        if let Some(life) = self.life.borrow_mut().as_mut() {
-            life.node.drain();
-            self.fleet.notes.tell(Event::Drained { life: life.number });
+        if let Some(incarnation) = self.incarnation.borrow_mut().as_mut() {
+            incarnation.node.drain();
+            self.fleet.notes.tell(Event::BackendDraining {
+                incarnation: incarnation.number,
+            });
         }
     }
 
@@ -256,13 +266,16 @@
     }
 
     fn stall(&self, turn: impl FnOnce(&mut BTreeSet<u64>) -> bool) {
-        let Some(number) = self.life() else { return };
-        self.change(number, |life, now, fleet, out| {
-            let before = life.stalls.is_empty();
-            turn(&mut life.stalls);
-            let stands = !life.stalls.is_empty();
+        let Some(number) = self.incarnation() else {
+            return;
+        };
+        self.change(number, |incarnation, now, fleet, out| {
+            let before = incarnation.stalls.is_empty();
+            turn(&mut incarnation.stalls);
+            let stands = !incarnation.stalls.is_empty();
             if stands == before {
-                life.node
+                incarnation
+                    .node
                     .stall(now, stands, &mut fleet.deduplication.borrow_mut(), out);
             }
         });
@@ -272,9 +285,10 @@
     /// Its machine does `factor` of what it did; processes that start later find it so.
     pub fn scale(&self, factor: f64) {
         self.machine.set(self.machine.get() * factor);
-        if let Some(number) = self.life() {
-            self.change(number, |life, now, fleet, out| {
-                life.node
+        if let Some(number) = self.incarnation() {
+            self.change(number, |incarnation, now, fleet, out| {
+                incarnation
+                    .node
                     .scale(now, factor, &mut fleet.deduplication.borrow_mut(), out);
             });
         }
@@ -290,23 +304,25 @@
         self.weather.send_modify(|n| *n += 1);
     }
 
-    /// Looks into a life, if it is still this one.
-    fn with<R>(&self, number: u32, look: impl FnOnce(&mut Life) -> R) -> Option<R> {
-        self.life
+    /// Looks into an incarnation, if it is still this one.
+    fn with<R>(&self, number: u32, look: impl FnOnce(&mut Incarnation) -> R) -> Option<R> {
+        self.incarnation
             .borrow_mut()
             .as_mut()
-            .filter(|life| life.number == number)
+            .filter(|incarnation| incarnation.number == number)
             .map(look)
     }
 
-    /// Changes a life at this moment, then tells what happened by itself.
+    /// Changes an incarnation at this moment, then tells what happened by itself.
     fn change<R>(
         &self,
         number: u32,
-        change: impl FnOnce(&mut Life, f64, &Fleet, &mut Vec<BackendEvent>) -> R,
+        change: impl FnOnce(&mut Incarnation, f64, &Fleet, &mut Vec<BackendEvent>) -> R,
     ) -> Option<R> {
         let (now, mut out) = (self.fleet.notes.clock.now(), Vec::new());
-        let result = self.with(number, |life| change(life, now, &self.fleet, &mut out));
+        let result = self.with(number, |incarnation| {
+            change(incarnation, now, &self.fleet, &mut out)
+        });
         self.tell(number, out);
         self.moved.notify_one();
         result
@@ -329,14 +345,16 @@
                     attempt_id
                 }
                 BackendEvent::Collapsed => {
-                    notes.tell(Event::Fell { life: number });
+                    notes.tell(Event::BackendCollapsed {
+                        incarnation: number,
+                    });
                     self.end(Over::Crashed);
                     continue;
                 }
             };
             // Nobody waits for the work of a health check, nor for a cancelled attempt.
             if let Some(waiter) = self
-                .with(number, |life| life.waiting.remove(&over))
+                .with(number, |incarnation| incarnation.waiting.remove(&over))
                 .flatten()
             {
                 let _ = waiter.send(Done);
@@ -348,7 +366,9 @@
     async fn drive(self: Rc<Self>, number: u32, mut over: watch::Receiver<Over>) {
         let clock = self.fleet.notes.clock;
         loop {
-            let next = self.with(number, |life| life.node.next_event()).flatten();
+            let next = self
+                .with(number, |incarnation| incarnation.node.next_event())
+                .flatten();
             select! {
                 biased;
                 _ = over.changed() => return,
@@ -361,8 +381,9 @@
                     by: (now - due).max(0.0) as f32,
                 });
             }
-            self.with(number, |life| {
-                life.node
+            self.with(number, |incarnation| {
+                incarnation
+                    .node
                     .advance(now, &mut self.fleet.deduplication.borrow_mut(), &mut out)
             });
             self.tell(number, out);
@@ -382,7 +403,7 @@
         let mut weather = self.weather.subscribe();
         let mut closed_at = None;
         while self
-            .with(number, |life| !life.stalls.is_empty())
+            .with(number, |incarnation| !incarnation.stalls.is_empty())
             .unwrap_or(false)
         {
             select! {
@@ -420,11 +441,11 @@
             match accepted {
                 Ok((stream, _)) => {
                     let held = self
-                        .with(number, |life| life.node.connect())
+                        .with(number, |incarnation| incarnation.node.connect())
                         .unwrap_or(false);
                     let slot = Slot {
                         host: self.clone(),
-                        life: number,
+                        incarnation: number,
                         held,
                     };
                     spawn_local(self.clone().connection(
@@ -442,7 +463,7 @@
         }
     }
 
-    /// One connection, until it ends or the life does. A proxy that is cut off meets silence until that is over,
+    /// One connection, until it ends or the incarnation does. A proxy that is cut off meets silence until that is over,
     /// and a reset then.
     async fn connection(
         self: Rc<Self>,
@@ -476,9 +497,9 @@
             let Ok(Ok(message)) = timeout(idle, peer.read(Kind::Request, &clock)).await else {
                 return Next::Close;
             };
-            let closed_at = self.until_awake(peer, slot.life).await;
+            let closed_at = self.until_awake(peer, slot.incarnation).await;
             let next = match message.path.as_str() {
-                "/health/live" | "/stats" => self.probe(peer, &message, slot.life).await,
+                "/health/live" | "/stats" => self.probe(peer, &message, slot.incarnation).await,
                 _ => self.rpc(peer, &message, proxy, slot, closed_at).await,
             };
             if next != Next::Read || message.is_last() {
@@ -491,9 +512,9 @@
         }
     }
 
-    fn report(&self, life: u32) -> LoadReport {
+    fn report(&self, incarnation: u32) -> LoadReport {
         let now = self.fleet.notes.clock.now();
-        self.with(life, |life| life.node.report(now))
+        self.with(incarnation, |incarnation| incarnation.node.report(now))
             .unwrap_or_default()
     }
 
@@ -501,12 +522,12 @@
     async fn answer(
         &self,
         peer: &mut Peer,
-        life: u32,
+        incarnation: u32,
         status: u16,
         more: &[(&str, &str)],
         body: &[u8],
     ) -> Next {
-        let bytes = self.encode(life, status, more, body);
+        let bytes = self.encode(incarnation, status, more, body);
         if peer.write(&bytes).await.is_ok() {
             Next::Read
         } else {
@@ -514,8 +535,8 @@
         }
     }
 
-    fn encode(&self, life: u32, status: u16, more: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-        let load = load_text(&self.report(life));
+    fn encode(&self, incarnation: u32, status: u16, more: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+        let load = load_text(&self.report(incarnation));
         let mut headers = more.to_vec();
         if self.fleet.reports_in_answers {
             headers.push(("Server-Load", &load));
@@ -523,9 +544,11 @@
         response(status, &headers, body)
     }
 
-    async fn probe(&self, peer: &mut Peer, message: &Message, life: u32) -> Next {
+    async fn probe(&self, peer: &mut Peer, message: &Message, incarnation: u32) -> Next {
         if !self.fleet.probes {
-            return self.answer(peer, life, 404, &[], b"no probes here\n").await;
+            return self
+                .answer(peer, incarnation, 404, &[], b"no probes here\n")
+                .await;
         }
         if self.fleet.probe_work > 0.0 {
             let incoming = IncomingWork {
@@ -535,18 +558,22 @@
                 first_on_connection: false,
             };
             // A probe is answered also where its work found no room.
-            self.change(life, |life, now, fleet, out| {
-                let _ =
-                    life.node
-                        .receive(now, incoming, &mut fleet.deduplication.borrow_mut(), out);
+            self.change(incarnation, |incarnation, now, fleet, out| {
+                let _ = incarnation.node.receive(
+                    now,
+                    incoming,
+                    &mut fleet.deduplication.borrow_mut(),
+                    out,
+                );
             });
         }
         let body = if message.path == "/stats" {
-            load_text(&self.report(life))
+            load_text(&self.report(incarnation))
         } else {
             "ok".to_owned()
         };
-        self.answer(peer, life, 200, &[], body.as_bytes()).await
+        self.answer(peer, incarnation, 200, &[], body.as_bytes())
+            .await
     }
 
     #[expect(clippy::too_many_lines)]
@@ -558,18 +585,22 @@
         slot: &Slot,
         closed_at: Option<f64>,
     ) -> Next {
-        let (fleet, life) = (&self.fleet, slot.life);
+        let (fleet, incarnation) = (&self.fleet, slot.incarnation);
         let id = message.header("request-id");
         let Some(request_id) = id.and_then(|id| u64::from_str_radix(id, 16).ok()) else {
             let status = if id.is_some() { 400 } else { 404 };
-            return self.answer(peer, life, status, &[], b"no such RPC\n").await;
+            return self
+                .answer(peer, incarnation, status, &[], b"no such RPC\n")
+                .await;
         };
         let key = message.header("idempotency-key");
         let (zone, rack) = (self.place.zone, self.place.rack);
         let Some((work, idempotency_key)) =
             fleet.cost(message.class(), request_id, key, zone, rack)
         else {
-            return self.answer(peer, life, 404, &[], b"no such method\n").await;
+            return self
+                .answer(peer, incarnation, 404, &[], b"no such method\n")
+                .await;
         };
         let attempt_id = fleet.new_attempt_id();
         let got = |taken, pushed: f64| {
@@ -579,7 +610,7 @@
             fleet.notes.tell_at(
                 at,
                 Event::Got {
-                    life,
+                    incarnation,
                     attempt_id,
                     request_id,
                     proxy,
@@ -601,7 +632,7 @@
             .for_rpc(|number, share| fleet.hits(number, request_id, share));
         let mut pick = Pick {
             host: self,
-            life,
+            incarnation,
             attempt_id,
             how: Left::Broken,
             closed_at,
@@ -616,7 +647,7 @@
             Some(Fault::Error { .. }) => {
                 got(Taken::Error, 0.0);
                 pick.how = Left::Replied;
-                return self.answer(peer, life, 500, &[], b"failed\n").await;
+                return self.answer(peer, incarnation, 500, &[], b"failed\n").await;
             }
             _ => {}
         }
@@ -628,21 +659,21 @@
             first_on_connection: peer.messages == 1,
         };
         let (now, mut out) = (fleet.notes.clock.now(), Vec::new());
-        let taken = self.with(life, |life| {
+        let taken = self.with(incarnation, |incarnation| {
             if !slot.held {
-                return (Err(RejectionReason::QueueFull), life.node.overload());
+                return (Err(RejectionReason::QueueFull), incarnation.node.overload());
             }
-            life.waiting.insert(attempt_id, done);
-            let taken = life.node.receive(
+            incarnation.waiting.insert(attempt_id, done);
+            let taken = incarnation.node.receive(
                 now,
                 incoming,
                 &mut fleet.deduplication.borrow_mut(),
                 &mut out,
             );
             if taken.is_err() {
-                life.waiting.remove(&attempt_id);
+                incarnation.waiting.remove(&attempt_id);
             }
-            (taken, life.node.overload())
+            (taken, incarnation.node.overload())
         });
         let (taken, pushed) = taken.unwrap_or((Err(RejectionReason::Down), 0.0));
         got(
@@ -653,7 +684,7 @@
             },
             pushed,
         );
-        self.tell(life, out);
+        self.tell(incarnation, out);
         self.moved.notify_one();
         match taken {
             Ok(()) => {}
@@ -661,14 +692,20 @@
             Err(_) => {
                 pick.how = Left::Replied;
                 let next = self
-                    .answer(peer, life, 503, &[("Not-Started", "1")], b"not started\n")
+                    .answer(
+                        peer,
+                        incarnation,
+                        503,
+                        &[("Not-Started", "1")],
+                        b"not started\n",
+                    )
                     .await;
                 return if slot.held { next } else { Next::Close };
             }
         }
         select! {
             biased;
-            // A life that has ended takes the connection with it.
+            // An incarnation that has ended takes the connection with it.
             done = &mut ended => if done.is_err() { return Next::Reset },
             () = peer.ended() => {
                 pick.withdrawn();
@@ -676,7 +713,7 @@
             }
         }
         let body = format!("{request_id:016x} {}\n", self.place.name);
-        let bytes = self.encode(life, 200, &[], body.as_bytes());
+        let bytes = self.encode(incarnation, 200, &[], body.as_bytes());
         let (next, how) = write_with(peer, &bytes, fault).await;
         pick.how = how;
         next
--- a/crates/emulator/tests/stand_ins.rs
+++ b/crates/emulator/tests/stand_ins.rs
@@ -306,7 +306,7 @@
         while Peer::connect(node.door(0).expect("a door")).await.is_ok() {
             sleep(Duration::from_millis(1)).await;
         }
-        node.start(Start::Warm).expect("a life");
+        node.start(Start::Warm).expect("an incarnation");
         Connection::open(&node, &notes, 0).await.send(2).await;
         await_event(&entries, |e| matches!(e, Event::Started { .. })).await;
     });
@@ -464,7 +464,7 @@
 fn a_node_overloaded_in_slow_start_stays_down() {
     on_one_thread(|notes, entries| async move {
         let node = node(&notes, 0.5);
-        node.start(Start::Cold).expect("a life");
+        node.start(Start::Cold).expect("an incarnation");
         // Its capacity is half of a core, and it fails at three times that within a second.
         for request_id in 0..4 {
             Connection::open(&node, &notes, 0)
@@ -472,11 +472,11 @@
                 .send(request_id)
                 .await;
         }
-        await_event(&entries, |e| matches!(e, Event::Fell { .. })).await;
+        await_event(&entries, |e| matches!(e, Event::BackendCollapsed { .. })).await;
         while Peer::connect(node.door(0).expect("a door")).await.is_ok() {
             sleep(Duration::from_millis(1)).await;
         }
-        assert_eq!(node.life(), None);
+        assert_eq!(node.incarnation(), None);
     });
 }
 
@@ -508,7 +508,7 @@
     });
 }
 
-fn line(state: State, life: u32) -> Line {
+fn line(state: State, incarnation: u32) -> Line {
     let (name, zone, machine) = ("n0".to_owned(), "a".to_owned(), "m".to_owned());
     let doors = vec![
         "127.0.0.1:1".parse().unwrap(),
@@ -522,7 +522,7 @@
         capacity: 1.0,
         doors,
         state,
-        life,
+        incarnation,
         boot_ms: 5.0,
     }
 }
--- a/crates/rehearsal/src/page.rs
+++ b/crates/rehearsal/src/page.rs
@@ -142,11 +142,19 @@
                 .for_each(|(row, held)| row[second] = *held);
         }
         match entry.event {
-            Event::Born { life, node, .. } => drop(nodes.insert(life, node as usize)),
+            Event::BackendStarted {
+                incarnation, node, ..
+            } => drop(nodes.insert(incarnation, node as usize)),
             Event::Got {
-                life, attempt_id, ..
+                incarnation,
+                attempt_id,
+                ..
             } => {
-                if let Some(node) = nodes.get(&life).copied().filter(|node| *node < now.len()) {
+                if let Some(node) = nodes
+                    .get(&incarnation)
+                    .copied()
+                    .filter(|node| *node < now.len())
+                {
                     attempt_ids.insert(attempt_id, node);
                     now[node] += 1;
                     most[node][second] = most[node][second].max(now[node]);
--- a/crates/rehearsal/src/stage.rs
+++ b/crates/rehearsal/src/stage.rs
@@ -191,7 +191,7 @@
                 capacity: 1.0,
                 doors: doors(&host, &ips, extras.links.get(&index), notes.clock)?,
                 state: State::Ready,
-                life: 0,
+                incarnation: 0,
                 boot_ms: 0.0,
             });
             hosts.push(host);
@@ -218,11 +218,11 @@
             late: Cell::new(0.0),
         };
         for n in 0..plan.first_nodes() {
-            let life = stage.hosts[n].start(Start::Warm)?;
+            let incarnation = stage.hosts[n].start(Start::Warm)?;
             stage.list.change(
                 n as u32,
                 Line {
-                    life,
+                    incarnation,
                     ..stage.lines[n].clone()
                 },
             );
@@ -259,7 +259,7 @@
     }
 
     /// The list service knows it after so long, unless something newer of the same node came first.
-    fn tell(self: &Rc<Self>, node: u32, life: u32, state: State, after: f64) {
+    fn tell(self: &Rc<Self>, node: u32, incarnation: u32, state: State, after: f64) {
         let stage = self.clone();
         let now = self.notes.clock.now();
         let (at, line) = (
@@ -273,7 +273,7 @@
         };
         let line = Line {
             state,
-            life,
+            incarnation,
             boot_ms,
             ..line.clone()
         };
@@ -284,11 +284,11 @@
     }
 
     fn begin(self: &Rc<Self>, node: u32) {
-        let Some(host) = self.host(node).filter(|host| host.life().is_none()) else {
+        let Some(host) = self.host(node).filter(|host| host.incarnation().is_none()) else {
             return;
         };
         match host.start(Start::Cold) {
-            Ok(life) => self.tell(node, life, State::Ready, self.lag),
+            Ok(incarnation) => self.tell(node, incarnation, State::Ready, self.lag),
             Err(fault) => log::error!("{} can't start: {fault}", host.place.name),
         }
     }
@@ -318,15 +318,17 @@
             Act::Scale { node, factor } => host(node).into_iter().for_each(|h| h.scale(factor)),
             Act::Slow { method, factor } => self.fleet.slow_down(method, factor),
             Act::Crash { node } => {
-                if let Some((host, life)) = host(node).and_then(|h| Some((h, h.life()?))) {
+                if let Some((host, incarnation)) =
+                    host(node).and_then(|h| Some((h, h.incarnation()?)))
+                {
                     host.crash();
-                    self.tell(node, life, State::Gone, self.notices);
+                    self.tell(node, incarnation, State::Gone, self.notices);
                 }
             }
             Act::Return { node } => self.begin(node),
             Act::Announce { node } => {
-                if let Some(life) = host(node).and_then(|h| h.life()) {
-                    self.tell(node, life, State::Draining, self.lag);
+                if let Some(incarnation) = host(node).and_then(|h| h.incarnation()) {
+                    self.tell(node, incarnation, State::Draining, self.lag);
                 }
             }
             Act::Drain { node } => host(node).into_iter().for_each(|h| h.drain()),
@@ -375,9 +377,9 @@
             while !host.is_idle() && clock.now() < by {
                 clock.sleep_until(clock.now() + LOOK).await;
             }
-            if let Some(life) = host.life() {
+            if let Some(incarnation) = host.incarnation() {
                 host.stop();
-                self.tell(node, life, State::Gone, self.lag);
+                self.tell(node, incarnation, State::Gone, self.lag);
             }
         }
         clock.sleep_until(clock.now() + after).await;
--- a/crates/rehearsal/tests/verdicts.rs
+++ b/crates/rehearsal/tests/verdicts.rs
@@ -64,12 +64,12 @@
 /// A second attempt of an RPC that must not run twice.
 fn second_attempt(rpc: u32) -> Vec<Entry> {
     let got = |at: f64, attempt_id| {
-        let (life, request_id, proxy, begun, work, pushed) =
+        let (incarnation, request_id, proxy, begun, work, pushed) =
             (1, u64::from(rpc) << 8, 0, at, 0.0, 0.0);
         Entry {
             at,
             event: Event::Got {
-                life,
+                incarnation,
                 attempt_id,
                 request_id,
                 proxy,
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -20,8 +20,8 @@
     pub(super) attempt_index: usize,
     /// The machine that it was sent to.
     pub(super) node: u32,
-    /// The life of the backend that holds it.
-    pub(super) life: Option<u32>,
+    /// The incarnation of the backend that holds it.
+    pub(super) incarnation: Option<u32>,
     /// The fault that its answer will meet.
     pub(super) fault: Option<Trick>,
 }
@@ -32,7 +32,7 @@
     request_id: u64,
     proxy: u16,
     node: u32,
-    life: u32,
+    incarnation: u32,
     /// When its connection was opened, s.
     begun: f64,
     /// s of a standard core.
@@ -43,7 +43,7 @@
     /// The ledger's record of what the backend did with it; `pushed` is the load that the backend reports.
     fn record(&self, taken: Taken, pushed: f64) -> Event {
         Event::Got {
-            life: self.life,
+            incarnation: self.incarnation,
             attempt_id: self.attempt_id,
             request_id: self.request_id,
             proxy: self.proxy,
@@ -83,7 +83,7 @@
         };
         let (proxy, request_id) = (entry.process.proxy, entry.request_id);
         let attempt_index = entry.attempt_index;
-        if entry.life.is_none() {
+        if entry.incarnation.is_none() {
             self.proxy_attempts.remove(&attempt_id);
         }
         if outcome == AttemptOutcome::Succeeded {
@@ -116,7 +116,7 @@
         let Some(entry) = self.proxy_attempts.get_mut(&attempt_id) else {
             return;
         };
-        entry.life = None;
+        entry.incarnation = None;
         let (process, node) = (entry.process, entry.node);
         if self.is_partitioned(node, process.proxy) {
             return;
@@ -156,7 +156,7 @@
             let arrival = SimulationEvent::AttemptAtBackend { attempt_id, begun };
             return machine.deferred_events.push(arrival);
         }
-        let Some(life) = machine.life() else {
+        let Some(incarnation) = machine.incarnation() else {
             return self.send_outcome(attempt_id, AttemptOutcome::ConnectFailed, 0.0);
         };
         let arrival = &self.plan.arrivals[rpc_of_request(request_id) as usize];
@@ -165,7 +165,7 @@
             request_id,
             proxy,
             node,
-            life,
+            incarnation,
             begun,
             work: arrival.work * self.method_slowdown[arrival.method as usize],
         };
@@ -245,7 +245,7 @@
         let machine = &mut self.machines[received.node as usize];
         machine.held_attempts.insert(received.attempt_id);
         if let Some(entry) = self.proxy_attempts.get_mut(&received.attempt_id) {
-            (entry.life, entry.fault) = (Some(received.life), fault);
+            (entry.incarnation, entry.fault) = (Some(received.incarnation), fault);
         }
     }
 
@@ -280,7 +280,7 @@
             return;
         };
         let machine = &mut self.machines[entry.node as usize];
-        if entry.life.is_none() || !machine.held_attempts.remove(&attempt_id) {
+        if entry.incarnation.is_none() || !machine.held_attempts.remove(&attempt_id) {
             return;
         }
         let mut events = Vec::new();
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -26,25 +26,25 @@
 }
 
 impl World<'_> {
-    /// Starts a backend on a machine; returns its life.
+    /// Starts a backend on a machine; returns its incarnation.
     pub(super) fn start_backend(&mut self, node: u32, how: Start) -> u32 {
-        let (now, life) = (self.now, self.next_life);
-        self.next_life += 1;
+        let (now, incarnation) = (self.now, self.next_incarnation);
+        self.next_incarnation += 1;
         let machine = &mut self.machines[node as usize];
         let factor = machine.capacity_factor;
         let mut model = Backend::new(machine.spec.clone(), now, how);
         model.scale(now, factor, &mut self.deduplication, &mut Vec::new());
         let able = (machine.spec.cores as f64 * machine.spec.speed) as f32;
-        machine.backend = Some(BackendProcess { life, model });
+        machine.backend = Some(BackendProcess { incarnation, model });
         machine.cold_started_at = (how == Start::Cold).then_some(now);
         machine.stalls.clear();
-        self.record(Event::Born {
-            life,
+        self.record(Event::BackendStarted {
+            incarnation,
             node,
             cold: how == Start::Cold,
             able,
         });
-        life
+        incarnation
     }
 
     /// Starts a backend cold on a machine without one, and lists it.
@@ -53,22 +53,22 @@
             return;
         }
         let list_entry = ListEntry {
-            life: self.start_backend(node, Start::Cold),
+            incarnation: self.start_backend(node, Start::Cold),
             state: State::Ready,
             started: Some(self.now),
         };
         self.schedule_publication(node, list_entry, self.scenario.list.lag.0);
     }
 
-    /// Ends the backend of a machine, and breaks the connections of the attempts there; returns its life.
+    /// Ends the backend of a machine, and breaks the connections of the attempts there; returns its incarnation.
     fn stop_backend(&mut self, node: u32) -> Option<u32> {
         let machine = &mut self.machines[node as usize];
-        let BackendProcess { life, .. } = machine.backend.take()?;
+        let BackendProcess { incarnation, .. } = machine.backend.take()?;
         let held_attempts = std::mem::take(&mut machine.held_attempts);
         let deferred_events = std::mem::take(&mut machine.deferred_events);
         machine.stalls.clear();
         machine.version += 1;
-        self.record(Event::Died { life });
+        self.record(Event::BackendEnded { incarnation });
         for attempt_id in held_attempts {
             self.record(Event::Left {
                 attempt_id,
@@ -81,13 +81,13 @@
                 self.send_outcome(attempt_id, AttemptOutcome::Reset, 0.0);
             }
         }
-        Some(life)
+        Some(incarnation)
     }
 
     /// Ends the backend of a machine; the endpoint list service knows of it after `delay` s.
     pub(super) fn remove_backend(&mut self, node: u32, delay: f64) {
-        if let Some(life) = self.stop_backend(node) {
-            self.schedule_publication(node, ListEntry::gone(life), delay);
+        if let Some(incarnation) = self.stop_backend(node) {
+            self.schedule_publication(node, ListEntry::gone(incarnation), delay);
         }
     }
 
@@ -158,8 +158,8 @@
                     self.send_reply(node, attempt_id);
                 }
                 BackendEvent::Collapsed => {
-                    if let Some(life) = self.machines[node as usize].life() {
-                        self.record(Event::Fell { life });
+                    if let Some(incarnation) = self.machines[node as usize].incarnation() {
+                        self.record(Event::BackendCollapsed { incarnation });
                         self.stop_backend(node);
                     }
                 }
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -113,7 +113,7 @@
                 request_id,
                 attempt_index,
                 node: backend,
-                life: None,
+                incarnation: None,
                 fault: None,
             },
         );
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -20,7 +20,7 @@
     pub(super) fn publish_endpoint(&mut self, node: u32, list_entry: ListEntry) {
         self.record(Event::Changed {
             node,
-            life: list_entry.life,
+            incarnation: list_entry.incarnation,
             state: list_entry.state,
         });
         for proxy in self.list.publish(node, list_entry) {
@@ -49,7 +49,7 @@
             self.record(Event::Told {
                 proxy,
                 node: *node,
-                life: list_entry.life,
+                incarnation: list_entry.incarnation,
                 state: list_entry.state,
             });
         }
--- a/crates/simulation/src/world/endpoint_list.rs
+++ b/crates/simulation/src/world/endpoint_list.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ListEntry {
     /// The backend process that it speaks of.
-    pub life: u32,
+    pub incarnation: u32,
     /// Whether the backend takes work.
     pub state: State,
     /// When it started, s; `None` for long ago.
@@ -15,9 +15,9 @@
 
 impl ListEntry {
     /// The backend has ended.
-    pub(crate) fn gone(life: u32) -> Self {
+    pub(crate) fn gone(incarnation: u32) -> Self {
         Self {
-            life,
+            incarnation,
             state: State::Gone,
             started: None,
         }
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -71,9 +71,9 @@
     /// The endpoint list will say that a backend drains.
     fn announce_drain(&mut self, node: u32) {
         let machine = &self.machines[node as usize];
-        if let Some(life) = machine.life() {
+        if let Some(incarnation) = machine.incarnation() {
             let list_entry = ListEntry {
-                life,
+                incarnation,
                 state: State::Draining,
                 started: machine.cold_started_at,
             };
@@ -84,9 +84,9 @@
     /// A backend turns new work away.
     fn drain_backend(&mut self, node: u32) {
         if let Some(backend) = self.machines[node as usize].backend.as_mut() {
-            let life = backend.life;
+            let incarnation = backend.incarnation;
             backend.model.drain();
-            self.record(Event::Drained { life });
+            self.record(Event::BackendDraining { incarnation });
         }
     }
 
--- a/crates/simulation/src/world/machine.rs
+++ b/crates/simulation/src/world/machine.rs
@@ -8,8 +8,8 @@
 
 /// A backend process.
 pub(super) struct BackendProcess {
-    /// The ledger's number of this process: each start is a new life.
-    pub(super) life: u32,
+    /// The ledger's number of this process: each start is a new incarnation.
+    pub(super) incarnation: u32,
     /// The model that works on its RPCs.
     pub(super) model: Backend,
 }
@@ -69,9 +69,9 @@
         }
     }
 
-    /// The life of the backend that runs on it.
-    pub(super) fn life(&self) -> Option<u32> {
-        self.backend.as_ref().map(|backend| backend.life)
+    /// The incarnation of the backend that runs on it.
+    pub(super) fn incarnation(&self) -> Option<u32> {
+        self.backend.as_ref().map(|backend| backend.incarnation)
     }
 
     /// Whether its backend runs but is held up.
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -78,7 +78,7 @@
     /// By the attempt's number in the ledger.
     client_requests: HashMap<u64, ClientRequest>,
     next_attempt_id: u64,
-    next_life: u32,
+    next_incarnation: u32,
     /// By proxy.
     settings: Vec<Settings>,
     /// s, of all methods.
@@ -130,7 +130,7 @@
             proxy_attempts: HashMap::new(),
             client_requests: HashMap::new(),
             next_attempt_id: 1,
-            next_life: 1,
+            next_incarnation: 1,
             settings: settings.collect::<Result<_, _>>()?,
             longest_deadline: deadlines.fold(0.0, f64::max),
         })
@@ -153,7 +153,7 @@
     fn set_up(&mut self) {
         for node in 0..self.plan.first_nodes() as u32 {
             let list_entry = ListEntry {
-                life: self.start_backend(node, Start::Warm),
+                incarnation: self.start_backend(node, Start::Warm),
                 state: State::Ready,
                 started: None,
             };
