--- a/src/endpoint_index/tests.rs
+++ b/src/endpoint_index/tests.rs
@@ -1,59 +1,81 @@
 use super::*;
 use quickcheck::{Gen, QuickCheck};
 
-/// After any additions and removals each subset is what a plain vector says, and every member knows its
-/// position.
-fn subsets_are_those_of_a_plain_vector(moves: Vec<(u8, u8, bool)>) -> bool {
-    const SUBSETS: [Subset; 6] = [
-        Subset::Ready,
-        Subset::Available,
-        Subset::AvailableLocal,
-        Subset::Zone(1),
-        Subset::Cell(7),
-        Subset::Zone(2),
-    ];
-    let mut index = EndpointIndex::default();
-    let mut plain: Vec<(u32, Subset)> = Vec::new();
-    for (id, subset, member) in moves {
-        let (id, subset) = (u32::from(id % 12), SUBSETS[subset as usize % SUBSETS.len()]);
-        let backend = index.get_or_insert(id);
-        // One zone at a time: a backend is in one only, as its description has it.
+const SUBSETS: [Subset; 6] = [
+    Subset::Ready,
+    Subset::Available,
+    Subset::AvailableLocal,
+    Subset::Zone(1),
+    Subset::Cell(7),
+    Subset::Zone(2),
+];
+
+/// The index, and a list of the memberships that it should hold.
+#[derive(Default)]
+struct ModelledIndex {
+    index: EndpointIndex,
+    memberships: Vec<(u32, Subset)>,
+}
+
+impl ModelledIndex {
+    fn is_in_another_zone(&self, id: u32, zone: usize) -> bool {
+        let is_another = |subset: &Subset| matches!(subset, Subset::Zone(other) if *other != zone);
+        self.memberships
+            .iter()
+            .any(|(member, subset)| *member == id && is_another(subset))
+    }
+
+    /// Adds a backend to a subset or removes it. A backend is in one zone at a time, as its description has it.
+    fn set_member(&mut self, id: u32, subset: Subset, member: bool) {
+        let backend = self.index.get_or_insert(id);
         if let Subset::Zone(zone) = subset {
-            if plain
-                .iter()
-                .any(|(n, s)| *n == id && matches!(s, Subset::Zone(z) if *z != zone))
-            {
-                continue;
+            if self.is_in_another_zone(id, zone) {
+                return;
             }
             backend.zone.set(zone);
         }
         backend.ready.set(true);
         backend.cell.set(7);
-        index.set_member(&backend, subset, member);
-        plain.retain(|entry| *entry != (id, subset));
-        plain.extend(member.then_some((id, subset)));
-        if id == 5 && !member {
-            index.remove(&backend);
-            plain.retain(|(n, _)| *n != 5);
-        }
+        self.index.set_member(&backend, subset, member);
+        self.memberships.retain(|entry| *entry != (id, subset));
+        self.memberships.extend(member.then_some((id, subset)));
     }
-    SUBSETS.iter().all(|subset| {
-        let mut members: Vec<_> = index.subset(*subset).iter().map(|b| b.id).collect();
-        let position = |b: &Backend| b.index_positions[subset.slot()].get();
-        let placed = index
-            .subset(*subset)
+
+    fn remove(&mut self, id: u32) {
+        let backend = self.index.get_or_insert(id);
+        self.index.remove(&backend);
+        self.memberships.retain(|(member, _)| *member != id);
+    }
+
+    /// The subset has the listed members, and each of them knows its position.
+    fn agrees_on(&self, subset: Subset) -> bool {
+        let members = self.index.subset(subset);
+        let position = |backend: &Backend| backend.index_positions[subset.slot()].get();
+        let positions_are_known = members
             .iter()
             .enumerate()
-            .all(|(n, b)| position(b) == Some(n));
-        let mut expected: Vec<_> = plain
-            .iter()
-            .filter(|(_, s)| s == subset)
-            .map(|(id, _)| *id)
-            .collect();
-        members.sort_unstable();
+            .all(|(n, backend)| position(backend) == Some(n));
+        let mut found: Vec<_> = members.iter().map(|backend| backend.id).collect();
+        let of_subset = self.memberships.iter().filter(|(_, s)| *s == subset);
+        let mut expected: Vec<_> = of_subset.map(|(id, _)| *id).collect();
+        found.sort_unstable();
         expected.sort_unstable();
-        placed && members == expected
-    })
+        positions_are_known && found == expected
+    }
+}
+
+/// After any additions and removals each subset has the members that a plain list says.
+fn subsets_match_a_plain_list(moves: Vec<(u8, u8, bool)>) -> bool {
+    let mut modelled = ModelledIndex::default();
+    for (id, subset, member) in moves {
+        let id = u32::from(id % 12);
+        let subset = SUBSETS[subset as usize % SUBSETS.len()];
+        modelled.set_member(id, subset, member);
+        if id == 5 && !member {
+            modelled.remove(id);
+        }
+    }
+    SUBSETS.iter().all(|subset| modelled.agrees_on(*subset))
 }
 
 #[test]
@@ -61,11 +83,11 @@
     let mut check = QuickCheck::new()
         .tests(500)
         .rng(Gen::from_size_and_seed(120, 3));
-    check.quickcheck(subsets_are_those_of_a_plain_vector as fn(_) -> bool);
+    check.quickcheck(subsets_match_a_plain_list as fn(_) -> bool);
 }
 
 #[test]
-fn expiries_come_in_the_order_of_time_and_once() {
+fn expiries_are_returned_once_in_order_of_time() {
     let mut index = EndpointIndex::default();
     for (id, at) in [(1, 3.0), (2, 1.0), (3, 2.0), (1, 1.5), (4, 9.0)] {
         let backend = index.get_or_insert(id);
@@ -73,6 +95,6 @@
     }
     let removed = index.get_or_insert(3);
     index.remove(&removed);
-    let told: Vec<_> = std::iter::from_fn(|| index.next_expired(5.0).map(|b| b.id)).collect();
-    assert_eq!(told, [2, 1, 1]);
+    let expired: Vec<_> = std::iter::from_fn(|| index.next_expired(5.0).map(|b| b.id)).collect();
+    assert_eq!(expired, [2, 1, 1]);
 }
