--- a/crates/daemon/src/decision/endpoints.rs
+++ b/crates/daemon/src/decision/endpoints.rs
@@ -1,5 +1,6 @@
-//! The backends: their numbers by uid, their endpoint actors, and how updates of the endpoint list change them.
+//! The registry of backends: their endpoint actors, and how updates of the endpoint list change them.
 use crate::clock::Clock;
+use crate::decision::endpoint_ids::EndpointIds;
 use crate::decision::start_times::StartTime;
 use crate::discovery::update::{EndpointUpdate, ListedEndpoint};
 use crate::invariants::Invariants;
@@ -16,27 +17,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// For which a backend that was removed keeps its number: one that comes and goes stays the same backend.
-const FORGET_AFTER: Duration = Duration::from_secs(2);
+/// Relative size of every backend where the deployment does not list sizes.
+const UNLISTED_RELATIVE_SIZE: f64 = 1.0;
 
-/// The number by which the decisions know a backend, and when it started.
-struct KnownBackend {
-    number: u32,
-    last_listed: Instant,
-    start: StartTime,
-}
-
-/// All that the daemon knows of the backends.
+/// The backends of this process.
 pub(super) struct EndpointRegistry {
-    /// The actors of the backends that are listed, by number; each ends when it is dropped here.
+    /// The endpoint actors of the listed backends, by backend id. An actor ends when its handle is dropped.
     handles: HashMap<u32, EndpointHandle>,
-    /// By uid; also those of backends that were removed lately.
-    numbers: HashMap<String, KnownBackend>,
-    /// The uids in `numbers` that are not in the list, to be forgotten in time.
-    removed: HashSet<String>,
-    next_number: u32,
-    /// The last line of each backend that was not removed, by uid.
+    ids: EndpointIds,
+    /// The last list entry of each backend that is not removed, by uid.
     listed: HashMap<String, ListedEndpoint>,
+    /// The zones that the settings name.
     zones: Vec<String>,
     lists_sizes: bool,
     limits: ConnectionLimits,
@@ -45,7 +36,7 @@
 }
 
 impl EndpointRegistry {
-    /// A registry without backends.
+    /// Creates a registry without backends.
     pub(super) fn new(
         settings: &ParsedSettings,
         budget: Rc<SocketBudget>,
@@ -53,9 +44,7 @@
     ) -> Self {
         Self {
             handles: HashMap::new(),
-            numbers: HashMap::new(),
-            removed: HashSet::new(),
-            next_number: 0,
+            ids: EndpointIds::default(),
             listed: HashMap::new(),
             zones: settings.zones.clone(),
             lists_sizes: settings.lists_endpoint_sizes,
@@ -68,27 +57,27 @@
         }
     }
 
-    /// Hands an exchange to a backend; dropped where the backend has gone or its mailbox is full.
+    /// Sends an exchange to the actor of a backend. Drops it if the backend is not listed or its mailbox is full.
     pub(super) fn send(&self, backend: u32, exchange: Exchange) {
         if let Some(handle) = self.handles.get(&backend) {
             let _ = handle.mailbox.try_send(Box::new(exchange));
         }
     }
 
-    /// Where a backend listens, if it is listed.
+    /// Returns the address of a listed backend.
     pub(super) fn address(&self, backend: u32) -> Option<SocketAddr> {
         let handle = self.handles.get(&backend)?;
         Some(handle.info.borrow().address)
     }
 
-    /// The last lines of those of these backends that are listed.
+    /// Returns the last list entries of those of the given backends that are listed.
     pub(super) fn listed<'a>(&self, uids: impl Iterator<Item = &'a String>) -> Vec<ListedEndpoint> {
         uids.filter_map(|uid| self.listed.get(uid))
             .cloned()
             .collect()
     }
 
-    /// Applies an update of the list, and returns what the decisions are to be told of its lines.
+    /// Applies an update of the endpoint list. Returns the endpoints that it names, in the form that the balancer takes.
     pub(super) fn apply(
         &mut self,
         update: &EndpointUpdate,
@@ -103,142 +92,110 @@
         let endpoints = update
             .listed
             .iter()
-            .map(|line| self.apply_line(line, update.changed_since, admin, clock))
+            .map(|listed| self.apply_endpoint(listed, update.changed_since, admin, clock))
             .collect();
+        let handles = &self.handles;
+        let is_listed = |id| handles.contains_key(&id);
         if is_snapshot {
-            self.mark_unlisted_removed();
+            self.ids.mark_unlisted_removed(is_listed);
         }
-        self.forget_removed(now);
+        self.ids.drop_expired(now, is_listed);
         endpoints
     }
 
-    /// Ends the backends that a snapshot does not name.
+    /// Drops the backends that a snapshot does not name.
     fn drop_unlisted(&mut self, snapshot: &EndpointUpdate) {
         let uids: HashSet<_> = snapshot
             .listed
             .iter()
-            .map(|line| line.uid.as_str())
+            .map(|listed| listed.uid.as_str())
             .collect();
         self.listed.retain(|uid, _| uids.contains(uid.as_str()));
-        let numbers: HashSet<_> = uids
-            .iter()
-            .filter_map(|uid| self.numbers.get(*uid))
-            .map(|known| known.number)
-            .collect();
-        self.handles.retain(|number, _| numbers.contains(number));
+        let ids = self.ids.of(uids.into_iter());
+        self.handles.retain(|id, _| ids.contains(id));
     }
 
-    fn apply_line(
+    fn apply_endpoint(
         &mut self,
-        line: &ListedEndpoint,
+        listed: &ListedEndpoint,
         changed_since: Option<Instant>,
         admin: &AdminState,
         clock: &Clock,
     ) -> Endpoint {
-        if line.readiness == Readiness::Removed {
-            self.listed.remove(&line.uid);
-        } else {
-            self.listed.insert(line.uid.clone(), line.clone());
-        }
-        // The one place where maintenance counts: all that follows takes the backend for what this says.
-        let listed = EndpointStatus {
-            readiness: line.readiness,
-            started_at_ms: line.boot_ms,
-        };
+        self.record_listed(listed);
+        // The only place where maintenance overrides the list. All code below uses the effective status.
         let EndpointStatus {
             readiness,
-            started_at_ms: boot_ms,
-        } = admin.effective_status(&line.uid, listed);
-        let start = || StartTime::read(boot_ms, changed_since, clock);
-        let known = self.known(&line.uid, start);
-        if !known.start.is_of(boot_ms) {
-            known.start = start();
+            started_at_ms,
+        } = admin.effective_status(
+            &listed.uid,
+            EndpointStatus {
+                readiness: listed.readiness,
+                started_at_ms: listed.boot_ms,
+            },
+        );
+        let read_start = || StartTime::read(started_at_ms, changed_since, clock);
+        let known = self.ids.get_or_assign(&listed.uid, read_start);
+        if !known.start.was_read_from(started_at_ms) {
+            known.start = read_start();
         }
-        let (backend, started_at) = (known.number, known.start.seconds());
+        let backend = known.id;
+        let started_at = known.start.seconds();
         if readiness == Readiness::Removed {
             self.handles.remove(&backend);
-            self.removed.insert(line.uid.clone());
+            self.ids.mark_removed(&listed.uid);
         } else {
             let info = EndpointInfo {
-                address: line.endpoint,
+                address: listed.endpoint,
                 ready: readiness == Readiness::Ready,
             };
             self.start_or_inform(backend, info);
         }
         Endpoint {
             backend,
-            relative_size: if self.lists_sizes { line.size } else { 1.0 },
+            relative_size: if self.lists_sizes {
+                listed.size
+            } else {
+                UNLISTED_RELATIVE_SIZE
+            },
             started_at,
-            cell: cell_of(line, backend),
-            zone: self.zone_of(line, backend),
+            cell: cell_of(listed, backend),
+            zone: self.zone_of(listed, backend),
             readiness,
         }
     }
 
-    /// The number and start of a backend that is named in the list now; a new number if it has none.
-    fn known(&mut self, uid: &str, start: impl Fn() -> StartTime) -> &mut KnownBackend {
-        let now = Instant::now();
-        let known = self.numbers.entry(uid.to_owned()).or_insert_with(|| {
-            self.next_number += 1;
-            KnownBackend {
-                number: self.next_number - 1,
-                last_listed: now,
-                start: start(),
-            }
-        });
-        known.last_listed = now;
-        known
+    fn record_listed(&mut self, listed: &ListedEndpoint) {
+        if listed.readiness == Readiness::Removed {
+            self.listed.remove(&listed.uid);
+        } else {
+            self.listed.insert(listed.uid.clone(), listed.clone());
+        }
     }
 
-    /// Starts the actor of a backend, or tells it what the list says now.
+    /// Starts the actor of a backend, or sends it the present list entry.
     fn start_or_inform(&mut self, backend: u32, info: EndpointInfo) {
         if let Some(handle) = self.handles.get(&backend) {
             handle.info.send_replace(info);
         } else {
-            let (budget, invariants) = (self.budget.clone(), self.invariants.clone());
+            let budget = self.budget.clone();
+            let invariants = self.invariants.clone();
             let handle = EndpointHandle::start(info, self.limits, budget, invariants);
             self.handles.insert(backend, handle);
         }
     }
 
-    /// A backend of no known zone shares its zone with nobody.
-    fn zone_of(&self, line: &ListedEndpoint, backend: u32) -> usize {
+    /// Returns the index of a backend's zone. A backend without a known zone has an index of its own.
+    fn zone_of(&self, listed: &ListedEndpoint, backend: u32) -> usize {
         self.zones
             .iter()
-            .position(|zone| *zone == line.zone)
+            .position(|zone| *zone == listed.zone)
             .unwrap_or(self.zones.len() + backend as usize)
     }
-
-    fn mark_unlisted_removed(&mut self) {
-        self.removed = self
-            .numbers
-            .iter()
-            .filter(|(_, known)| !self.handles.contains_key(&known.number))
-            .map(|(uid, _)| uid.clone())
-            .collect();
-    }
-
-    /// Gives back the numbers of backends that were removed some time ago. Looks at these only, so that no update
-    /// costs a walk over the whole fleet.
-    fn forget_removed(&mut self, now: Instant) {
-        let (numbers, handles) = (&mut self.numbers, &self.handles);
-        self.removed.retain(|uid| {
-            let Some(known) = numbers.get(uid) else {
-                return false;
-            };
-            if handles.contains_key(&known.number) {
-                return false;
-            }
-            let keeps_number = now < known.last_listed + FORGET_AFTER;
-            if !keeps_number {
-                numbers.remove(uid);
-            }
-            keeps_number
-        });
-    }
 }
 
-/// A backend of no known cell shares its cell with nobody: it may not drop another's retries as duplicates.
-fn cell_of(line: &ListedEndpoint, backend: u32) -> u64 {
-    line.cell.unwrap_or(u64::MAX - u64::from(backend))
+/// Returns the cell of a backend. A backend without a listed cell has a cell of its own: no other backend is known to
+/// recognise its retries as duplicates.
+fn cell_of(listed: &ListedEndpoint, backend: u32) -> u64 {
+    listed.cell.unwrap_or(u64::MAX - u64::from(backend))
 }
--- a/crates/daemon/src/decision/heartbeat.rs
+++ b/crates/daemon/src/decision/heartbeat.rs
@@ -1,49 +1,49 @@
-//! Detection that the process was stopped: the decision actor is busy at least once in each heartbeat interval,
-//! unless the machine did not run it.
+//! The heartbeat of the process, which detects suspensions: the decision actor runs at least once per heartbeat
+//! interval unless the machine does not schedule the process.
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest time between two heartbeats of a process that runs: short against the times that the decisions measure.
+/// Time from one heartbeat to the next; short compared with the times that the decisions measure.
 const INTERVAL: Duration = Duration::from_millis(10);
 
-/// Scheduling lag of a heartbeat from which on the process counts as stopped: a busy machine often lags by less.
-const MAX_LAG: Duration = Duration::from_millis(10);
+/// Scheduling lag of a heartbeat above which the process counts as suspended. A busy machine often lags by less.
+const MAX_SCHEDULING_LAG: Duration = Duration::from_millis(10);
 
-/// When the next heartbeat is due, and when the process last went on after it was stopped.
+/// The next heartbeat, and the end of the last suspension.
 pub(super) struct Heartbeat {
     due: Instant,
-    resumed: Instant,
+    resumed_at: Instant,
 }
 
 impl Heartbeat {
-    /// A heartbeat of a process that starts now.
+    /// Starts the heartbeat now.
     pub(super) fn start() -> Self {
         let now = Instant::now();
         Self {
             due: now + INTERVAL,
-            resumed: now,
+            resumed_at: now,
         }
     }
 
-    /// When the next one is due.
+    /// Returns when the next heartbeat is due.
     pub(super) fn due(&self) -> Instant {
         self.due
     }
 
-    /// Records a heartbeat. Returns for how long the process was stopped before it, if it was.
-    pub(super) fn beat(&mut self) -> Option<Duration> {
+    /// Records a heartbeat. Returns how long the process was suspended before it, or `None` if it was not.
+    pub(super) fn record(&mut self) -> Option<Duration> {
         let now = Instant::now();
-        let was_stopped = now > self.due + MAX_LAG;
-        let stopped_for = was_stopped.then(|| now - self.due);
-        if was_stopped {
-            self.resumed = now;
+        let was_suspended = now > self.due + MAX_SCHEDULING_LAG;
+        let suspended_for = was_suspended.then(|| now - self.due);
+        if was_suspended {
+            self.resumed_at = now;
         }
         self.due = now + INTERVAL;
-        stopped_for
+        suspended_for
     }
 
-    /// Whether the process went on so lately that what ends now may have been late because of that.
+    /// Returns whether the process resumed so recently that an exchange that ends now may be late because of it.
     pub(super) fn has_just_resumed(&self) -> bool {
-        Instant::now() < self.resumed + MAX_LAG
+        Instant::now() < self.resumed_at + MAX_SCHEDULING_LAG
     }
 }
--- a/crates/daemon/src/decision/in_flight.rs
+++ b/crates/daemon/src/decision/in_flight.rs
@@ -1,4 +1,4 @@
-//! An RPC in flight: what its attempts need, who waits for its response, and which attempts are out.
+//! The state of an RPC in flight: its request, the client that waits for the response, and its attempts.
 use crate::downstream::request::ParsedRequest;
 use crate::downstream::request_ids::RequestIdGuard;
 use crate::downstream::response::ProxyResponse;
@@ -10,70 +10,72 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The client's end of an RPC.
+/// The client of an RPC.
 pub(super) struct RpcClient {
-    /// Whether it is still connected.
+    /// Tells whether the client is still connected.
     pub liveness: ClientLiveness,
-    /// Takes the response.
+    /// Receives the response.
     pub responder: oneshot::Sender<ProxyResponse>,
-    /// Keeps the `Request-Id` reserved.
+    /// Reserves the `Request-Id`.
     pub request_id: RequestIdGuard,
 }
 
-/// The times that limit the attempts of an RPC.
+/// The limits on the attempts of an RPC.
 pub(super) struct RpcLimits {
-    /// By when the RPC is to be answered.
+    /// Time by which the client must have its response.
     pub deadline: Instant,
-    /// Whether it may be sent again after an attempt that may have run.
+    /// Whether an attempt may follow one that a backend may have executed.
     pub repeat_rule: RepeatRule,
 }
 
-/// An attempt that was started.
+/// An attempt of an RPC.
 struct InFlightAttempt {
-    /// Cancels or withdraws it; none once that was done, or the attempt ended.
+    /// Dropped to cancel the attempt, or sent to in order to withdraw it if unsent. `None` once either was done or the
+    /// attempt ended.
     cancel: Option<oneshot::Sender<()>>,
-    /// When it was started; none once it is known that it never ran.
+    /// Start time, or `None` if the backend certainly did not execute the attempt.
     may_have_run_since: Option<Instant>,
 }
 
-/// An RPC from its arrival until it is over and all its attempts have ended.
+/// An RPC, from its arrival until it has its response and all its attempts have ended.
 pub(super) struct InFlightRpc {
     request: ParsedRequest,
     client: ClientLiveness,
     limits: RpcLimits,
-    /// None once the client has its response or has disconnected.
+    /// `None` once the client has its response or has disconnected.
     responder: Option<oneshot::Sender<ProxyResponse>>,
-    is_answered: bool,
+    has_response: bool,
     attempts: Vec<InFlightAttempt>,
-    /// Prevents a second RPC of this name while an attempt of this one is still out.
+    /// Prevents a second RPC with the same `Request-Id` while an attempt of this one is in flight.
     _request_id: RequestIdGuard,
 }
 
 impl InFlightRpc {
-    /// An RPC without attempts.
+    /// Creates an RPC without attempts.
     pub(super) fn new(request: ParsedRequest, client: RpcClient, limits: RpcLimits) -> Self {
         Self {
             request,
             client: client.liveness,
             limits,
             responder: Some(client.responder),
-            is_answered: false,
+            has_response: false,
             attempts: Vec::new(),
             _request_id: client.request_id,
         }
     }
 
-    /// The `Request-Id`, for the log.
+    /// Returns the `Request-Id`, for the log.
     pub(super) fn request_id(&self) -> &str {
         self.request.id_text()
     }
 
-    /// Attempts started so far.
+    /// Returns the number of attempts so far, refused ones included.
     pub(super) fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Starts an attempt that is to be answered by this time, or by the RPC's deadline if that is earlier.
+    /// Records a new attempt and returns its exchange, which times out at `until` or at the RPC's deadline, whichever is
+    /// earlier.
     pub(super) fn start_attempt(&mut self, until: Instant) -> ExchangeRequest {
         let (sender, cancel) = oneshot::channel();
         let send_by = self.send_by();
@@ -93,53 +95,53 @@
         }
     }
 
-    /// By when a retry has to be sent. The decisions judged by their own clock, before a connection was opened and
-    /// perhaps before this process was stopped: prevents a retry so late that the backend no longer drops it as a
-    /// duplicate.
+    /// Returns the time by which a retry must be sent. Prevents a retry so late that the backend no longer recognises it
+    /// as a duplicate: the decisions allowed it by their own clock, before the connection was opened and perhaps before
+    /// this process was suspended.
     fn send_by(&self) -> Option<Instant> {
         match self.limits.repeat_rule {
-            RepeatRule::Within(window) => Some(self.first_may_have_run()? + window),
+            RepeatRule::Within(window) => Some(self.first_possible_execution()? + window),
             RepeatRule::Always | RepeatRule::Never => None,
         }
     }
 
-    /// When the first of its attempts was started that may have run.
-    fn first_may_have_run(&self) -> Option<Instant> {
-        let started = self.attempts.iter();
-        started
+    /// Returns the start of the first attempt that a backend may have executed.
+    fn first_possible_execution(&self) -> Option<Instant> {
+        self.attempts
+            .iter()
             .filter_map(|attempt| attempt.may_have_run_since)
             .min()
     }
 
-    /// What an attempt that is to start now is judged by.
+    /// Returns the facts by which the invariants judge an attempt that starts now.
     pub(super) fn attempt_start(&self) -> AttemptStart {
         AttemptStart {
             is_answered: !self.awaits_response(),
             repeat_rule: self.limits.repeat_rule,
-            since_first: self.first_may_have_run().map(|first| first.elapsed()),
+            since_first: self.first_possible_execution().map(|first| first.elapsed()),
         }
     }
 
-    /// Records an attempt that was refused before it started; its end is reported as that of any other.
-    pub(super) fn refuse_attempt(&mut self) {
+    /// Records an attempt that the invariants refused. Its completion is reported as that of any other attempt.
+    pub(super) fn record_refused_attempt(&mut self) {
         self.attempts.push(InFlightAttempt {
             cancel: None,
             may_have_run_since: None,
         });
     }
 
-    /// Cancels an attempt, whatever was sent of it.
+    /// Cancels an attempt, even if it was sent.
     pub(super) fn cancel_attempt(&mut self, index: usize) {
         if let Some(attempt) = self.attempts.get_mut(index) {
             drop(attempt.cancel.take());
         }
     }
 
-    /// Withdraws all attempts of which nothing was sent yet.
+    /// Withdraws all attempts that are still unsent.
     pub(super) fn withdraw_attempts(&mut self) {
         for attempt in &mut self.attempts {
             if let Some(cancel) = attempt.cancel.take() {
-                // An attempt that has ended hears it no more.
+                // The receiver is gone if the attempt has ended.
                 let _ = cancel.send(());
             }
         }
@@ -154,26 +156,30 @@
         }
     }
 
-    /// Whether its client still waits for a response.
+    /// Returns whether the client still waits for the response.
     pub(super) fn awaits_response(&self) -> bool {
         self.responder.is_some()
     }
 
-    /// Whether a part of its body that is not kept has gone out, so that the RPC can't be retried.
+    /// Returns whether unbuffered parts of the body were forwarded, so that the RPC can't be retried.
     pub(super) fn is_upload_consumed(&self) -> bool {
         self.request
             .upload()
             .is_some_and(|upload| upload.is_consumed())
     }
 
-    /// Gives the client its response, unless it has disconnected; an error if it has one already.
+    /// Sends the response to the client, unless it has disconnected.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Violation::SecondAnswer`] if the RPC already has a response.
     pub(super) fn respond(&mut self, response: ProxyResponse) -> Result<(), Violation> {
-        if self.is_answered {
+        if self.has_response {
             return Err(Violation::SecondAnswer);
         }
         if let Some(responder) = self.responder.take() {
-            self.is_answered = true;
-            // Where the client has disconnected there is nobody to tell.
+            self.has_response = true;
+            // The receiver is gone if the client has disconnected.
             let _ = responder.send(response);
         }
         Ok(())
@@ -185,14 +191,17 @@
     }
 }
 
-/// By method, whether its RPCs may be sent again after an attempt that may have run.
+/// Returns the repeat rule of each method, by method index.
 pub(super) fn repeat_rules(settings: &Settings) -> Vec<RepeatRule> {
-    let rule = |method: &MethodSettings| match method.idempotency {
+    settings.methods.iter().map(repeat_rule).collect()
+}
+
+fn repeat_rule(method: &MethodSettings) -> RepeatRule {
+    match method.idempotency {
         Idempotency::Idempotent => RepeatRule::Always,
         Idempotency::NonIdempotent => RepeatRule::Never,
         Idempotency::Deduplicated { window, .. } => {
             RepeatRule::Within(Duration::from_secs_f64(window))
         }
-    };
-    settings.methods.iter().map(rule).collect()
+    }
 }
--- a/crates/daemon/src/decision/platform.rs
+++ b/crates/daemon/src/decision/platform.rs
@@ -1,5 +1,5 @@
-//! What the decisions may ask for, carried out on sockets: attempts, health checks, responses, the endpoint list
-//! and a timer. Nothing here waits.
+//! The daemon's implementation of [`Platform`]: performs the actions that the balancer requests, without waiting for
+//! any of them.
 use crate::clock::Clock;
 use crate::config::shadow::{Action, RecordedActions};
 use crate::decision::endpoints::EndpointRegistry;
@@ -19,42 +19,43 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-/// For a health check: a slower response would tell nothing of the load now.
+/// Timeout of a health check. A load report that takes longer is out of date.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Stands for the request of a violation that is about none.
-const NO_REQUEST: &str = "-";
+/// Logged in place of the request id for a violation that concerns no single RPC.
+const NO_REQUEST_ID: &str = "-";
 
 /// The daemon's implementation of [`Platform`].
 pub(super) struct DaemonPlatform {
-    /// The time of the call at hand, s.
+    /// Time of the current call on the balancer, in seconds of `clock`.
     pub now: f64,
-    /// Gives the decisions their time.
+    /// The clock of the decisions.
     pub clock: Clock,
-    /// The RPCs in flight, by number.
+    /// The RPCs in flight, by RPC id.
     pub in_flight: HashMap<u64, InFlightRpc>,
     /// The backends.
     pub endpoints: EndpointRegistry,
-    /// When the decisions want their timer event, s.
+    /// Deadline of the balancer's timer event, in seconds of `clock`.
     pub timer_at: Option<f64>,
     events: mpsc::Sender<Event>,
-    watch_wanted: Rc<Notify>,
+    watch_requested: Rc<Notify>,
     invariants: Rc<Invariants>,
-    /// Exchanges that could not start, as the actor's mailbox had no place for their end.
+    /// Exchanges that could not start in the current call, and whose completion is not yet reported.
     unsent: Vec<ExchangeKind>,
-    /// RPCs that got their response in the call at hand.
+    /// Ids of the RPCs that were given their response in the current call.
     responded: Vec<u64>,
-    /// What was asked for in the call at hand, while there is shadow evaluation.
+    /// Actions of the current call, while the shadow evaluation is enabled.
     recorded: Option<RecordedActions>,
 }
 
 impl DaemonPlatform {
-    /// A platform without RPCs; `events` leads to the decision actor's own mailbox, `watch_wanted` to discovery.
+    /// Creates a platform without RPCs. `events` sends to the decision actor's own mailbox, `watch_requested` notifies
+    /// the discovery client.
     pub(super) fn new(
         clock: Clock,
         endpoints: EndpointRegistry,
         events: mpsc::Sender<Event>,
-        watch_wanted: Rc<Notify>,
+        watch_requested: Rc<Notify>,
         invariants: Rc<Invariants>,
     ) -> Self {
         Self {
@@ -64,7 +65,7 @@
             endpoints,
             timer_at: None,
             events,
-            watch_wanted,
+            watch_requested,
             invariants,
             unsent: Vec::new(),
             responded: Vec::new(),
@@ -72,12 +73,12 @@
         }
     }
 
-    /// Reads the clock for the next call.
+    /// Reads the clock for the next call on the balancer.
     pub(super) fn update_now(&mut self) {
         self.now = self.clock.now();
     }
 
-    /// Gives an RPC its response.
+    /// Gives an RPC its response, to be sent to the client.
     pub(super) fn respond(&mut self, rpc: u64, response: ProxyResponse) {
         self.responded.push(rpc);
         if let Some(in_flight) = self.in_flight.get_mut(&rpc) {
@@ -91,34 +92,34 @@
         }
     }
 
-    /// Whether the client of an RPC still waits for its response.
+    /// Returns whether the client of an RPC still waits for its response.
     pub(super) fn awaits_response(&self, rpc: u64) -> bool {
         self.in_flight
             .get(&rpc)
             .is_some_and(InFlightRpc::awaits_response)
     }
 
-    /// The next RPC that got its response and was not yet released.
+    /// Takes the id of an RPC that was given its response in the current call.
     pub(super) fn pop_responded(&mut self) -> Option<u64> {
         self.responded.pop()
     }
 
-    /// The next exchange that could not start.
+    /// Takes an exchange that could not start.
     pub(super) fn pop_unsent(&mut self) -> Option<ExchangeKind> {
         self.unsent.pop()
     }
 
-    /// Records from now on what is asked for.
+    /// Starts recording the requested actions for the shadow evaluation.
     pub(super) fn start_recording(&mut self) {
         self.recorded = Some(RecordedActions::default());
     }
 
-    /// Records no more.
+    /// Stops recording the requested actions.
     pub(super) fn stop_recording(&mut self) {
         self.recorded = None;
     }
 
-    /// What was asked for since the last time.
+    /// Takes the actions that were requested since the last call of this function.
     pub(super) fn take_recorded(&mut self) -> RecordedActions {
         self.recorded
             .as_mut()
@@ -132,11 +133,12 @@
         }
     }
 
-    /// Hands an exchange to its backend. Where that can't be done the completion guard, dropped, reports it.
+    /// Sends an exchange to the endpoint actor of a backend. If that fails, the dropped completion guard reports it.
     fn start_exchange(&mut self, backend: u32, kind: ExchangeKind, request: ExchangeRequest) {
         let Ok(permit) = self.events.clone().try_reserve_owned() else {
-            log::error!("the decision actor's mailbox is full");
-            return self.unsent.push(kind);
+            log::error!(backend; "decision actor mailbox is full, attempt or health check not sent");
+            self.unsent.push(kind);
+            return;
         };
         let completion = CompletionGuard::new(kind, self.events.clone(), permit);
         self.endpoints.send(
@@ -162,8 +164,9 @@
         let kind = ExchangeKind::Attempt(AttemptId { rpc, index });
         let facts = in_flight.attempt_start();
         if !self.invariants.may_start(in_flight.request_id(), &facts) {
-            in_flight.refuse_attempt();
-            return self.unsent.push(kind);
+            in_flight.record_refused_attempt();
+            self.unsent.push(kind);
+            return;
         }
         let request = in_flight.start_attempt(self.clock.instant_at(self.now + timeout));
         let address = self.endpoints.address(backend);
@@ -205,16 +208,16 @@
             },
             cancel: None,
         };
-        log::trace!("health check to {backend}");
+        log::trace!(backend; "health check started");
         self.start_exchange(backend, ExchangeKind::HealthCheck { backend }, request);
     }
 
     fn watch_endpoints(&mut self) {
-        self.watch_wanted.notify_one();
+        self.watch_requested.notify_one();
     }
 
     fn report_violation(&mut self, violation: Violation) {
-        self.invariants.violated(NO_REQUEST, &violation);
+        self.invariants.violated(NO_REQUEST_ID, &violation);
     }
 
     fn schedule_timer(&mut self, delay: f64) {
--- a/crates/daemon/src/decision/start_times.rs
+++ b/crates/daemon/src/decision/start_times.rs
@@ -1,39 +1,44 @@
-//! When a backend started, on the clock of the decisions.
+//! The start times of backends, on the clock of the decisions.
 //!
-//! The list tells it by the wall clock of another machine, which may be off by an hour, as may this one's. Spans are real
-//! time: a backend that comes into the list while that is followed has started little before, whatever its line says.
+//! The endpoint list gives start times by the wall clock of another machine. That clock may be an hour off, and so may
+//! the clock of this machine, whereas intervals are reliable: a backend that joins the list while the list is being
+//! watched has started shortly before, whatever its start time says.
 use crate::clock::Clock;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Between a backend's start and its line in the list, at most: it has to become ready first.
-const LISTING_DELAY: Duration = Duration::from_secs(2);
+/// Longest time from the start of a backend until it is listed. It becomes ready in between.
+const MAX_LISTING_DELAY: Duration = Duration::from_secs(2);
 
-/// The start of a backend, as it was taken when its line was new.
+/// The start time of a backend, as it was read when the endpoint list first gave it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct StartTime {
+    /// The listed start time, in Unix milliseconds.
     boot_ms: f64,
-    /// None stands for long ago.
+    /// Start time in seconds of the decisions' clock; `None` for long ago.
     seconds: Option<f64>,
 }
 
 impl StartTime {
-    /// The start that a line of the list stands for. Nothing of what is new in the list was true before
-    /// `changed_since`; without one the whole list is new to this process, and all there is to go by is the wall clock.
+    /// Reads a listed start time, in Unix milliseconds. It cannot lie more than [`MAX_LISTING_DELAY`] before
+    /// `changed_since`, the time at which the previous list was current. Without a previous list, the wall clock alone
+    /// decides.
     pub(super) fn read(boot_ms: f64, changed_since: Option<Instant>, clock: &Clock) -> Self {
-        let seconds = clock.seconds_since_unix_ms(boot_ms).map(|age| {
-            let most = changed_since.map(|since| (since.elapsed() + LISTING_DELAY).as_secs_f64());
-            clock.now() - age.clamp(0.0, most.unwrap_or(f64::INFINITY))
+        let max_age = changed_since.map_or(f64::INFINITY, |since| {
+            (since.elapsed() + MAX_LISTING_DELAY).as_secs_f64()
         });
+        let seconds = clock
+            .seconds_since_unix_ms(boot_ms)
+            .map(|age| clock.now() - age.clamp(0.0, max_age));
         Self { boot_ms, seconds }
     }
 
-    /// Whether a line with this start time tells of the same start.
-    pub(super) fn is_of(&self, boot_ms: f64) -> bool {
+    /// Returns whether this was read from the same listed start time.
+    pub(super) fn was_read_from(&self, boot_ms: f64) -> bool {
         self.boot_ms == boot_ms
     }
 
-    /// In seconds of the decisions' clock; none for long ago.
+    /// Returns the start time in seconds of the decisions' clock, or `None` for long ago.
     pub(super) fn seconds(&self) -> Option<f64> {
         self.seconds
     }
--- /dev/null
+++ b/crates/daemon/src/decision/timers.rs
@@ -0,0 +1,78 @@
+//! Time in the decision actor: the heartbeat, and the timer events of the balancer and of the shadow evaluation.
+use crate::decision::actor::DecisionActor;
+use birchhub::interface::AttemptOutcome;
+use tokio::time::Instant;
+
+/// The next timer events that were requested.
+#[derive(Clone, Copy)]
+pub(super) struct Timers {
+    /// Deadline of the balancer's timer event.
+    balancer: Option<Instant>,
+    /// Deadline of the shadow evaluation's timer event.
+    shadow: Option<Instant>,
+}
+
+impl Timers {
+    /// Returns the deadline of the first timer event.
+    pub(super) fn next(self) -> Option<Instant> {
+        self.balancer.into_iter().chain(self.shadow).min()
+    }
+}
+
+impl DecisionActor {
+    /// Returns the timer events that the balancer and the shadow evaluation have requested.
+    pub(super) fn timers(&self) -> Timers {
+        let clock = &self.platform.clock;
+        let shadow_seconds = self.shadow.as_ref().and_then(|shadow| shadow.timer_at());
+        Timers {
+            balancer: self.platform.timer_at.map(|at| clock.instant_at(at)),
+            shadow: shadow_seconds.map(|at| clock.instant_at(at)),
+        }
+    }
+
+    /// Handles the timer events that are due. Returns whether there was one.
+    pub(super) fn run_due_timers(&mut self, timers: Timers) -> bool {
+        if !timers.next().is_some_and(is_due) {
+            return false;
+        }
+        if timers.balancer.is_some_and(is_due) {
+            self.platform.timer_at = None;
+            self.call_balancer(|actor| actor.balancer.on_timer(&mut actor.platform));
+        } else {
+            self.platform.update_now();
+        }
+        // Both instances use the time that was read for this event.
+        self.replay_to_shadow(|shadow, call| shadow.on_timer(call));
+        true
+    }
+
+    /// Records a heartbeat, and excludes the time for which the process was suspended from the decisions' clock.
+    /// Prevents backends from being classified as slow, and RPCs from being rejected for it, when the proxy has used up
+    /// its CPU quota.
+    pub(super) fn record_heartbeat(&mut self) {
+        let suspended_for = self.heartbeat.record();
+        self.invariants.record_heartbeat(suspended_for);
+        if let Some(duration) = suspended_for {
+            log::debug!("process was suspended for {duration:?}, excluded from measured times");
+            self.platform.clock.skip(duration);
+        }
+    }
+
+    /// Returns the outcome of an exchange, or `unknown` for a timeout right after the process was suspended: the
+    /// suspension may have caused that timeout, so it says nothing about the backend.
+    pub(super) fn reliable_outcome(
+        &self,
+        outcome: AttemptOutcome,
+        unknown: AttemptOutcome,
+    ) -> AttemptOutcome {
+        if outcome == AttemptOutcome::TimedOut && self.heartbeat.has_just_resumed() {
+            unknown
+        } else {
+            outcome
+        }
+    }
+}
+
+fn is_due(at: Instant) -> bool {
+    at <= Instant::now()
+}
--- a/crates/daemon/src/decision/updates.rs
+++ b/crates/daemon/src/decision/updates.rs
@@ -1,4 +1,4 @@
-//! Changes of what the decisions go by: the endpoint list, the administrative state and the settings.
+//! Updates of the decisions' inputs: the endpoint list, the administrative state and the settings.
 use crate::config::update::ConfigUpdate;
 use crate::decision::actor::DecisionActor;
 use crate::decision::in_flight::repeat_rules;
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 impl DecisionActor {
-    /// Starts with the endpoint list of the configuration, which may be old.
+    /// Loads the cached endpoint list of the configuration, which may be out of date.
     pub(super) fn load_cached_endpoints(&mut self, cached: Option<&EndpointUpdate>) {
         self.update_endpoints(&EndpointUpdate {
             version: cached.map_or(0, |cached| cached.version),
@@ -19,15 +19,16 @@
 
     /// Applies an update of the endpoint list.
     pub(super) fn update_endpoints(&mut self, update: &EndpointUpdate) {
-        let (version, kind) = (update.version, update.kind);
+        let kind = update.kind;
         let endpoints = {
             let admin = &self.state.borrow().admin_state;
             let clock = &self.platform.clock;
             self.platform.endpoints.apply(update, admin, clock)
         };
-        let lines = update.listed.len();
-        if lines > 0 && kind != EndpointUpdateKind::Administrative {
-            log::info!("list version {version}: {lines} lines, {kind:?}");
+        let count = update.listed.len();
+        if count > 0 && kind != EndpointUpdateKind::Administrative {
+            let version = update.version;
+            log::info!("endpoint list version {version}: {count} endpoints, {kind:?}");
         }
         self.call_balancer(|actor| {
             let platform = &mut actor.platform;
@@ -36,37 +37,36 @@
         self.replay_to_shadow(|shadow, call| shadow.update_endpoints(call, kind, &endpoints));
     }
 
-    /// A call to the list service failed.
+    /// Reports a failed discovery poll to the balancer, which schedules the next one.
     pub(super) fn on_discovery_failed(&mut self) {
         self.call_balancer(|actor| actor.balancer.on_discovery_failure(&mut actor.platform));
         self.replay_to_shadow(|shadow, call| shadow.on_discovery_failed(call));
     }
 
-    /// Tells the decisions anew of the backends whose maintenance has changed, and then that this is carried out.
+    /// Applies the administrative state: updates the balancer's view of all backends that have a maintenance entry, and
+    /// then confirms this generation of the state.
     pub(super) fn apply_admin_state(&mut self) {
-        self.check_heartbeat();
-        let (generation, siblings, listed) = {
-            let state = self.state.borrow_and_update();
-            let listed = self
-                .platform
-                .endpoints
-                .listed(state.admin_state.maintenance.keys());
-            (state.admin_generation, state.siblings.alive, listed)
-        };
-        self.balancer.set_process_count(siblings + 1);
+        self.record_heartbeat();
+        let state = self.state.borrow_and_update();
+        let generation = state.admin_generation;
+        let process_count = state.siblings.alive + 1;
+        let uids = state.admin_state.maintenance.keys();
+        let listed = self.platform.endpoints.listed(uids);
+        drop(state);
+        self.balancer.set_process_count(process_count);
         if !listed.is_empty() {
             self.update_endpoints(&EndpointUpdate {
                 version: 0,
                 kind: EndpointUpdateKind::Administrative,
                 listed,
-                // The end of a maintenance counts as a start, and is carried out at once.
+                // A backend that leaves maintenance counts as started now.
                 changed_since: Some(Instant::now()),
             });
         }
         self.state_store.confirm_applied(generation);
     }
 
-    /// Puts other settings in force, all between two events.
+    /// Activates new settings. All of them apply to the next event.
     pub(super) fn apply_config_update(&mut self, update: ConfigUpdate) {
         let started = Instant::now();
         let ConfigUpdate {
@@ -88,7 +88,7 @@
             Some(settings) => self.replay_to_shadow(|shadow, call| {
                 shadow.apply_settings(call, &settings, &carried_over);
             }),
-            None => self.end_shadow(),
+            None => self.disable_shadow(),
         }
         let _ = applied.send((former_names, started.elapsed()));
     }
--- a/crates/daemon/src/invariants.rs
+++ b/crates/daemon/src/invariants.rs
@@ -39,7 +39,7 @@
     }
 
     /// The process runs, and was stopped before for so long, if it was.
-    pub(crate) fn record_beat(&self, stopped_for: Option<Duration>) {
+    pub(crate) fn record_heartbeat(&self, stopped_for: Option<Duration>) {
         let now = Instant::now();
         self.last_beat.set(now);
         let Some(length) = stopped_for else { return };
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -151,15 +151,15 @@
         reload: SignalFlag,
         active_config: watch::Sender<ActiveConfig>,
     ) -> mpsc::Sender<Event> {
-        let (events, mailbox) = mpsc::channel(actor::MAILBOX);
-        let watch_wanted = Rc::new(Notify::new());
+        let (events, mailbox) = mpsc::channel(actor::MAILBOX_CAPACITY);
+        let watch_requested = Rc::new(Notify::new());
         let decisions = DecisionActor::new(
             &self.config,
             ActorContext {
                 clock: self.clock,
                 budget: self.budget.clone(),
                 events: events.clone(),
-                watch_wanted: watch_wanted.clone(),
+                watch_requested: watch_requested.clone(),
                 state_store: self.state_store.clone(),
                 names: self.names.clone(),
                 invariants: self.invariants.clone(),
@@ -174,7 +174,7 @@
         let discovery = DiscoveryClient::new(
             address,
             events.clone(),
-            watch_wanted,
+            watch_requested,
             cached.map(|cached| cached.version),
             self.pushed,
             self.state_store.clone(),
