--- a/crates/daemon/src/downstream/body_deadline.rs
+++ b/crates/daemon/src/downstream/body_deadline.rs
@@ -1,16 +1,21 @@
-//! By when the body of a request has to come, fixed when its head is complete and handed on from there.
+//! The deadline of a request's body, fixed when its head is complete.
 use crate::net::body::BODY_LIMIT;
 use crate::net::progress_deadline::ProgressDeadline;
-use crate::time_limits::{BODY_STALL, BODY_STEP, MIN_BODY_RATE};
+use crate::time_limits::{BODY_PROGRESS_BYTES, BODY_STALL_TIMEOUT, MIN_BODY_BYTES_PER_SECOND};
 use hyper::body::Body;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The deadline of a body whose head was complete now: its bound is the time of the declared length, or of the longest
-/// body if none is declared.
+/// Returns the deadline of a body whose head was completed now. Its limit allows for the declared length at
+/// [`MIN_BODY_BYTES_PER_SECOND`], or for the longest permitted body if no length is declared.
 pub(crate) fn body_deadline(body: &impl Body) -> ProgressDeadline {
     let now = Instant::now();
     let length = body.size_hint().exact().unwrap_or(BODY_LIMIT);
-    let time = Duration::from_secs(length.min(BODY_LIMIT)) / MIN_BODY_RATE;
-    ProgressDeadline::start(now, BODY_STALL, BODY_STEP, now + BODY_STALL + time)
+    let transfer_time = Duration::from_secs(length.min(BODY_LIMIT)) / MIN_BODY_BYTES_PER_SECOND;
+    ProgressDeadline::new(
+        now,
+        BODY_STALL_TIMEOUT,
+        BODY_PROGRESS_BYTES,
+        now + BODY_STALL_TIMEOUT + transfer_time,
+    )
 }
--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -1,4 +1,5 @@
-//! One client's connection: what it is doing, by when it ends, and whether it may be evicted for another.
+//! The state of one client's connection: its phase, when it is closed, and whether it may be evicted.
+use crate::downstream::connection_phase::{ConnectionPhase, ScheduledClose};
 use crate::downstream::head_scan::Framings;
 use crate::downstream::message_scan::MessageScan;
 use crate::end_reason::EndReason;
@@ -8,114 +9,67 @@
 use crate::net::progress_deadline::ProgressDeadline;
 use crate::net::socket_budget::{Evictable, EvictionCandidate, SocketBudget, SocketClass};
 use crate::time_limits::{
-    FIRST_BYTE, FIRST_HEAD, HEAD, IDLE, LINGER, RESPONSE, RESPONSE_STALL, SETTLE,
+    FIRST_BYTE_TIMEOUT, FIRST_HEAD_TIMEOUT, HEAD_TIMEOUT, IDLE_TIMEOUT, LINGER_TIMEOUT,
+    RESPONSE_PROGRESS_BYTES, RESPONSE_STALL_TIMEOUT, RESPONSE_TIMEOUT, SETTLE_PERIOD,
 };
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Bytes of a response that count as progress: any.
-const RESPONSE_STEP: u64 = 1;
-
-/// What a client's connection is doing, and by when it is over: there is no phase without a deadline.
-#[derive(Clone, Copy, Debug)]
-pub(crate) enum Phase {
-    /// The client has sent nothing yet, and is to by then.
-    New(Instant),
-    /// Between messages; the next one is to begin by then.
-    Idle(Instant),
-    /// A part of a head was received; the rest is to be by then.
-    ReadingHead(Instant),
-    /// The head is complete, the buffered part of the body is not; the message is to be answered by then.
-    ReadingBody(Instant),
-    /// The decision actor has the RPC, which is to be answered by then.
-    RpcInFlight(Instant),
-    /// The response is being written: each byte that the client takes moves the deadline, up to its bound.
-    WritingResponse(ProgressDeadline),
-    /// The last response was written, and the client may read it until then.
-    Lingering(Instant),
-}
-
-impl Phase {
-    /// Its name in the log.
-    fn name(self) -> &'static str {
-        match self {
-            Self::New(_) => "New",
-            Self::Idle(_) => "Idle",
-            Self::ReadingHead(_) => "ReadingHead",
-            Self::ReadingBody(_) => "ReadingBody",
-            Self::RpcInFlight(_) => "RpcInFlight",
-            Self::WritingResponse(_) => "WritingResponse",
-            Self::Lingering(_) => "Lingering",
-        }
-    }
-
-    /// When it is over, and the reason for which the connection ends then.
-    fn deadline(self) -> (Instant, EndReason) {
-        match self {
-            Self::New(at) | Self::Idle(at) => (at, EndReason::IdleTimeout),
-            Self::ReadingHead(at) => (at, EndReason::HeadTimeout),
-            // Whoever reads the body or waits for the answer ends that before: this only holds if they don't.
-            Self::ReadingBody(at) | Self::RpcInFlight(at) => (at, EndReason::AnswerOverdue),
-            Self::WritingResponse(progress) => (progress.at(), EndReason::ResponseStalled),
-            Self::Lingering(at) => (at, EndReason::LastResponse),
-        }
-    }
-
-    /// An RPC is in flight or its response is being written.
-    fn is_busy(self) -> bool {
-        matches!(self, Self::RpcInFlight(_) | Self::WritingResponse(_))
-    }
-}
-
-/// Ranks of idle connections: the lowest is evicted first, and of one rank the one that was silent for the longest. A
-/// new one is settling at first: new connections would evict each other, while older ones stay idle. One with an RPC
-/// is never evicted.
+/// Order in which connections are evicted: the lowest rank first, and within a rank the one that has been silent for
+/// the longest. A connection with an RPC in flight is never evicted.
 #[derive(Clone, Copy)]
 enum EvictionRank {
-    New,
+    /// The client has sent nothing, and its settle period is over.
+    AwaitingFirstByte,
+    /// Between two messages, or lingering.
     Idle,
+    /// A part of a head was received.
     ReadingHead,
+    /// Just accepted. Ranked above idle connections, because new connections would evict each other otherwise.
     Settling,
+    /// A part of a body was received.
     ReadingBody,
 }
 
 /// The state of a client's connection, shared by its task, the observer of its stream and the socket budget.
 pub(crate) struct ClientConnection {
-    /// Its number in the log.
+    /// The connection's number in the log.
     id: u64,
-    phase: Cell<Phase>,
-    /// The response at hand is the last, or the stream is malformed: the connection is closed, after the client had
-    /// time to read the response.
+    phase: Cell<ConnectionPhase>,
+    /// Whether the connection is closed after the current response, once the client had time to read it.
     is_closing: Cell<bool>,
     scan: RefCell<MessageScan>,
-    /// Of the response at hand.
+    /// Whether the current response was handed over to the connection.
     delivery: RefCell<DeliveryStatus>,
-    /// Bytes of the response at hand that the client has taken.
-    written: Cell<u64>,
+    /// Bytes of the current response that the client has read.
+    response_bytes_written: Cell<u64>,
     budget: Rc<SocketBudget>,
-    /// Held while the connection may be evicted.
+    /// Present while the connection may be evicted.
     eviction: RefCell<Option<EvictionCandidate>>,
     weak_self: Weak<ClientConnection>,
-    /// The budget wants its permit for another connection; reset once an RPC is in flight.
+    /// The budget has chosen the connection to make room for another one. Cleared if an RPC begins before the close.
     is_evicted: Cell<bool>,
     opened_at: Instant,
-    /// Wakes the connection's task, for it to look at the deadlines again.
+    /// Wakes the connection's task, which then computes the scheduled close again.
     changed: Notify,
 }
 
 impl ClientConnection {
-    /// The state of a connection that was opened now, registered as an eviction candidate.
+    /// Creates the state of a connection that was accepted now, and registers it as an eviction candidate.
     pub(crate) fn new(id: u64, budget: &Rc<SocketBudget>) -> Rc<Self> {
         let opened_at = Instant::now();
+        let phase = ConnectionPhase::AwaitingFirstByte {
+            deadline: opened_at + FIRST_BYTE_TIMEOUT,
+        };
         let connection = Rc::new_cyclic(|weak_self| Self {
             id,
-            phase: Phase::New(opened_at + FIRST_BYTE).into(),
+            phase: phase.into(),
             is_closing: false.into(),
             scan: RefCell::default(),
             delivery: RefCell::default(),
-            written: Cell::new(0),
+            response_bytes_written: Cell::new(0),
             budget: budget.clone(),
             eviction: RefCell::default(),
             weak_self: weak_self.clone(),
@@ -127,8 +81,8 @@
         connection
     }
 
-    /// Enters a phase, and may be evicted or not from then on.
-    pub(crate) fn enter(&self, phase: Phase) {
+    /// Enters a phase. The connection may be evicted in it unless an RPC is in flight.
+    pub(crate) fn enter(&self, phase: ConnectionPhase) {
         self.phase.set(phase);
         if phase.is_busy() {
             self.eviction.take();
@@ -139,37 +93,47 @@
         self.changed.notify_one();
     }
 
-    /// Enters the phase of writing a response with this delivery.
+    /// Starts to write a response, whose delivery is followed by `delivery`.
     pub(crate) fn begin_response(&self, delivery: DeliveryStatus) {
         self.delivery.replace(delivery);
-        self.written.set(0);
+        self.response_bytes_written.set(0);
         let now = Instant::now();
-        let progress = ProgressDeadline::start(now, RESPONSE_STALL, RESPONSE_STEP, now + RESPONSE);
-        self.enter(Phase::WritingResponse(progress));
+        let progress = ProgressDeadline::new(
+            now,
+            RESPONSE_STALL_TIMEOUT,
+            RESPONSE_PROGRESS_BYTES,
+            now + RESPONSE_TIMEOUT,
+        );
+        self.enter(ConnectionPhase::WritingResponse { progress });
     }
 
-    /// The response at hand was written: what was read of a further message is waited for no longer than for any other.
+    /// Ends the current response. If a part of the next message was already read, the deadline of a head applies to
+    /// it: the connection is not idle.
     fn end_response(&self) {
         let now = Instant::now();
-        let is_next_begun = self.scan.borrow().is_inside_message();
-        self.enter(if is_next_begun {
-            Phase::ReadingHead(now + HEAD)
+        let has_next_begun = self.scan.borrow().is_inside_message();
+        self.enter(if has_next_begun {
+            ConnectionPhase::ReadingHead {
+                deadline: now + HEAD_TIMEOUT,
+            }
         } else {
-            Phase::Idle(now + IDLE)
+            ConnectionPhase::Idle {
+                deadline: now + IDLE_TIMEOUT,
+            }
         });
     }
 
-    /// Its number in the log.
+    /// The connection's number in the log.
     pub(crate) fn id(&self) -> u64 {
         self.id
     }
 
-    /// By when its phase is over.
-    pub(crate) fn deadline(&self) -> Instant {
-        self.phase.get().deadline().0
+    /// The deadline of the current phase.
+    pub(crate) fn phase_deadline(&self) -> Instant {
+        self.phase.get().scheduled_close().at
     }
 
-    /// Logs that the connection ended.
+    /// Logs the end of the connection.
     pub(crate) fn log_end(&self, reason: EndReason) {
         log::log!(
             reason.level(),
@@ -179,27 +143,27 @@
         );
     }
 
-    /// An RPC is in flight or its response is being written.
+    /// Whether an RPC is in flight or its response is being written.
     pub(crate) fn is_busy(&self) -> bool {
         self.phase.get().is_busy()
     }
 
-    /// The connection is closed after the response at hand.
+    /// Whether the connection is closed after the current response.
     pub(crate) fn is_closing(&self) -> bool {
         self.is_closing.get()
     }
 
-    /// Sets whether the connection is closed after the response at hand.
+    /// Sets whether the connection is closed after the current response.
     pub(crate) fn set_closing(&self, is_closing: bool) {
         self.is_closing.set(is_closing);
     }
 
-    /// Takes the framings that the head at hand declares; none if the bytes that were read hold no such head.
+    /// Takes the body framings that the head of the current message declares; none if no complete head was scanned.
     pub(crate) fn take_framings(&self) -> Option<Framings> {
         self.scan.borrow_mut().take_framings()
     }
 
-    /// Registers the connection with the budget, as the one of its rank that was silent for the shortest time.
+    /// Registers the connection with the budget as the most recently active one of its rank.
     pub(crate) fn register_evictable(&self) {
         if let Some(connection) = self.weak_self.upgrade() {
             let rank = self.eviction_rank() as u8;
@@ -212,50 +176,60 @@
 
     fn eviction_rank(&self) -> EvictionRank {
         match self.phase.get() {
-            Phase::New(_) if self.settles_at().is_some() => EvictionRank::Settling,
-            Phase::New(_) => EvictionRank::New,
-            // Otherwise rejected clients that linger could crowd out others.
-            Phase::Idle(_) | Phase::Lingering(_) => EvictionRank::Idle,
-            Phase::ReadingHead(_) => EvictionRank::ReadingHead,
-            Phase::ReadingBody(_) | Phase::RpcInFlight(_) | Phase::WritingResponse(_) => {
-                EvictionRank::ReadingBody
+            ConnectionPhase::AwaitingFirstByte { .. } if self.settles_at().is_some() => {
+                EvictionRank::Settling
             }
+            ConnectionPhase::AwaitingFirstByte { .. } => EvictionRank::AwaitingFirstByte,
+            // A higher rank for lingering would let rejected clients crowd out others.
+            ConnectionPhase::Idle { .. } | ConnectionPhase::Lingering { .. } => EvictionRank::Idle,
+            ConnectionPhase::ReadingHead { .. } => EvictionRank::ReadingHead,
+            ConnectionPhase::ReadingBody { .. }
+            | ConnectionPhase::RpcInFlight { .. }
+            | ConnectionPhase::WritingResponse { .. } => EvictionRank::ReadingBody,
         }
     }
 
-    /// The end of the settle period, while it lasts and the client has sent nothing.
+    /// Returns the end of the settle period; none once it has passed or the client has sent a byte.
     pub(crate) fn settles_at(&self) -> Option<Instant> {
-        let is_new = matches!(self.phase.get(), Phase::New(_));
-        Some(self.opened_at + SETTLE).filter(|end| is_new && Instant::now() < *end)
+        let is_silent = matches!(self.phase.get(), ConnectionPhase::AwaitingFirstByte { .. });
+        let settles_at = self.opened_at + SETTLE_PERIOD;
+        (is_silent && Instant::now() < settles_at).then_some(settles_at)
     }
 
-    /// By when the connection ends if nothing else happens, and why. The earliest of three counts: the deadline of
-    /// the phase, for a client that is silent or too slow; an eviction; and the drain deadlines. Only the first holds
-    /// with an RPC in flight.
-    pub(crate) fn ends_at(&self, drain: Option<DrainDeadlines>) -> (Instant, EndReason) {
+    /// Returns when and why the connection is closed if nothing else happens: the earliest of the phase's deadline,
+    /// an eviction and the drain deadlines. Only the phase's deadline applies while an RPC is in flight.
+    pub(crate) fn scheduled_close(&self, drain: Option<DrainDeadlines>) -> ScheduledClose {
         let phase = self.phase.get();
-        let own = phase.deadline();
+        let mut close = phase.scheduled_close();
         if phase.is_busy() {
-            return own;
+            return close;
+        }
+        if self.is_evicted.get() {
+            close = close.earlier(ScheduledClose::new(self.opened_at, EndReason::Evicted));
+        }
+        if let Some(drain) = drain {
+            let deadline = self.drain_deadline(phase, drain);
+            close = close.earlier(ScheduledClose::new(deadline, EndReason::Drained));
         }
-        let evicted = self.is_evicted.get();
-        let evicted = evicted.then_some((self.opened_at, EndReason::Evicted));
-        let drained = drain.map(|drain| match phase {
+        close
+    }
+
+    /// Returns when a connection in this phase is closed while the proxy is draining.
+    fn drain_deadline(&self, phase: ConnectionPhase, drain: DrainDeadlines) -> Instant {
+        match phase {
             // A new connection may still send an RPC.
-            Phase::New(_) | Phase::Idle(_) => drain.idle.max(self.opened_at + SETTLE),
+            ConnectionPhase::AwaitingFirstByte { .. } | ConnectionPhase::Idle { .. } => {
+                drain.idle.max(self.opened_at + SETTLE_PERIOD)
+            }
             _ => drain.incomplete_message,
-        });
-        let drained = drained.map(|deadline| (deadline, EndReason::Drained));
-        let earlier = [evicted, drained].into_iter().flatten();
-        earlier.fold(
-            own,
-            |first, other| if other.0 < first.0 { other } else { first },
-        )
+        }
     }
 
-    /// Lets the client read the last response for a while, unless another connection wants its socket.
+    /// Gives the client time to read the last response.
     pub(crate) fn begin_linger(&self) {
-        self.enter(Phase::Lingering(Instant::now() + LINGER));
+        self.enter(ConnectionPhase::Lingering {
+            deadline: Instant::now() + LINGER_TIMEOUT,
+        });
     }
 
     /// Waits until the phase changes or the connection is evicted.
@@ -270,11 +244,13 @@
         }
     }
 
-    /// By when a head is to be complete whose first byte was received now.
+    /// Returns the deadline of a head whose first byte was received now.
     fn head_deadline(&self) -> Instant {
-        let deadline = Instant::now() + HEAD;
+        let deadline = Instant::now() + HEAD_TIMEOUT;
         match self.phase.get() {
-            Phase::New(_) => deadline.min(self.opened_at + FIRST_HEAD),
+            ConnectionPhase::AwaitingFirstByte { .. } => {
+                deadline.min(self.opened_at + FIRST_HEAD_TIMEOUT)
+            }
             _ => deadline,
         }
     }
@@ -284,22 +260,30 @@
     fn on_read(&self, bytes: &[u8]) {
         self.scan.borrow_mut().feed(bytes);
         match self.phase.get() {
-            Phase::New(_) | Phase::Idle(_) => self.enter(Phase::ReadingHead(self.head_deadline())),
-            Phase::ReadingHead(_) | Phase::ReadingBody(_) => self.register_evictable(),
+            ConnectionPhase::AwaitingFirstByte { .. } | ConnectionPhase::Idle { .. } => {
+                self.enter(ConnectionPhase::ReadingHead {
+                    deadline: self.head_deadline(),
+                });
+            }
+            ConnectionPhase::ReadingHead { .. } | ConnectionPhase::ReadingBody { .. } => {
+                self.register_evictable();
+            }
             _ => {}
         }
     }
 
     fn on_write(&self, bytes: u64) {
-        if let Phase::WritingResponse(mut progress) = self.phase.get() {
-            self.written.update(|written| written + bytes);
-            progress.record(self.written.get(), Instant::now());
-            self.phase.set(Phase::WritingResponse(progress));
+        if let ConnectionPhase::WritingResponse { mut progress } = self.phase.get() {
+            self.response_bytes_written
+                .update(|written| written + bytes);
+            progress.record(self.response_bytes_written.get(), Instant::now());
+            self.phase
+                .set(ConnectionPhase::WritingResponse { progress });
         }
     }
 
     fn on_flush(&self) {
-        let is_writing = matches!(self.phase.get(), Phase::WritingResponse(_));
+        let is_writing = matches!(self.phase.get(), ConnectionPhase::WritingResponse { .. });
         if is_writing && self.delivery.borrow().is_complete() {
             self.end_response();
         }
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -2,6 +2,8 @@
 
 pub(crate) mod body_deadline;
 pub(crate) mod connection;
+mod connection_driver;
+pub(crate) mod connection_phase;
 pub(crate) mod connection_task;
 pub(crate) mod head_scan;
 pub(crate) mod listener;
--- a/crates/daemon/src/downstream/request_parser.rs
+++ b/crates/daemon/src/downstream/request_parser.rs
@@ -196,7 +196,7 @@
     let capacity = declared_length.min(BUFFERED_BODY_LIMIT as u64) as usize;
     let mut buffered = BytesMut::with_capacity(capacity);
     while !body.is_end_stream() {
-        match timeout_at(deadline.at(), body.frame()).await {
+        match timeout_at(deadline.expires_at(), body.frame()).await {
             Err(_) => return Err(RequestError::BodyTimeout),
             Ok(None) => break,
             Ok(Some(Err(_))) => return Err(RequestError::MalformedBody),
--- a/crates/daemon/src/downstream/rpc_service.rs
+++ b/crates/daemon/src/downstream/rpc_service.rs
@@ -1,6 +1,7 @@
 //! Responds to clients' messages: parses each, hands an RPC to the decision actor and waits for its response.
 use crate::clock::until;
-use crate::downstream::connection::{ClientConnection, Phase};
+use crate::downstream::connection::ClientConnection;
+use crate::downstream::connection_phase::ConnectionPhase;
 use crate::downstream::request::ReceivedRpc;
 use crate::downstream::request_error::RequestError;
 use crate::downstream::request_ids::{ActiveRequestIds, RequestIdGuard};
@@ -14,7 +15,7 @@
 use crate::net::body::{RequestUpload, UploadError};
 use crate::net::inbound_stream::ClientLiveness;
 use crate::net::progress_deadline::ProgressDeadline;
-use crate::time_limits::ANSWER_GRACE;
+use crate::time_limits::RESPONSE_GRACE_PERIOD;
 use hyper::body::Incoming;
 use hyper::{Method, Request};
 use std::cell::Cell;
@@ -80,7 +81,9 @@
                 return response;
             }
         };
-        connection.enter(Phase::RpcInFlight(answer_deadline(&rpc)));
+        connection.enter(ConnectionPhase::RpcInFlight {
+            response_deadline: response_deadline(&rpc),
+        });
         let upload = rpc.request.upload().cloned();
         let log = RpcLog::begin(&rpc, connection.id(), self.invariants.clone());
         let (received_at, timeout) = (rpc.received_at, rpc.timeout);
@@ -269,9 +272,10 @@
     }
 }
 
-/// By when an RPC has its answer, whoever holds it up: its own time, counted from the end of its body's.
-fn answer_deadline(rpc: &ReceivedRpc) -> Instant {
+/// Returns when the RPC must have its response, whoever delays it: its timeout and the grace period, counted from the
+/// latest end of its body.
+fn response_deadline(rpc: &ReceivedRpc) -> Instant {
     let upload = rpc.request.upload();
-    let body_end = upload.map_or(rpc.received_at, |upload| upload.bound());
-    body_end + rpc.timeout + ANSWER_GRACE
+    let body_end = upload.map_or(rpc.received_at, |upload| upload.latest_end());
+    body_end + rpc.timeout + RESPONSE_GRACE_PERIOD
 }
--- a/crates/daemon/src/end_reason.rs
+++ b/crates/daemon/src/end_reason.rs
@@ -1,66 +1,67 @@
-//! Why a client's connection, an RPC or an attempt ended: one typed reason for every log line about an end.
+//! The reason for which a client's connection, an RPC or an attempt ended, as it is logged.
 use crate::log_budget::client_line_level;
 use log::Level;
 use std::fmt;
 
-/// Why something ended.
+/// The reason for which a connection, an RPC or an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum EndReason {
     /// Connection: the client closed it between two messages.
     ClientClosed,
-    /// Connection, RPC: the client closed or reset its connection while its RPC was in flight.
+    /// Connection, RPC: the client closed or reset the connection while its RPC was in flight.
     ClientDisconnected,
-    /// Connection: it broke, or ended inside a message.
+    /// Connection: it failed, or the client closed it inside a message.
     ConnectionBroken,
-    /// Connection: what came on it is no HTTP.
+    /// Connection: the received bytes are not HTTP.
     MalformedMessage,
-    /// Connection: it was closed after a response that said so.
+    /// Connection: closed after a response with `Connection: close`.
     LastResponse,
-    /// Connection: no message began in time.
+    /// Connection: no message began before the idle timeout.
     IdleTimeout,
-    /// Connection: a head was not complete in time.
+    /// Connection: a head was not complete before its timeout.
     HeadTimeout,
-    /// Connection: the client took no byte of its response.
+    /// Connection: the client stopped reading its response.
     ResponseStalled,
-    /// Connection: a message was not answered by the time at which it had to be.
+    /// Connection: a message had no response by its deadline.
     AnswerOverdue,
-    /// Connection: its socket was wanted for another one.
+    /// Connection: evicted to make room for another one.
     Evicted,
-    /// Connection: it was idle, or its message incomplete, for too long while the proxy drained.
+    /// Connection: closed because the proxy is draining.
     Drained,
-    /// RPC: a backend's response was passed on.
+    /// RPC: a backend's response was forwarded.
     Served,
-    /// RPC: the decisions rejected it; nothing took effect, or repeating it is harmless.
+    /// RPC: rejected by the decisions. It had no effect, or is idempotent.
     RejectedByDecision,
-    /// RPC: the decisions ended it as failed.
+    /// RPC: failed by the decisions.
     FailedByDecision,
-    /// RPC: no answer was decided by its deadline.
+    /// RPC: it had no response by its deadline.
     DeadlineExceeded,
-    /// RPC: the process ends before an answer could come.
+    /// RPC: the process shuts down before a response.
     ShuttingDown,
-    /// RPC: the decision actor has no room for another.
+    /// RPC: the mailbox of the decision actor is full.
     Overloaded,
     /// RPC: the decision actor dropped it.
     LostByDecisions,
-    /// RPC: what the client sent is no valid request.
+    /// RPC: the client's message is not a valid request.
     InvalidRequest,
-    /// RPC: its long body made no progress, or was not complete in time.
+    /// RPC: its streamed body stalled, or was not complete in time.
     BodyStalled,
-    /// Attempt: it ran to its own end.
+    /// Attempt: it ran to its end.
     Completed,
-    /// Attempt: the decisions cancelled it, or its RPC has ended.
+    /// Attempt: cancelled by the decisions, or because its RPC ended.
     Cancelled,
-    /// Attempt: its backend takes nothing new.
+    /// Attempt: its backend accepts no new requests.
     EndpointUnavailable,
-    /// Attempt: it would have been sent too late to be recognised as a duplicate.
+    /// Attempt: nothing was sent before the end of the period in which the backend detects duplicates.
     SendWindowClosed,
-    /// Attempt: no response in time.
+    /// Attempt: no response before the timeout.
     TimedOut,
-    /// Attempt: a long request made no progress.
+    /// Attempt: a streamed request stalled.
     UploadStalled,
 }
 
 impl EndReason {
+    /// The name of the reason in log lines.
     fn as_str(self) -> &'static str {
         match self {
             Self::ClientClosed => "client-closed",
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Something did not go its usual way, by what this proxy or a backend did.
+    /// Whether this proxy or a backend caused an abnormal end.
     fn is_failure(self) -> bool {
         matches!(
             self,
@@ -105,8 +106,8 @@
         )
     }
 
-    /// Something did not go its usual way, by what the client did.
-    fn is_fault_of_client(self) -> bool {
+    /// Whether the client caused an abnormal end.
+    fn is_client_fault(self) -> bool {
         matches!(
             self,
             Self::ConnectionBroken
@@ -119,11 +120,12 @@
         )
     }
 
-    /// The level of the log line about an end of this reason: operators want to see what is unusual.
+    /// Returns the level of a log line with this reason. Abnormal ends are logged at `info`, those that clients cause
+    /// within their log budget.
     pub(crate) fn level(self) -> Level {
         if self.is_failure() {
             Level::Info
-        } else if self.is_fault_of_client() {
+        } else if self.is_client_fault() {
             client_line_level()
         } else {
             Level::Debug
--- a/crates/daemon/src/net/body/upload.rs
+++ b/crates/daemon/src/net/body/upload.rs
@@ -96,9 +96,9 @@
         self.is_waiting_for_client.get()
     }
 
-    /// By when all of it is received, or it has failed.
-    pub(crate) fn bound(&self) -> Instant {
-        self.deadline.get().bound()
+    /// When the body is complete or has failed, at the latest.
+    pub(crate) fn latest_end(&self) -> Instant {
+        self.deadline.get().limit()
     }
 
     /// Waits for its last byte and returns the time at which it was received. Where that never comes
@@ -119,7 +119,7 @@
     /// byte was received this is never ready.
     pub(crate) async fn failed(&self) -> UploadError {
         loop {
-            let deadline = self.deadline.get().at();
+            let deadline = self.deadline.get().expires_at();
             let mut received = self.received.subscribe();
             let ended = received.wait_for(|part| *part != ReceivedPart::Incomplete);
             match timeout_at(deadline, ended)
@@ -129,7 +129,7 @@
                 Ok(Ok(ReceivedPart::Failed(error))) => return error,
                 Ok(_) => return pending().await,
                 // It may have moved while this was waited for.
-                Err(_) if self.deadline.get().at() > deadline => {}
+                Err(_) if self.deadline.get().expires_at() > deadline => {}
                 Err(_) => {
                     let _ = self.fail(UploadError::Stalled);
                 }
--- a/crates/daemon/src/net/progress_deadline.rs
+++ b/crates/daemon/src/net/progress_deadline.rs
@@ -1,48 +1,55 @@
-//! A deadline for something that a peer sends or takes in pieces.
+//! A deadline for a transfer, extended by each step of progress up to a fixed limit.
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The end of a wait for progress. Each step of progress moves it, but never beyond a bound that was fixed at the
-/// start: no peer can keep something open for ever by sending a little from time to time.
+/// The deadline of a transfer that a peer sends or reads in pieces. Each step of progress extends it, but never beyond
+/// a limit that is fixed at the start: a peer that moves a few bytes from time to time can't keep a connection open
+/// for ever.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ProgressDeadline {
-    at: Instant,
-    bound: Instant,
-    stall: Duration,
-    /// Bytes that make a step.
-    step: u64,
-    /// Bytes at the last step.
-    step_at: u64,
+    expires_at: Instant,
+    limit: Instant,
+    stall_timeout: Duration,
+    /// Bytes that count as one step of progress.
+    step_bytes: u64,
+    /// Bytes transferred at the last step.
+    bytes_at_last_step: u64,
 }
 
 impl ProgressDeadline {
-    /// A deadline that ends `stall` after now or after the last step of `step` bytes, and at `bound` in any case.
-    pub(crate) fn start(now: Instant, stall: Duration, step: u64, bound: Instant) -> Self {
+    /// Creates a deadline that expires `stall_timeout` after now or after the latest step of `step_bytes` bytes, and
+    /// at `limit` at the latest.
+    pub(crate) fn new(
+        now: Instant,
+        stall_timeout: Duration,
+        step_bytes: u64,
+        limit: Instant,
+    ) -> Self {
         Self {
-            at: bound.min(now + stall),
-            bound,
-            stall,
-            step,
-            step_at: 0,
+            expires_at: limit.min(now + stall_timeout),
+            limit,
+            stall_timeout,
+            step_bytes,
+            bytes_at_last_step: 0,
         }
     }
 
-    /// Records that so many bytes have moved in all by now.
-    pub(crate) fn record(&mut self, bytes: u64, now: Instant) {
-        if bytes >= self.step_at.saturating_add(self.step) {
-            self.step_at = bytes;
-            self.at = self.bound.min(now + self.stall);
+    /// Records the number of bytes transferred so far.
+    pub(crate) fn record(&mut self, total_bytes: u64, now: Instant) {
+        if total_bytes >= self.bytes_at_last_step.saturating_add(self.step_bytes) {
+            self.bytes_at_last_step = total_bytes;
+            self.expires_at = self.limit.min(now + self.stall_timeout);
         }
     }
 
-    /// When the wait ends, if there is no further step.
-    pub(crate) fn at(&self) -> Instant {
-        self.at
+    /// When the deadline expires if there is no further progress.
+    pub(crate) fn expires_at(&self) -> Instant {
+        self.expires_at
     }
 
-    /// When it ends whatever happens.
-    pub(crate) fn bound(&self) -> Instant {
-        self.bound
+    /// When it expires whatever progress there is.
+    pub(crate) fn limit(&self) -> Instant {
+        self.limit
     }
 }
 
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -7,7 +7,7 @@
 use crate::net::connection::{ConnectError, Connection, ConnectionError, Reply};
 use crate::net::inbound_stream::ClientLiveness;
 use crate::net::socket_budget::SocketClass;
-use crate::time_limits::UPLOAD_STALL;
+use crate::time_limits::UPLOAD_STALL_TIMEOUT;
 use crate::upstream::endpoint_state::EndpointState;
 use crate::upstream::exchange::{
     CancelSignal, CompletionGuard, Deadlines, Exchange, ExchangeRequest,
@@ -190,7 +190,7 @@
                 written = self.written.bytes();
                 stalled_since = Instant::now();
             }
-            if stalled_since.elapsed() >= UPLOAD_STALL {
+            if stalled_since.elapsed() >= UPLOAD_STALL_TIMEOUT {
                 return;
             }
         }
--- a/crates/daemon/src/upstream/response.rs
+++ b/crates/daemon/src/upstream/response.rs
@@ -2,7 +2,7 @@
 use crate::end_reason::EndReason;
 use crate::net::body::{BODY_LIMIT, streamed_body};
 use crate::net::connection::{Connection, Reply};
-use crate::time_limits::{RESPONSE, RESPONSE_STALL};
+use crate::time_limits::{RESPONSE_STALL_TIMEOUT, RESPONSE_TIMEOUT};
 use crate::upstream::exchange::CompletionGuard;
 use crate::upstream::result::ExchangeResult;
 use birchhub::interface::{AttemptOutcome, LoadReport};
@@ -27,7 +27,7 @@
     let (sender, body) = streamed_body(std::mem::take(&mut reply.body), reply.length);
     completion.report_response_started(body).await;
     let mut bytes_left = BODY_LIMIT;
-    let end = Instant::now() + RESPONSE;
+    let end = Instant::now() + RESPONSE_TIMEOUT;
     loop {
         let chunk = select! {
             biased;
@@ -54,7 +54,7 @@
 
 /// By when the next piece of a response that is to be over at `end` has to move on.
 fn stall_deadline(end: Instant) -> Instant {
-    end.min(Instant::now() + RESPONSE_STALL)
+    end.min(Instant::now() + RESPONSE_STALL_TIMEOUT)
 }
 
 /// The outcome and load report that a response stands for, as the protocol has it.
