--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -265,7 +265,7 @@
             late: deadline.map_or(Duration::ZERO, |deadline| {
                 now.saturating_duration_since(deadline)
             }),
-            told: self.deadlines.until.saturating_duration_since(now),
+            forwarded_timeout: self.deadlines.until.saturating_duration_since(now),
             is_backend_ready: self.endpoint.is_ready(),
             repeat_time_left: send_by.map(|at| at.saturating_duration_since(now)),
         }
--- a/crates/invariants/src/guard.rs
+++ b/crates/invariants/src/guard.rs
@@ -41,8 +41,8 @@
     pub time_left: Option<Duration>,
     /// How long the client's time has been over.
     pub late: Duration,
-    /// How long the backend is told to have.
-    pub told: Duration,
+    /// The `Request-Timeout-Ms` that is forwarded to the backend.
+    pub forwarded_timeout: Duration,
     /// The backend takes new requests.
     pub is_backend_ready: bool,
     /// What is left of the time in which a repeat is recognised; none where that is not limited.
@@ -156,9 +156,12 @@
     if left.is_zero() {
         return Err(Violation::DeadlinePassed { late: facts.late });
     }
-    let told = facts.told;
-    if told > left + DEADLINE_SLACK {
-        return Err(Violation::DeadlineExceeded { told, left });
+    let forwarded_timeout = facts.forwarded_timeout;
+    if forwarded_timeout > left + DEADLINE_SLACK {
+        return Err(Violation::DeadlineExceeded {
+            forwarded_timeout,
+            left,
+        });
     }
     Ok(())
 }
--- a/crates/invariants/src/violation.rs
+++ b/crates/invariants/src/violation.rs
@@ -28,10 +28,12 @@
         late: Duration,
     },
     /// See [`Rule::NoAttemptBeyondDeadline`].
-    #[error("an attempt tells its backend {told:?} where {left:?} are left")]
+    #[error(
+        "an attempt forwards a timeout of {forwarded_timeout:?} with {left:?} left to the client"
+    )]
     DeadlineExceeded {
-        /// What the backend is told.
-        told: Duration,
+        /// The timeout that is forwarded to the backend.
+        forwarded_timeout: Duration,
         /// What is left to the client.
         left: Duration,
     },
--- a/crates/invariants/tests/guard.rs
+++ b/crates/invariants/tests/guard.rs
@@ -12,7 +12,7 @@
     is_client_gone: false,
     time_left: Some(SECOND),
     late: Duration::ZERO,
-    told: SECOND,
+    forwarded_timeout: SECOND,
     is_backend_ready: true,
     repeat_time_left: None,
 };
@@ -112,17 +112,20 @@
     assert_eq!(all_violations(&guard), 0, "races are no violations");
 }
 
-/// The time that is passed on is at most what is left, with its slack.
+/// The forwarded timeout is at most what is left to the client, with a slack.
 #[test]
-fn a_backend_is_told_no_more_than_the_client_has_left() {
+fn forwarded_timeout_does_not_exceed_the_time_left_to_the_client() {
     let guard = Guard::default();
-    let told = |told: Duration| SendFacts { told, ..SEND };
-    assert_eq!(guard.check_send(&told(SECOND + 150 * MS)), Ok(()));
-    assert!(guard.check_send(&told(SECOND + 151 * MS)).is_err());
+    let with_timeout = |forwarded_timeout: Duration| SendFacts {
+        forwarded_timeout,
+        ..SEND
+    };
+    assert_eq!(guard.check_send(&with_timeout(SECOND + 150 * MS)), Ok(()));
+    assert!(guard.check_send(&with_timeout(SECOND + 151 * MS)).is_err());
     assert_eq!(guard.violations(Rule::NoAttemptBeyondDeadline), 1);
     let still_coming = SendFacts {
         time_left: None,
-        told: 60 * SECOND,
+        forwarded_timeout: 60 * SECOND,
         ..SEND
     };
     assert_eq!(guard.check_send(&still_coming), Ok(()));
