--- a/crates/daemon/src/decision/platform.rs
+++ b/crates/daemon/src/decision/platform.rs
@@ -4,10 +4,10 @@
 use crate::config::shadow::{Action, RecordedActions};
 use crate::decision::endpoints::EndpointRegistry;
 use crate::decision::in_flight::InFlightRpc;
-use crate::downstream::request::ParsedRequest;
 use crate::downstream::response::ProxyResponse;
 use crate::invariants::Invariants;
 use crate::messages::{AttemptId, Event};
+use crate::upstream::backend_protocol::health_check_request;
 use crate::upstream::exchange::{
     CompletionGuard, Deadlines, Exchange, ExchangeKind, ExchangeRequest,
 };
@@ -196,7 +196,7 @@
             recorded.record_health_check();
         }
         let request = ExchangeRequest {
-            request: ParsedRequest::health_check(),
+            request: health_check_request(),
             client: None,
             deadlines: Deadlines {
                 until: Instant::now() + HEALTH_CHECK_TIMEOUT,
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -1,6 +1,7 @@
 //! Clients: the listener, their connections, requests and responses.
 
 pub(crate) mod body_deadline;
+mod client_protocol;
 pub(crate) mod connection;
 mod connection_driver;
 pub(crate) mod connection_phase;
@@ -9,9 +10,12 @@
 pub(crate) mod listener;
 pub(crate) mod message_scan;
 pub(crate) mod request;
+mod request_body;
 pub(crate) mod request_error;
 pub(crate) mod request_ids;
 pub(crate) mod request_parser;
 pub(crate) mod response;
+mod rpc_deadline;
 pub(crate) mod rpc_guard;
+mod rpc_log;
 pub(crate) mod rpc_service;
--- /dev/null
+++ b/crates/daemon/src/downstream/request_body.rs
@@ -0,0 +1,56 @@
+//! Receives the body of a request: buffers a short one, and prepares a longer one to be streamed.
+use crate::downstream::request::RequestPayload;
+use crate::downstream::request_error::RequestError;
+use crate::net::body::{BODY_LIMIT, BUFFERED_BODY_LIMIT, RequestUpload};
+use crate::net::progress_deadline::ProgressDeadline;
+use bytes::BytesMut;
+use http_body_util::BodyExt;
+use hyper::Method;
+use hyper::body::{Body, Incoming};
+use tokio::time::{Instant, timeout_at};
+
+/// Receives the body of a request with this HTTP method, as far as it is buffered.
+///
+/// # Errors
+/// The body is too long, malformed, late, or not permitted with `GET`.
+pub(super) async fn receive_payload(
+    method: &Method,
+    body: Incoming,
+    deadline: ProgressDeadline,
+) -> Result<RequestPayload, RequestError> {
+    if body.size_hint().lower() > BODY_LIMIT {
+        return Err(RequestError::BodyTooLarge);
+    }
+    let payload = buffer_body(body, deadline).await?;
+    if *method == Method::GET && !payload.is_empty() {
+        return Err(RequestError::UnexpectedBody);
+    }
+    Ok(payload)
+}
+
+/// Buffers a body up to its end, or up to the limit beyond which the rest is streamed.
+async fn buffer_body(
+    mut body: Incoming,
+    mut deadline: ProgressDeadline,
+) -> Result<RequestPayload, RequestError> {
+    let declared_length = body.size_hint().lower();
+    let capacity = declared_length.min(BUFFERED_BODY_LIMIT as u64) as usize;
+    let mut buffered = BytesMut::with_capacity(capacity);
+    while !body.is_end_stream() {
+        match timeout_at(deadline.expires_at(), body.frame()).await {
+            Err(_) => return Err(RequestError::BodyTimeout),
+            Ok(None) => break,
+            Ok(Some(Err(_))) => return Err(RequestError::MalformedBody),
+            Ok(Some(Ok(frame))) => {
+                // A frame of trailers has no data.
+                buffered.extend_from_slice(&frame.into_data().unwrap_or_default());
+                deadline.record(buffered.len() as u64, Instant::now());
+            }
+        }
+        if buffered.len() > BUFFERED_BODY_LIMIT && !body.is_end_stream() {
+            let upload = RequestUpload::new(buffered.freeze(), body, deadline);
+            return Ok(RequestPayload::Streamed(upload));
+        }
+    }
+    Ok(RequestPayload::Buffered(buffered.freeze()))
+}
--- a/crates/daemon/src/downstream/response.rs
+++ b/crates/daemon/src/downstream/response.rs
@@ -1,4 +1,5 @@
 //! Responses to clients, each encoded once.
+use crate::downstream::client_protocol::{FAILED_BODY, NOT_READY_BODY, READY_BODY, REJECTED_BODY};
 use crate::net::body::{ResponseBody, StreamedBody};
 use bytes::Bytes;
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
@@ -79,11 +80,11 @@
         match self {
             Self::Ok(body) => (StatusCode::OK, ResponseBody::buffered(body)),
             Self::Streamed(body) => (StatusCode::OK, ResponseBody::streamed(body)),
-            Self::Rejected { .. } => (StatusCode::SERVICE_UNAVAILABLE, text("pushed back\n")),
-            Self::Failed => (StatusCode::BAD_GATEWAY, text("aborted\n")),
+            Self::Rejected { .. } => (StatusCode::SERVICE_UNAVAILABLE, text(REJECTED_BODY)),
+            Self::Failed => (StatusCode::BAD_GATEWAY, text(FAILED_BODY)),
             Self::ClientError { status, message } => (status, text(message)),
-            Self::Health(true) => (StatusCode::OK, text("ready\n")),
-            Self::Health(false) => (StatusCode::SERVICE_UNAVAILABLE, text("not ready\n")),
+            Self::Health(true) => (StatusCode::OK, text(READY_BODY)),
+            Self::Health(false) => (StatusCode::SERVICE_UNAVAILABLE, text(NOT_READY_BODY)),
         }
     }
 }
--- /dev/null
+++ b/crates/daemon/src/downstream/rpc_deadline.rs
@@ -0,0 +1,55 @@
+//! The deadlines of an RPC, and the failures of a streamed request before its last byte.
+use crate::downstream::request::ReceivedRpc;
+use crate::downstream::request_error::RequestError;
+use crate::downstream::response::ProxyResponse;
+use crate::end_reason::EndReason;
+use crate::net::body::{RequestUpload, UploadError};
+use crate::time_limits::RESPONSE_GRACE_PERIOD;
+use std::future::pending;
+use std::time::Duration;
+use tokio::time::{Instant, sleep_until};
+
+/// Returns when the RPC must have its response, whoever delays it: its timeout and the grace period, counted from the
+/// latest end of its body.
+pub(super) fn response_deadline(rpc: &ReceivedRpc) -> Instant {
+    let upload = rpc.request.upload();
+    let body_end = upload.map_or(rpc.received_at, |upload| upload.latest_end());
+    body_end + rpc.timeout + RESPONSE_GRACE_PERIOD
+}
+
+/// Waits until the client's timeout is over, which counts from the last byte of the request.
+pub(super) async fn client_timeout(
+    upload: Option<&RequestUpload>,
+    received_at: Instant,
+    timeout: Duration,
+) {
+    let received_at = match upload {
+        Some(upload) => upload.completed().await,
+        None => received_at,
+    };
+    sleep_until(received_at + timeout).await;
+}
+
+/// Waits until a streamed request has failed before its last byte, and returns the response. Pending for ever if the
+/// request is buffered or completes.
+pub(super) async fn incomplete_upload(
+    upload: Option<&RequestUpload>,
+) -> (ProxyResponse, EndReason) {
+    let Some(upload) = upload else {
+        return pending().await;
+    };
+    match upload.failed().await {
+        UploadError::LimitExceeded => {
+            (RequestError::BodyTooLarge.into(), EndReason::InvalidRequest)
+        }
+        UploadError::Truncated => (
+            RequestError::MalformedBody.into(),
+            EndReason::InvalidRequest,
+        ),
+        UploadError::Stalled if upload.is_waiting_for_client() => {
+            (RequestError::BodyTimeout.into(), EndReason::BodyStalled)
+        }
+        // No backend has received the complete request, so none has started it.
+        UploadError::Stalled => (ProxyResponse::rejected(), EndReason::BodyStalled),
+    }
+}
--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -8,11 +8,12 @@
 use crate::net::inbound_stream::ClientLiveness;
 use crate::net::socket_budget::SocketClass;
 use crate::time_limits::UPLOAD_STALL_TIMEOUT;
+use crate::upstream::backend_protocol::{classify_response, encode_request};
 use crate::upstream::endpoint_state::EndpointState;
 use crate::upstream::exchange::{
     CancelSignal, CompletionGuard, Deadlines, Exchange, ExchangeRequest,
 };
-use crate::upstream::response::{classify, stream_response};
+use crate::upstream::response_stream::stream_response;
 use crate::upstream::result::ExchangeResult;
 use birchhub::interface::AttemptOutcome;
 use birchhub_invariants::SendFacts;
@@ -323,7 +324,7 @@
         let may_stream = !self.request.is_health_check();
         let reply = connection
             .exchange(
-                self.request.encode(time_left),
+                encode_request(self.request, time_left),
                 BUFFERED_BODY_LIMIT,
                 may_stream,
                 self.completion.sent_flag(),
@@ -364,7 +365,7 @@
         self.endpoint
             .keep(connection, address, &reply.headers)
             .await;
-        classify(reply, self.request.is_health_check())
+        classify_response(reply, self.request.is_health_check())
     }
 
     /// The outcome on a connection that broke: what broke before the last byte of the request was written has not
--- /dev/null
+++ b/crates/daemon/src/upstream/backend_protocol/tests.rs
@@ -0,0 +1,22 @@
+//! Tests of the classification of responses.
+use super::*;
+use hyper::StatusCode;
+
+/// The body of an RPC's response may read like a load report and is none.
+#[test]
+fn only_the_body_of_a_health_check_is_parsed_as_a_load_report() {
+    let reply = || Reply {
+        status: StatusCode::OK,
+        headers: HeaderMap::new(),
+        body: "inflight=9".into(),
+        is_partial: false,
+        length: None,
+    };
+    let reported_in_flight = |is_health_check| {
+        classify_response(reply(), is_health_check)
+            .report
+            .and_then(|report| report.in_flight)
+    };
+    assert_eq!(reported_in_flight(true), Some(9.0));
+    assert_eq!(reported_in_flight(false), None);
+}
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -1,9 +1,10 @@
 //! Backends: one actor for each, its idle connections, and the exchanges (attempts and health checks) with it.
 
 mod attempt;
+pub(crate) mod backend_protocol;
 pub(crate) mod endpoint;
 pub(crate) mod endpoint_state;
 pub(crate) mod exchange;
 mod idle_connections;
-mod response;
+mod response_stream;
 pub(crate) mod result;
--- a/crates/daemon/tests/stalled_clients.rs
+++ b/crates/daemon/tests/stalled_clients.rs
@@ -328,7 +328,7 @@
             "reason=head-timeout",
             "phase=ReadingHead",
         ],
-        ["message answered", "reason=invalid-request", "404"],
+        ["message is no valid RPC", "reason=invalid-request", "404"],
     ] {
         eventually(PATIENCE, "a line is missing", || is_logged(&words));
     }
