--- a/crates/daemon/src/upstream/attempt.rs
+++ b/crates/daemon/src/upstream/attempt.rs
@@ -7,12 +7,13 @@
 use crate::net::connection::{ConnectError, Connection, ConnectionError, Reply};
 use crate::net::inbound_stream::ClientLiveness;
 use crate::net::socket_budget::SocketClass;
-use crate::time_limits::UPLOAD_STALL;
+use crate::time_limits::UPLOAD_STALL_TIMEOUT;
+use crate::upstream::backend_protocol::{classify_response, encode_request};
 use crate::upstream::endpoint_state::EndpointState;
 use crate::upstream::exchange::{
     CancelSignal, CompletionGuard, Deadlines, Exchange, ExchangeRequest,
 };
-use crate::upstream::response::{classify, stream_response};
+use crate::upstream::response_stream::stream_response;
 use crate::upstream::result::ExchangeResult;
 use birchhub::interface::AttemptOutcome;
 use birchhub_invariants::SendFacts;
@@ -190,7 +191,7 @@
                 written = self.written.bytes();
                 stalled_since = Instant::now();
             }
-            if stalled_since.elapsed() >= UPLOAD_STALL {
+            if stalled_since.elapsed() >= UPLOAD_STALL_TIMEOUT {
                 return;
             }
         }
@@ -265,7 +266,7 @@
             late: deadline.map_or(Duration::ZERO, |deadline| {
                 now.saturating_duration_since(deadline)
             }),
-            told: self.deadlines.until.saturating_duration_since(now),
+            forwarded_timeout: self.deadlines.until.saturating_duration_since(now),
             is_backend_ready: self.endpoint.is_ready(),
             repeat_time_left: send_by.map(|at| at.saturating_duration_since(now)),
         }
@@ -323,7 +324,7 @@
         let may_stream = !self.request.is_health_check();
         let reply = connection
             .exchange(
-                self.request.encode(time_left),
+                encode_request(self.request, time_left),
                 BUFFERED_BODY_LIMIT,
                 may_stream,
                 self.completion.sent_flag(),
@@ -364,7 +365,7 @@
         self.endpoint
             .keep(connection, address, &reply.headers)
             .await;
-        classify(reply, self.request.is_health_check())
+        classify_response(reply, self.request.is_health_check())
     }
 
     /// The outcome on a connection that broke: what broke before the last byte of the request was written has not
