--- /dev/null
+++ b/src/attempt_window.rs
@@ -0,0 +1,39 @@
+//! Sliding window over the attempts that were sent to one backend.
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+
+/// The times at which attempts were sent, as far back as the window reaches.
+#[derive(Default)]
+pub(crate) struct AttemptWindow {
+    sent_at: RefCell<VecDeque<f64>>,
+    assumed_full_at: Cell<Option<f64>>,
+}
+
+impl AttemptWindow {
+    /// Adds an attempt sent now. `window` is the length of the window in seconds.
+    pub(crate) fn add(&self, now: f64, window: f64) {
+        self.count(now, window);
+        self.sent_at.borrow_mut().push_back(now);
+    }
+
+    /// Counts the window that starts now as full: another process may have sent as many attempts as
+    /// are allowed.
+    pub(crate) fn assume_full(&self, now: f64) {
+        self.assumed_full_at.set(Some(now));
+    }
+
+    /// Returns the number of attempts sent in the window that ends now; infinite while the window is
+    /// assumed to be full.
+    pub(crate) fn count(&self, now: f64, window: f64) -> f64 {
+        let mut sent_at = self.sent_at.borrow_mut();
+        while sent_at.front().is_some_and(|at| *at <= now - window) {
+            sent_at.pop_front();
+        }
+        let assumed_full_at = self.assumed_full_at.get();
+        if assumed_full_at.is_some_and(|at| now < at + window) {
+            f64::INFINITY
+        } else {
+            sent_at.len() as f64
+        }
+    }
+}
--- a/src/endpoint.rs
+++ b/src/backend.rs
@@ -1,10 +1,10 @@
 //! What this proxy keeps of one backend: its entry in the endpoint list and what was observed of it.
+use crate::attempt_window::AttemptWindow;
 use crate::ewma::Ewma;
 use crate::interface::{AttemptOutcome, Endpoint, Readiness};
-use std::cell::{Cell, RefCell};
-use std::collections::VecDeque;
+use std::cell::Cell;
 
-/// Number of subsets of the endpoint index that one backend can be in at once.
+/// Number of subsets of the backend index that one backend can be in at once.
 pub(crate) const SUBSET_SLOTS: usize = 5;
 
 /// What is kept of a load report.
@@ -59,7 +59,7 @@
     pub last_unfinished_at: Cell<Option<f64>>,
     /// Random sample below 1, renewed with each report: a slow-start attempt's chance must exceed it.
     pub slow_start_sample: Cell<f64>,
-    /// Its positions in the subsets of the endpoint index, by slot.
+    /// Its positions in the subsets of the backend index, by slot.
     pub index_positions: [Cell<Option<usize>>; SUBSET_SLOTS],
 }
 
@@ -148,40 +148,3 @@
         self.ready.get() && self.queued_until.get().is_some_and(|until| until >= now)
     }
 }
-
-/// When attempts were sent, as far back as a window reaches.
-#[derive(Default)]
-pub(crate) struct AttemptWindow {
-    sent_at: RefCell<VecDeque<f64>>,
-    assumed_full_at: Cell<Option<f64>>,
-}
-
-impl AttemptWindow {
-    /// An attempt has been sent.
-    pub(crate) fn add(&self, now: f64, window: f64) {
-        self.count(now, window);
-        self.sent_at.borrow_mut().push_back(now);
-    }
-
-    /// Others may have sent as many as the window can hold.
-    fn assume_full(&self, now: f64) {
-        self.assumed_full_at.set(Some(now));
-    }
-
-    /// Number of attempts sent in the window that ends now.
-    pub(crate) fn count(&self, now: f64, window: f64) -> f64 {
-        let mut sent_at = self.sent_at.borrow_mut();
-        while sent_at.front().is_some_and(|at| *at <= now - window) {
-            sent_at.pop_front();
-        }
-        let full = self
-            .assumed_full_at
-            .get()
-            .is_some_and(|at| now < at + window);
-        if full {
-            f64::INFINITY
-        } else {
-            sent_at.len() as f64
-        }
-    }
-}
--- a/src/endpoint_index/mod.rs
+++ b/src/backend_index/mod.rs
@@ -1,6 +1,6 @@
 //! Indexes over backends, so that no decision walks a fleet: who is known, and which subsets each is in.
 //! It decides nothing: its caller says who belongs where, with events and not with each RPC.
-use crate::endpoint::Backend;
+use crate::backend::Backend;
 use crate::rng::{Rng, pair_sample};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -46,7 +46,7 @@
 
 /// The backends this proxy knows, by number, by subset and by the time at which something about them ends.
 #[derive(Default)]
-pub(crate) struct EndpointIndex {
+pub(crate) struct BackendIndex {
     /// Zone whose backends are local.
     pub own_zone: usize,
     /// Number of updates of the endpoint list so far.
@@ -58,7 +58,7 @@
     expiries: BinaryHeap<Reverse<(u64, u32)>>,
 }
 
-impl EndpointIndex {
+impl BackendIndex {
     /// The backend of this number, if it is known.
     pub(crate) fn get(&self, id: u32) -> Option<&Rc<Backend>> {
         self.by_id.get(&id)
--- a/src/endpoint_index/tests.rs
+++ b/src/backend_index/tests.rs
@@ -13,7 +13,7 @@
 /// The index, and a list of the memberships that it should hold.
 #[derive(Default)]
 struct ModelledIndex {
-    index: EndpointIndex,
+    index: BackendIndex,
     memberships: Vec<(u32, Subset)>,
 }
 
@@ -88,7 +88,7 @@
 
 #[test]
 fn expiries_are_returned_once_in_order_of_time() {
-    let mut index = EndpointIndex::default();
+    let mut index = BackendIndex::default();
     for (id, at) in [(1, 3.0), (2, 1.0), (3, 2.0), (1, 1.5), (4, 9.0)] {
         let backend = index.get_or_insert(id);
         index.add_expiry(at, &backend);
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,5 +1,5 @@
 //! Bookkeeping of pending RPCs, attempts and the timer, around what the dispatcher decides.
-use crate::endpoint::Backend;
+use crate::backend::Backend;
 use crate::estimates::AVERAGING_TIME;
 use crate::interface::Platform;
 use crate::policy::deadlines;
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! Updates of the endpoint list, and the subsets that each backend is in.
-use crate::endpoint::Backend;
-use crate::endpoint_index::Subset;
+use crate::backend::Backend;
+use crate::backend_index::Subset;
 use crate::interface::{Endpoint, EndpointUpdateKind};
 use crate::policy::dispatch::Dispatcher;
 use crate::policy::outlier_detection::is_available;
--- a/src/balancer/rpc_handle.rs
+++ b/src/balancer/rpc_handle.rs
@@ -1,5 +1,5 @@
 //! What happens to one RPC after it was accepted, and whom the end of an attempt concerns.
-use crate::endpoint::Backend;
+use crate::backend::Backend;
 use crate::estimates::AVERAGING_TIME;
 use crate::interface::{AttemptOutcome, LoadReport, PacedBy, Platform};
 use crate::policy::dispatch::Dispatcher;
--- a/src/check_tokens.rs
+++ b/src/check_tokens.rs
@@ -1,5 +1,5 @@
 //! Bookkeeping of health checks: how many are paid for and how many are in flight.
-use crate::endpoint::Backend;
+use crate::backend::Backend;
 
 /// Tokens that pay for health checks, and the checks in flight.
 #[derive(Default)]
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,5 +1,5 @@
 //! What all mechanisms share.
-use crate::endpoint_index::EndpointIndex;
+use crate::backend_index::BackendIndex;
 use crate::estimates::Estimates;
 use crate::rng::Rng;
 
@@ -7,7 +7,7 @@
 #[derive(Default)]
 pub(crate) struct Fleet {
     /// The backends this proxy knows.
-    pub index: EndpointIndex,
+    pub index: BackendIndex,
     /// Averages over them.
     pub estimates: Estimates,
     /// The generator of all random numbers.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,13 @@
-//! The decisions of birchhub, without I/O and without a clock. `policy` decides, `interface` is what it is
-//! called with and `balancer` hands it the events; the other modules hold state, indexes and estimators, and
-//! decide nothing.
+//! The decisions of the birchhub proxy: which RPC goes to which backend, and when.
+//!
+//! The package does no I/O and reads no clock. A platform calls [`balancer`] with events, and the
+//! decisions act through [`interface::Platform`]. [`policy`] holds every decision, one module for
+//! each mechanism; all other modules keep state, indexes and estimates for it.
+mod attempt_window;
+mod backend;
+mod backend_index;
 pub mod balancer;
 mod check_tokens;
-mod endpoint;
-mod endpoint_index;
 mod estimates;
 mod ewma;
 mod fleet;
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -10,7 +10,7 @@
     idle_queue::IdleQueue, outlier_detection::OutlierDetection, retry_budget::RetryBudget,
 };
 use crate::tenant::{QuotaShare, TenantQuotas};
-use crate::{endpoint::Backend, fleet::Fleet, interface::Platform, rpc_state::RpcState};
+use crate::{backend::Backend, fleet::Fleet, interface::Platform, rpc_state::RpcState};
 use crate::{keyed_queue::KeyedQueue, pending_queue::PendingQueue};
 use std::rc::Rc;
 
--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -1,7 +1,7 @@
 //! The fallback while the idle queue is empty: a random ready backend.
 use super::{outlier_detection::is_available, rules::allowed_subset};
-use crate::endpoint_index::Subset;
-use crate::{endpoint::Backend, fleet::Fleet, interface::Settings, rpc_state::RpcState};
+use crate::backend_index::Subset;
+use crate::{backend::Backend, fleet::Fleet, interface::Settings, rpc_state::RpcState};
 use std::rc::Rc;
 
 const FULL_LOCAL_COST: f64 = 0.033; // points; at it a fair part of picks stays local, less by the square
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -2,7 +2,7 @@
 use super::{idle_queue::entry_lifetime, outlier_detection::is_healthy};
 use crate::estimates::{CLOCK_TOLERANCE, Estimates};
 use crate::interface::{LoadReportSource, Platform, Settings};
-use crate::{check_tokens::CheckTokens, endpoint::Backend, endpoint_index::Subset, fleet::Fleet};
+use crate::{backend::Backend, backend_index::Subset, check_tokens::CheckTokens, fleet::Fleet};
 use std::rc::Rc;
 
 const FIRST_CHECK_WORTH: f64 = 0.032; // points that an RPC's first check is worth: it saves late picks
--- a/src/policy/idle_queue.rs
+++ b/src/policy/idle_queue.rs
@@ -1,7 +1,7 @@
 //! The idle queue of Join-Idle-Queue: backends that are taken to be idle, each at most once.
 use super::outlier_detection::is_healthy;
 use crate::rpc_state::{CompletedAttempt, RpcState};
-use crate::{endpoint::Backend, estimates::Estimates, ewma::Ewma, fleet::Fleet};
+use crate::{backend::Backend, estimates::Estimates, ewma::Ewma, fleet::Fleet};
 use std::{collections::VecDeque, rc::Rc};
 
 const ENTRY_SERVICE_TIMES: f64 = 0.3; // that an entry lasts: other proxies see the same idle backend
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -1,6 +1,6 @@
 //! Whether a load report makes a backend idle, and whether reports are worth using.
 use crate::interface::{LoadReport, Settings};
-use crate::{endpoint::Backend, fleet::Fleet, report_quality::ReportQuality};
+use crate::{backend::Backend, fleet::Fleet, report_quality::ReportQuality};
 
 const LIGHT_LOAD: f64 = 0.75; // at most, of the mean reported load: 0 while backends hold one RPC each
 const MIN_TIME_SAVED: f64 = 0.1; // part of its time that a light report must save an attempt
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,6 +1,6 @@
 //! Outlier detection: ejects backends that fail, and skips those that are full or hang.
 use crate::interface::AttemptOutcome;
-use crate::{endpoint::Backend, estimates::AVERAGING_TIME, ewma::Ewma, fleet::Fleet};
+use crate::{backend::Backend, estimates::AVERAGING_TIME, ewma::Ewma, fleet::Fleet};
 
 const FAILURES_TO_EJECT: f64 = 3.0; // timeouts and resets in a row; any other failure counts for all
 const FORGIVEN: f64 = 0.2; // of a failure that a success takes back: one in six is borne ...
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,5 +1,5 @@
 //! Retry budget: bounds the load that retries add.
-use crate::{endpoint::Backend, rpc_state::RpcState};
+use crate::{backend::Backend, rpc_state::RpcState};
 use std::rc::Rc;
 
 const EARNED_PER_SUCCESS: f64 = 0.1; // retries by a success: at most a tenth more load
--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -2,7 +2,7 @@
 use super::{deadlines::SLACK, slow_start::SlowStart};
 use crate::interface::{DeduplicationScope as Scope, Idempotency};
 use crate::{
-    endpoint::Backend, endpoint_index::Subset, fleet::Fleet, limits::Limits, rpc_state::RpcState,
+    backend::Backend, backend_index::Subset, fleet::Fleet, limits::Limits, rpc_state::RpcState,
 };
 
 /// The limits of the deployment and the slow start budget.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: this proxy's part of what all proxies may send a backend that started lately. The parts sum to
 //! the budget or less: a new backend must not be sent all traffic at once.
 use crate::slow_start_budget::{SlowStartBudget, sure_work};
-use crate::{endpoint::Backend, fleet::Fleet, interface::Settings};
+use crate::{backend::Backend, fleet::Fleet, interface::Settings};
 use birchhub_invariants::{Violation, slow_start_limit};
 
 const SAFETY: f64 = 0.7; // part of the budget that is used: the work of one RPC is known only roughly
--- a/src/report_quality.rs
+++ b/src/report_quality.rs
@@ -1,5 +1,5 @@
 //! Estimator of how far load reports predict latency.
-use crate::endpoint::{Backend, LastReport};
+use crate::backend::{Backend, LastReport};
 use crate::ewma::Ewma;
 
 /// Time constant, s: also with a few attempts a second there is something to measure.
--- a/src/rpc_state.rs
+++ b/src/rpc_state.rs
@@ -1,7 +1,7 @@
 //! State of one RPC and of its attempts. It records what happened; whether there is another attempt is
 //! decided in `policy`.
-use crate::endpoint::Backend;
-use crate::endpoint_index::Subset;
+use crate::backend::Backend;
+use crate::backend_index::Subset;
 use crate::estimates::NO_RESPONSE_FACTOR;
 use crate::ewma::Ewma;
 use crate::interface::{AttemptOutcome, IncomingRpc, PacedBy};
--- a/src/slow_start_budget.rs
+++ b/src/slow_start_budget.rs
@@ -1,6 +1,6 @@
 //! What all proxies together may send a backend that started lately, and the traffic that this proxy's part
 //! of it is derived from. The part itself is decided in `policy::slow_start`.
-use crate::endpoint::Backend;
+use crate::backend::Backend;
 use crate::estimates::AVERAGING_TIME;
 use crate::ewma::DecayingCounter;
 use crate::interface::Settings;
