--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -9,7 +9,7 @@
 use crate::policy::fallback::CELLS_PER_KEY;
 use crate::policy::health_checks::PER_ROUND;
 use crate::policy::{fairness, throttle};
-use crate::tenant::QuotaShare;
+use crate::tenant::QuotaClass;
 use crate::{
     estimates::CLOCK_TOLERANCE, fleet::Fleet, limits::Limits, rng::Rng, rpc_state::RpcState,
 };
@@ -132,7 +132,7 @@
         dispatcher.serve(platform);
     }
 
-    /// An RPC has come in. Unless it is throttled it waits, in the order of quota share and priority.
+    /// An RPC has come in. Unless it is throttled it waits, in the order of quota class and priority.
     pub fn accept(&self, incoming: &IncomingRpc, platform: &mut dyn Platform) -> RpcHandle {
         let (mut dispatcher, now) = (self.0.borrow_mut(), platform.now());
         let rpc = Rc::new(dispatcher.new_rpc(incoming, now));
@@ -178,10 +178,11 @@
         let method = self.admission.methods[incoming.method].clone();
         method.record_arrival(now);
         let tenant = self.quotas.tenant(incoming.tenant);
-        let share = |tenant| fairness::share(&self.quotas, tenant, incoming.client_retry, now);
-        let share = tenant.map_or(QuotaShare::Within, share);
+        let quota_class =
+            |tenant| fairness::quota_class(&self.quotas, tenant, incoming.client_retry, now);
+        let quota_class = tenant.map_or(QuotaClass::Within, quota_class);
         if let Some(tenant) = tenant {
-            self.quotas.record(tenant, share, now);
+            self.quotas.record(tenant, quota_class, now);
         }
         // Cells that know its key, the same at every proxy: otherwise keys would go round the fleet.
         let key = incoming.key.filter(|_| self.rules.limits.key_affinity);
@@ -194,6 +195,6 @@
             .chain([&method.throttle])
             .cloned()
             .collect();
-        RpcState::new(incoming, method, share, cells, throttles, now)
+        RpcState::new(incoming, method, quota_class, cells, throttles, now)
     }
 }
--- a/src/keyed_queue/mod.rs
+++ b/src/keyed_queue/mod.rs
@@ -1,15 +1,26 @@
-//! RPCs that run one at a time for each key, in the order in which they were accepted, with the keys'
-//! cooldowns. It decides nothing.
-use crate::rpc_state::{KeyPosition, RpcState};
+//! Queues of the RPCs that run one at a time for each key, in the order in which they were accepted.
+//!
+//! After an attempt that may still run at its backend, a key cools down before its next RPC is ready.
+use crate::rpc_state::RpcState;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
 #[cfg(test)]
 mod tests;
 
+/// Position among the RPCs of one key.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct KeyPosition {
+    /// The key.
+    key: u64,
+    /// Number of the RPC in the order in which RPCs were accepted.
+    sequence: u64,
+}
+
 /// The RPCs of one key.
 #[derive(Default)]
 struct KeyState {
+    /// The RPCs by their sequence numbers.
     rpcs: BTreeMap<u64, Rc<RpcState>>,
     cooldown_until: f64,
 }
@@ -18,37 +29,32 @@
 #[derive(Default)]
 pub(crate) struct KeyedQueue {
     keys: HashMap<u64, KeyState>,
-    due: BTreeSet<(u64, u64)>, // bits of a time that is not negative, and whose first RPC is ready then
+    /// Keys whose next RPC becomes ready, each behind the time of that: the bits of times that are not
+    /// negative have the order of the times.
+    due: BTreeSet<(u64, u64)>,
     last_sequence: u64,
 }
 
 impl KeyedQueue {
-    /// Adds an RPC as the last of its key. It is ready if it is the only one.
+    /// Adds an RPC behind all others of its key. It is ready at once if the key is not in use.
     pub(crate) fn push(&mut self, rpc: &Rc<RpcState>, key: u64) {
         self.last_sequence += 1;
-        rpc.key_position.set(Some(KeyPosition {
-            key,
-            sequence: self.last_sequence,
-        }));
-        // A key without RPCs is kept until its cooldown is over and that was seen: the RPC is ready then.
+        let sequence = self.last_sequence;
+        rpc.key_position.set(Some(KeyPosition { key, sequence }));
+        // A key stays in use after its last RPC until `next_ready` has seen the end of its cooldown.
         rpc.key_ready.set(!self.keys.contains_key(&key));
-        self.keys
-            .entry(key)
-            .or_default()
-            .rpcs
-            .insert(self.last_sequence, rpc.clone());
+        let state = self.keys.entry(key).or_default();
+        state.rpcs.insert(sequence, rpc.clone());
     }
 
-    /// Number of RPCs of the same key, this one included.
+    /// Returns the number of RPCs with the key of this RPC, itself included.
     pub(crate) fn length(&self, rpc: &RpcState) -> usize {
-        let key = rpc
-            .key_position
-            .get()
-            .and_then(|position| self.keys.get(&position.key));
+        let position = rpc.key_position.get();
+        let key = position.and_then(|position| self.keys.get(&position.key));
         key.map_or(0, |key| key.rpcs.len())
     }
 
-    /// An attempt of the RPC may still be running: those behind it wait until then at the least.
+    /// Extends the cooldown of the RPC's key: an attempt of the RPC may still be running.
     pub(crate) fn cool_down(&mut self, rpc: &RpcState, until: f64) {
         let position = rpc.key_position.get();
         if let Some(key) = position.and_then(|position| self.keys.get_mut(&position.key)) {
@@ -56,7 +62,7 @@
         }
     }
 
-    /// Removes an RPC that is finished: the one behind it is ready after the key's cooldown.
+    /// Removes a finished RPC. The next RPC of its key becomes ready after the cooldown.
     pub(crate) fn remove(&mut self, rpc: &RpcState) {
         let Some(position) = rpc.key_position.take() else {
             return;
@@ -64,43 +70,39 @@
         let Some(key) = self.keys.get_mut(&position.key) else {
             return;
         };
-        let first = key
-            .rpcs
-            .first_key_value()
-            .is_some_and(|(sequence, _)| *sequence == position.sequence);
+        let first = key.rpcs.first_key_value();
+        let was_first = first.is_some_and(|(sequence, _)| *sequence == position.sequence);
         key.rpcs.remove(&position.sequence);
-        if first && rpc.key_ready.get() {
-            self.due
-                .insert((key.cooldown_until.max(0.0).to_bits(), position.key));
+        if was_first && rpc.key_ready.get() {
+            let ready_at = key.cooldown_until.max(0.0).to_bits();
+            self.due.insert((ready_at, position.key));
         }
     }
 
-    /// The next RPC that is ready by now, told once. Keys that hold nothing any more are forgotten.
+    /// Returns an RPC that has become ready; each is returned once. Forgets keys that are not in use
+    /// any more.
     pub(crate) fn next_ready(&mut self, now: f64) -> Option<Rc<RpcState>> {
-        while let Some((time, key)) = self
-            .due
-            .first()
-            .copied()
-            .filter(|(time, _)| f64::from_bits(*time) <= now)
-        {
-            self.due.remove(&(time, key));
+        while let Some((time_bits, key)) = self.due.first().copied() {
+            if f64::from_bits(time_bits) > now {
+                return None;
+            }
+            self.due.remove(&(time_bits, key));
             let Some(state) = self.keys.get_mut(&key) else {
                 continue;
             };
             state.cooldown_until = 0.0;
-            match state.rpcs.first_key_value() {
-                Some((_, rpc)) => {
-                    rpc.key_ready.set(true);
-                    return Some(rpc.clone());
-                }
-                None => drop(self.keys.remove(&key)),
+            if let Some((_, rpc)) = state.rpcs.first_key_value() {
+                rpc.key_ready.set(true);
+                return Some(rpc.clone());
             }
+            self.keys.remove(&key);
         }
         None
     }
 
-    /// When the next cooldown ends.
+    /// Returns the time at which the next RPC becomes ready.
     pub(crate) fn next_due(&self) -> Option<f64> {
-        self.due.first().map(|(time, _)| f64::from_bits(*time))
+        let (time_bits, _) = self.due.first()?;
+        Some(f64::from_bits(*time_bits))
     }
 }
--- a/src/keyed_queue/tests.rs
+++ b/src/keyed_queue/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::interface::{Idempotency, IncomingRpc, MethodSettings};
 use crate::method::Method;
-use crate::tenant::QuotaShare;
+use crate::tenant::QuotaClass;
 
 fn rpc() -> Rc<RpcState> {
     let settings = MethodSettings {
@@ -13,11 +13,11 @@
         ordered_by_key: true,
     };
     let method = Rc::new(Method::new(&settings, 1.0, None));
-    let (incoming, share) = (IncomingRpc::default(), QuotaShare::Within);
+    let incoming = IncomingRpc::default();
     Rc::new(RpcState::new(
         &incoming,
         method,
-        share,
+        QuotaClass::Within,
         Vec::new(),
         Vec::new(),
         0.0,
--- a/src/pending_queue/mod.rs
+++ b/src/pending_queue/mod.rs
@@ -1,6 +1,6 @@
-//! The RPCs that wait for a backend, by priority and by the end of their wait. It decides nothing.
-use crate::rpc_state::{PendingPosition, RpcState};
-use crate::tenant::QuotaShare;
+//! Queue of the RPCs that wait for a backend, ordered by precedence and by the end of their wait.
+use crate::rpc_state::RpcState;
+use crate::tenant::QuotaClass;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 use std::rc::Rc;
@@ -8,64 +8,73 @@
 #[cfg(test)]
 mod tests;
 
+/// Position in the pending queue: by quota class, then priority weight, then arrival. RPCs that wait
+/// for their key come last, as they can not be sent yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct PendingPosition {
+    /// The RPC waits for RPCs with the same key.
+    key_blocked: bool,
+    /// Class of the RPC by its tenant's quota.
+    quota_class: QuotaClass,
+    /// Inverted bits of the priority weight, so that the highest weight comes first.
+    inverted_priority: u64,
+    /// Number of the insertion.
+    sequence: u64,
+}
+
 /// The pending RPCs in two orders.
 #[derive(Default)]
 pub(crate) struct PendingQueue {
-    by_priority: BTreeMap<PendingPosition, Rc<RpcState>>,
-    by_end: BTreeSet<(u64, PendingPosition)>, // bits of a time that is not negative
+    by_precedence: BTreeMap<PendingPosition, Rc<RpcState>>,
+    /// The end of each RPC's wait, as [`end_bits`], with its position.
+    by_end: BTreeSet<(u64, PendingPosition)>,
     last_sequence: u64,
 }
 
+/// Returns the end of an RPC's wait as bits, which are ordered as the times, since none is negative.
 fn end_bits(rpc: &RpcState) -> u64 {
     rpc.pending_until.get().max(0.0).to_bits()
 }
 
 impl PendingQueue {
-    /// None of them could be sent now.
+    /// Returns whether no RPC could be sent now.
     pub(crate) fn is_empty(&self) -> bool {
         self.next_after(None).is_none()
     }
 
-    /// Adds an RPC that waits until its `pending_until`.
+    /// Inserts an RPC, which waits until its `pending_until`.
     pub(crate) fn insert(&mut self, rpc: Rc<RpcState>) {
         self.last_sequence += 1;
         let position = PendingPosition {
             key_blocked: !rpc.key_ready.get(),
-            share: match rpc.share {
-                QuotaShare::Within => 0,
-                QuotaShare::Borrowed => 1,
-                QuotaShare::Beyond => 2,
-            },
+            quota_class: rpc.quota_class,
             inverted_priority: !rpc.method.settings.priority_weight.max(0.0).to_bits(),
             sequence: self.last_sequence,
         };
         rpc.pending_position.set(Some(position));
         self.by_end.insert((end_bits(&rpc), position));
-        self.by_priority.insert(position, rpc);
+        self.by_precedence.insert(position, rpc);
     }
 
-    /// Removes an RPC, if it waits.
+    /// Removes an RPC, if it is in the queue.
     pub(crate) fn remove(&mut self, rpc: &RpcState) {
         if let Some(position) = rpc.pending_position.take() {
             self.by_end.remove(&(end_bits(rpc), position));
-            self.by_priority.remove(&position);
+            self.by_precedence.remove(&position);
         }
     }
 
-    /// Of those that may be sent, the first by priority, or the next behind a position.
+    /// Returns the first RPC behind a position that could be sent, or the first of all.
     pub(crate) fn next_after(&self, position: Option<PendingPosition>) -> Option<Rc<RpcState>> {
         let from = position.map_or(Unbounded, Excluded);
-        let next = self.by_priority.range((from, Unbounded)).next();
-        next.filter(|(position, _)| !position.key_blocked)
-            .map(|(_, rpc)| rpc.clone())
+        let (next, rpc) = self.by_precedence.range((from, Unbounded)).next()?;
+        (!next.key_blocked).then(|| rpc.clone())
     }
 
-    /// The one whose wait ends first, and when.
+    /// Returns the RPC whose wait ends first, with the time of that.
     pub(crate) fn first_end(&self) -> Option<(f64, Rc<RpcState>)> {
-        let (end, position) = self.by_end.first()?;
-        Some((
-            f64::from_bits(*end),
-            self.by_priority.get(position)?.clone(),
-        ))
+        let (end_bits, position) = self.by_end.first()?;
+        let rpc = self.by_precedence.get(position)?;
+        Some((f64::from_bits(*end_bits), rpc.clone()))
     }
 }
--- a/src/pending_queue/tests.rs
+++ b/src/pending_queue/tests.rs
@@ -3,7 +3,7 @@
 use crate::method::Method;
 use quickcheck::{Gen, QuickCheck};
 
-fn rpc(id: u64, priority_weight: f64, share: QuotaShare, pending_until: f64) -> Rc<RpcState> {
+fn rpc(id: u64, priority_weight: f64, class: QuotaClass, pending_until: f64) -> Rc<RpcState> {
     let settings = MethodSettings {
         idempotency: Idempotency::Idempotent,
         latency_objective: 1.0,
@@ -18,29 +18,29 @@
         deadline: 9.0,
         ..IncomingRpc::default()
     };
-    let rpc = RpcState::new(&incoming, method, share, Vec::new(), Vec::new(), 0.0);
+    let rpc = RpcState::new(&incoming, method, class, Vec::new(), Vec::new(), 0.0);
     rpc.pending_until.set(pending_until);
     Rc::new(rpc)
 }
 
 /// Priority and ends are those of a plain vector that is sorted each time.
 fn order_is_that_of_a_plain_vector(moves: Vec<(u8, u8, u8, bool)>) -> bool {
-    const SHARES: [QuotaShare; 3] = [QuotaShare::Within, QuotaShare::Borrowed, QuotaShare::Beyond];
+    const CLASSES: [QuotaClass; 3] = [QuotaClass::Within, QuotaClass::Borrowed, QuotaClass::Beyond];
     let (mut pending, mut plain) = (PendingQueue::default(), Vec::<Rc<RpcState>>::new());
     moves
         .iter()
         .enumerate()
-        .all(|(id, (weight, share, until, removes))| {
+        .all(|(id, (weight, class, until, removes))| {
             if *removes && !plain.is_empty() {
                 let rpc = plain.remove(usize::from(*weight) % plain.len());
                 pending.remove(&rpc);
                 pending.remove(&rpc);
             } else {
-                let share = SHARES[usize::from(*share) % 3];
+                let class = CLASSES[usize::from(*class) % 3];
                 let rpc = rpc(
                     id as u64,
                     f64::from(weight % 4),
-                    share,
+                    class,
                     f64::from(*until) / 10.0,
                 );
                 pending.insert(rpc.clone());
@@ -48,7 +48,13 @@
             }
             let mut ranked = plain.clone();
             ranked.sort_by(|a, b| {
-                let key = |r: &RpcState| (r.share, -r.method.settings.priority_weight, r.id as f64);
+                let key = |r: &RpcState| {
+                    (
+                        r.quota_class,
+                        -r.method.settings.priority_weight,
+                        r.id as f64,
+                    )
+                };
                 key(a).partial_cmp(&key(b)).expect("no NaN")
             });
             let mut position = None;
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -1,54 +1,76 @@
-//! How long an attempt may take, how long an RPC may wait, and when a client may come back.
-use crate::{fleet::Fleet, keyed_queue::KeyedQueue, rpc_state::RpcState, tenant::QuotaShare};
+//! Timeouts: how long an attempt may take, how long an RPC may wait, and when its client may retry.
+//!
+//! Deadlines are propagated as in gRPC: each attempt gets what is left of the RPC's time. What differs:
+//! the time ends when a response has no weight any more, which may be before the client's deadline,
+//! because work that ends later only delays other RPCs.
+use crate::fleet::Fleet;
+use crate::keyed_queue::KeyedQueue;
+use crate::rpc_state::RpcState;
+use crate::tenant::QuotaClass;
 
-pub(crate) const SLACK: f64 = 0.003; // s kept free before a deadline: the way back and a late timer
-const PENDING_PART: f64 = 0.15; // of the objective spent waiting for an idle backend: leaves time to work
+/// Time kept free before a deadline for the response's way back and for late timers, in seconds.
+pub(crate) const DEADLINE_MARGIN_SECONDS: f64 = 0.003;
+/// Fraction of the latency objective that an RPC may wait for an idle backend; the rest is left for
+/// its execution.
+const MAX_PENDING_FRACTION: f64 = 0.15;
 
-/// Time that an attempt starting now has, s: work that ends too late only delays others.
+/// Returns the time that an attempt starting now has, in seconds.
 pub(crate) fn time_allowed(rpc: &RpcState, now: f64) -> f64 {
-    (rpc.useful_until - now).max(SLACK)
+    (rpc.useful_until - now).max(DEADLINE_MARGIN_SECONDS)
 }
 
-/// Timeout of an attempt that has this time.
+/// Returns the timeout of an attempt that has this time, in seconds.
 pub(crate) fn timeout(time_allowed: f64) -> f64 {
-    (time_allowed - SLACK).max(SLACK)
+    (time_allowed - DEADLINE_MARGIN_SECONDS).max(DEADLINE_MARGIN_SECONDS)
 }
 
-/// End of an RPC's wait: for an idle backend, or before that for its key while it could still be in time.
+/// Returns the time until which an RPC waits: for an idle backend once its key is ready, before that
+/// for the RPCs of its key that are ahead of it.
 pub(crate) fn pending_until(
     rpc: &RpcState,
     keys: &KeyedQueue,
-    checks: bool,
+    health_checks_enabled: bool,
     fleet: &Fleet,
     now: f64,
 ) -> f64 {
-    let (service_time, queued) = (fleet.estimates.service_time(), keys.length(rpc) as f64);
-    let part = if checks && rpc.share < QuotaShare::Beyond {
-        PENDING_PART
+    let end = if rpc.key_ready.get() {
+        now + max_wait_for_idle_backend(rpc, health_checks_enabled)
     } else {
-        0.0
+        key_wait_until(rpc, keys, fleet.estimates.service_time(), now)
     };
-    let until = if rpc.key_ready.get() {
-        now + part * rpc.method.settings.latency_objective
-    } else if now + queued * service_time > rpc.useful_until {
-        now // otherwise the RPCs of one key could queue up until none of them is in time
+    end.min(rpc.deadline - DEADLINE_MARGIN_SECONDS)
+}
+
+/// Returns how long an RPC may wait for an idle backend, in seconds. Without health checks waiting
+/// finds none, and RPCs beyond their quota must not queue.
+fn max_wait_for_idle_backend(rpc: &RpcState, health_checks_enabled: bool) -> f64 {
+    let may_wait = health_checks_enabled && rpc.quota_class < QuotaClass::Beyond;
+    let fraction = if may_wait { MAX_PENDING_FRACTION } else { 0.0 };
+    fraction * rpc.method.settings.latency_objective
+}
+
+/// Returns the time until which an RPC waits for its key. It does not wait if the RPCs ahead of it
+/// would use up its time: otherwise a key's queue could grow until none of its RPCs is in time.
+fn key_wait_until(rpc: &RpcState, keys: &KeyedQueue, service_time: f64, now: f64) -> f64 {
+    let key_wait = keys.length(rpc) as f64 * service_time;
+    if now + key_wait > rpc.useful_until {
+        now
     } else {
         rpc.useful_until - service_time
-    };
-    until.min(rpc.deadline - SLACK)
+    }
 }
 
-/// The longest time that clients honour; the RPCs of the same key may have ended sooner.
+/// Returns the time after which the client of a rejected RPC may retry, in seconds: the longest that
+/// clients honour, or less if the RPCs with the same key are expected to end sooner.
 pub(crate) fn retry_after(
     rpc: &RpcState,
     keys: &KeyedQueue,
     service_time: f64,
-    longest: f64,
+    max_retry_after: f64,
 ) -> f64 {
+    if rpc.key_position.get().is_none() {
+        return max_retry_after;
+    }
     let key_wait = keys.length(rpc) as f64 * service_time;
-    longest.min(if rpc.key_position.get().is_some() {
-        key_wait
-    } else {
-        f64::INFINITY
-    })
+    max_retry_after.min(key_wait)
 }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -9,7 +9,7 @@
 use super::{
     idle_queue::IdleQueue, outlier_detection::OutlierDetection, retry_budget::RetryBudget,
 };
-use crate::tenant::{QuotaShare, TenantQuotas};
+use crate::tenant::{QuotaClass, TenantQuotas};
 use crate::{backend::Backend, fleet::Fleet, interface::Platform, rpc_state::RpcState};
 use crate::{keyed_queue::KeyedQueue, pending_queue::PendingQueue};
 use std::rc::Rc;
@@ -117,7 +117,7 @@
     fn attempt_fallback(&mut self, rpc: &Rc<RpcState>, platform: &mut dyn Platform) -> bool {
         let now = platform.now();
         if !self.admission.admits(rpc, &self.fleet.estimates, now)
-            || rpc.share == QuotaShare::Beyond
+            || rpc.quota_class == QuotaClass::Beyond
         {
             return false;
         }
--- a/src/policy/fairness.rs
+++ b/src/policy/fairness.rs
@@ -1,21 +1,29 @@
-//! Fairness: how an RPC stands to its tenant's quota.
-use crate::tenant::{QuotaShare, Tenant, TenantQuotas};
+//! Fairness between tenants: classifies each RPC by its tenant's use of its quota.
+//!
+//! Like max-min fair sharing, it lends the quota that other tenants leave unused. Each proxy decides
+//! by its own traffic instead of a shared counter: a tenant may use an even split of its quota over
+//! the proxies, or more where this proxy carries more of all tenants' traffic. RPCs that clients
+//! mark as retries use lent quota only, so that retries do not crowd out other tenants.
+use crate::tenant::{QuotaClass, Tenant, TenantQuotas};
 
-const USAGE_MARGIN: f64 = 1.2; // times what all tenants have used of theirs may one use of its own: chance
+/// Multiple of the mean use of all tenants that one tenant may reach, to allow for chance.
+const USAGE_MARGIN: f64 = 1.2;
 
-/// A tenant's share is an even split of its quota or, where this proxy carries more, a part of what it
-/// carries. What others leave may be used, also by clients' retries, which are not to crowd out others.
-pub(crate) fn share(
+/// Classifies an RPC of this tenant.
+pub(crate) fn quota_class(
     quotas: &TenantQuotas,
     tenant: &Tenant,
     client_retry: bool,
     now: f64,
-) -> QuotaShare {
-    let all = quotas.all_tenants.used_fraction(now);
-    let within = tenant.used_fraction(now) < (all * USAGE_MARGIN).max(1.0);
-    match within {
-        true if !client_retry => QuotaShare::Within,
-        _ if all < 1.0 => QuotaShare::Borrowed,
-        _ => QuotaShare::Beyond,
+) -> QuotaClass {
+    let mean_use = quotas.all_tenants.used_fraction(now);
+    let own_limit = (mean_use * USAGE_MARGIN).max(1.0);
+    let is_within = tenant.used_fraction(now) < own_limit;
+    if is_within && !client_retry {
+        QuotaClass::Within
+    } else if mean_use < 1.0 {
+        QuotaClass::Borrowed
+    } else {
+        QuotaClass::Beyond
     }
 }
--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -49,7 +49,7 @@
             (allowed, Subset::Zone(index.own_zone))
         };
         let local_part = index.count(local) as f64 / index.count(all) as f64;
-        let stays_local = rng.uniform(0.0, 1.0) < self.local_weight * local_part;
+        let stays_local = rng.uniform(0.0..1.0) < self.local_weight * local_part;
         let pick = |subset| index.pick_random(subset, rng, &may_attempt);
         Some(local)
             .filter(|_| stays_local)
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -8,7 +8,7 @@
 const FIRST_EJECTION: f64 = 0.5; // s, doubled with each further failure: outlasts a pause
 const EJECTION_RESPONSES: f64 = 12.0; // that an ejection lasts at least: at few a second 0.5 s pass unseen
 const MAX_EJECTION: f64 = 8.0; // s; a dead backend costs one attempt in it, a recovered one waits no longer
-const JITTER: (f64, f64) = (0.8, 1.2); // of an ejection: proxies must not all come back at once
+const JITTER: std::ops::Range<f64> = 0.8..1.2; // of an ejection: proxies must not all come back at once
 const IN_FLIGHT_MULTIPLE: f64 = 2.0; // times its own mean in flight that makes a backend be skipped ...
 const IN_FLIGHT_MARGIN: f64 = 1.0; // RPCs; ... and more than this beyond, or a mean near 0 would shut it out
 
@@ -42,8 +42,7 @@
             let least =
                 EJECTION_RESPONSES * AVERAGING_TIME / fleet.estimates.recent_completions(now);
             let doubled = FIRST_EJECTION * 2_f64.powf((failures - FAILURES_TO_EJECT).min(10.0));
-            let duration =
-                doubled.max(least).min(MAX_EJECTION) * fleet.rng.uniform(JITTER.0, JITTER.1);
+            let duration = doubled.max(least).min(MAX_EJECTION) * fleet.rng.uniform(JITTER);
             backend.ejected_until.set(now + duration);
             fleet.index.add_expiry(now + duration, backend);
         }
@@ -63,7 +62,7 @@
 
 /// A backend that rejects is full; the next place there comes free after a service time or less.
 pub(crate) fn record_rejection(backend: &Backend, fleet: &mut Fleet, now: f64) {
-    let until = now + fleet.estimates.service_time() * fleet.rng.uniform(0.0, 1.0);
+    let until = now + fleet.estimates.service_time() * fleet.rng.uniform(0.0..1.0);
     backend.full_until.set(until);
     fleet.index.add_expiry(until, backend);
 }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,29 +1,40 @@
-//! Retry budget: bounds the load that retries add.
-use crate::{backend::Backend, rpc_state::RpcState};
+//! Retry budget: bounds the load that retries add when many attempts fail.
+//!
+//! After the retry budgets of Finagle and linkerd: each success earns a fraction of a retry, up to a
+//! maximum. What differs: retries of an RPC that has not reached any backend are free, as they add no
+//! load to the backends, and an RPC is never retried at a backend that it was tried at before.
+use crate::backend::Backend;
+use crate::rpc_state::RpcState;
 use std::rc::Rc;
 
-const EARNED_PER_SUCCESS: f64 = 0.1; // retries by a success: at most a tenth more load
-const MAX_SAVED: f64 = 3.0; // retries saved up: a sudden death of many backends uses no more
+/// Retries earned by one success: retries add at most a tenth to the load.
+const RETRIES_EARNED_PER_SUCCESS: f64 = 0.1;
+/// Retries that can be saved up, which bounds the burst when many backends fail at once.
+const MAX_SAVED_RETRIES: f64 = 3.0;
 
-/// Retries that may be sent.
+/// The retries that may still be sent.
 #[derive(Default)]
 pub(crate) struct RetryBudget {
     retries: f64,
 }
 
 impl RetryBudget {
-    /// An attempt succeeded.
+    /// Earns a fraction of a retry.
     pub(crate) fn record_success(&mut self) {
-        self.retries = (self.retries + EARNED_PER_SUCCESS).min(MAX_SAVED);
+        self.retries = (self.retries + RETRIES_EARNED_PER_SUCCESS).min(MAX_SAVED_RETRIES);
     }
 
-    /// Pays for an attempt that is about to start; free while none of the RPC's reached a backend.
+    /// Pays for an attempt that is about to start. It is free if no earlier attempt of the RPC may
+    /// have reached a backend.
     pub(crate) fn pay(&mut self, rpc: &RpcState) {
-        self.retries -= if rpc.may_have_run() { 1.0 } else { 0.0 };
+        if rpc.may_have_run() {
+            self.retries -= 1.0;
+        }
     }
 
-    /// A retry needs budget, unless no attempt reached a backend (a lost zone), and another backend.
+    /// Returns whether an attempt of the RPC at this backend is within the budget.
     pub(crate) fn allows(&self, rpc: &RpcState, to: &Rc<Backend>) -> bool {
-        !rpc.was_tried_at(to) && (self.retries >= 1.0 || !rpc.may_have_run())
+        let is_affordable = self.retries >= 1.0 || !rpc.may_have_run();
+        !rpc.was_tried_at(to) && is_affordable
     }
 }
--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -1,5 +1,5 @@
 //! The rules that no attempt and no rejection may break. Whether an attempt is wise is decided elsewhere.
-use super::{deadlines::SLACK, slow_start::SlowStart};
+use super::{deadlines::DEADLINE_MARGIN_SECONDS, slow_start::SlowStart};
 use crate::interface::{DeduplicationScope as Scope, Idempotency};
 use crate::{
     backend::Backend, backend_index::Subset, fleet::Fleet, limits::Limits, rpc_state::RpcState,
@@ -49,7 +49,7 @@
                 Scope::Zone => attempt.backend.zone == to.zone,
                 Scope::Cell => attempt.backend.cell == to.cell,
             };
-            same_scope && now + SLACK < attempt.sent_at + window
+            same_scope && now + DEADLINE_MARGIN_SECONDS < attempt.sent_at + window
         }),
     }
 }
--- a/src/policy/throttle.rs
+++ b/src/policy/throttle.rs
@@ -10,7 +10,7 @@
 /// Whether an RPC that has come in is admitted: all are where admission goes by priority, or nothing is slow.
 pub(crate) fn admits(rpc: &RpcState, by_priority: bool, rng: &Rng, now: f64) -> bool {
     let least = rpc.least_throttle(now, TIME_CONSTANT, PRIOR_GOOD, ADMITTED_PER_GOOD);
-    let admitted = by_priority || least >= 1.0 || rng.uniform(0.0, 1.0) < least;
+    let admitted = by_priority || least >= 1.0 || rng.uniform(0.0..1.0) < least;
     if !admitted {
         rpc.record_throttle(0.0, now, TIME_CONSTANT);
     }
--- a/src/rng.rs
+++ b/src/rng.rs
@@ -1,9 +1,10 @@
-//! Random numbers, reproducible from the seed that a balancer is given.
+//! Random numbers that are reproducible from a balancer's seed, and hashes that all proxies share.
 use rand::{Rng as _, SeedableRng};
 use rand_pcg::Pcg64;
 use std::cell::RefCell;
+use std::ops::Range;
 
-/// A number in [0, 1) that is a hash of this pair: the same at every proxy.
+/// Returns a hash of a pair as a number in [0, 1): the SplitMix64 finalizer, the same at every proxy.
 pub(crate) fn pair_sample(a: u64, b: u64) -> f64 {
     let mut bits = a ^ b.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     for factor in [0xbf58_476d_1ce4_e5b9_u64, 0x94d0_49bb_1331_11eb] {
@@ -17,27 +18,27 @@
 pub(crate) struct Rng(RefCell<Pcg64>);
 
 impl Rng {
-    /// A generator with this seed.
+    /// Creates a generator with this seed.
     pub(crate) fn new(seed: u64) -> Self {
         Self(RefCell::new(Pcg64::seed_from_u64(seed)))
     }
 
-    /// A number in [`low`, `high`).
-    pub(crate) fn uniform(&self, low: f64, high: f64) -> f64 {
-        self.0.borrow_mut().random_range(low..high)
+    /// Draws a number from a range that is not empty.
+    pub(crate) fn uniform(&self, range: Range<f64>) -> f64 {
+        self.0.borrow_mut().random_range(range)
     }
 
-    /// An index below `length`, which is above 0.
+    /// Draws an index below `length`, which must be above 0.
     pub(crate) fn index(&self, length: usize) -> usize {
         self.0.borrow_mut().random_range(0..length)
     }
 
-    /// Takes one of the items; nothing, and no number used, if there are none.
+    /// Removes and returns a random item. Draws no number if there are no items.
     pub(crate) fn take_one<T>(&self, items: &mut Vec<T>) -> Option<T> {
         if items.is_empty() {
             None
         } else {
-            Some(items.swap_remove(self.0.borrow_mut().random_range(0..items.len())))
+            Some(items.swap_remove(self.index(items.len())))
         }
     }
 }
--- a/src/rpc_state.rs
+++ b/src/rpc_state.rs
@@ -5,34 +5,13 @@
 use crate::estimates::NO_RESPONSE_FACTOR;
 use crate::ewma::Ewma;
 use crate::interface::{AttemptOutcome, IncomingRpc, PacedBy};
+use crate::keyed_queue::KeyPosition;
 use crate::method::Method;
-use crate::tenant::QuotaShare;
+use crate::pending_queue::PendingPosition;
+use crate::tenant::QuotaClass;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Position in the pending queue: quota share first, then priority weight, then arrival. Behind all are RPCs
-/// that may not be sent yet: for them only the end of their wait counts.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct PendingPosition {
-    /// It waits for RPCs with the same key.
-    pub key_blocked: bool,
-    /// 0 within the share, 1 borrowed, 2 beyond.
-    pub share: u8,
-    /// Bits of the priority weight, inverted: the highest weight comes first.
-    pub inverted_priority: u64,
-    /// Number of the insertion.
-    pub sequence: u64,
-}
-
-/// Position among the RPCs of one key.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct KeyPosition {
-    /// The key.
-    pub key: u64,
-    /// Number in the order in which RPCs were accepted.
-    pub sequence: u64,
-}
-
 /// One attempt of an RPC.
 pub(crate) struct AttemptState {
     /// Where it was sent.
@@ -177,7 +156,7 @@
     /// End of its wait in the pending queue.
     pub pending_until: Cell<f64>,
     /// How it stands to its tenant's quota.
-    pub share: QuotaShare,
+    pub quota_class: QuotaClass,
     /// Its attempts, in the order in which they were started.
     pub attempts: RefCell<Vec<AttemptState>>,
     /// It has its final answer.
@@ -205,7 +184,7 @@
     pub(crate) fn new(
         incoming: &IncomingRpc,
         method: Rc<Method>,
-        share: QuotaShare,
+        quota_class: QuotaClass,
         preferred_cells: Vec<Subset>,
         throttles: Vec<Rc<Ewma>>,
         now: f64,
@@ -216,7 +195,7 @@
             method,
             deadline: incoming.deadline,
             pending_until: Cell::default(),
-            share,
+            quota_class,
             attempts: RefCell::default(),
             answered: Cell::default(),
             streaming: Cell::default(),
--- a/src/slow_start_budget.rs
+++ b/src/slow_start_budget.rs
@@ -84,7 +84,7 @@
     pub(crate) fn record_report(&self, backend: &Backend, by_check: bool, rng: &Rng, now: f64) {
         backend
             .slow_start_sample
-            .set(if by_check { rng.uniform(0.0, 1.0) } else { 1.0 });
+            .set(if by_check { rng.uniform(0.0..1.0) } else { 1.0 });
         self.offered.add(
             f64::from(by_check) / self.health_checks_per_rpc,
             now,
--- a/src/tenant.rs
+++ b/src/tenant.rs
@@ -1,41 +1,43 @@
-//! What this proxy keeps of the tenants: their slices of the quotas and how much of them was used lately.
+//! Tenants' quotas at this proxy: the slice of each quota, and how much of it was used lately.
 use crate::ewma::{DecayingCounter, Ewma};
 use crate::interface::{CarriedOver, Settings};
 use std::mem::take;
 use std::rc::Rc;
 
-/// Part of a quota counted as used at the start: about what is usual.
-const USED_AT_START: f64 = 0.75;
-/// Time over which use of a quota is counted, s: lets a short burst through ...
-const MIN_WINDOW: f64 = 3.0;
-/// ... or so many RPCs, if longer: their chance variation is covered by the margin in `policy::fairness`.
+/// Fraction of a quota that counts as used at the start, so that a start is followed by no rush.
+const INITIAL_USED_FRACTION: f64 = 0.75;
+/// Shortest time over which the use of a quota is counted, in seconds; lets a short burst through.
+const MIN_WINDOW_SECONDS: f64 = 3.0;
+/// Fewest RPCs of a quota that its window covers. The margin in `policy::fairness` covers the chance
+/// variation of so many RPCs.
 const MIN_WINDOW_RPCS: f64 = 20.0;
 
-/// How an RPC stands to its tenant's quota.
-#[derive(Clone, Copy, PartialEq, PartialOrd)]
-pub(crate) enum QuotaShare {
-    /// Within the tenant's share.
+/// How an RPC is classified by its tenant's use of its quota. The order is that of precedence.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum QuotaClass {
+    /// Within the tenant's own quota.
     Within,
-    /// On what other tenants leave unused of theirs.
+    /// Within what other tenants leave unused of theirs.
     Borrowed,
     /// Beyond both.
     Beyond,
 }
 
-/// Usage of one tenant's quota at this proxy.
+/// The use of one tenant's quota at this proxy.
 #[derive(Default)]
 pub(crate) struct Tenant {
-    /// RPCs in `window`: an even split of the quota over the proxies.
+    /// RPCs per window of an even split of the quota over the proxies.
     pub quota_slice: f64,
-    /// Fraction of its RPCs that the throttle admits at the most, as a method's.
+    /// The throttle of the tenant's RPCs; see `policy::throttle`.
     pub throttle: Rc<Ewma>,
     window: f64,
     used: DecayingCounter,
 }
 
 impl Tenant {
-    /// For each of `count` tenants the one that it was before, or one without a slice.
-    pub(crate) fn carried_over(
+    /// Returns `count` tenants in the order of new settings. `indexes` gives the former index of each;
+    /// a tenant without one has no slice yet.
+    fn carried_over(
         before: Vec<Self>,
         indexes: &[Option<usize>],
         count: usize,
@@ -50,23 +52,14 @@
             .map(move |index| index.and_then(&mut take).unwrap_or_default())
     }
 
-    /// The tenant with another slice: the rate that it has used stays what it was. One that had no slice
-    /// starts with the fraction `used_at_start` of it counted as used.
-    pub(crate) fn with_slice(
-        self,
-        quota_slice: f64,
-        window: f64,
-        used_at_start: f64,
-        now: f64,
-    ) -> Self {
+    /// Returns the tenant with another slice; its rate of use stays as it was. For a tenant that had
+    /// no slice, [`INITIAL_USED_FRACTION`] of it counts as used.
+    fn with_slice(self, quota_slice: f64, window: f64, now: f64) -> Self {
         let had_slice = self.window > 0.0;
-        let ratio = Some(window / self.window)
-            .filter(|ratio| ratio.is_finite() && *ratio > 0.0)
-            .unwrap_or(1.0);
         let used = if had_slice {
-            self.used.read(now, self.window) * ratio
+            self.used.read(now, self.window) * self.window_ratio(window)
         } else {
-            quota_slice * used_at_start
+            quota_slice * INITIAL_USED_FRACTION
         };
         let tenant = Self {
             quota_slice,
@@ -78,55 +71,64 @@
         tenant
     }
 
-    /// It has used its quota for so many RPCs.
-    pub(crate) fn record(&self, rpcs: f64, now: f64) {
+    /// Returns the length of a new window relative to the present one; 1 where one of them is unbounded.
+    fn window_ratio(&self, new_window: f64) -> f64 {
+        let ratio = new_window / self.window;
+        if ratio.is_finite() && ratio > 0.0 {
+            ratio
+        } else {
+            1.0
+        }
+    }
+
+    /// Counts the use of the quota by a number of RPCs.
+    fn record(&self, rpcs: f64, now: f64) {
         self.used.add(rpcs, now, self.window);
     }
 
-    /// Fraction of its slice that it has used lately.
+    /// Returns the recently used fraction of the slice; above 1 where more was used.
     pub(crate) fn used_fraction(&self, now: f64) -> f64 {
         self.used.read(now, self.window) / self.quota_slice
     }
 }
 
-/// The tenants, and all of them taken together.
+/// The quotas of each tenant and of all tenants together.
 #[derive(Default)]
 pub(crate) struct TenantQuotas {
-    /// Usage by all tenants of the sum of their quotas.
+    /// The sum of all quotas and its use by all tenants.
     pub all_tenants: Tenant,
     tenants: Vec<Tenant>,
 }
 
 impl TenantQuotas {
-    /// Splits the quotas that settings say; what was used stays.
+    /// Splits the quotas of new settings over the proxies and carries over what was used.
     pub(crate) fn apply_settings(&mut self, settings: &Settings, carried: &CarriedOver, now: f64) {
         let with_quota = |quota: f64, tenant: Tenant| {
-            // Two RPCs that come together must not put a small tenant over its share.
+            // The window covers several RPCs: two that arrive together must not exceed a small quota.
             let interval = settings.proxy_count as f64 / quota;
-            let slice = MIN_WINDOW_RPCS.max(MIN_WINDOW / interval);
-            let window = MIN_WINDOW.max(MIN_WINDOW_RPCS * interval);
-            // One that starts has no unused quota behind it, or there would be a rush in its first second.
-            tenant.with_slice(slice, window, USED_AT_START, now)
+            let slice = MIN_WINDOW_RPCS.max(MIN_WINDOW_SECONDS / interval);
+            let window = MIN_WINDOW_SECONDS.max(MIN_WINDOW_RPCS * interval);
+            tenant.with_slice(slice, window, now)
         };
         let tenants = &settings.tenants;
         let before = Tenant::carried_over(take(&mut self.tenants), &carried.tenants, tenants.len());
         self.tenants = tenants
             .iter()
             .zip(before)
-            .map(|(t, before)| with_quota(t.quota, before))
+            .map(|(tenant, before)| with_quota(tenant.quota, before))
             .collect();
-        let total = tenants.iter().map(|t| t.quota).sum();
+        let total = tenants.iter().map(|tenant| tenant.quota).sum();
         self.all_tenants = with_quota(total, take(&mut self.all_tenants));
     }
 
-    /// The tenant of this index in the settings.
+    /// Returns the tenant with this index in the settings.
     pub(crate) fn tenant(&self, index: Option<usize>) -> Option<&Tenant> {
         index.map(|index| &self.tenants[index])
     }
 
-    /// An RPC of a tenant was accepted; beyond all shares it uses no quota.
-    pub(crate) fn record(&self, tenant: &Tenant, share: QuotaShare, now: f64) {
-        if share < QuotaShare::Beyond {
+    /// Counts an accepted RPC of a tenant. RPCs beyond all quotas use none.
+    pub(crate) fn record(&self, tenant: &Tenant, class: QuotaClass, now: f64) {
+        if class < QuotaClass::Beyond {
             tenant.record(1.0, now);
             self.all_tenants.record(1.0, now);
         }
