--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -1,7 +1,7 @@
 //! The fallback while the idle queue is empty: a random ready backend.
 use super::{outlier_detection::is_available, rules::allowed_subset};
-use crate::endpoint_index::Subset;
-use crate::{endpoint::Backend, fleet::Fleet, interface::Settings, rpc_state::RpcState};
+use crate::backend_index::Subset;
+use crate::{backend::Backend, fleet::Fleet, interface::Settings, rpc_state::RpcState};
 use std::rc::Rc;
 
 const FULL_LOCAL_COST: f64 = 0.033; // points; at it a fair part of picks stays local, less by the square
@@ -49,7 +49,7 @@
             (allowed, Subset::Zone(index.own_zone))
         };
         let local_part = index.count(local) as f64 / index.count(all) as f64;
-        let stays_local = rng.uniform(0.0, 1.0) < self.local_weight * local_part;
+        let stays_local = rng.uniform(0.0..1.0) < self.local_weight * local_part;
         let pick = |subset| index.pick_random(subset, rng, &may_attempt);
         Some(local)
             .filter(|_| stays_local)
