--- a/crates/daemon/src/decision/in_flight.rs
+++ b/crates/daemon/src/decision/in_flight.rs
@@ -87,9 +87,9 @@
             request: self.request.clone(),
             client: Some(self.client.clone()),
             deadlines: Deadlines {
-                until: until.min(self.limits.deadline),
-                client: Some(self.limits.deadline),
-                send_by,
+                response_deadline: until.min(self.limits.deadline),
+                client_deadline: Some(self.limits.deadline),
+                send_deadline: send_by,
             },
             cancel: Some(cancel),
         }
--- a/crates/daemon/src/decision/platform.rs
+++ b/crates/daemon/src/decision/platform.rs
@@ -8,9 +8,8 @@
 use crate::invariants::Invariants;
 use crate::messages::{AttemptId, Event};
 use crate::upstream::backend_protocol::health_check_request;
-use crate::upstream::exchange::{
-    CompletionGuard, Deadlines, Exchange, ExchangeKind, ExchangeRequest,
-};
+use crate::upstream::completion_guard::CompletionGuard;
+use crate::upstream::exchange::{Deadlines, Exchange, ExchangeKind, ExchangeRequest};
 use birchhub::interface::Platform;
 use birchhub_invariants::Violation;
 use std::collections::HashMap;
@@ -202,9 +201,9 @@
             request: health_check_request(),
             client: None,
             deadlines: Deadlines {
-                until: Instant::now() + HEALTH_CHECK_TIMEOUT,
-                client: None,
-                send_by: None,
+                response_deadline: Instant::now() + HEALTH_CHECK_TIMEOUT,
+                client_deadline: None,
+                send_deadline: None,
             },
             cancel: None,
         };
--- /dev/null
+++ b/crates/daemon/src/upstream/attempt/connect.rs
@@ -0,0 +1,55 @@
+//! Takes an idle connection to the backend of an exchange, or opens a new one.
+use super::RunningExchange;
+use crate::net::connection::{ConnectError, Connection};
+use crate::net::socket_budget::SocketClass;
+use birchhub::interface::AttemptOutcome;
+use std::net::SocketAddr;
+use tokio::time::Instant;
+
+/// A connection for an exchange.
+pub(super) struct Checkout {
+    /// The connection.
+    pub connection: Connection,
+    /// Whether it has served another exchange before.
+    pub is_reused: bool,
+}
+
+impl RunningExchange<'_> {
+    /// Returns an idle connection, or else opens one to this address.
+    ///
+    /// # Errors
+    /// There is neither; the error is the outcome of the exchange.
+    pub(super) async fn connect(&self, address: SocketAddr) -> Result<Checkout, AttemptOutcome> {
+        if let Some(connection) = self.endpoint.idle.take().await {
+            return Ok(Checkout {
+                connection,
+                is_reused: true,
+            });
+        }
+        let permit = self
+            .endpoint
+            .budget
+            .acquire(SocketClass::Backends)
+            .ok_or(AttemptOutcome::NotSent)?;
+        let connect_deadline = Instant::now() + self.endpoint.connect_timeout;
+        let deadline = self.deadlines.response_deadline.min(connect_deadline);
+        let connection = Connection::open(address, Some(permit), deadline)
+            .await
+            .map_err(|error| connect_outcome(&error))?;
+        Ok(Checkout {
+            connection,
+            is_reused: false,
+        })
+    }
+}
+
+/// Returns the outcome of an exchange without a connection.
+fn connect_outcome(error: &ConnectError) -> AttemptOutcome {
+    match error {
+        // A shortage on this machine must not count as a failure of the backend.
+        ConnectError::Local(_) => AttemptOutcome::NotSent,
+        ConnectError::TimedOut | ConnectError::Peer(_) | ConnectError::Handshake(_) => {
+            AttemptOutcome::ConnectFailed
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/upstream/attempt/early_end.rs
@@ -0,0 +1,92 @@
+//! The conditions that end an exchange before its response. Each future is ready when the exchange has to end, and
+//! pending for ever if it may run to its end.
+use super::RunningExchange;
+use crate::clock;
+use crate::time_limits::UPLOAD_STALL_TIMEOUT;
+use crate::upstream::exchange::CancelSignal;
+use std::future::pending;
+use std::time::Duration;
+use tokio::time::{Instant, sleep, sleep_until};
+
+/// Between two checks for progress of a streamed request.
+const UPLOAD_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+
+impl RunningExchange<'_> {
+    /// Returns if nothing was sent; pending for ever if a byte of the request may have been sent.
+    async fn unless_sent(&self) {
+        if self.completion.is_sent() {
+            pending::<()>().await;
+        }
+    }
+
+    /// Waits until the exchange is cancelled. A cancel message, other than a dropped sender, has no effect once a byte
+    /// may have been sent.
+    pub(super) async fn cancelled(&self, cancel: CancelSignal) {
+        let is_sender_dropped = match cancel {
+            Some(cancel) => cancel.await.is_err(),
+            None => pending().await,
+        };
+        if !is_sender_dropped {
+            self.unless_sent().await;
+        }
+    }
+
+    /// Waits until the backend accepts no new requests, if nothing was sent by then.
+    pub(super) async fn endpoint_unavailable(&self) {
+        self.endpoint.unavailable().await;
+        self.unless_sent().await;
+    }
+
+    /// Waits for the send deadline, if nothing was sent by then.
+    pub(super) async fn send_window_closed(&self) {
+        clock::until(self.deadlines.send_deadline).await;
+        self.unless_sent().await;
+    }
+
+    /// Waits for the timeout. That of a streamed request counts from its last byte, and ends nothing once the response
+    /// has started.
+    pub(super) async fn timed_out(&self) {
+        let deadline = self.deadlines.response_deadline;
+        match self.request.upload() {
+            None => sleep_until(deadline).await,
+            Some(upload) => {
+                let completed_at = upload.completed().await;
+                self.completion.report_request_sent().await;
+                let timeout = deadline - self.started_at;
+                sleep_until(completed_at + timeout).await;
+            }
+        }
+        if self.completion.has_response_started() {
+            pending::<()>().await;
+        }
+    }
+
+    /// Waits until a streamed request has failed before its last byte.
+    pub(super) async fn upload_failed(&self) {
+        match self.request.upload() {
+            Some(upload) => drop(upload.failed().await),
+            None => pending().await,
+        }
+    }
+
+    /// Waits until the backend has read nothing of a streamed request for [`UPLOAD_STALL_TIMEOUT`], although the client
+    /// has sent more of it.
+    pub(super) async fn backend_stalled(&self) {
+        let Some(upload) = self.request.upload() else {
+            return pending().await;
+        };
+        let mut written = self.written.bytes();
+        let mut stalled_since = Instant::now();
+        while !upload.is_complete() {
+            sleep(UPLOAD_CHECK_INTERVAL).await;
+            if upload.is_waiting_for_client() || self.written.bytes() != written {
+                written = self.written.bytes();
+                stalled_since = Instant::now();
+            }
+            if stalled_since.elapsed() >= UPLOAD_STALL_TIMEOUT {
+                return;
+            }
+        }
+        pending().await
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/upstream/attempt/mod.rs
@@ -0,0 +1,133 @@
+//! Runs one exchange with a backend, an attempt or a health check, as a task of its own.
+//!
+//! The exchange takes or opens a connection ([`connect`]), sends the request and reads the response ([`send`]), until that
+//! ends or something ends it early ([`early_end`]). The completion guard reports the end to the decision actor.
+mod connect;
+mod early_end;
+mod send;
+
+use crate::downstream::request::ParsedRequest;
+use crate::end_reason::EndReason;
+use crate::net::connection::Connection;
+use crate::net::inbound_stream::ClientLiveness;
+use crate::upstream::completion_guard::CompletionGuard;
+use crate::upstream::endpoint_state::EndpointState;
+use crate::upstream::exchange::{Deadlines, Exchange, ExchangeRequest};
+use crate::upstream::result::ExchangeResult;
+use birchhub::interface::AttemptOutcome;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use tokio::select;
+use tokio::time::Instant;
+
+/// Runs an exchange to its end.
+pub(super) async fn run(endpoint: Rc<EndpointState>, exchange: Box<Exchange>) {
+    let Exchange {
+        request:
+            ExchangeRequest {
+                request,
+                client,
+                deadlines,
+                cancel,
+            },
+        mut completion,
+    } = *exchange;
+    let running = RunningExchange {
+        endpoint: &endpoint,
+        request: &request,
+        client: client.as_ref(),
+        deadlines,
+        completion: &completion,
+        started_at: Instant::now(),
+        written: WriteProgress::default(),
+    };
+    let end = select! {
+        biased;
+        () = running.cancelled(cancel) => ExchangeEnd::Withdrawn(EndReason::Cancelled),
+        () = running.endpoint_unavailable() => ExchangeEnd::Withdrawn(EndReason::EndpointUnavailable),
+        () = running.send_window_closed() => ExchangeEnd::Withdrawn(EndReason::SendWindowClosed),
+        result = running.exchange() => ExchangeEnd::Completed(result),
+        () = running.timed_out() => ExchangeEnd::TimedOut,
+        () = running.upload_failed() => ExchangeEnd::UploadStalled,
+        () = running.backend_stalled() => ExchangeEnd::UploadStalled,
+    };
+    // The connection of an exchange that ended early is closed by now, before the decision actor learns of the end.
+    let reason = end.reason();
+    let result = running.result(end);
+    completion.set_result(result, reason);
+}
+
+/// What ended an exchange.
+enum ExchangeEnd {
+    /// It was cancelled, its backend became unavailable, or it would have been sent too late.
+    Withdrawn(EndReason),
+    /// It ran to its end.
+    Completed(ExchangeResult),
+    /// There was no response before the timeout.
+    TimedOut,
+    /// A streamed request stalled.
+    UploadStalled,
+}
+
+impl ExchangeEnd {
+    /// The reason that is logged.
+    fn reason(&self) -> EndReason {
+        match self {
+            Self::Withdrawn(reason) => *reason,
+            Self::Completed(_) => EndReason::Completed,
+            Self::TimedOut => EndReason::TimedOut,
+            Self::UploadStalled => EndReason::UploadStalled,
+        }
+    }
+}
+
+/// Bytes written so far on the connection of an exchange, once it has one.
+#[derive(Default)]
+struct WriteProgress(RefCell<Option<Rc<Cell<u64>>>>);
+
+impl WriteProgress {
+    /// Follows the bytes written on this connection from now on.
+    fn observe(&self, connection: &Connection) {
+        self.0.replace(Some(connection.bytes_written()));
+    }
+
+    fn bytes(&self) -> Option<u64> {
+        self.0.borrow().as_ref().map(|bytes| bytes.get())
+    }
+}
+
+/// An exchange that is running.
+struct RunningExchange<'a> {
+    endpoint: &'a EndpointState,
+    request: &'a ParsedRequest,
+    /// None for a health check.
+    client: Option<&'a ClientLiveness>,
+    deadlines: Deadlines,
+    completion: &'a CompletionGuard,
+    started_at: Instant,
+    written: WriteProgress,
+}
+
+impl RunningExchange<'_> {
+    /// Returns the result for an end; none leaves it to the completion guard, which knows whether anything was sent.
+    fn result(&self, end: ExchangeEnd) -> Option<ExchangeResult> {
+        let upload = self.request.upload();
+        let outcome = match end {
+            ExchangeEnd::Completed(result) => return Some(result),
+            ExchangeEnd::Withdrawn(_) if !self.request.may_be_complete() => AttemptOutcome::NotSent,
+            ExchangeEnd::Withdrawn(_) => return None,
+            ExchangeEnd::UploadStalled
+                if upload.is_some_and(|upload| upload.is_waiting_for_client()) =>
+            {
+                AttemptOutcome::NotSent
+            }
+            ExchangeEnd::TimedOut if self.completion.is_sent() => {
+                // A machine that vanished leaves its connections silent, also those that were idle meanwhile.
+                self.endpoint.idle.close_unused_since(self.started_at);
+                AttemptOutcome::TimedOut
+            }
+            ExchangeEnd::TimedOut | ExchangeEnd::UploadStalled => AttemptOutcome::ConnectFailed,
+        };
+        Some(outcome.into())
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/upstream/attempt/send.rs
@@ -0,0 +1,148 @@
+//! Sends the request of an exchange and reads the response.
+use super::RunningExchange;
+use super::connect::Checkout;
+use crate::net::body::BUFFERED_BODY_LIMIT;
+use crate::net::connection::{Connection, ConnectionError, Reply};
+use crate::upstream::backend_protocol::{classify_response, encode_request};
+use crate::upstream::response_stream::stream_response;
+use crate::upstream::result::ExchangeResult;
+use birchhub::interface::AttemptOutcome;
+use birchhub_invariants::SendFacts;
+use std::future::pending;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::time::Instant;
+
+impl RunningExchange<'_> {
+    /// Sends the request and reads the response. If a reused connection turns out to be closed, another one is used.
+    pub(super) async fn exchange(&self) -> ExchangeResult {
+        loop {
+            let address = self.endpoint.address();
+            let checkout = match self.connect(address).await {
+                Ok(checkout) => checkout,
+                Err(outcome) => return outcome.into(),
+            };
+            // Checked again now, however long the connect took and however late this process runs: no backend works for
+            // a client that has disconnected. The decision actor will receive that event and cancel the exchange.
+            let facts = self.send_facts(self.is_client_disconnected().await);
+            if !self.may_send(&facts) {
+                if facts.is_client_gone {
+                    return pending().await;
+                }
+                return AttemptOutcome::NotSent.into();
+            }
+            // The backend has moved meanwhile, and another one may use its former address.
+            if self.endpoint.address() != address {
+                continue;
+            }
+            if let Some(result) = self.send(checkout, address).await {
+                return result;
+            }
+        }
+    }
+
+    /// Whether the invariants permit to send the first byte now.
+    fn may_send(&self, facts: &SendFacts) -> bool {
+        let invariants = &self.endpoint.invariants;
+        invariants.may_send(self.request.id_text(), facts)
+    }
+
+    fn send_facts(&self, is_client_gone: bool) -> SendFacts {
+        let now = Instant::now();
+        // The client's deadline of a streamed request is not known before its last byte.
+        let client_deadline = self.deadlines.client_deadline;
+        let client_deadline = client_deadline.filter(|_| self.request.may_be_complete());
+        let send_deadline = self.deadlines.send_deadline;
+        SendFacts {
+            is_client_gone,
+            time_left: client_deadline.map(|deadline| deadline.saturating_duration_since(now)),
+            late: client_deadline.map_or(Duration::ZERO, |deadline| {
+                now.saturating_duration_since(deadline)
+            }),
+            forwarded_timeout: self
+                .deadlines
+                .response_deadline
+                .saturating_duration_since(now),
+            is_backend_ready: self.endpoint.is_ready(),
+            repeat_time_left: send_deadline.map(|deadline| deadline.saturating_duration_since(now)),
+        }
+    }
+
+    /// Whether the client of this exchange has disconnected, as far as the system knows at this moment.
+    async fn is_client_disconnected(&self) -> bool {
+        match self.client {
+            Some(client) => client.is_disconnected().await,
+            None => false,
+        }
+    }
+
+    /// Sends the request on this connection and reads the response. Returns none if a reused connection was closed
+    /// before any byte was written, so that another one may be used.
+    async fn send(&self, checkout: Checkout, address: SocketAddr) -> Option<ExchangeResult> {
+        let Checkout {
+            mut connection,
+            is_reused,
+        } = checkout;
+        self.written.observe(&connection);
+        let timeout = self
+            .deadlines
+            .response_deadline
+            .saturating_duration_since(Instant::now());
+        let idle_for = connection.last_used.elapsed();
+        let may_stream = !self.request.is_health_check();
+        let reply = connection
+            .exchange(
+                encode_request(self.request, timeout),
+                BUFFERED_BODY_LIMIT,
+                may_stream,
+                self.completion.sent_flag(),
+            )
+            .await;
+        match reply {
+            Ok(reply) => {
+                if is_reused {
+                    self.endpoint.idle.extend_reuse();
+                }
+                Some(self.receive(connection, address, reply).await)
+            }
+            Err(ConnectionError::NotSent) if is_reused => None,
+            Err(ConnectionError::NotSent) => Some(AttemptOutcome::ConnectFailed.into()),
+            Err(ConnectionError::Closed) => {
+                if is_reused {
+                    self.endpoint.idle.shorten_reuse(idle_for);
+                }
+                Some(self.broken_outcome().into())
+            }
+            Err(ConnectionError::MalformedResponse) => Some(self.broken_outcome().into()),
+        }
+    }
+
+    /// Streams the rest of a long response, keeps the connection for reuse and classifies the response.
+    async fn receive(
+        &self,
+        mut connection: Connection,
+        address: SocketAddr,
+        mut reply: Reply,
+    ) -> ExchangeResult {
+        if reply.is_partial
+            && let Err(outcome) =
+                stream_response(&mut connection, &mut reply, self.completion).await
+        {
+            return outcome.into();
+        }
+        self.endpoint
+            .keep(connection, address, &reply.headers)
+            .await;
+        classify_response(reply, self.request.is_health_check())
+    }
+
+    /// Returns the outcome on a connection that failed: a backend can't have started a request whose last byte was not
+    /// written.
+    fn broken_outcome(&self) -> AttemptOutcome {
+        if self.request.may_be_complete() {
+            AttemptOutcome::Reset
+        } else {
+            AttemptOutcome::ConnectFailed
+        }
+    }
+}
--- a/crates/daemon/src/upstream/endpoint.rs
+++ b/crates/daemon/src/upstream/endpoint.rs
@@ -1,5 +1,5 @@
-//! One actor for each backend. It starts a task for each exchange and drops the backend's idle connections when
-//! the backend leaves the list, stops being ready or moves. A running exchange owns its connection.
+//! The actor of one backend. It starts a task for each exchange, and closes the backend's idle connections when the
+//! backend is removed from the list, is no longer ready or changes its address.
 use crate::invariants::Invariants;
 use crate::net::socket_budget::SocketBudget;
 use crate::upstream::attempt;
@@ -12,14 +12,14 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 
-/// Exchanges that may wait in an endpoint's mailbox; beyond that they end as not sent.
-const MAILBOX: usize = 256;
+/// Exchanges that may wait in an endpoint's mailbox. Further ones end as not sent.
+const MAILBOX_CAPACITY: usize = 256;
 
-/// Of the idle timeout after which the backend closes a connection, the fraction for which it is reused at most:
-/// no request may be written to a connection that the backend is closing.
-const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
+/// Fraction of a backend's idle timeout for which an idle connection is reused: no request may be written to a connection
+/// that the backend is closing.
+const REUSE_FRACTION_OF_IDLE_TIMEOUT: f64 = 0.6;
 
-/// Limits on connections to backends, from the settings.
+/// Timeouts of connections to backends, from the settings.
 #[derive(Clone, Copy)]
 pub(crate) struct ConnectionLimits {
     /// For opening a connection.
@@ -29,29 +29,30 @@
 }
 
 impl ConnectionLimits {
-    /// How long an idle connection may be reused at most.
+    /// Returns the longest time for which an idle connection is reused.
     fn max_reuse(&self) -> Duration {
-        self.idle.mul_f64(IDLE_TIMEOUT_FRACTION)
+        self.idle.mul_f64(REUSE_FRACTION_OF_IDLE_TIMEOUT)
     }
 }
 
-/// The decision actor's end of an endpoint actor, which ends when this is dropped.
+/// The decision actor's handle of an endpoint actor, which ends when the handle is dropped.
 pub(crate) struct EndpointHandle {
-    /// Boxed: a mailbox allocates room for 32 messages at once, and most backends of a large fleet have none in it.
+    /// Takes exchanges to run. They are boxed, because a channel allocates space for 32 messages at once, and most
+    /// backends of a large fleet have none waiting.
     pub mailbox: mpsc::Sender<Box<Exchange>>,
-    /// What the list says of it now.
+    /// Takes the backend's entry in the endpoint list whenever it changes.
     pub info: watch::Sender<EndpointInfo>,
 }
 
 impl EndpointHandle {
-    /// Starts the actor of a backend.
+    /// Starts the actor of a backend and returns its handle.
     pub(crate) fn start(
         info: EndpointInfo,
         limits: ConnectionLimits,
         budget: Rc<SocketBudget>,
         invariants: Rc<Invariants>,
     ) -> Self {
-        let (mailbox, exchanges) = mpsc::channel(MAILBOX);
+        let (mailbox, exchanges) = mpsc::channel(MAILBOX_CAPACITY);
         let (sender, receiver) = watch::channel(info);
         let state = Rc::new(EndpointState {
             info: receiver,
@@ -74,6 +75,7 @@
 }
 
 impl EndpointActor {
+    /// Runs until the backend is removed from the list. Running exchanges own their connections and go on by themselves.
     async fn run(self, mut exchanges: mpsc::Receiver<Box<Exchange>>) {
         let state = self.state;
         let mut info = state.info.clone();
@@ -82,13 +84,13 @@
             select! {
                 biased;
                 changed = info.changed() => {
-                    let now = *info.borrow_and_update();
-                    if changed.is_err() || !now.ready || now.address != address {
+                    let latest = *info.borrow_and_update();
+                    if changed.is_err() || !latest.ready || latest.address != address {
                         state.idle.clear();
-                        address = now.address;
+                        address = latest.address;
                     }
                     if changed.is_err() {
-                        return; // Gone from the list. Exchanges that run go on by themselves.
+                        return;
                     }
                 }
                 exchange = exchanges.recv() => match exchange {
--- a/crates/daemon/src/upstream/endpoint_state.rs
+++ b/crates/daemon/src/upstream/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! What an endpoint actor shares with the tasks of its exchanges.
+//! The state that an endpoint actor shares with the tasks of its exchanges.
 
 use crate::invariants::Invariants;
 use crate::net::connection::Connection;
@@ -11,56 +11,61 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// What the endpoint list says of a backend's sockets.
+/// The address and readiness of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct EndpointInfo {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Whether it takes new exchanges.
+    /// Whether it accepts new exchanges.
     pub ready: bool,
 }
 
-/// What an endpoint actor shares with the tasks of its exchanges.
+/// The state that an endpoint actor shares with the tasks of its exchanges.
 pub(super) struct EndpointState {
-    /// What the list says of it now.
+    /// The latest information from the endpoint list; closed once the backend was removed from the list.
     pub info: watch::Receiver<EndpointInfo>,
-    /// Its idle connections.
+    /// The backend's idle connections.
     pub idle: Rc<IdleConnections>,
-    /// For opening a connection.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Gives the permit for each connection.
+    /// Issues the permit for each connection.
     pub budget: Rc<SocketBudget>,
-    /// Judges each attempt before its first byte.
+    /// Checks each exchange before its first byte is sent.
     pub invariants: Rc<Invariants>,
 }
 
 impl EndpointState {
-    /// Where the backend listens now.
+    /// Returns the backend's current address.
     pub(super) fn address(&self) -> SocketAddr {
         self.info.borrow().address
     }
 
-    /// Whether the backend takes new exchanges and is still in the list.
+    /// Whether the backend accepts new exchanges and is still in the list.
     pub(super) fn is_ready(&self) -> bool {
-        self.info.has_changed().is_ok() && self.info.borrow().ready
+        self.is_listed() && self.info.borrow().ready
     }
 
-    /// Waits until the backend takes no new exchanges, or has gone from the list.
+    /// Whether the backend is still in the list.
+    fn is_listed(&self) -> bool {
+        self.info.has_changed().is_ok()
+    }
+
+    /// Waits until the backend accepts no new exchanges, or was removed from the list.
     pub(super) async fn unavailable(&self) {
         let mut info = self.info.clone();
-        // An error means that the backend has gone from the list.
+        // An error means that the backend was removed from the list.
         let _ = info.wait_for(|info| !info.ready).await.map(drop);
     }
 
-    /// Keeps a connection to `address` for the next exchange, unless the connection or its backend ends, or the
-    /// backend has moved meanwhile.
+    /// Keeps a connection to `address` for reuse, unless the response closes it, the backend is no longer ready or its
+    /// address has changed.
     pub(super) async fn keep(
         &self,
         mut connection: Connection,
         address: SocketAddr,
-        headers: &HeaderMap,
+        response_headers: &HeaderMap,
     ) {
-        let closes = headers
+        let closes = response_headers
             .get(CONNECTION)
             .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
         if closes || !connection.is_open().await {
@@ -70,8 +75,7 @@
             address,
             ready: true,
         };
-        let is_listed = self.info.has_changed().is_ok();
-        if is_listed && *self.info.borrow() == unchanged {
+        if self.is_listed() && *self.info.borrow() == unchanged {
             self.idle.insert(connection);
         }
     }
--- a/crates/daemon/src/upstream/idle_connections.rs
+++ b/crates/daemon/src/upstream/idle_connections.rs
@@ -1,6 +1,6 @@
-//! The idle connections of one backend. An idle connection belongs to this pool and may be closed by four: the
-//! next exchange takes it out, its watch drops it when the backend closes it or it has been idle for too long,
-//! the socket budget evicts it for another socket, and the endpoint actor clears the pool.
+//! The pool of a backend's idle connections. A connection leaves it in one of four ways: the next exchange takes it, its
+//! watch task drops it when the backend closes it or its reuse time is over, the socket budget evicts it to make room
+//! for another socket, or the endpoint actor clears the pool.
 use crate::net::connection::Connection;
 use crate::net::socket_budget::{Evictable, EvictionCandidate, SocketBudget, SocketClass};
 use std::cell::{Cell, RefCell};
@@ -12,22 +12,22 @@
 use tokio::task::{JoinHandle, spawn_local, yield_now};
 use tokio::time::{Instant, sleep_until};
 
-/// Least time for which an idle connection may be reused: most are used again sooner.
+/// Lower bound of the reuse time. Most connections are used again sooner.
 const MIN_REUSE: Duration = Duration::from_millis(50);
 
-/// Factor on the time of reuse with each response on a reused connection: doubles it in 700 responses.
-const REUSE_GROWTH: f64 = 1.001;
+/// Factor by which each response on a reused connection extends the reuse time: 700 responses double it.
+const REUSE_GROWTH_FACTOR: f64 = 1.001;
 
-/// For which a connection has to be silent after a response: bytes that follow the response in this time would be
-/// read as the response to the next request.
+/// Time for which a connection must have been silent after a response before it is reused. Bytes that follow the response
+/// would be read as the response to the next request.
 const QUIET_PERIOD: Duration = Duration::from_millis(5);
 
-/// Rank of idle connections to backends among their class of the socket budget: all alike, the longest idle first.
+/// Eviction rank of all idle connections to backends: the one that has been idle for the longest is evicted first.
 const EVICTION_RANK: u8 = 0;
 
-/// An idle connection, registered with the socket budget for eviction, and the task that watches it.
+/// An idle connection, its registration as an eviction candidate and the task that watches it.
 struct IdleConnection {
-    /// None once it was taken or evicted.
+    /// None once the connection was taken or evicted.
     connection: RefCell<Option<Connection>>,
     last_used: Instant,
     candidate: RefCell<Option<EvictionCandidate>>,
@@ -62,53 +62,53 @@
 
 /// The pool of one backend's idle connections.
 pub(crate) struct IdleConnections {
-    /// By their last use, the latest last.
+    /// Ordered by their last use, the most recent last.
     idle: RefCell<Vec<Rc<IdleConnection>>>,
-    /// How long a connection may be idle and still be reused, as far as has proved good.
-    reuse_within: Cell<Duration>,
-    /// The upper bound of `reuse_within`, from the settings.
+    /// How long a connection may be idle and still be reused. Adapts to the path to the backend.
+    reuse_time: Cell<Duration>,
+    /// Upper bound of `reuse_time`, from the settings.
     max_reuse: Duration,
     budget: Rc<SocketBudget>,
 }
 
 impl IdleConnections {
-    /// An empty pool whose connections are reused within `max_reuse`.
+    /// Creates an empty pool whose connections are reused for at most `max_reuse`.
     pub(crate) fn new(max_reuse: Duration, budget: Rc<SocketBudget>) -> Self {
         Self {
             idle: RefCell::default(),
-            reuse_within: Cell::new(max_reuse),
+            reuse_time: Cell::new(max_reuse),
             max_reuse,
             budget,
         }
     }
 
-    /// Closes all of them.
+    /// Closes all connections.
     pub(crate) fn clear(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes those that were last used at this time or before.
+    /// Closes the connections that were last used at this time or before.
     pub(crate) fn close_unused_since(&self, time: Instant) {
         self.idle.borrow_mut().retain(|idle| idle.last_used > time);
     }
 
-    /// A reused connection has brought a response: connections are reused for a little longer.
+    /// Extends the reuse time a little after a response on a reused connection.
     pub(crate) fn extend_reuse(&self) {
-        self.reuse_within
-            .update(|time| time.mul_f64(REUSE_GROWTH).min(self.max_reuse));
+        self.reuse_time
+            .update(|time| time.mul_f64(REUSE_GROWTH_FACTOR).min(self.max_reuse));
     }
 
-    /// A connection that was idle for so long broke when it was reused: connections are reused for less. Prevents
-    /// repeated resets on a path that forgets connections sooner than the settings say.
+    /// Shortens the reuse time after a connection that had been idle for `idle_for` failed when it was reused. Prevents
+    /// repeated resets on a path that drops idle connections sooner than the settings say.
     pub(crate) fn shorten_reuse(&self, idle_for: Duration) {
-        self.reuse_within
+        self.reuse_time
             .update(|time| (idle_for / 2).max(MIN_REUSE).min(time));
     }
 
-    /// Takes out the latest used connection that is open and has been quiet since its response.
+    /// Takes the most recently used connection that is open and has been silent since its response.
     pub(crate) async fn take(&self) -> Option<Connection> {
-        // Lets the event loop see what has come: bytes behind a response would be read as the response to the
-        // next request.
+        // Lets the event loop receive bytes that follow a response: they would be read as the response to the next
+        // request.
         yield_now().await;
         loop {
             let idle = self.pop_latest()?;
@@ -121,12 +121,12 @@
         }
     }
 
-    /// Takes out the latest used one that has been quiet, and closes those idle for too long to be reused.
+    /// Takes the most recently used connection that has been silent, and closes those whose reuse time is over.
     fn pop_latest(&self) -> Option<Rc<IdleConnection>> {
         let now = Instant::now();
-        let reuse_within = self.reuse_within.get();
+        let reuse_time = self.reuse_time.get();
         let mut all = self.idle.borrow_mut();
-        let expired = all.partition_point(|idle| idle.last_used + reuse_within <= now);
+        let expired = all.partition_point(|idle| idle.last_used + reuse_time <= now);
         all.drain(..expired);
         let latest = all
             .iter()
@@ -134,21 +134,21 @@
         Some(all.remove(latest))
     }
 
-    /// Keeps a connection for the next exchange.
+    /// Adds a connection for reuse.
     pub(crate) fn insert(self: &Rc<Self>, connection: Connection) {
         let idle = Rc::new(IdleConnection::new(connection));
         let candidate = self
             .budget
             .register_evictable(SocketClass::Backends, EVICTION_RANK, &idle);
         idle.candidate.replace(Some(candidate));
-        let expiry = idle.last_used + self.reuse_within.get();
+        let expiry = idle.last_used + self.reuse_time.get();
         let watch = self.clone().watch(Rc::downgrade(&idle), expiry);
         idle.watch.replace(Some(spawn_local(watch)));
         self.idle.borrow_mut().push(idle);
     }
 
-    /// Watches one idle connection: drops it when the backend closes it or it has been idle until `expiry`. A task
-    /// for each, woken by its own socket, so that no response costs a look at all of them.
+    /// Watches one idle connection and drops it when the backend closes it, or at `expiry`. Each connection has a task of
+    /// its own, woken by its socket, so that the cost of a response doesn't grow with the number of idle connections.
     async fn watch(self: Rc<Self>, idle: Weak<IdleConnection>, expiry: Instant) {
         let closed = poll_fn(|cx| {
             let is_closed = |idle: Rc<IdleConnection>| {
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -1,7 +1,8 @@
-//! Backends: one actor for each, its idle connections, and the exchanges (attempts and health checks) with it.
+//! Backends: an actor for each with its idle connections, and the exchanges (attempts and health checks) with it.
 
 mod attempt;
 pub(crate) mod backend_protocol;
+pub(crate) mod completion_guard;
 pub(crate) mod endpoint;
 pub(crate) mod endpoint_state;
 pub(crate) mod exchange;
--- a/crates/daemon/src/upstream/response_stream.rs
+++ b/crates/daemon/src/upstream/response_stream.rs
@@ -2,7 +2,7 @@
 use crate::net::body::{BODY_LIMIT, streamed_body};
 use crate::net::connection::{Connection, Reply};
 use crate::time_limits::{RESPONSE_STALL_TIMEOUT, RESPONSE_TIMEOUT};
-use crate::upstream::exchange::CompletionGuard;
+use crate::upstream::completion_guard::CompletionGuard;
 use birchhub::interface::AttemptOutcome;
 use tokio::select;
 use tokio::time::{Instant, timeout_at};
--- a/crates/daemon/src/upstream/result.rs
+++ b/crates/daemon/src/upstream/result.rs
@@ -1,23 +1,23 @@
-//! How an exchange with a backend ended.
+//! The result of an exchange with a backend.
 
 use crate::end_reason::EndReason;
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use bytes::Bytes;
 
-/// How an exchange ended.
+/// The result of an exchange.
 pub(crate) struct ExchangeResult {
-    /// What became of it.
+    /// The outcome as the decisions see it.
     pub outcome: AttemptOutcome,
-    /// What ended it, for the log.
+    /// What ended the exchange, for the log.
     pub reason: EndReason,
-    /// The load report that came with the response.
+    /// The load report of the response.
     pub report: Option<LoadReport>,
-    /// The response's body; empty without a response, and where the body was streamed.
+    /// The response's body; empty without a response, and if the body was streamed.
     pub body: Bytes,
 }
 
 impl From<AttemptOutcome> for ExchangeResult {
-    /// An exchange that brought no response.
+    /// Creates the result of an exchange without a response.
     fn from(outcome: AttemptOutcome) -> Self {
         Self {
             outcome,
