--- a/crates/daemon/src/config/file.rs
+++ b/crates/daemon/src/config/file.rs
@@ -1,6 +1,7 @@
-//! The configuration file that the platform writes for a proxy, and the variables that replace some of its keys.
+//! The configuration file that the platform writes for a proxy, and the variables that stand in for some of its keys.
 
 use crate::config::error::ConfigError;
+use crate::config::keys::{self, ReplaceableKey};
 use crate::discovery::update::{DecodeError, EndpointUpdate};
 use birchhub::interface::Settings;
 use birchhub_settings::ParsedSettings;
@@ -10,42 +11,50 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Names the file.
-const FILE_VARIABLE: &str = "LB_CONFIG";
+/// Largest number of sockets if the file does not limit it.
 const DEFAULT_MAX_SOCKETS: u64 = 1024;
-/// Memory that a socket takes at worst, in bytes: a body each way, an encoded one, and what is read ahead.
-const SOCKET_MEMORY: u64 = 168 << 10;
+/// Most memory that a socket takes, in bytes: a body each way, an encoded one, and what is read ahead.
+const BYTES_PER_SOCKET: u64 = 168 << 10;
 
 /// The configuration of a proxy.
 pub(crate) struct Config {
+    /// Name of the proxy.
     pub name: String,
-    /// Where clients connect.
-    pub listen: SocketAddr,
-    /// The service that has the endpoint list.
-    pub discovery: SocketAddr,
-    /// Where staff and the platform call the proxy.
-    pub management: Option<SocketAddr>,
-    /// Of the random choices.
+    /// Address on which clients are accepted.
+    pub client_address: SocketAddr,
+    /// Address of the discovery service.
+    pub discovery_address: SocketAddr,
+    /// Address of the admin API; `None` if there is no admin API.
+    pub admin_address: Option<SocketAddr>,
+    /// Seed of random choices.
     pub seed: u64,
+    /// Largest number of open sockets.
     pub max_sockets: usize,
-    /// The endpoint list as this proxy last had it.
+    /// Endpoint list as this proxy last knew it, if the file has one that can be read.
     pub cached_endpoints: Option<EndpointUpdate>,
-    /// Why the cached list cannot be read; the proxy waits for the first one of discovery then.
+    /// Why the cached endpoint list can't be read. The proxy then waits for the first list of discovery.
     pub cached_endpoints_error: Option<DecodeError>,
+    /// Settings object.
     pub parsed_settings: Arc<ParsedSettings>,
-    /// Settings whose decisions are compared with the actual ones, and counted only.
+    /// Settings of the shadow evaluation; `None` if there is none.
     pub shadow_settings: Option<Settings>,
 }
 
 impl Config {
-    /// The keys beside the settings that differ in the other configuration and take effect at a start only.
-    pub(crate) fn restart_keys(&self, other: &Self) -> Vec<&'static str> {
+    /// Returns the keys outside of the settings that differ in the other configuration. They take effect at a start only.
+    pub(super) fn restart_keys(&self, other: &Self) -> Vec<&'static str> {
         let keys = [
-            ("name", self.name != other.name),
-            ("listen", self.listen != other.listen),
-            ("management", self.management != other.management),
-            ("seed", self.seed != other.seed),
-            ("limits", self.max_sockets != other.max_sockets),
+            (keys::NAME.key, self.name != other.name),
+            (
+                keys::CLIENT_ADDRESS.key,
+                self.client_address != other.client_address,
+            ),
+            (
+                keys::ADMIN_ADDRESS.key,
+                self.admin_address != other.admin_address,
+            ),
+            (keys::SEED, self.seed != other.seed),
+            (keys::LIMITS, self.max_sockets != other.max_sockets),
         ];
         keys.into_iter()
             .filter(|(_, differs)| *differs)
@@ -57,25 +66,27 @@
 /// Whether the cached endpoint list in the file is decoded, which may take long.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum CachedEndpoints {
+    /// The list is decoded.
     Decoded,
+    /// The list is skipped.
     Ignored,
 }
 
 /// Reads the configuration file.
 pub(crate) fn load(cached_endpoints: CachedEndpoints) -> Result<Config, ConfigError> {
-    let variable = FILE_VARIABLE;
+    let variable = keys::FILE_VARIABLE;
     let path = std::env::var(variable).map_err(|_| ConfigError::NotSet { variable })?;
     let bytes = match std::fs::read(&path) {
         Ok(bytes) => bytes,
-        Err(error) => return Err(ConfigError::Unreadable { path, error }),
+        Err(source) => return Err(ConfigError::Unreadable { path, source }),
     };
     match ConfigFile::parse(&bytes) {
         Ok(file) => file.config(cached_endpoints),
-        Err(error) => Err(ConfigError::InvalidJson { path, error }),
+        Err(source) => Err(ConfigError::InvalidJson { path, source }),
     }
 }
 
-/// The file, with the keys that are large not parsed yet.
+/// The file's content. Large values are not parsed yet.
 struct ConfigFile<'a> {
     values: Value,
     settings: Option<&'a RawValue>,
@@ -86,9 +97,9 @@
 impl<'a> ConfigFile<'a> {
     fn parse(bytes: &'a [u8]) -> Result<Self, serde_json::Error> {
         let mut fields: BTreeMap<String, &RawValue> = serde_json::from_slice(bytes)?;
-        let settings = fields.remove("settings");
-        let [shadow_settings, cached_endpoints] =
-            ["watch", "known"].map(|key| fields.remove(key).filter(|value| value.get() != "null"));
+        let settings = fields.remove(keys::SETTINGS);
+        let shadow_settings = remove_unless_null(&mut fields, keys::SHADOW_SETTINGS);
+        let cached_endpoints = remove_unless_null(&mut fields, keys::CACHED_ENDPOINTS);
         let values = fields
             .into_iter()
             .map(|(key, raw)| Ok((key, serde_json::from_str(raw.get())?)));
@@ -101,18 +112,13 @@
     }
 
     fn config(&self, cached_endpoints: CachedEndpoints) -> Result<Config, ConfigError> {
-        let seed = self.values.get("seed").and_then(Value::as_str);
-        let seed = seed.ok_or(ConfigError::Missing { key: "seed" })?;
-        let settings = self
-            .settings
-            .ok_or(ConfigError::Missing { key: "settings" })?;
-        let parsed_settings =
-            birchhub_settings::parse(settings.get()).map_err(ConfigError::Settings)?;
+        let seed = self.seed_text()?;
+        let parsed_settings = self.parsed_settings()?;
         let shadow_settings = self
             .shadow_settings
             .map(|shadow| parse_shadow_settings(shadow, &parsed_settings))
             .transpose()?;
-        // Discovery replaces the list a moment later: an error in it must not prevent a whole fleet from starting.
+        // Discovery soon replaces the list: an error in it must not prevent a whole fleet from starting.
         let endpoints = self
             .cached_endpoints
             .filter(|_| cached_endpoints == CachedEndpoints::Decoded)
@@ -123,10 +129,10 @@
             Err(error) => (None, Some(error)),
         };
         Ok(Config {
-            name: self.text("name", "LB_NAME")?,
-            listen: self.address("listen", "LB_LISTEN")?,
-            discovery: self.address("discovery", "LB_DISCOVERY")?,
-            management: self.optional_address("management", "LB_MANAGEMENT")?,
+            name: self.text(keys::NAME)?,
+            client_address: self.address(keys::CLIENT_ADDRESS)?,
+            discovery_address: self.address(keys::DISCOVERY_ADDRESS)?,
+            admin_address: self.optional_address(keys::ADMIN_ADDRESS)?,
             seed: parse_seed(seed)?,
             max_sockets: self.max_sockets(),
             cached_endpoints,
@@ -136,8 +142,22 @@
         })
     }
 
-    /// A value of the file, or of the variable where the file has none.
-    fn text(&self, key: &str, variable: &'static str) -> Result<String, ConfigError> {
+    fn seed_text(&self) -> Result<&str, ConfigError> {
+        let seed = self.values.get(keys::SEED).and_then(Value::as_str);
+        seed.ok_or(ConfigError::Missing { key: keys::SEED })
+    }
+
+    fn parsed_settings(&self) -> Result<ParsedSettings, ConfigError> {
+        let key = keys::SETTINGS;
+        let settings = self.settings.ok_or(ConfigError::Missing { key })?;
+        birchhub_settings::parse(settings.get()).map_err(ConfigError::Settings)
+    }
+
+    /// Returns a string of the file, or of the variable if the file has none.
+    fn text(
+        &self,
+        ReplaceableKey { key, variable }: ReplaceableKey,
+    ) -> Result<String, ConfigError> {
         let value = self.values.get(key).and_then(Value::as_str);
         value
             .map(str::to_owned)
@@ -145,21 +165,23 @@
             .ok_or(ConfigError::NotSet { variable })
     }
 
-    fn address(&self, key: &str, variable: &'static str) -> Result<SocketAddr, ConfigError> {
-        let text = self.text(key, variable)?;
-        text.parse()
-            .map_err(|_| ConfigError::NotAnAddress { variable, text })
+    fn address(&self, key: ReplaceableKey) -> Result<SocketAddr, ConfigError> {
+        let text = self.text(key)?;
+        text.parse().map_err(|_| ConfigError::NotAnAddress {
+            variable: key.variable,
+            text,
+        })
     }
 
-    /// An address that may be missing in the file and the environment.
+    /// Returns an address; `None` if both the file and the environment lack it.
     fn optional_address(
         &self,
-        key: &'static str,
-        variable: &'static str,
+        replaceable: ReplaceableKey,
     ) -> Result<Option<SocketAddr>, ConfigError> {
+        let ReplaceableKey { key, variable } = replaceable;
         match self.values.get(key) {
             Some(Value::Null) | None if std::env::var_os(variable).is_none() => Ok(None),
-            Some(Value::Null | Value::String(_)) | None => self.address(key, variable).map(Some),
+            Some(Value::Null | Value::String(_)) | None => self.address(replaceable).map(Some),
             Some(value) => Err(ConfigError::NotAString {
                 key,
                 value: value.clone(),
@@ -167,32 +189,41 @@
         }
     }
 
-    /// The sockets that the limits allow, and for which the memory suffices.
+    /// Returns the number of sockets that the limits of sockets and memory allow.
     fn max_sockets(&self) -> usize {
-        let limits = self.values.get("limits");
+        let limits = self.values.get(keys::LIMITS);
         let limit = |key| limits.and_then(|limits| limits.get(key)?.as_u64());
-        let for_memory = limit("memory_mb").map_or(u64::MAX, |mb| (mb << 20) / SOCKET_MEMORY);
-        let sockets = limit("sockets").unwrap_or(DEFAULT_MAX_SOCKETS);
+        let memory = limit(keys::MEMORY);
+        let for_memory = memory.map_or(u64::MAX, |mebibytes| (mebibytes << 20) / BYTES_PER_SOCKET);
+        let sockets = limit(keys::MAX_SOCKETS).unwrap_or(DEFAULT_MAX_SOCKETS);
         sockets.min(for_memory) as usize
     }
 }
 
+/// Removes a field and returns its value unless that is null.
+fn remove_unless_null<'a>(
+    fields: &mut BTreeMap<String, &'a RawValue>,
+    key: &str,
+) -> Option<&'a RawValue> {
+    fields.remove(key).filter(|value| value.get() != "null")
+}
+
 fn parse_seed(text: &str) -> Result<u64, ConfigError> {
     u64::from_str_radix(text, 16).map_err(|_| ConfigError::InvalidSeed {
         text: text.to_owned(),
     })
 }
 
-/// The shadow settings, which must be about the same methods, tenants and zones as the settings.
+/// Parses the shadow settings, which must have the same methods, tenants and zones as the settings.
 fn parse_shadow_settings(
     text: &RawValue,
     settings: &ParsedSettings,
 ) -> Result<Settings, ConfigError> {
     let shadow = birchhub_settings::parse(text.get()).map_err(ConfigError::ShadowSettings)?;
     let same_names = [
-        ("methods", shadow.methods == settings.methods),
-        ("accounts", shadow.tenants == settings.tenants),
-        ("failure-domains", shadow.zones == settings.zones),
+        (keys::METHODS, shadow.methods == settings.methods),
+        (keys::TENANTS, shadow.tenants == settings.tenants),
+        (keys::ZONES, shadow.zones == settings.zones),
     ];
     match same_names.into_iter().find(|(_, same)| !same) {
         Some((key, _)) => Err(ConfigError::ShadowNames { key }),
--- a/crates/daemon/src/config/inherited_listener.rs
+++ b/crates/daemon/src/config/inherited_listener.rs
@@ -1,47 +1,45 @@
-//! The clients' listening socket, where the platform opens it and passes it to the process.
+//! The listening socket for clients, if the platform opens it and passes it to the process.
 
-use crate::config::error::{ConfigError, InheritedListenerProblem};
+use crate::config::error::{ConfigError, InheritedListenerError};
+use crate::config::keys::INHERITED_LISTENER_VARIABLE;
 use socket2::{Socket, Type};
 use std::ffi::OsStr;
 use std::net::TcpListener;
 use std::os::fd::{FromRawFd, RawFd};
 
-/// Names the descriptor.
-const VARIABLE: &str = "LB_PASSED_SOCKET";
-
-/// Takes over the listening socket, if one was passed. Must be called once, and before anything else opens a descriptor:
-/// the number could be that one's otherwise.
+/// Takes over the listening socket, if one was passed. Must be called once, before anything else opens a descriptor:
+/// that descriptor could get the passed number otherwise.
 pub(crate) fn take() -> Result<Option<TcpListener>, ConfigError> {
-    let Some(descriptor) = std::env::var_os(VARIABLE) else {
+    let Some(descriptor) = std::env::var_os(INHERITED_LISTENER_VARIABLE) else {
         return Ok(None);
     };
-    match listener(&descriptor) {
-        Ok(listener) => Ok(Some(listener)),
-        Err(problem) => Err(ConfigError::InheritedListener {
-            problem,
-            descriptor: descriptor.display().to_string(),
-        }),
-    }
+    let listener = open(&descriptor).map_err(|source| ConfigError::InheritedListener {
+        source,
+        descriptor: descriptor.display().to_string(),
+    })?;
+    Ok(Some(listener))
 }
 
-fn listener(descriptor: &OsStr) -> Result<TcpListener, InheritedListenerProblem> {
-    let descriptor = number(descriptor).ok_or(InheritedListenerProblem::NotANumber)?;
+/// Checks that the descriptor is a listening TCP socket, and prepares it for the event loop.
+fn open(descriptor: &OsStr) -> Result<TcpListener, InheritedListenerError> {
+    let descriptor = parse_descriptor(descriptor).ok_or(InheritedListenerError::NotANumber)?;
     let target = std::fs::read_link(format!("/proc/self/fd/{descriptor}"))
-        .map_err(|_| InheritedListenerProblem::NotOpen)?;
+        .map_err(|_| InheritedListenerError::NotOpen)?;
     if !target.to_string_lossy().starts_with("socket:") {
-        return Err(InheritedListenerProblem::NotASocket);
+        return Err(InheritedListenerError::NotASocket);
     }
-    // SAFETY: it is open, as was just seen, and this process was started with it: nothing else here owns it.
+    // SAFETY: the check above shows that the descriptor is open. This process was started with it, so nothing else in the
+    // process owns it.
     let socket = unsafe { Socket::from_raw_fd(descriptor) };
     if !is_tcp_listener(&socket) {
-        return Err(InheritedListenerProblem::NotAListener);
+        return Err(InheritedListenerError::NotAListener);
     }
     socket.set_nonblocking(true)?;
     socket.set_cloexec(true)?;
     Ok(socket.into())
 }
 
-fn number(descriptor: &OsStr) -> Option<RawFd> {
+fn parse_descriptor(descriptor: &OsStr) -> Option<RawFd> {
     let number: u32 = descriptor.to_str()?.parse().ok()?;
     RawFd::try_from(number).ok()
 }
--- a/crates/daemon/src/config/mod.rs
+++ b/crates/daemon/src/config/mod.rs
@@ -1,9 +1,13 @@
-//! The configuration: its file and variables, what of it is active, its reload, and shadow evaluation of other settings.
+//! The configuration of the proxy: its file and variables, its reload on SIGHUP, and the shadow evaluation of other
+//! settings.
 
-pub(crate) mod active;
+pub(crate) mod active_config;
 pub(crate) mod error;
 pub(crate) mod file;
 pub(crate) mod inherited_listener;
+pub(crate) mod keys;
+pub(crate) mod name_table;
+mod prepared_reload;
 pub(crate) mod reload;
 pub(crate) mod shadow;
 pub(crate) mod update;
--- a/crates/daemon/src/config/shadow/actions.rs
+++ b/crates/daemon/src/config/shadow/actions.rs
@@ -1,18 +1,18 @@
-//! What an instance of the decision package asked for in one call.
+//! The actions that an instance of the decision package requested in one call.
 use std::collections::BTreeMap;
 
-/// What was asked for on an RPC.
+/// An action on an RPC.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Action {
-    /// An attempt at this backend.
+    /// Start an attempt at the backend with this number.
     Attempt(u32),
-    /// The client is told that it may retry.
+    /// Reject the RPC: the client may retry.
     Reject,
-    /// The client is told that the RPC failed.
+    /// Fail the RPC: it may have run.
     Fail,
 }
 
-/// What an instance asked for in one call, by RPC and in order.
+/// The actions that an instance requested in one call, by RPC and in order.
 #[derive(Debug, Default)]
 pub(crate) struct RecordedActions {
     by_rpc: BTreeMap<u64, Vec<Action>>,
@@ -25,31 +25,31 @@
         self.by_rpc.entry(rpc).or_default().push(action);
     }
 
-    /// Records that a health check was asked for.
+    /// Records that a health check was requested.
     pub(crate) fn record_health_check(&mut self) {
         self.health_checks += 1;
     }
 
-    /// The actions on an RPC.
+    /// Returns the actions on an RPC.
     pub(super) fn of_rpc(&self, rpc: u64) -> &[Action] {
         self.by_rpc.get(&rpc).map_or(&[], Vec::as_slice)
     }
 
-    /// The RPCs that there are actions on.
+    /// Returns the RPCs with actions.
     pub(super) fn rpcs(&self) -> impl Iterator<Item = u64> {
         self.by_rpc.keys().copied()
     }
 
-    /// Health checks that were asked for.
+    /// Returns the number of health checks that were requested.
     pub(super) fn health_checks(&self) -> u64 {
         self.health_checks
     }
 }
 
-/// A call on the instance that decides, as it is replayed to the shadow.
+/// A call of the active instance, to be replayed to the shadow.
 pub(crate) struct RecordedCall {
-    /// The time of the call, s.
+    /// Time of the call, in seconds.
     pub now: f64,
-    /// What that instance asked for in the call.
+    /// Actions that the active instance requested in the call.
     pub actions: RecordedActions,
 }
--- a/crates/daemon/src/config/shadow/counts.rs
+++ b/crates/daemon/src/config/shadow/counts.rs
@@ -1,51 +1,51 @@
-//! The counts of shadow evaluation: RPCs on which the two instances differ, by kind of difference.
+//! The counts of the shadow evaluation: RPCs on which the two instances differ, by kind of difference.
 use crate::config::shadow::actions::Action;
 use std::fmt;
 
-/// RPCs on which the two instances differed, by what the shadow would have done in place of what was done.
+/// Counts of RPCs, by what the shadow would have done instead of the active instance.
 #[derive(Debug, Default)]
 pub(super) struct ShadowCounts {
-    /// RPCs that both had.
+    /// RPCs that both instances received.
     pub compared: u64,
-    /// Attempted, where the shadow would have queued it.
+    /// Attempted, but queued by the shadow.
     would_queue: u64,
-    /// Queued, where the shadow would have attempted it.
+    /// Queued, but attempted by the shadow.
     would_attempt: u64,
-    /// Attempted or queued, where the shadow would have rejected it before any attempt.
+    /// Attempted or queued, but rejected by the shadow before any attempt.
     would_reject: u64,
-    /// Rejected before any attempt, where the shadow would have attempted or queued it.
+    /// Rejected before any attempt, but attempted or queued by the shadow.
     would_accept: u64,
-    /// Retried, where the shadow would have given up.
+    /// Retried, but given up by the shadow.
     would_give_up: u64,
-    /// Given up after an attempt, where the shadow would have retried.
+    /// Given up after an attempt, but retried by the shadow.
     would_retry: u64,
-    /// Rejected where the shadow would have failed it, or the reverse.
+    /// Rejected, but failed by the shadow, or the reverse.
     would_respond_differently: u64,
-    /// Attempted at another backend, which may be chance and is no difference.
+    /// Attempted at another backend, which may be due to random choice.
     other_backend: u64,
-    /// Health checks that were sent.
+    /// Health checks that the active instance sent.
     pub health_checks: u64,
     /// Health checks that the shadow would have sent.
     pub shadow_health_checks: u64,
 }
 
 impl ShadowCounts {
-    /// Counts the first difference between what was done on an RPC in a call and what the shadow would have done;
-    /// `had_attempt` if both had attempted the RPC before that call.
+    /// Counts the first difference between the actions of the two instances on an RPC in one call. `had_attempt` tells
+    /// whether both had attempted the RPC before that call.
     pub(super) fn count_difference(
         &mut self,
         performed: &[Action],
-        would: &[Action],
+        shadow: &[Action],
         had_attempt: bool,
     ) {
         use Action::{Attempt, Fail, Reject};
         let same = performed
             .iter()
-            .zip(would)
-            .take_while(|(did, would)| did == would)
+            .zip(shadow)
+            .take_while(|(performed, shadow)| performed == shadow)
             .count();
         let is_retry = had_attempt || same > 0;
-        let count = match (performed.get(same), would.get(same)) {
+        let count = match (performed.get(same), shadow.get(same)) {
             (Some(Attempt(_)), Some(Attempt(_))) => &mut self.other_backend,
             (Some(Attempt(_)), Some(_)) if is_retry => &mut self.would_give_up,
             (Some(_), Some(Attempt(_))) if is_retry => &mut self.would_retry,
--- a/crates/daemon/src/config/shadow/mod.rs
+++ b/crates/daemon/src/config/shadow/mod.rs
@@ -1,6 +1,7 @@
-//! Shadow evaluation of other settings before they are put in force: a second instance of the decision package
-//! with these settings gets the same events as the first, and the RPCs that it would have handled otherwise are
-//! counted. It has no way to a socket or a client.
+//! Shadow evaluation of settings before they are activated.
+//!
+//! A second instance of the decision package, the shadow, runs with these settings and gets the same events as the active
+//! instance. RPCs that it would have handled differently are counted. It has no access to sockets or clients.
 
 mod actions;
 mod counts;
@@ -20,19 +21,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Between log lines with the counts so far.
+/// Interval of the log lines with the counts so far.
 const LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// An RPC that both instances have handled alike so far.
+/// An RPC on which both instances have agreed so far.
 struct ComparedRpc {
     rpc: RpcHandle,
-    /// Attempts that both have started.
+    /// Number of attempts that both have started.
     attempts: usize,
 }
 
-/// The second instance and what it is compared by.
+/// The shadow, and its comparison with the active instance.
 pub(crate) struct ShadowEvaluator {
     balancer: Balancer,
+    /// RPCs by their number. Those on which the instances differed are removed.
     rpcs: HashMap<u64, ComparedRpc>,
     platform: ShadowPlatform,
     counts: ShadowCounts,
@@ -40,7 +42,7 @@
 }
 
 impl ShadowEvaluator {
-    /// A shadow with these settings.
+    /// Creates a shadow with these settings.
     pub(crate) fn new(settings: &Settings, seed: u64) -> Self {
         Self {
             balancer: Balancer::new(settings, seed),
@@ -51,12 +53,12 @@
         }
     }
 
-    /// When it wants its timer event, s.
+    /// Returns the time of the shadow's next timer event, in seconds.
     pub(crate) fn timer_at(&self) -> Option<f64> {
         self.platform.timer_at
     }
 
-    /// One of the two had a timer that was due; the shadow gets the event if its own was.
+    /// Handles a timer that was due in one of the instances. The shadow gets the event if its own timer was due.
     pub(crate) fn on_timer(&mut self, call: RecordedCall) {
         let now = call.now;
         let is_due = self.platform.timer_at.take_if(|at| *at <= now).is_some();
@@ -67,7 +69,7 @@
         });
     }
 
-    /// Other settings are in force, for both.
+    /// Replaces the settings of the shadow, after those of the active instance were replaced.
     pub(crate) fn apply_settings(
         &mut self,
         call: RecordedCall,
@@ -82,7 +84,7 @@
         });
     }
 
-    /// The endpoint list has changed.
+    /// Replays an update of the endpoint list.
     pub(crate) fn update_endpoints(
         &mut self,
         call: RecordedCall,
@@ -95,14 +97,14 @@
         });
     }
 
-    /// A call to the list service failed.
+    /// Replays a failed call to the discovery service.
     pub(crate) fn on_discovery_failed(&mut self, call: RecordedCall) {
         self.replay(call, None, |shadow| {
             shadow.balancer.on_discovery_failure(&mut shadow.platform);
         });
     }
 
-    /// A health check ended.
+    /// Replays the end of a health check.
     pub(crate) fn on_health_check(
         &mut self,
         call: RecordedCall,
@@ -118,7 +120,7 @@
         });
     }
 
-    /// An RPC came.
+    /// Replays the arrival of an RPC.
     pub(crate) fn accept(&mut self, call: RecordedCall, incoming: &IncomingRpc) {
         self.counts.compared += 1;
         self.replay(call, Some(incoming.id), |shadow| {
@@ -128,14 +130,14 @@
         });
     }
 
-    /// The client of an RPC disconnected.
+    /// Replays the disconnect of an RPC's client.
     pub(crate) fn on_client_disconnected(&mut self, call: RecordedCall, id: u64) {
         self.replay_rpc(call, id, |rpc, platform| {
             rpc.on_client_disconnected(platform);
         });
     }
 
-    /// An attempt ended; `is_over` if the RPC is over with it.
+    /// Replays the end of an attempt. `is_over` tells whether the RPC ended with it.
     pub(crate) fn on_attempt_ended(
         &mut self,
         call: RecordedCall,
@@ -149,28 +151,28 @@
         });
     }
 
-    /// The last byte of an attempt's request was taken to be sent.
+    /// Replays that the last byte of an attempt's request was accepted for sending.
     pub(crate) fn on_request_sent(&mut self, call: RecordedCall, attempt: AttemptId) {
         self.replay_rpc(call, attempt.rpc, |rpc, platform| {
             rpc.on_request_sent(attempt.index, platform);
         });
     }
 
-    /// A streamed response starts.
+    /// Replays the start of a streamed response.
     pub(crate) fn on_response_started(&mut self, call: RecordedCall, attempt: AttemptId) {
         self.replay_rpc(call, attempt.rpc, |rpc, platform| {
             rpc.on_response_started(attempt.index, PacedBy::Client, platform);
         });
     }
 
-    /// An RPC can't be retried.
+    /// Marks an RPC that can't be retried.
     pub(crate) fn forbid_retry(&self, id: u64) {
         if let Some(compared) = self.rpcs.get(&id) {
             compared.rpc.forbid_retry();
         }
     }
 
-    /// Replays a call about an RPC that both still handle alike; of others only the actions are compared.
+    /// Replays a call about an RPC on which both instances agree. For other RPCs only the actions are compared.
     fn replay_rpc(
         &mut self,
         call: RecordedCall,
@@ -184,48 +186,48 @@
         });
     }
 
-    /// Replays a call, about one RPC or about none, and compares what the two instances asked for.
+    /// Replays a call, which is about one RPC or none, and compares the actions of the two instances.
     fn replay(&mut self, call: RecordedCall, about: Option<u64>, replay: impl FnOnce(&mut Self)) {
         self.platform.now = call.now;
         replay(self);
-        let would = std::mem::take(&mut self.platform.recorded);
+        let shadow_actions = std::mem::take(&mut self.platform.recorded);
         self.counts.health_checks += call.actions.health_checks();
-        self.counts.shadow_health_checks += would.health_checks();
+        self.counts.shadow_health_checks += shadow_actions.health_checks();
         let touched: BTreeSet<u64> = call
             .actions
             .rpcs()
-            .chain(would.rpcs())
+            .chain(shadow_actions.rpcs())
             .chain(about)
             .collect();
         for id in touched {
-            self.compare(id, call.actions.of_rpc(id), would.of_rpc(id));
+            self.compare(id, call.actions.of_rpc(id), shadow_actions.of_rpc(id));
         }
         self.log_counts_if_due();
     }
 
-    /// Compares what was done on an RPC in a call with what the shadow would have done.
-    fn compare(&mut self, id: u64, performed: &[Action], would: &[Action]) {
-        // The two have differed on an RPC that is not there.
+    /// Compares the actions of the two instances on an RPC.
+    fn compare(&mut self, id: u64, performed: &[Action], shadow: &[Action]) {
+        // An RPC that is missing here was removed when the instances differed on it.
         let Some(compared) = self.rpcs.get_mut(&id) else {
             return;
         };
         let had_attempt = compared.attempts > 0;
-        compared.attempts += would
+        compared.attempts += shadow
             .iter()
             .filter(|action| matches!(action, Action::Attempt(_)))
             .count();
-        if performed != would {
-            self.counts.count_difference(performed, would, had_attempt);
-            self.drop_diverged(id);
+        if performed != shadow {
+            self.counts.count_difference(performed, shadow, had_attempt);
+            self.remove_diverged(id);
         } else if compared.rpc.is_finished() {
             self.rpcs.remove(&id);
         }
     }
 
-    /// Ends an RPC on which the two differ, as if its client had disconnected: the shadow can't see how it would
-    /// have gone on. So end those that the shadow would have attempted on the capacity that this frees: nobody
-    /// decided on that difference. Such an attempt is not counted yet, hence one index more.
-    fn drop_diverged(&mut self, id: u64) {
+    /// Ends an RPC on which the instances differ, as if its client had disconnected: the shadow can't know how it would
+    /// have continued. RPCs that the shadow then attempts with the freed capacity end in the same way, as the active
+    /// instance has not decided on them. Their new attempt is not counted yet, hence one index more.
+    fn remove_diverged(&mut self, id: u64) {
         let mut diverged = vec![id];
         while let Some(id) = diverged.pop() {
             let Some(compared) = self.rpcs.remove(&id) else {
@@ -253,6 +255,6 @@
 
 impl Drop for ShadowEvaluator {
     fn drop(&mut self) {
-        log::info!("ends: {}", self.counts);
+        log::info!("shadow evaluation ended: {}", self.counts);
     }
 }
--- a/crates/daemon/src/config/shadow/platform.rs
+++ b/crates/daemon/src/config/shadow/platform.rs
@@ -1,15 +1,15 @@
-//! The platform of the shadow: records what it asks for and does nothing.
+//! The platform of the shadow: records the requested actions and performs none.
 use crate::config::shadow::actions::{Action, RecordedActions};
 use birchhub::interface::Platform;
 
-/// Records what the shadow asks for.
+/// Records the actions that the shadow requests.
 #[derive(Default)]
 pub(super) struct ShadowPlatform {
-    /// The time of the call at hand, s.
+    /// Time of the call that is being replayed, in seconds.
     pub now: f64,
-    /// What was asked for since it was last taken.
+    /// Actions that were requested since they were last taken.
     pub recorded: RecordedActions,
-    /// When the shadow wants its timer event, s.
+    /// Time of the shadow's next timer event, in seconds.
     pub timer_at: Option<f64>,
 }
 
--- a/crates/daemon/src/decision/actor.rs
+++ b/crates/daemon/src/decision/actor.rs
@@ -1,8 +1,8 @@
 //! The decision actor: one task that owns the decision package, makes every call on it in the order in which
 //! things happened, and never waits for what the package asks for.
 use crate::clock::{Clock, until};
-use crate::config::active::ActiveNames;
 use crate::config::file::Config;
+use crate::config::name_table::ActiveNames;
 use crate::config::shadow::{RecordedCall, ShadowEvaluator};
 use crate::decision::endpoints::EndpointRegistry;
 use crate::decision::heartbeat::Heartbeat;
--- a/crates/daemon/src/decision/updates.rs
+++ b/crates/daemon/src/decision/updates.rs
@@ -1,5 +1,5 @@
 //! Changes of what the decisions go by: the endpoint list, the administrative state and the settings.
-use crate::config::update::ConfigUpdate;
+use crate::config::update::{AppliedUpdate, ConfigUpdate};
 use crate::decision::actor::DecisionActor;
 use crate::decision::in_flight::repeat_rules;
 use crate::discovery::update::EndpointUpdate;
@@ -90,6 +90,9 @@
             }),
             None => self.end_shadow(),
         }
-        let _ = applied.send((former_names, started.elapsed()));
+        let _ = applied.send(AppliedUpdate {
+            former_names,
+            loop_time: started.elapsed(),
+        });
     }
 }
--- a/crates/daemon/src/downstream/request.rs
+++ b/crates/daemon/src/downstream/request.rs
@@ -1,5 +1,5 @@
 //! A client's RPC, and its request as it is forwarded to backends.
-use crate::config::active::{NameTable, check};
+use crate::config::name_table::NameTable;
 use crate::downstream::response::ProxyResponse;
 use crate::net::body::{RequestBody, RequestUpload};
 use bytes::Bytes;
@@ -51,12 +51,12 @@
             return Ok(());
         }
         let request = &self.request;
-        let (method, effect) = names.method(request.uri.path())?;
-        check(effect, &request.method, request.idempotency_key.is_some())?;
+        let method = names.method(request.uri.path())?;
+        method.check_request(&request.method, request.idempotency_key.is_some())?;
         let tenant_name = self.tenant_name.as_ref();
         let tenant_name = tenant_name.and_then(|name| name.to_str().ok());
         self.version = names.version;
-        self.method = method;
+        self.method = method.index;
         self.tenant = names.tenant(tenant_name);
         Ok(())
     }
--- a/crates/daemon/src/downstream/request_error.rs
+++ b/crates/daemon/src/downstream/request_error.rs
@@ -1,4 +1,5 @@
 //! Why a client's message is no RPC, and the response to it.
+use crate::config::name_table::MethodError;
 use crate::downstream::response::ProxyResponse;
 use hyper::StatusCode;
 
@@ -59,3 +60,16 @@
         }
     }
 }
+
+impl From<MethodError> for ProxyResponse {
+    fn from(error: MethodError) -> Self {
+        let (status, message) = match error {
+            MethodError::UnknownMethod => (StatusCode::NOT_FOUND, "no such method\n"),
+            MethodError::WrongHttpMethod => {
+                (StatusCode::BAD_REQUEST, "the HTTP method does not fit\n")
+            }
+            MethodError::MissingIdempotencyKey => (StatusCode::BAD_REQUEST, "no Idempotency-Key\n"),
+        };
+        Self::ClientError { status, message }
+    }
+}
--- a/crates/daemon/src/downstream/request_parser.rs
+++ b/crates/daemon/src/downstream/request_parser.rs
@@ -1,5 +1,5 @@
 //! Parses HTTP from a client into a typed RPC, once.
-use crate::config::active::{ActiveNames, check};
+use crate::config::name_table::ActiveNames;
 use crate::downstream::head_scan::Framings;
 use crate::downstream::request::{
     IDEMPOTENCY_KEY, ParsedRequest, REQUEST_ID, REQUEST_TIMEOUT_MS, ReceivedRpc, RequestPayload,
@@ -52,7 +52,7 @@
     ) -> Result<ReceivedRpc, ProxyResponse> {
         let (head, body) = message.into_parts();
         check_framing(&head.headers, framings)?;
-        let (version, (method, effect)) = {
+        let (version, method) = {
             let names = self.names.borrow();
             (names.version, names.method(head.uri.path())?)
         };
@@ -60,13 +60,13 @@
         let timeout = request_timeout(&head.headers)?;
         let idempotency_key =
             single_value(&head.headers, &IDEMPOTENCY_KEY)?.filter(|key| !key.is_empty());
-        check(effect, &head.method, idempotency_key.is_some())?;
+        method.check_request(&head.method, idempotency_key.is_some())?;
         let payload = receive_payload(&head.method, body, body_deadline).await?;
         let info = RequestInfo::of(&head.headers);
         let path_and_query = head.uri.path_and_query().cloned();
         Ok(ReceivedRpc {
             version,
-            method,
+            method: method.index,
             tenant: self.names.borrow().tenant(text(&head.headers, &TENANT)),
             tenant_name: head.headers.get(TENANT).cloned(),
             received_at: Instant::now(),
--- a/crates/daemon/src/lifecycle/admin_api/mod.rs
+++ b/crates/daemon/src/lifecycle/admin_api/mod.rs
@@ -5,7 +5,7 @@
 mod call;
 mod response;
 
-use crate::config::reload::ActiveConfig;
+use crate::config::active_config::ActiveConfig;
 use crate::invariants::Invariants;
 use crate::lifecycle::admin_state::AdminCommand;
 use crate::lifecycle::state_store::StateStore;
--- a/crates/daemon/src/lifecycle/listeners.rs
+++ b/crates/daemon/src/lifecycle/listeners.rs
@@ -1,6 +1,7 @@
 //! The listening sockets of a process: for clients and for the admin API.
 
 use crate::config::file::Config;
+use crate::config::keys::{ADMIN_ADDRESS, CLIENT_ADDRESS};
 use crate::lifecycle::start_error::StartError;
 use crate::net::local_error::is_local;
 use std::io;
@@ -11,10 +12,6 @@
 
 /// Largest number of connections that wait to be accepted: none of a burst may be refused.
 const BACKLOG: u32 = 1024;
-/// Variable that names the address for clients.
-const CLIENT_ADDRESS_VARIABLE: &str = "LB_LISTEN";
-/// Variable that names the address of the admin API.
-const ADMIN_ADDRESS_VARIABLE: &str = "LB_MANAGEMENT";
 
 /// Longest time for which binding is retried while the machine is short of sockets or memory.
 const BIND_TIMEOUT: Duration = Duration::from_secs(1);
@@ -40,10 +37,10 @@
         let is_inherited = inherited.is_some();
         let clients = match inherited {
             Some(socket) => TcpListener::from_std(socket).map_err(StartError::InheritedListener)?,
-            None => bind(CLIENT_ADDRESS_VARIABLE, config.listen).await?,
+            None => bind(CLIENT_ADDRESS.variable, config.client_address).await?,
         };
-        let admin = match config.management {
-            Some(address) => Some(bind(ADMIN_ADDRESS_VARIABLE, address).await?),
+        let admin = match config.admin_address {
+            Some(address) => Some(bind(ADMIN_ADDRESS.variable, address).await?),
             None => None,
         };
         Ok(Self {
--- a/crates/daemon/src/lifecycle/startup.rs
+++ b/crates/daemon/src/lifecycle/startup.rs
@@ -22,7 +22,7 @@
 /// Joins the process group of this proxy if the proxy may have several processes: with an inherited socket, or with an
 /// admin API.
 pub(crate) fn join_process_group(config: &Config, inherited: bool) -> Option<ProcessGroup> {
-    if !inherited && config.management.is_none() {
+    if !inherited && config.admin_address.is_none() {
         return None;
     }
     ProcessGroup::open(&config.name)
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -16,10 +16,11 @@
 mod upstream;
 
 use crate::clock::Clock;
-use crate::config::active::{ActiveNames, NameTable};
+use crate::config::active_config::ActiveConfig;
 use crate::config::file::{self, CachedEndpoints, Config};
 use crate::config::inherited_listener;
-use crate::config::reload::{ActiveConfig, Reload};
+use crate::config::name_table::{ActiveNames, NameTable};
+use crate::config::reload::Reload;
 use crate::decision::actor::{self, ActorContext, DecisionActor};
 use crate::discovery::client::DiscoveryClient;
 use crate::downstream::listener::Listener;
@@ -86,7 +87,11 @@
     proxy.spawn_lifecycle(listeners.admin, &settings);
     let events = proxy.spawn_decisions(signals.reload, active_config);
     let accepting = proxy.spawn_listener(listeners.clients, events);
-    log::info!("{} listens on {}", proxy.config.name, proxy.config.listen);
+    log::info!(
+        "{} listens on {}",
+        proxy.config.name,
+        proxy.config.client_address
+    );
     signals.terminate.received().await;
     let longest_rpc = settings.borrow().longest_deadline;
     let longest_rpc = longest_rpc.map(Duration::from_secs_f64);
@@ -167,7 +172,7 @@
         );
         spawn_local(decisions.run(mailbox));
         startup::use_cached_endpoints(&self.config, &self.state_store, self.pushed);
-        let (address_sender, address) = watch::channel(self.config.discovery);
+        let (address_sender, address) = watch::channel(self.config.discovery_address);
         let config = self.config.clone();
         spawn_local(Reload::new(config, address_sender, events.clone(), active_config).run(reload));
         let cached = self.config.cached_endpoints.as_ref();
--- a/crates/daemon/tests/in_force/refused.rs
+++ b/crates/daemon/tests/in_force/refused.rs
@@ -53,7 +53,10 @@
         eventually(PATIENCE, &format!("never logged: {error}"), || {
             let logged = proxy.daemon.logged();
             let mut lines = logged.lines();
-            lines.any(|line| line.contains("stays as it was") && line.contains(error))
+            lines.any(|line| {
+                line.contains("reload failed, the active configuration is kept: ")
+                    && line.contains(error)
+            })
         });
         assert_eq!(proxy.active(), first, "{error}");
         let id = error.split(' ').next().expect("a word");
--- a/crates/daemon/tests/shadow.rs
+++ b/crates/daemon/tests/shadow.rs
@@ -29,9 +29,12 @@
     let last = log
         .lines()
         .rev()
-        .find(|line| line.contains("ends: "))
+        .find(|line| line.contains("shadow evaluation ended: "))
         .expect("the counts at the end");
-    last.split_once("ends: ").expect("found").1.to_owned()
+    last.split_once("shadow evaluation ended: ")
+        .expect("found")
+        .1
+        .to_owned()
 }
 
 /// Two backends that respond, one that fails now and then, and one whose address nobody listens at.
