--- a/crates/daemon/src/decision/actor.rs
+++ b/crates/daemon/src/decision/actor.rs
@@ -2,8 +2,8 @@
 //!
 //! The actor never waits for the actions that the balancer requests. Their completions come back as events.
 use crate::clock::{Clock, until};
-use crate::config::active::ActiveNames;
 use crate::config::file::Config;
+use crate::config::name_table::ActiveNames;
 use crate::config::shadow::ShadowEvaluator;
 use crate::decision::endpoints::EndpointRegistry;
 use crate::decision::heartbeat::Heartbeat;
--- a/crates/daemon/src/downstream/request_parser.rs
+++ b/crates/daemon/src/downstream/request_parser.rs
@@ -1,5 +1,5 @@
 //! Parses a client's HTTP message into a typed RPC.
-use crate::config::active::{ActiveNames, check};
+use crate::config::name_table::ActiveNames;
 use crate::downstream::client_protocol::{self, RequestInfo};
 use crate::downstream::head_scan::Framings;
 use crate::downstream::request::{ParsedRequest, ReceivedRpc};
@@ -35,14 +35,14 @@
     ) -> Result<ReceivedRpc, ProxyResponse> {
         let (head, body) = message.into_parts();
         check_framing(&head.headers, framings)?;
-        let (version, (method, effect)) = {
+        let (version, method) = {
             let names = self.names.borrow();
             (names.version, names.method(head.uri.path())?)
         };
         let request_id = client_protocol::request_id(&head.headers)?;
         let timeout = client_protocol::request_timeout(&head.headers)?;
         let idempotency_key = client_protocol::idempotency_key(&head.headers)?;
-        check(effect, &head.method, idempotency_key.is_some())?;
+        method.check_request(&head.method, idempotency_key.is_some())?;
         let payload = receive_payload(&head.method, body, body_deadline).await?;
         let info = RequestInfo::from_headers(&head.headers);
         let path_and_query = head.uri.path_and_query().cloned();
@@ -50,7 +50,7 @@
         let tenant_text = tenant_name.and_then(|name| name.to_str().ok());
         Ok(ReceivedRpc {
             version,
-            method,
+            method: method.index,
             tenant: self.names.borrow().tenant(tenant_text),
             tenant_name: tenant_name.cloned(),
             received_at: Instant::now(),
