--- a/src/backend.rs
+++ b/src/backend.rs
@@ -2,6 +2,7 @@
 use crate::attempt_window::AttemptWindow;
 use crate::ewma::Ewma;
 use crate::interface::{AttemptOutcome, Endpoint, Readiness};
+use crate::report_quality::LoadLevel;
 use std::cell::Cell;
 
 /// Number of subsets of the backend index that one backend can be in at once.
@@ -10,9 +11,9 @@
 /// What is kept of a load report.
 #[derive(Clone, Copy)]
 pub(crate) struct LastReport {
-    /// It was a light one.
-    pub light: bool,
-    /// When it came.
+    /// The load that it tells.
+    pub level: LoadLevel,
+    /// When it arrived.
     pub received_at: f64,
 }
 
@@ -110,7 +111,7 @@
     }
 
     /// Whether every attempt that ended within this time succeeded.
-    pub(crate) fn finished_all(&self, now: f64, within: f64) -> bool {
+    pub(crate) fn has_completed_all(&self, now: f64, within: f64) -> bool {
         self.last_unfinished_at
             .get()
             .is_none_or(|at| now >= at + within)
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,11 +1,11 @@
 //! Bookkeeping of pending RPCs, attempts and the timer, around what the dispatcher decides.
+use crate::attempt::{AttemptState, BackendChoice};
 use crate::backend::Backend;
 use crate::estimates::AVERAGING_TIME;
 use crate::interface::Platform;
 use crate::policy::deadlines;
 use crate::policy::dispatch::Dispatcher;
-use crate::report_quality::recent_report;
-use crate::rpc_state::{AttemptState, RpcState};
+use crate::rpc_state::RpcState;
 use std::rc::Rc;
 
 impl Dispatcher {
@@ -23,7 +23,7 @@
         &mut self,
         rpc: &Rc<RpcState>,
         to: Rc<Backend>,
-        load_ahead: Option<f64>,
+        choice: BackendChoice,
         platform: &mut dyn Platform,
     ) {
         let now = platform.now();
@@ -38,15 +38,8 @@
         self.reindex(&to, now);
         let time_allowed = deadlines::time_allowed(rpc, now);
         platform.start_attempt(rpc.id, to.id, deadlines::timeout(time_allowed));
-        let light = recent_report(&to, now);
-        let attempt = AttemptState::new(
-            to,
-            now,
-            time_allowed,
-            load_ahead,
-            light,
-            rpc.streams_request,
-        );
+        let mut attempt = AttemptState::new(to, choice, time_allowed, now);
+        attempt.set_client_paced(rpc.streams_request);
         rpc.attempts.borrow_mut().push(attempt);
     }
 
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -136,15 +136,13 @@
     pub fn accept(&self, incoming: &IncomingRpc, platform: &mut dyn Platform) -> RpcHandle {
         let (mut dispatcher, now) = (self.0.borrow_mut(), platform.now());
         let rpc = Rc::new(dispatcher.new_rpc(incoming, now));
-        let responses_fill_queue = dispatcher.load_reports.responses_fill_queue(now);
-        dispatcher
-            .health_checks
-            .record_arrival(responses_fill_queue);
+        let idle_signal = dispatcher.load_reports.idle_signal(now);
+        dispatcher.health_checks.record_arrival(idle_signal);
         if let Some(key) = incoming.key.filter(|_| rpc.method.settings.ordered_by_key) {
             dispatcher.keyed.push(&rpc, key);
         }
-        let by_priority = dispatcher.admission.by_priority;
-        if throttle::admits(&rpc, by_priority, &dispatcher.fleet.rng, now) {
+        let sheds_by_priority = dispatcher.admission.sheds_by_priority;
+        if throttle::admits(&rpc, sheds_by_priority, &dispatcher.fleet.rng, now) {
             dispatcher.enqueue_rpc(&rpc, now);
         } else {
             dispatcher.give_up(&rpc, platform);
--- a/src/balancer/rpc_handle.rs
+++ b/src/balancer/rpc_handle.rs
@@ -1,10 +1,12 @@
 //! What happens to one RPC after it was accepted, and whom the end of an attempt concerns.
+use crate::attempt::{BackendChoice, CompletedAttempt};
 use crate::backend::Backend;
 use crate::estimates::AVERAGING_TIME;
 use crate::interface::{AttemptOutcome, LoadReport, PacedBy, Platform};
 use crate::policy::dispatch::Dispatcher;
+use crate::policy::load_reports::{IdleSignal, ReportSource};
 use crate::policy::{outlier_detection, throttle};
-use crate::rpc_state::{CompletedAttempt, RpcState};
+use crate::rpc_state::RpcState;
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -83,22 +85,22 @@
     /// What an attempt tells of its method, its tenant and the way in which its backend was picked.
     fn record_attempt(&mut self, rpc: &RpcState, attempt: &CompletedAttempt, now: f64) {
         let measured = attempt.is_timed() || attempt.was_rejected();
-        if let Some(light) = attempt.light_report.filter(|_| measured) {
+        if let Some(level) = attempt.load_level.filter(|_| measured) {
             let objectives = attempt.estimated_duration() / rpc.method.settings.latency_objective;
             self.load_reports
                 .quality
-                .record_attempt(light, objectives, now);
+                .record_attempt(level, objectives, now);
         }
         // Of rejections only that of the last attempt says how long the RPC would have waited.
         let last = attempt.number + 1 >= self.rules.limits.max_attempts;
         if attempt.is_timed() || attempt.was_rejected() && last {
             let estimates = &self.fleet.estimates;
-            match attempt.load_ahead {
-                Some(load) => {
-                    rpc.method
-                        .record_wait(attempt.estimated_duration(), load, estimates, now)
+            match attempt.choice {
+                BackendChoice::Random { mean_load } => {
+                    let duration = attempt.estimated_duration();
+                    rpc.method.record_wait(duration, mean_load, estimates, now);
                 }
-                None => self.idle_queue.record_attempt(attempt, estimates, now),
+                BackendChoice::IdleQueue => self.idle_queue.record_attempt(attempt, estimates, now),
             }
         }
         self.admission.record_attempt(rpc, attempt, now);
@@ -107,12 +109,8 @@
                 .backend
                 .response_time
                 .add(attempt.estimated_duration(), now, AVERAGING_TIME);
-            throttle::record_attempt(
-                rpc,
-                attempt,
-                self.load_reports.responses_fill_queue(now),
-                now,
-            );
+            let idle_signal = self.load_reports.idle_signal(now);
+            throttle::record_attempt(rpc, attempt, idle_signal, now);
         }
         if attempt.may_still_run() {
             self.keyed
@@ -149,7 +147,7 @@
             .budget
             .record_completion(backend, ready, now);
         self.record_report(backend, report, None, now);
-        if report.is_none() && self.load_reports.responses_fill_queue(now) {
+        if report.is_none() && self.load_reports.idle_signal(now) == IdleSignal::Response {
             self.enqueue_idle(backend, now);
         }
     }
@@ -165,15 +163,19 @@
         let Some(load) = self.load_reports.load(report, check_duration, &self.fleet) else {
             return;
         };
-        let by_check = check_duration.is_some();
-        let idle = self
+        let source = if check_duration.is_some() {
+            ReportSource::HealthCheck
+        } else {
+            ReportSource::Response
+        };
+        let is_idle = self
             .load_reports
-            .record(backend, load, by_check, &self.fleet, now);
+            .record(backend, load, source, &self.fleet, now);
         self.rules
             .slow_start
             .budget
-            .record_report(backend, by_check, &self.fleet.rng, now);
-        if idle {
+            .record_report(backend, source, &self.fleet.rng, now);
+        if is_idle {
             self.enqueue_idle(backend, now);
         }
     }
@@ -196,8 +198,8 @@
     }
 
     fn enqueue_idle(&mut self, backend: &Rc<Backend>, now: f64) {
-        let by_responses = self.load_reports.responses_fill_queue(now);
+        let idle_signal = self.load_reports.idle_signal(now);
         self.idle_queue
-            .enqueue(backend, by_responses, &self.fleet, now);
+            .enqueue(backend, idle_signal, &self.fleet, now);
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,6 +3,7 @@
 //! The package does no I/O and reads no clock. A platform calls [`balancer`] with events, and the
 //! decisions act through [`interface::Platform`]. [`policy`] holds every decision, one module for
 //! each mechanism; all other modules keep state, indexes and estimates for it.
+mod attempt;
 mod attempt_window;
 mod backend;
 mod backend_index;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,121 +1,133 @@
-//! Admission to the fallback: by priority where nothing tells of loads, else by whether there is time.
+//! Admission control of the fallback: whether an RPC may go to a random backend.
+//!
+//! Where health checks can tell loads, or all methods have the same priority, RPCs are admitted by
+//! their deadlines: the expected wait at a random backend must fit into the time left. Elsewhere load
+//! is shed by priority, as in DAGOR (Zhou et al., 2018): an RPC must rank within the admission rate.
+//! What differs from DAGOR: ranks go by the recent arrivals of this proxy, and some RPCs take a random
+//! rank, so that no priority starves.
+use super::admission_rate::AdmissionRate;
+use crate::attempt::CompletedAttempt;
+use crate::estimates::Estimates;
 use crate::interface::{AttemptOutcome, CarriedOver, MethodSettings, Settings};
-use crate::rpc_state::{CompletedAttempt, RpcState};
-use crate::{estimates::Estimates, method::Method, rng::pair_sample};
+use crate::method::Method;
+use crate::rng::pair_sample;
+use crate::rpc_state::RpcState;
 use std::rc::Rc;
 
-const LATENCY_BUDGET: f64 = 0.6; // of the expected wait must fit: loads vary, and some picks meet a light one
-const LATE_LATENCY_BUDGET: f64 = 2.2; // ... or over twice, where late responses count: late RPCs run on
-const RANKED_PART: f64 = 0.85; // of RPCs are ranked by priority; the others take any rank: none starves
-const PROMPT_PART: f64 = 0.4; // of its latency objective within which an attempt is answered in good time
-const RATE_INCREASE: f64 = 0.015; // of all RPCs, by which a response in good time raises the rate ...
-const RATE_DECREASE: f64 = 0.15; // ... of the rate, by which any other end cuts it: one in eleven is borne
-const RATE_RECOVERY: f64 = 0.04; // of all RPCs a second that come back by themselves: a fault ends unseen
-const MAX_PAUSE: f64 = 2.0; // s without any attempt after which one is admitted: else nothing would be learnt
+/// Multiple of the expected wait that must fit into the time left of an RPC of the highest priority.
+/// Below 1, since loads vary and some random backends have less than the mean.
+const WAIT_MULTIPLE: f64 = 0.6;
+/// The same where late responses have weight: late RPCs run on and delay those behind them.
+const WAIT_MULTIPLE_IF_LATE_COUNTS: f64 = 2.2;
+/// Fraction of the RPCs that are ranked by priority; the others take a random rank.
+const RANKED_FRACTION: f64 = 0.85;
+/// Fraction of the latency objective within which a response is prompt.
+const PROMPT_FRACTION_OF_OBJECTIVE: f64 = 0.4;
+/// Time without any attempt after which one RPC is admitted whatever its rank, in seconds: without
+/// attempts nothing would show that the backends have recovered.
+const MAX_SECONDS_WITHOUT_ATTEMPT: f64 = 2.0;
 
 /// The methods and the admission rate.
 #[derive(Default)]
 pub(crate) struct Admission {
+    /// The methods, by their index in the settings.
     pub methods: Vec<Rc<Method>>,
-    pub by_priority: bool, // no health check tells of loads, and RPCs differ in priority
-    least_budget: f64,
-    rate: Option<(f64, f64)>, // of RPCs, and when it was set; all of them before
+    /// Load is shed by priority rather than by deadline.
+    pub sheds_by_priority: bool,
+    /// Time of the last attempt at any backend.
     pub last_attempt_at: f64,
+    lowest_wait_multiple: f64,
+    rate: AdmissionRate,
 }
 
 impl Admission {
-    /// Derives the methods and their latency budgets: the higher the priority, the lower the budget.
+    /// Derives the methods from new settings, and chooses how load is shed.
     pub(crate) fn apply_settings(
         &mut self,
         settings: &Settings,
         carried: &CarriedOver,
-        can_check: bool,
+        health_checks_enabled: bool,
     ) {
-        let highest = settings
-            .methods
-            .iter()
-            .map(|m| m.priority_weight)
-            .fold(0.0, f64::max);
+        let weights = settings.methods.iter().map(|m| m.priority_weight);
+        let highest_weight = weights.clone().fold(0.0, f64::max);
+        let priorities_differ = weights.clone().any(|weight| weight < highest_weight);
+        self.sheds_by_priority = !health_checks_enabled && priorities_differ;
+
         let method = |(n, method): (usize, &MethodSettings)| {
-            let budget = if method.late_weight_fraction > 0.0 {
-                LATE_LATENCY_BUDGET
-            } else {
-                LATENCY_BUDGET
-            };
-            let before = carried
-                .methods
-                .get(n)
-                .and_then(|index| self.methods.get((*index)?));
-            Rc::new(Method::new(
-                method,
-                budget * (highest / method.priority_weight).max(1.0).sqrt(),
-                before,
-            ))
+            let before_index = carried.methods.get(n).copied().flatten();
+            let before = before_index.and_then(|index| self.methods.get(index));
+            let wait_multiple = wait_multiple(method, highest_weight);
+            Rc::new(Method::new(method, wait_multiple, before))
         };
         self.methods = settings.methods.iter().enumerate().map(method).collect();
-        self.by_priority =
-            !can_check && settings.methods.iter().any(|m| m.priority_weight < highest);
-        self.least_budget = self
-            .methods
-            .iter()
-            .map(|m| m.latency_budget)
-            .fold(f64::INFINITY, f64::min);
+        let wait_multiples = self.methods.iter().map(|m| m.wait_multiple);
+        self.lowest_wait_multiple = wait_multiples.fold(f64::INFINITY, f64::min);
     }
 
-    /// Whether an RPC may pick a random backend.
+    /// Returns whether an RPC may go to a random backend.
     pub(crate) fn admits(&self, rpc: &RpcState, estimates: &Estimates, now: f64) -> bool {
-        if self.by_priority {
-            self.is_in_rank(rpc, now)
+        if self.sheds_by_priority {
+            self.is_within_rate(rpc, now)
         } else {
             self.fits_deadline(rpc, estimates, now)
         }
     }
 
-    /// Additive increase, multiplicative decrease, by whether an attempt was answered in good time.
+    /// Adapts the admission rate to how an attempt has ended.
     pub(crate) fn record_attempt(&mut self, rpc: &RpcState, attempt: &CompletedAttempt, now: f64) {
-        let prompt = attempt.duration <= rpc.method.settings.latency_objective * PROMPT_PART;
-        let rate = match attempt.outcome {
-            AttemptOutcome::Succeeded if prompt => self.rate(now) + RATE_INCREASE,
-            _ if attempt.is_timed() || attempt.was_rejected() => {
-                self.rate(now) * (1.0 - RATE_DECREASE)
-            }
-            _ => return,
-        };
-        self.rate = Some((rate, now));
-    }
-
-    /// Part of RPCs admitted by now.
-    fn rate(&self, now: f64) -> f64 {
-        self.rate.map_or(1.0, |(rate, since)| {
-            (rate + (now - since).max(0.0) * RATE_RECOVERY).min(1.0)
-        })
+        let max_prompt_duration =
+            rpc.method.settings.latency_objective * PROMPT_FRACTION_OF_OBJECTIVE;
+        let is_prompt = attempt.duration <= max_prompt_duration;
+        if attempt.outcome == AttemptOutcome::Succeeded && is_prompt {
+            self.rate.increase(now);
+        } else if attempt.is_timed() || attempt.was_rejected() {
+            self.rate.decrease(now);
+        }
     }
 
-    /// Whether an RPC ranks within the rate. Otherwise all backends would fill until little is in time, and a
-    /// shortage would fall on the highest priority as on the lowest.
-    fn is_in_rank(&self, rpc: &RpcState, now: f64) -> bool {
-        let (rate, sample) = (self.rate(now), pair_sample(rpc.id, 0));
-        let ranked = rate < 1.0 && pair_sample(rpc.id, 1) < RANKED_PART;
-        let rank = if ranked {
-            rpc.method.rank(&self.methods, sample, now)
+    /// Returns whether an RPC ranks within the admission rate. Its samples are the same whenever it
+    /// is asked for, so that waiting does not change the answer.
+    fn is_within_rate(&self, rpc: &RpcState, now: f64) -> bool {
+        let rate = self.rate.read(now);
+        let random_rank = pair_sample(rpc.id, 0);
+        let is_ranked = rate < 1.0 && pair_sample(rpc.id, 1) < RANKED_FRACTION;
+        let rank = if is_ranked {
+            rpc.method.rank(&self.methods, random_rank, now)
         } else {
-            sample
+            random_rank
         };
-        rank < rate || now > self.last_attempt_at + MAX_PAUSE
+        rank < rate || now > self.last_attempt_at + MAX_SECONDS_WITHOUT_ATTEMPT
     }
 
-    /// Whether a random pick would answer in time, as far as is known: otherwise all wait beyond use behind
-    /// all. RPCs with long objectives must not fill the backends until short ones are shut out.
+    /// Returns whether a random backend is expected to answer in time. RPCs with long objectives must
+    /// not fill the backends until those with short ones find no time there: the load may not exceed
+    /// what the method with the tightest limit can bear.
     fn fits_deadline(&self, rpc: &RpcState, estimates: &Estimates, now: f64) -> bool {
-        let (load, time_constant) = (
-            estimates.recent_load(now) + 1.0,
-            estimates.wait_time_constant(),
-        );
+        let time_constant = estimates.wait_time_constant();
         let time_per_rpc = |method: &Method| method.time_per_rpc.decayed(now, time_constant);
-        let most =
-            |m: &Rc<Method>| m.settings.latency_objective / time_per_rpc(m) / self.least_budget;
-        let tightest = self.methods.iter().map(most).fold(f64::INFINITY, f64::min);
-        let wait = load * time_per_rpc(&rpc.method) * rpc.method.latency_budget;
-        load <= tightest && wait <= rpc.useful_until - now
+        let max_load = |method: &Rc<Method>| {
+            method.settings.latency_objective / time_per_rpc(method) / self.lowest_wait_multiple
+        };
+        let lowest_max_load = self
+            .methods
+            .iter()
+            .map(max_load)
+            .fold(f64::INFINITY, f64::min);
+        let load = estimates.recent_load(now) + 1.0;
+        let expected_wait = load * time_per_rpc(&rpc.method);
+        let required_time = expected_wait * rpc.method.wait_multiple;
+        let time_left = rpc.useful_until - now;
+        load <= lowest_max_load && required_time <= time_left
     }
 }
+
+/// Returns the multiple of the expected wait that must fit into the time left of an RPC of a method.
+fn wait_multiple(method: &MethodSettings, highest_weight: f64) -> f64 {
+    let multiple = if method.late_weight_fraction > 0.0 {
+        WAIT_MULTIPLE_IF_LATE_COUNTS
+    } else {
+        WAIT_MULTIPLE
+    };
+    let weight_ratio = (highest_weight / method.priority_weight).max(1.0);
+    multiple * weight_ratio.sqrt()
+}
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -9,6 +9,7 @@
 use super::{
     idle_queue::IdleQueue, outlier_detection::OutlierDetection, retry_budget::RetryBudget,
 };
+use crate::attempt::BackendChoice;
 use crate::tenant::{QuotaClass, TenantQuotas};
 use crate::{backend::Backend, fleet::Fleet, interface::Platform, rpc_state::RpcState};
 use crate::{keyed_queue::KeyedQueue, pending_queue::PendingQueue};
@@ -109,7 +110,7 @@
             |b: &Rc<Backend>| rules.may_attempt(rpc, b, None, fleet, now) && budget.allows(rpc, b);
         let backend = self.idle_queue.dequeue(rpc, &fleet.estimates, now, fits);
         backend
-            .map(|backend| self.start_attempt(rpc, backend, None, platform))
+            .map(|backend| self.start_attempt(rpc, backend, BackendChoice::IdleQueue, platform))
             .is_some()
     }
 
@@ -122,7 +123,8 @@
             return false;
         }
         self.reindex_expired(now);
-        let load = Some(self.fleet.estimates.recent_load(now));
+        let mean_load = self.fleet.estimates.recent_load(now);
+        let choice = BackendChoice::Random { mean_load };
         let sample = Some(self.rules.slow_start.budget.record_random_pick(rpc.id, now));
         let (rules, budget, fleet) = (&self.rules, &self.retry_budget, &self.fleet);
         let fits = |b: &Rc<Backend>| {
@@ -130,7 +132,7 @@
         };
         let backend = self.fallback.pick(rpc, fleet, now, fits);
         backend
-            .map(|backend| self.start_attempt(rpc, backend, load, platform))
+            .map(|backend| self.start_attempt(rpc, backend, choice, platform))
             .is_some()
     }
 
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,4 +1,5 @@
 //! Health checks of random backends that look for idle ones: as many as are worth their cost.
+use super::load_reports::IdleSignal;
 use super::{idle_queue::entry_lifetime, outlier_detection::is_healthy};
 use crate::estimates::{CLOCK_TOLERANCE, Estimates};
 use crate::interface::{LoadReportSource, Platform, Settings};
@@ -39,11 +40,10 @@
     }
 
     /// An RPC has come in and pays for checks: for few where responses fill the idle queue.
-    pub(crate) fn record_arrival(&mut self, responses_fill_queue: bool) {
-        let tokens = if responses_fill_queue {
-            MIN_PER_RPC
-        } else {
-            self.per_rpc
+    pub(crate) fn record_arrival(&mut self, signal: IdleSignal) {
+        let tokens = match signal {
+            IdleSignal::LowLoad => self.per_rpc,
+            IdleSignal::Response => MIN_PER_RPC,
         };
         self.tokens
             .add(tokens, tokens * SAVED_RPCS + PER_ROUND as f64);
--- a/src/policy/idle_queue.rs
+++ b/src/policy/idle_queue.rs
@@ -1,60 +1,86 @@
-//! The idle queue of Join-Idle-Queue: backends that are taken to be idle, each at most once.
+//! The idle queue of Join-Idle-Queue (Lu et al., 2011): backends that are taken to be idle.
+//!
+//! Each backend is queued at most once, and an RPC takes the first that it may go to. What differs:
+//! every proxy may hold the same idle backend, so an entry expires soon; where responses instead of
+//! reports fill the queue, the quickest backends come first, so that proxies do not all go round all
+//! backends; and the queue is passed over while attempts through it prove slow, as reports may be
+//! frozen.
+use super::load_reports::IdleSignal;
 use super::outlier_detection::is_healthy;
-use crate::rpc_state::{CompletedAttempt, RpcState};
-use crate::{backend::Backend, estimates::Estimates, ewma::Ewma, fleet::Fleet};
-use std::{collections::VecDeque, rc::Rc};
+use crate::attempt::CompletedAttempt;
+use crate::backend::Backend;
+use crate::estimates::Estimates;
+use crate::ewma::Ewma;
+use crate::fleet::Fleet;
+use crate::rpc_state::RpcState;
+use std::collections::VecDeque;
+use std::rc::Rc;
 
-const ENTRY_SERVICE_TIMES: f64 = 0.3; // that an entry lasts: other proxies see the same idle backend
-const MAX_ENTRY_LIFETIME: f64 = 4.0; // s; and of one by a response: that place is this proxy's own
-const MAX_TIME_PART: f64 = 0.7; // of its time that an attempt by the queue may be expected to take
-const PRIOR_ATTEMPTS: f64 = 4.0; // by the queue that prove nothing yet, counted beside those measured as 0
-pub(crate) const SCAN_LIMIT: usize = 32; // entries that one RPC, and RPCs that one event, may pass over
+/// Lifetime of an entry that a report made, in mean service times.
+const ENTRY_LIFETIME_SERVICE_TIMES: f64 = 0.3;
+/// Longest lifetime of such an entry, and lifetime of one that a response made: the place that has
+/// come free there is this proxy's own. In seconds.
+const MAX_ENTRY_LIFETIME_SECONDS: f64 = 4.0;
+/// Fraction of its time that an attempt through the queue may be expected to use.
+const MAX_EXPECTED_TIME_FRACTION: f64 = 0.7;
+/// Number of attempts that count as having used no time: few slow attempts do not prove the queue
+/// wrong.
+const PRIOR_ATTEMPTS: f64 = 4.0;
+/// Most entries that one RPC may pass over, and most RPCs that one event may; bounds the cost.
+pub(crate) const SCAN_LIMIT: usize = 32;
 
-/// The entries, and what attempts by them took.
+/// The entries, and how attempts through them went.
 #[derive(Default)]
 pub(crate) struct IdleQueue {
     entries: VecDeque<Rc<Backend>>,
-    time_part: Ewma, // of the time allowed
+    /// Fraction of their time that attempts through the queue used.
+    used_time_fraction: Ewma,
 }
 
-/// Time that an entry by a report lasts, s.
+/// Returns the lifetime of an entry that a report made, in seconds.
 pub(crate) fn entry_lifetime(estimates: &Estimates) -> f64 {
-    (estimates.service_time() * ENTRY_SERVICE_TIMES).min(MAX_ENTRY_LIFETIME)
+    (estimates.service_time() * ENTRY_LIFETIME_SERVICE_TIMES).min(MAX_ENTRY_LIFETIME_SECONDS)
 }
 
 impl IdleQueue {
-    /// No backend is queued, not even with an entry that has ended.
+    /// Returns whether there are no entries, expired ones included.
     pub(crate) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Adds a backend, or extends its entry. Where responses fill the queue, the quickest backend is first,
-    /// or all proxies would go round all they know; and entries last, or the queue would always be empty.
+    /// Adds a backend, or extends the lifetime of its entry.
     pub(crate) fn enqueue(
         &mut self,
         backend: &Rc<Backend>,
-        by_responses: bool,
+        signal: IdleSignal,
         fleet: &Fleet,
         now: f64,
     ) {
-        let lifetime = if by_responses {
-            MAX_ENTRY_LIFETIME
-        } else {
-            entry_lifetime(&fleet.estimates)
+        let lifetime = match signal {
+            IdleSignal::LowLoad => entry_lifetime(&fleet.estimates),
+            IdleSignal::Response => MAX_ENTRY_LIFETIME_SECONDS,
         };
-        if backend.ready.get()
-            && is_healthy(backend, now)
-            && backend.extend_queue_entry(now + lifetime)
-        {
-            let response_time = |b: &Backend| b.response_time.value_or(0.0);
-            let ahead =
-                |b: &Rc<Backend>| !by_responses || response_time(b) <= response_time(backend);
-            self.entries
-                .insert(self.entries.partition_point(ahead), backend.clone());
+        if !backend.ready.get() || !is_healthy(backend, now) {
+            return;
         }
+        if backend.extend_queue_entry(now + lifetime) {
+            let position = self.insert_position(backend, signal);
+            self.entries.insert(position, backend.clone());
+        }
+    }
+
+    /// Returns where a backend joins: last, or in the order of mean response times.
+    fn insert_position(&self, backend: &Backend, signal: IdleSignal) -> usize {
+        if signal == IdleSignal::LowLoad {
+            return self.entries.len();
+        }
+        let response_time = |backend: &Backend| backend.response_time.value_or(0.0);
+        let own_response_time = response_time(backend);
+        self.entries
+            .partition_point(|other| response_time(other) <= own_response_time)
     }
 
-    /// Takes the first backend with a valid entry that the RPC may go to, and drops entries that have ended.
+    /// Takes the first backend that the RPC prefers and may go to. Removes expired entries before it.
     pub(crate) fn dequeue(
         &mut self,
         rpc: &RpcState,
@@ -62,39 +88,48 @@
         now: f64,
         may_attempt: impl Fn(&Rc<Backend>) -> bool,
     ) -> Option<Rc<Backend>> {
-        // Reports may stand still: entries must fit by what attempts by earlier ones took.
-        let expected =
-            self.time_part
-                .with_prior(now, estimates.wait_time_constant(), PRIOR_ATTEMPTS, 0.0);
-        let doubted = expected * rpc.method.latency_budget > MAX_TIME_PART;
+        let is_too_slow = self.is_too_slow_for(rpc, estimates, now);
         let mut position = 0;
         while position < self.entries.len().min(SCAN_LIMIT) {
             let backend = self.entries[position].clone();
-            let valid = backend.is_queued(now);
-            if valid && doubted {
+            if !backend.is_queued(now) {
+                self.remove_entry(position, &backend);
+            } else if is_too_slow {
                 return None;
-            }
-            if valid && !(rpc.prefers(&backend) && may_attempt(&backend)) {
-                position += 1;
-                continue;
-            }
-            self.entries.remove(position);
-            backend.queued_until.set(None);
-            if valid {
+            } else if rpc.prefers(&backend) && may_attempt(&backend) {
+                self.remove_entry(position, &backend);
                 return Some(backend);
+            } else {
+                position += 1;
             }
         }
         None
     }
 
-    /// An attempt by the queue has ended.
+    fn remove_entry(&mut self, position: usize, backend: &Backend) {
+        self.entries.remove(position);
+        backend.queued_until.set(None);
+    }
+
+    /// Returns whether attempts through the queue have lately used too much of their time for an RPC
+    /// of this priority.
+    fn is_too_slow_for(&self, rpc: &RpcState, estimates: &Estimates, now: f64) -> bool {
+        let time_constant = estimates.wait_time_constant();
+        let expected_fraction =
+            self.used_time_fraction
+                .with_prior(now, time_constant, PRIOR_ATTEMPTS, 0.0);
+        expected_fraction * rpc.method.wait_multiple > MAX_EXPECTED_TIME_FRACTION
+    }
+
+    /// Records an attempt through the queue that has ended.
     pub(crate) fn record_attempt(
         &self,
         attempt: &CompletedAttempt,
         estimates: &Estimates,
         now: f64,
     ) {
-        self.time_part
-            .add(attempt.time_part(), now, estimates.wait_time_constant());
+        let time_constant = estimates.wait_time_constant();
+        self.used_time_fraction
+            .add(attempt.used_time_fraction(), now, time_constant);
     }
 }
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -1,77 +1,134 @@
-//! Whether a load report makes a backend idle, and whether reports are worth using.
+//! Load reports: whether a report marks a backend as idle, and whether reports are worth using.
+//!
+//! In Join-Idle-Queue a backend announces itself when its queue falls to a fixed threshold. Here it is
+//! marked by the load in a response or a health check, compared with the mean load of all backends:
+//! capacities and load levels differ, and a fixed threshold would fit few of them. Reports that do not
+//! predict durations (late, frozen or untrue ones) are replaced by the responses themselves.
+use crate::backend::Backend;
+use crate::fleet::Fleet;
 use crate::interface::{LoadReport, Settings};
-use crate::{backend::Backend, fleet::Fleet, report_quality::ReportQuality};
+use crate::report_quality::{LoadLevel, ReportQuality};
 
-const LIGHT_LOAD: f64 = 0.75; // at most, of the mean reported load: 0 while backends hold one RPC each
-const MIN_TIME_SAVED: f64 = 0.1; // part of its time that a light report must save an attempt
-const MAX_TELLING_RATIO: f64 = 0.75; // of others' time that attempts after a light report may take
+/// Highest load of an idle backend, as a fraction of the mean reported load. While backends hold one
+/// RPC each, only a load of 0 is below it.
+const LOW_LOAD_FRACTION: f64 = 0.75;
+/// Fraction of the mean duration that attempts after reports of low load must save; otherwise reports
+/// are not worth using.
+const MIN_TIME_SAVED_FRACTION: f64 = 0.1;
+/// Longest duration after reports of low load, as a fraction of that after others, at which reports in
+/// responses still keep loaded backends out of the idle queue.
+const MAX_PREDICTIVE_DURATION_RATIO: f64 = 0.75;
 
-/// What is known of reports.
+/// What brought a load report.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ReportSource {
+    /// The response to an attempt.
+    Response,
+    /// The response to a health check.
+    HealthCheck,
+}
+
+/// What puts a backend into the idle queue.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum IdleSignal {
+    /// A report of low load.
+    LowLoad,
+    /// Any response: a place at the backend has just come free.
+    Response,
+}
+
+/// What is known of load reports.
 #[derive(Default)]
 pub(crate) struct LoadReports {
+    /// How well reports predict the duration of attempts.
     pub quality: ReportQuality,
-    pub checks_measure_queue: bool, // the time of a health check tells what queues there; reports don't
-    only_responses: bool,           // health checks are impossible or cost more than they are worth
+    /// Reports do not tell the length of a queue, but the duration of a health check does.
+    pub checks_measure_queue: bool,
+    /// Health checks are impossible or cost more than they are worth.
+    without_health_checks: bool,
 }
 
 impl LoadReports {
-    /// Takes over what reports carry and what checks cost.
+    /// Adopts what reports carry, and whether health checks are enabled and worth their cost.
     pub(crate) fn apply_settings(
         &mut self,
         settings: &Settings,
-        can_check: bool,
-        affordable: bool,
+        health_checks_enabled: bool,
+        health_checks_affordable: bool,
     ) {
-        self.checks_measure_queue = can_check && !settings.reports_include_queue;
-        self.only_responses = !(can_check && affordable);
+        self.checks_measure_queue = health_checks_enabled && !settings.reports_include_queue;
+        self.without_health_checks = !(health_checks_enabled && health_checks_affordable);
     }
 
-    /// RPCs at a backend. A utilisation says nothing of a queue: there the time of the health check counts.
+    /// Returns the load of a backend in RPCs, by its report or by the duration of a health check. The
+    /// latter counts where reports tell the utilisation only, which says nothing about the queue.
     pub(crate) fn load(
         &self,
         report: Option<LoadReport>,
-        check: Option<f64>,
+        check_duration: Option<f64>,
         fleet: &Fleet,
     ) -> Option<f64> {
-        let queued = check.map(|duration| duration / fleet.estimates.service_time());
         if self.checks_measure_queue {
-            queued
+            check_duration.map(|duration| duration / fleet.estimates.service_time())
         } else {
-            report.and_then(|report| report.load())
+            report.and_then(LoadReport::load)
         }
     }
 
-    /// Takes in a load. Returns whether the backend is idle by it.
+    /// Records the load of a backend. Returns whether it marks the backend as idle.
     pub(crate) fn record(
         &self,
         backend: &Backend,
         load: f64,
-        check: bool,
+        source: ReportSource,
         fleet: &Fleet,
         now: f64,
     ) -> bool {
-        let light =
-            load <= fleet.estimates.reported_load() * LIGHT_LOAD * backend.relative_size.get();
-        let load = load.max(backend.executing() as f64) / backend.relative_size.get();
-        fleet.estimates.record_load(load, now);
+        let size = backend.relative_size.get();
+        let threshold = fleet.estimates.reported_load() * LOW_LOAD_FRACTION * size;
+        let level = if load <= threshold {
+            LoadLevel::Low
+        } else {
+            LoadLevel::High
+        };
+        let load_by_size = load.max(backend.executing() as f64) / size;
+        fleet.estimates.record_load(load_by_size, now);
         if self.checks_measure_queue {
             return true;
         }
-        self.quality.record_report(backend, light, now);
-        // Reports with responses keep out what is loaded only if light ones are quicker: they may be untrue.
-        let tells = self.quality.light_duration_ratio(now) <= MAX_TELLING_RATIO;
-        let believed = load <= fleet.estimates.reported_load() * LIGHT_LOAD && (check || tells);
-        believed || !check && !tells && self.responses_fill_queue(now)
+        self.quality.record_report(backend, level, now);
+        let is_low = load_by_size <= fleet.estimates.reported_load() * LOW_LOAD_FRACTION;
+        match source {
+            ReportSource::HealthCheck => is_low,
+            ReportSource::Response if self.reports_are_predictive(now) => is_low,
+            ReportSource::Response => self.idle_signal(now) == IdleSignal::Response,
+        }
+    }
+
+    /// Returns whether attempts are clearly quicker after reports of low load. Reports in responses
+    /// may be untrue.
+    fn reports_are_predictive(&self, now: f64) -> bool {
+        self.quality.low_load_duration_ratio(now) <= MAX_PREDICTIVE_DURATION_RATIO
+    }
+
+    /// Returns what puts a backend into the idle queue: reports, or any response where health checks
+    /// cost too much or reports hardly save time, as where all tell a low load. Proxies that each see
+    /// too little to pay for health checks would otherwise only pick at random.
+    pub(crate) fn idle_signal(&self, now: f64) -> IdleSignal {
+        let reports_are_used = self.checks_measure_queue || self.reports_save_time(now);
+        if self.without_health_checks || !reports_are_used {
+            IdleSignal::Response
+        } else {
+            IdleSignal::LowLoad
+        }
     }
 
-    /// Responses fill the idle queue: reports cost too much, or hardly save time, as where all are light.
-    /// Proxies that each see too little to pay for health checks would otherwise only pick at random.
-    pub(crate) fn responses_fill_queue(&self, now: f64) -> bool {
-        let (light, ratio) = (
-            self.quality.light_part(),
-            self.quality.light_duration_ratio(now),
-        );
-        let saves = ratio <= (light * ratio + 1.0 - light) * (1.0 - MIN_TIME_SAVED);
-        self.only_responses || !self.checks_measure_queue && !saves
+    /// Returns whether attempts after reports of low load save enough of the mean duration. Durations
+    /// are fractions of those after reports of high load.
+    fn reports_save_time(&self, now: f64) -> bool {
+        let low_load_fraction = self.quality.low_load_fraction();
+        let low_load_duration = self.quality.low_load_duration_ratio(now);
+        let mean_duration = low_load_fraction * low_load_duration + 1.0 - low_load_fraction;
+        low_load_duration <= mean_duration * (1.0 - MIN_TIME_SAVED_FRACTION)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,6 +2,7 @@
 //! one module each. `dispatch` says which RPC goes where, `rules` what is never done, `crate::balancer` tells
 //! them of events. In comments a "part" is a fraction; times are in seconds.
 pub(crate) mod admission;
+pub(crate) mod admission_rate;
 pub(crate) mod deadlines;
 pub(crate) mod discovery;
 pub(crate) mod dispatch;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -45,7 +45,7 @@
         let sent = to.recent_attempts.count(now, budget.window) + 1.0;
         let in_flight = to.in_flight.get() as f64 + 1.0;
         // Few proxies would leave it idle until it is warm; one that fails is not always tried again.
-        let only_one = in_flight <= 1.0 && to.finished_all(now, budget.window);
+        let only_one = in_flight <= 1.0 && to.has_completed_all(now, budget.window);
         only_one && budget.fits_one_from_each_proxy(work, work_per_rpc, proxies)
             || in_flight <= budget.concurrency(part * work_per_rpc).max(1.0)
                 && (sent <= sure || sent <= most && sample < chance)
--- a/src/policy/throttle.rs
+++ b/src/policy/throttle.rs
@@ -1,40 +1,57 @@
-//! Throttle of a method and a tenant by how their last attempts went, rejections among them: backends must
-//! not fill until nothing is in time, and one slow method or tenant must not take the others' places.
-use crate::{rng::Rng, rpc_state::CompletedAttempt, rpc_state::RpcState};
+//! Throttle: sheds RPCs of a method or tenant by how its recent attempts went.
+//!
+//! After client-side adaptive throttling in the SRE book: RPCs are admitted at a multiple of the rate
+//! of attempts that go well. What differs: the throttle covers a method or a tenant at all backends,
+//! so that a slow one does not take the others' places, and an attempt goes well only if it is prompt
+//! where nothing tells loads, as backends must not fill up until no response is in time.
+use super::load_reports::IdleSignal;
+use crate::attempt::CompletedAttempt;
+use crate::rng::Rng;
+use crate::rpc_state::RpcState;
 
-const ADMITTED_PER_GOOD: f64 = 2.0; // times the part that goes well is admitted: half keeps it as it is
-const TIME_CONSTANT: f64 = 1.0; // s: backends fill in less
-const PRIOR_GOOD: f64 = 1.0; // attempts that went well counted beside: one late one throttles nothing
-const PROMPT_PART: f64 = 0.4; // of its time that a good attempt may take: later, backends are filling up
+/// RPCs admitted for each attempt that went well. At 2 the throttle stays as it is while half of the
+/// attempts go well.
+const ADMITTED_PER_GOOD_ATTEMPT: f64 = 2.0;
+/// RPCs admitted for each attempt that was in time but slow.
+const ADMITTED_PER_SLOW_ATTEMPT: f64 = 1.0;
+/// Time constant of the averages in seconds; backends fill up in less.
+const TIME_CONSTANT_SECONDS: f64 = 1.0;
+/// Number of attempts that count as having gone well: a single late one throttles nothing.
+const PRIOR_GOOD_ATTEMPTS: f64 = 1.0;
+/// Fraction of its time that a prompt attempt uses at the most.
+const MAX_PROMPT_TIME_FRACTION: f64 = 0.4;
 
-/// Whether an RPC that has come in is admitted: all are where admission goes by priority, or nothing is slow.
-pub(crate) fn admits(rpc: &RpcState, by_priority: bool, rng: &Rng, now: f64) -> bool {
-    let least = rpc.least_throttle(now, TIME_CONSTANT, PRIOR_GOOD, ADMITTED_PER_GOOD);
-    let admitted = by_priority || least >= 1.0 || rng.uniform(0.0..1.0) < least;
-    if !admitted {
-        rpc.record_throttle(0.0, now, TIME_CONSTANT);
+/// Returns whether an RPC that has arrived is admitted. All are where load is shed by priority.
+pub(crate) fn admits(rpc: &RpcState, sheds_by_priority: bool, rng: &Rng, now: f64) -> bool {
+    let rate = rpc.lowest_throttle_rate(
+        now,
+        TIME_CONSTANT_SECONDS,
+        PRIOR_GOOD_ATTEMPTS,
+        ADMITTED_PER_GOOD_ATTEMPT,
+    );
+    let is_admitted = sheds_by_priority || rate >= 1.0 || rng.uniform(0.0..1.0) < rate;
+    if !is_admitted {
+        rpc.record_throttle_rate(0.0, now, TIME_CONSTANT_SECONDS);
     }
-    admitted
+    is_admitted
 }
 
-/// An attempt succeeded or timed out. A slow one leaves the rate as it is, unless late ones count or reports
-/// tell of loads.
+/// Records an attempt that succeeded or timed out.
 pub(crate) fn record_attempt(
     rpc: &RpcState,
     attempt: &CompletedAttempt,
-    by_responses: bool,
+    signal: IdleSignal,
     now: f64,
 ) {
-    let late_is_good = rpc.method.settings.late_weight_fraction > 0.0 || !by_responses;
-    let prompt = attempt.duration <= attempt.time_allowed * PROMPT_PART;
-    let good = if late_is_good || prompt {
-        ADMITTED_PER_GOOD
+    let slow_is_good =
+        rpc.method.settings.late_weight_fraction > 0.0 || signal == IdleSignal::LowLoad;
+    let is_prompt = attempt.duration <= attempt.time_allowed * MAX_PROMPT_TIME_FRACTION;
+    let admitted = if !attempt.succeeded() {
+        0.0
+    } else if slow_is_good || is_prompt {
+        ADMITTED_PER_GOOD_ATTEMPT
     } else {
-        1.0
+        ADMITTED_PER_SLOW_ATTEMPT
     };
-    rpc.record_throttle(
-        if attempt.succeeded() { good } else { 0.0 },
-        now,
-        TIME_CONSTANT,
-    );
+    rpc.record_throttle_rate(admitted, now, TIME_CONSTANT_SECONDS);
 }
--- a/src/report_quality.rs
+++ b/src/report_quality.rs
@@ -1,63 +1,94 @@
-//! Estimator of how far load reports predict latency.
+//! Estimator of how well load reports predict the duration of attempts.
 use crate::backend::{Backend, LastReport};
 use crate::ewma::Ewma;
 
-/// Time constant, s: also with a few attempts a second there is something to measure.
-const TIME_CONSTANT: f64 = 12.0;
-/// Attempts that are taken to have been twice as quick after a light report, before any are measured.
-const PRIOR_COUNT: f64 = 5.0;
-/// Time for which a report tells of the load that an attempt meets, s.
-const REPORT_LIFETIME: f64 = 4.0;
+/// Time constant in seconds, long enough to hold some samples at a few attempts a second.
+const TIME_CONSTANT_SECONDS: f64 = 12.0;
+/// Number of attempts that the estimate starts from.
+const PRIOR_ATTEMPTS: f64 = 5.0;
+/// How many times longer an attempt after a report of high load is taken to last at the start.
+const PRIOR_SLOWDOWN: f64 = 2.0;
+/// Time for which a report tells the load that an attempt meets, in seconds.
+const REPORT_LIFETIME_SECONDS: f64 = 4.0;
 
-/// How many reports are light, and how long attempts took where the last report was heavy, or light.
+/// The load of a backend by a report, compared with that of other backends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum LoadLevel {
+    /// At or below the threshold at which a backend counts as idle.
+    Low,
+    /// Above it.
+    High,
+}
+
+/// How many reports tell a low load, and how long attempts take after reports of each level.
 pub(crate) struct ReportQuality {
-    light: Ewma,
-    durations: [Ewma; 2], // after heavy and light reports, as multiples of the latency objective
+    /// Fraction of the reports that tell a low load.
+    low_load: Ewma,
+    /// Durations after reports of low load, as multiples of the latency objective.
+    durations_at_low_load: Ewma,
+    /// Durations after reports of high load, as multiples of the latency objective.
+    durations_at_high_load: Ewma,
 }
 
 impl Default for ReportQuality {
     fn default() -> Self {
-        let (light, durations) = <(Ewma, _)>::default();
-        (0..PRIOR_COUNT as usize).for_each(|_| light.add(0.5, 0.0, TIME_CONSTANT));
-        Self { light, durations }
+        let low_load = Ewma::default();
+        for _ in 0..PRIOR_ATTEMPTS as usize {
+            low_load.add(0.5, 0.0, TIME_CONSTANT_SECONDS);
+        }
+        Self {
+            low_load,
+            durations_at_low_load: Ewma::default(),
+            durations_at_high_load: Ewma::default(),
+        }
     }
 }
 
 impl ReportQuality {
-    /// A report has come.
-    pub(crate) fn record_report(&self, backend: &Backend, light: bool, now: f64) {
+    /// Records a report of a backend.
+    pub(crate) fn record_report(&self, backend: &Backend, level: LoadLevel, now: f64) {
         backend.last_report.set(Some(LastReport {
-            light,
+            level,
             received_at: now,
         }));
-        self.light.add(f64::from(light), now, TIME_CONSTANT);
+        let is_low = f64::from(level == LoadLevel::Low);
+        self.low_load.add(is_low, now, TIME_CONSTANT_SECONDS);
     }
 
-    /// An attempt that followed such a report took this multiple of the latency objective.
-    pub(crate) fn record_attempt(&self, light: bool, objectives: f64, now: f64) {
-        self.durations[usize::from(light)].add(objectives, now, TIME_CONSTANT);
+    /// Records the duration of an attempt that followed a report of this level, as a multiple of the
+    /// latency objective.
+    pub(crate) fn record_attempt(&self, level: LoadLevel, duration: f64, now: f64) {
+        let durations = match level {
+            LoadLevel::Low => &self.durations_at_low_load,
+            LoadLevel::High => &self.durations_at_high_load,
+        };
+        durations.add(duration, now, TIME_CONSTANT_SECONDS);
     }
 
-    /// Fraction of the reports that are light.
-    pub(crate) fn light_part(&self) -> f64 {
-        self.light.value_or(0.5)
+    /// Returns the fraction of the reports that tell a low load.
+    pub(crate) fn low_load_fraction(&self) -> f64 {
+        self.low_load.value_or(0.5)
     }
 
-    /// Duration of attempts after a light report, as a fraction of that after others.
-    pub(crate) fn light_duration_ratio(&self, now: f64) -> f64 {
-        let [heavy, light] = &self.durations;
-        let quick = light.value_or(heavy.value_or(2.0) / 2.0);
-        let slow = heavy.value_or(light.value_or(1.0) * 2.0);
-        let mean =
-            |durations: &Ewma, prior| durations.with_prior(now, TIME_CONSTANT, PRIOR_COUNT, prior);
-        mean(light, slow / 2.0) / mean(heavy, quick * 2.0).max(f64::MIN_POSITIVE)
+    /// Returns the mean duration of attempts after a report of low load, as a fraction of that after
+    /// a report of high load.
+    pub(crate) fn low_load_duration_ratio(&self, now: f64) -> f64 {
+        let low = &self.durations_at_low_load;
+        let high = &self.durations_at_high_load;
+        let prior_at_low = low.value_or(high.value_or(PRIOR_SLOWDOWN) / PRIOR_SLOWDOWN);
+        let prior_at_high = high.value_or(low.value_or(1.0) * PRIOR_SLOWDOWN);
+        let mean = |durations: &Ewma, prior| {
+            durations.with_prior(now, TIME_CONSTANT_SECONDS, PRIOR_ATTEMPTS, prior)
+        };
+        let mean_at_low = mean(low, prior_at_high / PRIOR_SLOWDOWN);
+        let mean_at_high = mean(high, prior_at_low * PRIOR_SLOWDOWN);
+        mean_at_low / mean_at_high.max(f64::MIN_POSITIVE)
     }
 }
 
-/// Whether the last report of a backend was light, if it is recent.
-pub(crate) fn recent_report(backend: &Backend, now: f64) -> Option<bool> {
-    let report = backend.last_report.get();
-    report
-        .filter(|report| now < report.received_at + REPORT_LIFETIME)
-        .map(|report| report.light)
+/// Returns the load level that a backend has reported, if the report is recent.
+pub(crate) fn recent_load_level(backend: &Backend, now: f64) -> Option<LoadLevel> {
+    let report = backend.last_report.get()?;
+    let is_recent = now < report.received_at + REPORT_LIFETIME_SECONDS;
+    is_recent.then_some(report.level)
 }
--- a/src/slow_start_budget.rs
+++ b/src/slow_start_budget.rs
@@ -4,6 +4,7 @@
 use crate::estimates::AVERAGING_TIME;
 use crate::ewma::DecayingCounter;
 use crate::interface::Settings;
+use crate::policy::load_reports::ReportSource;
 use crate::rng::{Rng, pair_sample};
 use std::cell::Cell;
 
@@ -81,15 +82,19 @@
 
     /// A load report has come. That of a health check offers a part of an RPC, and gives the backend another
     /// random sample; one with a response stands for an attempt that was sent already.
-    pub(crate) fn record_report(&self, backend: &Backend, by_check: bool, rng: &Rng, now: f64) {
-        backend
-            .slow_start_sample
-            .set(if by_check { rng.uniform(0.0..1.0) } else { 1.0 });
-        self.offered.add(
-            f64::from(by_check) / self.health_checks_per_rpc,
-            now,
-            AVERAGING_TIME,
-        );
+    pub(crate) fn record_report(
+        &self,
+        backend: &Backend,
+        source: ReportSource,
+        rng: &Rng,
+        now: f64,
+    ) {
+        let (sample, offered) = match source {
+            ReportSource::Response => (1.0, 0.0),
+            ReportSource::HealthCheck => (rng.uniform(0.0..1.0), 1.0 / self.health_checks_per_rpc),
+        };
+        backend.slow_start_sample.set(sample);
+        self.offered.add(offered, now, AVERAGING_TIME);
     }
 
     /// RPCs per second that may have led to any backend.
