--- a/crates/settings/src/accounts.rs
+++ b/crates/settings/src/accounts.rs
@@ -1,9 +1,10 @@
-//! The accounts of the settings object: the tenants and their quotas.
+//! Parsing of the accounts of the settings object: the tenants and their quotas.
 //!
-//! There may be tens of thousands of them, so in a text they are read one by one: as a [`Value`] tree all of them
-//! together would take several times the memory of the result.
+//! There may be tens of thousands of accounts. In a text they are parsed one by one, as a [`Value`] tree of all would take
+//! several times the memory of the result.
 
 use crate::error::{JsonPath, SettingsError};
+use crate::keys;
 use crate::parsed::Named;
 use crate::reader::JsonReader;
 use birchhub::interface::TenantSettings;
@@ -12,17 +13,14 @@
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 
-/// The key of the accounts in the settings object.
-pub(crate) const KEY: &str = "accounts";
-
-/// An account: a tenant by its name.
+/// A tenant with its name.
 type Account = Named<TenantSettings>;
 
-/// Where the accounts of a settings object are.
+/// The accounts of a settings object before they are parsed.
 pub(crate) enum AccountSource<'a> {
-    /// In the document, with all else.
+    /// The document contains the accounts.
     Document,
-    /// Apart from it, each one not parsed yet.
+    /// The text of each account, taken out of the document.
     Raw(Vec<&'a RawValue>),
 }
 
@@ -31,7 +29,7 @@
     pub(crate) fn parse(&self, document: &JsonReader) -> Result<Vec<Account>, SettingsError> {
         match self {
             Self::Document => {
-                let accounts = document.optional(KEY);
+                let accounts = document.optional(keys::ACCOUNTS);
                 let accounts = accounts.map_or(Ok(Vec::new()), |accounts| accounts.list())?;
                 accounts.iter().map(parse_account).collect()
             }
@@ -54,7 +52,7 @@
     })
 }
 
-/// A valid account, deserialized directly.
+/// The deserialized form of a valid account.
 #[derive(Deserialize)]
 struct ValidAccount<'a> {
     #[serde(borrow)]
@@ -72,8 +70,8 @@
             settings: TenantSettings { quota },
         });
     }
-    // Read again for the error that names the value.
-    let path = JsonPath::default().key(KEY).index(index);
+    // Parse it again for an error that names the value.
+    let path = JsonPath::default().key(keys::ACCOUNTS).index(index);
     match serde_json::from_str::<Value>(account.get()) {
         Ok(value) => parse_account(&JsonReader::at(&value, path)),
         Err(error) => Err(SettingsError::InvalidAccountJson {
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -1,4 +1,4 @@
-//! What changes from one settings object to the next. Nothing is applied here.
+//! The difference between two settings objects.
 
 use crate::list_difference::{ListDifference, NamedList, compare};
 use crate::parsed::ParsedSettings;
@@ -9,15 +9,15 @@
 /// The difference between two settings objects.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Change {
-    /// The index before of each method and tenant, by name.
+    /// Former index of each method and tenant, matched by name.
     pub carried_over: CarriedOver,
     /// How the methods differ.
     pub methods: ListDifference,
     /// How the tenants differ.
     pub tenants: ListDifference,
-    /// The names of the methods or tenants, or their order, differ.
+    /// Whether the names of the methods or tenants, or their order, differ.
     pub reordered: bool,
-    /// Other keys that differ and change decisions.
+    /// Other keys that differ and affect decisions at once.
     pub decision_keys: Vec<&'static str>,
     /// Keys that differ and take effect at the next start only.
     pub restart_keys: Vec<&'static str>,
@@ -26,22 +26,22 @@
 impl Change {
     /// Compares the active settings with new ones.
     pub fn between(active: &ParsedSettings, new: &ParsedSettings) -> Self {
-        let (methods_carried_over, methods) = compare(&methods(active), &methods(new));
-        let (tenants_carried_over, tenants) = compare(&tenants(active), &tenants(new));
+        let methods = compare(&methods(active), &methods(new));
+        let tenants = compare(&tenants(active), &tenants(new));
         Self {
             carried_over: CarriedOver {
-                methods: methods_carried_over,
-                tenants: tenants_carried_over,
+                methods: methods.carried_over,
+                tenants: tenants.carried_over,
             },
-            methods,
-            tenants,
+            methods: methods.difference,
+            tenants: tenants.difference,
             reordered: active.methods != new.methods || active.tenants != new.tenants,
             decision_keys: decision_keys::differing(&active.settings, &new.settings),
             restart_keys: restart::differing(active, new),
         }
     }
 
-    /// Nothing that is active would change; keys that need a restart may differ.
+    /// Whether nothing takes effect before a restart. Keys that need a restart may differ.
     pub fn is_none(&self) -> bool {
         self.methods.is_none()
             && self.tenants.is_none()
--- a/crates/settings/src/digest.rs
+++ b/crates/settings/src/digest.rs
@@ -1,14 +1,13 @@
-//! Digests that are the same in every process and version: FNV-1a with 64 bits.
+//! Hashes that are the same in every process and version: FNV-1a with 64 bits.
 
-use crate::accounts;
-use crate::parse::OWN_ZONE;
+use crate::keys;
 use birchhub::interface::Settings;
 use fnv::FnvHasher;
 use serde_json::Value;
 use std::hash::Hasher;
 use std::io::{self, Write};
 
-/// Hashes what is written to it.
+/// A writer that hashes the bytes written to it.
 #[derive(Default)]
 struct HashWriter(FnvHasher);
 
@@ -23,20 +22,21 @@
     }
 }
 
-/// The hash of an RPC's key, the same at every proxy.
+/// Returns the hash of an RPC's key, which is the same at every proxy.
 pub fn hash_key(text: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(text.as_bytes());
     hasher.finish()
 }
 
-/// The digest of a settings object, whatever the order of its keys. A proxy's own zone does not count, and of an account
-/// only its name and quota do.
+/// Returns the digest of a settings object, which does not depend on the order of its keys. The proxy's own zone is left
+/// out, and so are all keys of an account but name and quota.
 pub(crate) fn settings_digest(document: &Value, tenants: &[String], settings: &Settings) -> u64 {
     let mut writer = HashWriter::default();
+    let excluded = [keys::ACCOUNTS, keys::OWN_ZONE];
     let fields = document.as_object().into_iter().flatten();
-    for field in fields.filter(|(key, _)| ![accounts::KEY, OWN_ZONE].contains(&key.as_str())) {
-        serde_json::to_writer(&mut writer, &field).expect("a value that was parsed");
+    for field in fields.filter(|(key, _)| !excluded.contains(&key.as_str())) {
+        serde_json::to_writer(&mut writer, &field).expect("a parsed value can be serialized");
     }
     for (name, tenant) in tenants.iter().zip(&settings.tenants) {
         writer.0.write(name.as_bytes());
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,15 +1,15 @@
-//! Errors of settings and load reports, and the path of the value they are about.
+//! Errors of settings and load reports, and the paths of the values that caused them.
 
 use serde_json::Value;
 use std::fmt;
 use thiserror::Error;
 
-/// The place of a value in a JSON document, as in `methods[1].idempotency`; empty for the document itself.
+/// The path of a value in a JSON document, such as `methods[1].idempotency`. It is empty for the document itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JsonPath(String);
 
 impl JsonPath {
-    /// The path of the value of `key` in the object at this path.
+    /// Returns the path of a key in the object at this path.
     pub(crate) fn key(&self, key: &str) -> Self {
         if self.0.is_empty() {
             Self(key.to_owned())
@@ -18,7 +18,7 @@
         }
     }
 
-    /// The path of an item of the list at this path.
+    /// Returns the path of an item in the list at this path.
     pub(crate) fn index(&self, index: usize) -> Self {
         Self(format!("{self}[{index}]"))
     }
@@ -32,71 +32,71 @@
 
 /// Why a settings object cannot be used.
 ///
-/// The texts are quoted in the operators' pages and start with the path of the value, so that a caller can put the
-/// place of the whole object in front.
+/// The operators' pages quote these texts. They start with the path of the value, so that a caller can prepend the place
+/// of the settings object.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[non_exhaustive]
 pub enum SettingsError {
     /// The text of the object is not JSON.
     #[error("is not JSON: {message}")]
     InvalidJson {
-        /// What the JSON parser reported.
+        /// The parser's error.
         message: String,
     },
-    /// The text of one account is not JSON that can be represented.
+    /// The text of an account is not JSON, or contains a number that is out of range.
     #[error("{path} is not JSON: {message}")]
     InvalidAccountJson {
-        /// The account.
+        /// Path of the account.
         path: JsonPath,
-        /// What the JSON parser reported.
+        /// The parser's error.
         message: String,
     },
     /// A value that has no default is missing or null.
     #[error("{path} is missing")]
     Missing {
-        /// The value.
+        /// Path of the value.
         path: JsonPath,
     },
     /// A value is not a finite number of 0 or more.
     #[error("{path} is not a number of 0 or more: {value}")]
     NotANumber {
-        /// The value's place.
+        /// Path of the value.
         path: JsonPath,
-        /// The value itself.
+        /// The value.
         value: Value,
     },
     /// A value is not a boolean.
     #[error("{path} is not true or false: {value}")]
     NotABoolean {
-        /// The value's place.
+        /// Path of the value.
         path: JsonPath,
-        /// The value itself.
+        /// The value.
         value: Value,
     },
     /// A value is not a string.
     #[error("{path} is not a text")]
     NotAString {
-        /// The value's place.
+        /// Path of the value.
         path: JsonPath,
     },
     /// A value is not a list.
     #[error("{path} is not a list")]
     NotAList {
-        /// The value's place.
+        /// Path of the value.
         path: JsonPath,
     },
     /// A string is none of the known choices.
     #[error("{path} is not known: {value}")]
     UnknownChoice {
-        /// The value's place.
+        /// Path of the value.
         path: JsonPath,
-        /// The value itself.
+        /// The value.
         value: String,
     },
-    /// The availability that is aimed at is 0 nines, by which losses cannot be divided.
+    /// The target availability is 0 nines, by which losses cannot be divided.
     #[error("{path} is 0: what is lost could not be set against it")]
     ZeroTargetNines {
-        /// The value's place.
+        /// Path of the value.
         path: JsonPath,
     },
 }
@@ -105,18 +105,18 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum LoadReportError {
-    /// A part of the report has no separator.
+    /// A pair of the report has no separator.
     #[error("is not name{separator}value: {pair}")]
     NotAPair {
-        /// The character between name and value.
+        /// Separator between name and value.
         separator: char,
-        /// The part.
+        /// The pair.
         pair: String,
     },
     /// The value of a known field is not a number.
     #[error("is not a number: {pair}")]
     NotANumber {
-        /// The name and the value.
+        /// The pair of name and value.
         pair: String,
     },
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,8 @@
-//! The settings object that the platform hands a proxy: parsed, compared with the one before, and identified by a
-//! digest.
+//! The settings object that the platform gives to a proxy: parsing, comparison with the active settings, and a digest.
 //!
-//! [`parse`] reads the text of a settings object into [`ParsedSettings`]; a value that cannot be used is reported as a
+//! [`parse`] turns the text of a settings object into [`ParsedSettings`]. A value that cannot be used is reported as a
 //! [`SettingsError`] with its path. [`Change::between`] compares two parsed objects by the names of their methods and
-//! tenants. [`parse_load_report`] reads the load reports whose field names the settings and the protocol fix.
+//! tenants. [`parse_load_report`] parses the load reports of backends.
 //!
 //! ```
 //! let error = birchhub_settings::parse(r#"{"ceilings": {}}"#).unwrap_err();
@@ -15,6 +14,7 @@
 mod decision_keys;
 mod digest;
 mod error;
+mod keys;
 mod list_difference;
 mod load_report;
 mod method;
--- a/crates/settings/src/list_difference.rs
+++ b/crates/settings/src/list_difference.rs
@@ -1,4 +1,4 @@
-//! How a list of named values differs from the one before.
+//! The difference between two lists of named values.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -6,18 +6,18 @@
 /// Number of names that were added, changed and removed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ListDifference {
-    /// Names that are new.
+    /// Number of names that only the new list has.
     pub added: usize,
-    /// Names whose value is another.
+    /// Number of names whose values differ.
     pub changed: usize,
-    /// Names that are no longer there.
+    /// Number of names that only the former list has.
     pub removed: usize,
-    /// All values of the new list.
+    /// Length of the new list.
     pub total: usize,
 }
 
 impl ListDifference {
-    /// No name was added, changed or removed; their order may have changed.
+    /// Whether no name was added, changed or removed. The order may have changed.
     pub(crate) fn is_none(&self) -> bool {
         (self.added, self.changed, self.removed) == (0, 0, 0)
     }
@@ -44,15 +44,20 @@
     pub values: &'a [T],
 }
 
-/// Compares two lists by name. Returns the index before of each name now, and how the lists differ.
+/// The result of comparing two lists.
+pub(crate) struct Comparison {
+    /// Former index of each name of the new list; `None` for an added name.
+    pub carried_over: Vec<Option<usize>>,
+    /// Counts of names that differ.
+    pub difference: ListDifference,
+}
+
+/// Compares two lists by name.
 ///
-/// Of a name that is listed several times the last index counts, and each index is carried over once: otherwise the state
-/// of one tenant would count for two of the same name.
-pub(crate) fn compare<T: PartialEq>(
-    before: &NamedList<T>,
-    now: &NamedList<T>,
-) -> (Vec<Option<usize>>, ListDifference) {
-    // Most changes leave most of the list as it is: only names behind the common start are looked up.
+/// If a name is listed several times, its last index counts. Each former index is carried over once: otherwise two tenants
+/// of the same name would both start with the state of one.
+pub(crate) fn compare<T: PartialEq>(before: &NamedList<T>, now: &NamedList<T>) -> Comparison {
+    // Most changes leave most of the list unchanged: only names after the common start are looked up.
     let same = common_start(before.names, now.names);
     let indexes_before: HashMap<&String, usize> = indexes_by_name(before.names, same);
     let carried_over = carry_over(now.names, same, indexes_before.clone());
@@ -64,22 +69,25 @@
         removed: indexes_before.len() - carried,
         total: now.names.len(),
     };
-    (carried_over, difference)
+    Comparison {
+        carried_over,
+        difference,
+    }
 }
 
-/// Number of names at the start of both lists that are the same.
+/// Returns the length of the common start of both lists.
 fn common_start(before: &[String], now: &[String]) -> usize {
     let pairs = before.iter().zip(now);
     pairs.take_while(|(before, now)| before == now).count()
 }
 
-/// The last index of each name from this index on.
+/// Returns the last index of each name from this index on.
 fn indexes_by_name(names: &[String], from: usize) -> HashMap<&String, usize> {
     let names = names.iter().enumerate().skip(from);
     names.map(|(index, name)| (name, index)).collect()
 }
 
-/// The index before of each name, where the first ones are the same.
+/// Returns the former index of each name. The first `same` names are unchanged.
 fn carry_over(
     names: &[String],
     same: usize,
@@ -90,7 +98,7 @@
     unchanged.chain(looked_up).collect()
 }
 
-/// Number of values that differ from the one they had before.
+/// Returns the number of values that differ from their former values.
 fn count_changed<T: PartialEq>(before: &[T], now: &[T], carried_over: &[Option<usize>]) -> usize {
     let pairs = carried_over.iter().zip(now);
     pairs
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -3,12 +3,16 @@
 use crate::error::LoadReportError;
 use birchhub::interface::LoadReport;
 
-// Names of the fields: first that of the settings, then that of the protocol.
+/// Separator between the fields of a report.
+const FIELD_SEPARATOR: char = ',';
+/// Names of the number of RPCs in flight, in the settings and in the protocol.
 const IN_FLIGHT: [&str; 2] = ["concurrent", "inflight"];
+/// Names of the number of queued RPCs, in the settings and in the protocol.
 const QUEUED: [&str; 2] = ["depth", "queue"];
+/// Names of the utilisation, in the settings and in the protocol.
 const UTILISATION: [&str; 2] = ["load_share", "util"];
 
-/// The field counts RPCs at a backend.
+/// Whether a field with this name counts RPCs at a backend.
 pub(crate) fn counts_rpcs(field: &str) -> bool {
     IN_FLIGHT.contains(&field) || QUEUED.contains(&field)
 }
@@ -20,20 +24,17 @@
 ///
 /// # Errors
 ///
-/// A pair without separator, or a known field whose value is not a number.
+/// A pair lacks the separator, or the value of a known field is not a number.
 pub fn parse_load_report(text: &str, separator: char) -> Result<LoadReport, LoadReportError> {
     let mut report = LoadReport::default();
-    for pair in text.trim().split(',') {
+    for pair in text.trim().split(FIELD_SEPARATOR) {
         let not_a_pair = || LoadReportError::NotAPair {
             separator,
             pair: pair.to_owned(),
         };
         let (name, value) = pair.split_once(separator).ok_or_else(not_a_pair)?;
-        let field = match name.trim() {
-            name if IN_FLIGHT.contains(&name) => &mut report.in_flight,
-            name if QUEUED.contains(&name) => &mut report.queued,
-            name if UTILISATION.contains(&name) => &mut report.utilisation,
-            _ => continue,
+        let Some(field) = field_of(&mut report, name.trim()) else {
+            continue;
         };
         let not_a_number = |_| LoadReportError::NotANumber {
             pair: pair.to_owned(),
@@ -43,3 +44,16 @@
     }
     Ok(report)
 }
+
+/// Returns the field of a report that has this name.
+fn field_of<'a>(report: &'a mut LoadReport, name: &str) -> Option<&'a mut Option<f64>> {
+    if IN_FLIGHT.contains(&name) {
+        Some(&mut report.in_flight)
+    } else if QUEUED.contains(&name) {
+        Some(&mut report.queued)
+    } else if UTILISATION.contains(&name) {
+        Some(&mut report.utilisation)
+    } else {
+        None
+    }
+}
--- a/crates/settings/src/method.rs
+++ b/crates/settings/src/method.rs
@@ -1,4 +1,4 @@
-//! The settings of one method.
+//! Parsing of the settings of methods.
 
 use crate::error::SettingsError;
 use crate::parsed::Named;
@@ -44,7 +44,7 @@
     }
 }
 
-/// The longest deadline of these methods, s; none if one of them has no deadline.
+/// Returns the longest deadline of these methods, in seconds; `None` if a method has no deadline.
 pub(crate) fn longest_deadline(methods: &[JsonReader]) -> Result<Option<f64>, SettingsError> {
     let deadline = |method: &JsonReader| {
         let limit = method.optional("hard-limit-ns");
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -1,10 +1,11 @@
 //! Parsing of a whole settings object.
 //!
-//! Values are parsed in a fixed order, so that of several faults always the same one is reported.
+//! Values are parsed in a fixed order, so that the same one of several errors is reported each time.
 
-use crate::accounts::{self, AccountSource};
+use crate::accounts::AccountSource;
 use crate::digest::settings_digest;
 use crate::error::SettingsError;
+use crate::keys;
 use crate::method;
 use crate::parsed::{Named, ParsedSettings};
 use crate::reader::JsonReader;
@@ -13,20 +14,19 @@
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 
-/// The key of the name of the proxy's own zone.
-pub(crate) const OWN_ZONE: &str = "my-zone";
-
-// Where the settings do not say, s. Both are short, as a wrong guess then costs least:
-const DEFAULT_CONNECT_TIMEOUT: f64 = 1.0; // an attempt's own timeout is shorter as a rule
-const DEFAULT_IDLE_TIMEOUT: f64 = 1.0; // an idle connection is opened anew rather than lost in use
+/// Longest wait for a connection to a backend if the settings have none. The timeout of an attempt is usually shorter.
+const DEFAULT_CONNECT_TIMEOUT_SECONDS: f64 = 1.0;
+/// Idle time after which backends close a connection, if the settings have none. Short, as reopening a connection costs
+/// less than losing an RPC on it.
+const DEFAULT_IDLE_TIMEOUT_SECONDS: f64 = 1.0;
 
 /// Parses the text of a settings object.
 ///
-/// The result is that of [`parse_value`], with less memory in between where there are many accounts.
+/// The result is that of [`parse_value`], but many accounts take less memory meanwhile.
 ///
 /// # Errors
 ///
-/// The first value that is missing or cannot be used, or that the text is not JSON.
+/// The text is not JSON, or a value is missing or cannot be used. The first such value is reported.
 pub fn parse(text: &str) -> Result<ParsedSettings, SettingsError> {
     let Ok(mut fields) = serde_json::from_str::<BTreeMap<String, &RawValue>>(text) else {
         let document = serde_json::from_str(text).map_err(invalid_json)?;
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 ///
-/// The first value that is missing or cannot be used.
+/// A value is missing or cannot be used. The first such value is reported.
 pub fn parse_value(document: &Value) -> Result<ParsedSettings, SettingsError> {
     parse_document(document, &AccountSource::Document)
 }
@@ -54,12 +54,12 @@
     }
 }
 
-/// Takes the accounts from the object if they are a list; otherwise they stay, to be reported with all else.
+/// Takes the accounts out of the object if they are a list. Otherwise they stay, and parsing the document reports them.
 fn take_raw_accounts<'a>(fields: &mut BTreeMap<String, &'a RawValue>) -> AccountSource<'a> {
-    let accounts = fields.get(accounts::KEY);
+    let accounts = fields.get(keys::ACCOUNTS);
     match accounts.and_then(|raw| serde_json::from_str(raw.get()).ok()) {
         Some(accounts) => {
-            fields.remove(accounts::KEY);
+            fields.remove(keys::ACCOUNTS);
             AccountSource::Raw(accounts)
         }
         None => AccountSource::Document,
@@ -88,12 +88,13 @@
         zones: sections.zones.names,
         lists_endpoint_sizes: sections.lists_endpoint_sizes,
         longest_deadline: method::longest_deadline(&method_list)?,
-        connect_timeout: ceilings.timeout_or("connect-timeout-ns", DEFAULT_CONNECT_TIMEOUT)?,
-        idle_timeout: ceilings.seconds_or("conn-idle-ns", DEFAULT_IDLE_TIMEOUT)?,
+        connect_timeout: ceilings
+            .timeout_or("connect-timeout-ns", DEFAULT_CONNECT_TIMEOUT_SECONDS)?,
+        idle_timeout: ceilings.seconds_or("conn-idle-ns", DEFAULT_IDLE_TIMEOUT_SECONDS)?,
     })
 }
 
-/// The names and the settings, each in a list of its own.
+/// Returns the names and the settings as separate lists.
 fn unzip<T>(named: Vec<Named<T>>) -> (Vec<String>, Vec<T>) {
     named
         .into_iter()
--- a/crates/settings/src/parsed.rs
+++ b/crates/settings/src/parsed.rs
@@ -2,10 +2,10 @@
 
 use birchhub::interface::Settings;
 
-/// A settings object after parsing: what the decisions need, and what the proxy around them needs.
+/// A parsed settings object: the settings of the decisions, and those of the proxy around them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedSettings {
-    /// What decisions are made by.
+    /// Settings of the decisions.
     pub settings: Settings,
     /// Names of the methods, in the order of [`Settings::methods`].
     pub methods: Vec<String>,
@@ -13,19 +13,19 @@
     pub tenants: Vec<String>,
     /// Names of the zones; [`Settings::own_zone`] is an index into them.
     pub zones: Vec<String>,
-    /// The endpoint list carries the sizes of the endpoints.
+    /// Whether the endpoint list contains the sizes of the endpoints.
     pub lists_endpoint_sizes: bool,
-    /// Longest wait for a connection to be established, s.
+    /// Longest wait for a connection to a backend, in seconds.
     pub connect_timeout: f64,
-    /// The other side closes a connection that was idle for this long, s.
+    /// Idle time after which backends close a connection, in seconds.
     pub idle_timeout: f64,
-    /// Longest deadline of any method, s; none if a method has no deadline in the settings.
+    /// Longest deadline of any method, in seconds; `None` if a method has no deadline.
     pub longest_deadline: Option<f64>,
-    /// Digest of the object without `my-zone`: proxies with the same settings have the same digest.
+    /// Digest of the object without the proxy's own zone: proxies with the same settings have the same digest.
     pub digest: u64,
 }
 
-/// The settings of a method or tenant with its name.
+/// The settings of a method or tenant, and its name.
 pub(crate) struct Named<T> {
     pub name: String,
     pub settings: T,
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,11 +1,11 @@
-//! Reading of typed values from a JSON document; errors carry the path of the value.
+//! Typed access to the values of a JSON document. Errors carry the path of the value.
 
 use crate::error::{JsonPath, SettingsError};
 use serde_json::Value;
 
-const NANOSECONDS: f64 = 1e9; // in a second
+const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// Upper bound of times, s. Longer ones have the same effect, and could not be added to a clock.
+/// Upper bound of durations. Longer ones have the same effect, and could overflow when added to a clock.
 const MAX_SECONDS: f64 = 1e9;
 
 /// A JSON value and its path in the document. A key whose value is null counts as missing.
@@ -15,28 +15,28 @@
 }
 
 impl<'a> JsonReader<'a> {
-    /// Reads a whole document.
+    /// Returns a reader of a complete document.
     pub(crate) fn document(value: &'a Value) -> Self {
         Self::at(value, JsonPath::default())
     }
 
-    /// Reads a value that is at this path of a document.
+    /// Returns a reader of the value at this path of a document.
     pub(crate) fn at(value: &'a Value, path: JsonPath) -> Self {
         Self { value, path }
     }
 
-    /// Where the value stands in its document.
+    /// Returns the path of the value in its document.
     pub(crate) fn path(&self) -> &JsonPath {
         &self.path
     }
 
-    /// The value of a key, if it is there.
+    /// Returns the value of a key; `None` if it is missing.
     pub(crate) fn optional(&self, key: &str) -> Option<Self> {
         let value = self.value.get(key).filter(|value| !value.is_null())?;
         Some(Self::at(value, self.path.key(key)))
     }
 
-    /// The value of a key.
+    /// Returns the value of a key, which must not be missing.
     pub(crate) fn required(&self, key: &str) -> Result<Self, SettingsError> {
         let missing = || SettingsError::Missing {
             path: self.path.key(key),
@@ -44,13 +44,13 @@
         self.optional(key).ok_or_else(missing)
     }
 
-    /// The value of a key; one that is missing has no keys of its own.
+    /// Returns the object of a key. A missing object reads as one without keys.
     pub(crate) fn section(&self, key: &str) -> Self {
         let missing = || Self::at(&Value::Null, self.path.key(key));
         self.optional(key).unwrap_or_else(missing)
     }
 
-    /// A finite number of 0 or more.
+    /// Returns the value as a finite number of 0 or more.
     pub(crate) fn number(&self) -> Result<f64, SettingsError> {
         let number = self.value.as_f64();
         number
@@ -61,18 +61,18 @@
             })
     }
 
-    /// A time in nanoseconds, as seconds.
+    /// Converts a duration in nanoseconds into seconds.
     pub(crate) fn seconds(&self) -> Result<f64, SettingsError> {
-        Ok((self.number()? / NANOSECONDS).min(MAX_SECONDS))
+        Ok((self.number()? / NANOSECONDS_PER_SECOND).min(MAX_SECONDS))
     }
 
-    /// A time in nanoseconds, as seconds; 0 stands for one without a limit.
+    /// Converts a timeout in nanoseconds into seconds. The value 0 stands for no timeout.
     pub(crate) fn timeout(&self) -> Result<f64, SettingsError> {
         let seconds = self.seconds()?;
         Ok(if seconds > 0.0 { seconds } else { MAX_SECONDS })
     }
 
-    /// The value, if it is a boolean.
+    /// Returns the value as a boolean.
     pub(crate) fn boolean(&self) -> Result<bool, SettingsError> {
         self.value
             .as_bool()
@@ -82,7 +82,7 @@
             })
     }
 
-    /// The value, if it is a string.
+    /// Returns the value as a string.
     pub(crate) fn string(&self) -> Result<&'a str, SettingsError> {
         self.value
             .as_str()
@@ -91,7 +91,7 @@
             })
     }
 
-    /// A reader for each item, if the value is a list.
+    /// Returns a reader for each item of a list.
     pub(crate) fn list(&self) -> Result<Vec<Self>, SettingsError> {
         let list = self
             .value
@@ -103,7 +103,7 @@
         Ok(list.iter().enumerate().map(item).collect())
     }
 
-    /// A list of strings.
+    /// Returns the value as a list of strings.
     pub(crate) fn strings(&self) -> Result<Vec<String>, SettingsError> {
         self.list()?
             .iter()
@@ -111,7 +111,7 @@
             .collect()
     }
 
-    /// The error of a string that is none of the known choices.
+    /// Returns the error for a string that is none of the known choices.
     pub(crate) fn unknown_choice(&self, value: &str) -> SettingsError {
         SettingsError::UnknownChoice {
             path: self.path.clone(),
@@ -119,31 +119,31 @@
         }
     }
 
-    /// The number of a key, or the default where it is missing.
+    /// Returns the [`number`](Self::number) of a key, or the default if the key is missing.
     pub(crate) fn number_or(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
         self.optional(key)
             .map_or(Ok(default), |reader| reader.number())
     }
 
-    /// The [`seconds`](Self::seconds) of a key, or the default where it is missing.
+    /// Returns the [`seconds`](Self::seconds) of a key, or the default if the key is missing.
     pub(crate) fn seconds_or(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
         self.optional(key)
             .map_or(Ok(default), |reader| reader.seconds())
     }
 
-    /// The [`timeout`](Self::timeout) of a key, or the default where it is missing.
+    /// Returns the [`timeout`](Self::timeout) of a key, or the default if the key is missing.
     pub(crate) fn timeout_or(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
         self.optional(key)
             .map_or(Ok(default), |reader| reader.timeout())
     }
 
-    /// The boolean of a key; false where it is missing.
+    /// Returns the boolean of a key; false if the key is missing.
     pub(crate) fn boolean_or_false(&self, key: &str) -> Result<bool, SettingsError> {
         self.optional(key)
             .map_or(Ok(false), |reader| reader.boolean())
     }
 
-    /// The string of a key, or the default where it is missing.
+    /// Returns the string of a key, or the default if the key is missing.
     pub(crate) fn string_or(
         &self,
         key: &str,
--- a/crates/settings/src/restart.rs
+++ b/crates/settings/src/restart.rs
@@ -3,40 +3,35 @@
 use crate::parsed::ParsedSettings;
 use birchhub::interface::Settings;
 
-/// A key by its path in the configuration, and whether its values differ.
-type ComparedKey = (&'static str, fn(&ParsedSettings, &ParsedSettings) -> bool);
-
-const RESTART_KEYS: [ComparedKey; 6] = [
-    ("settings.membership-mode", |before, now| {
-        before.settings.polls_endpoint_list != now.settings.polls_endpoint_list
-    }),
-    ("settings.failure-domains", |before, now| {
-        before.zones != now.zones
-    }),
-    // Among other zones the index of the own one says nothing.
-    ("settings.my-zone", |before, now| {
-        before.zones == now.zones && before.settings.own_zone != now.settings.own_zone
-    }),
-    ("settings.weight-source", |before, now| {
-        before.lists_endpoint_sizes != now.lists_endpoint_sizes
-    }),
-    ("settings.ceilings.connect-timeout-ns", |before, now| {
-        before.connect_timeout != now.connect_timeout
-    }),
-    ("settings.ceilings.conn-idle-ns", |before, now| {
-        before.idle_timeout != now.idle_timeout
-    }),
-];
-
-/// The keys whose values differ.
+/// Returns the keys whose values differ, by their path in the configuration file.
 pub(crate) fn differing(before: &ParsedSettings, now: &ParsedSettings) -> Vec<&'static str> {
-    let differing = RESTART_KEYS
-        .iter()
-        .filter(|(_, differs)| differs(before, now));
-    differing.map(|(key, _)| *key).collect()
+    let same_zones = before.zones == now.zones;
+    let other_own_zone = before.settings.own_zone != now.settings.own_zone;
+    let other_list_mode = before.settings.polls_endpoint_list != now.settings.polls_endpoint_list;
+    let keys = [
+        ("settings.membership-mode", other_list_mode),
+        ("settings.failure-domains", !same_zones),
+        // The index of the own zone can be compared only among the same zones.
+        ("settings.my-zone", same_zones && other_own_zone),
+        (
+            "settings.weight-source",
+            before.lists_endpoint_sizes != now.lists_endpoint_sizes,
+        ),
+        (
+            "settings.ceilings.connect-timeout-ns",
+            before.connect_timeout != now.connect_timeout,
+        ),
+        (
+            "settings.ceilings.conn-idle-ns",
+            before.idle_timeout != now.idle_timeout,
+        ),
+    ];
+    keys.into_iter()
+        .filter_map(|(key, differs)| differs.then_some(key))
+        .collect()
 }
 
-/// The new settings, but with the active values of the keys that need a restart.
+/// Returns the new settings with the active values of the keys that take effect at a start only.
 pub fn with_restart_keys_from(active: &Settings, new: Settings) -> Settings {
     Settings {
         own_zone: active.own_zone,
@@ -47,7 +42,7 @@
 }
 
 impl ParsedSettings {
-    /// The new settings, but with the active values of the keys that need a restart.
+    /// Returns these settings with the active values of the keys that take effect at a start only.
     pub fn with_restart_keys_from(self, active: &Self) -> Self {
         Self {
             settings: with_restart_keys_from(&active.settings, self.settings),
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -1,22 +1,23 @@
-//! The parts of the settings object that are parsed as a group.
+//! Parsing of the sections of the settings object, which is everything except methods and accounts.
 
 use crate::error::SettingsError;
+use crate::keys;
 use crate::load_report::counts_rpcs;
-use crate::parse::OWN_ZONE;
 use crate::reader::JsonReader;
 use birchhub::interface::{LoadReportSource, MethodSettings, Settings, TenantSettings};
 
-/// Time within which an endpoint list is polled again where the settings do not say, s. Short, so that no deployment's
-/// limit is exceeded.
-const DEFAULT_MAX_POLL_INTERVAL: f64 = 2.0;
+/// Longest time between polls of the endpoint list if the settings have none. Short, so that it is within the limit of any
+/// deployment.
+const DEFAULT_MAX_POLL_INTERVAL_SECONDS: f64 = 2.0;
 
 /// All of the settings object except its methods and accounts.
 pub(crate) struct Sections {
     max_retry_after: f64,
     reports: ReportSettings,
-    /// The endpoint list carries the sizes of the endpoints.
+    /// Whether the endpoint list contains the sizes of the endpoints.
     pub lists_endpoint_sizes: bool,
     polls_endpoint_list: bool,
+    /// The zones, and the proxy's own.
     pub zones: Zones,
     proxy_count: usize,
     capabilities: Capabilities,
@@ -25,7 +26,7 @@
 }
 
 impl Sections {
-    /// Parses all sections of a document.
+    /// Parses all sections of a document, of which `ceilings` and `contract` are two.
     pub(crate) fn parse(
         document: &JsonReader,
         ceilings: &JsonReader,
@@ -47,7 +48,7 @@
         })
     }
 
-    /// These, with the methods and tenants.
+    /// Returns the settings of the decisions, with these methods and tenants.
     pub(crate) fn settings(
         &self,
         methods: Vec<MethodSettings>,
@@ -84,7 +85,7 @@
     }
 }
 
-/// `report`: how backends report their load.
+/// Section `report`: how backends report their load.
 struct ReportSettings {
     source: LoadReportSource,
     include_queue: bool,
@@ -109,19 +110,19 @@
     }
 }
 
-/// `failure-domains` and the proxy's own.
+/// The zones (`failure-domains`), and the proxy's own.
 pub(crate) struct Zones {
+    /// Names of the zones.
     pub names: Vec<String>,
-    /// Index of the proxy's own zone; the number of zones if it is none of them.
+    /// Index of the proxy's own zone; the number of zones if it is not listed.
     pub own: usize,
 }
 
 impl Zones {
-    /// Parses the names of the zones and the proxy's own.
-    pub(crate) fn parse(document: &JsonReader) -> Result<Self, SettingsError> {
+    fn parse(document: &JsonReader) -> Result<Self, SettingsError> {
         let names = document.optional("failure-domains");
         let names = names.map_or(Ok(Vec::new()), |names| names.strings())?;
-        let own = document.string_or(OWN_ZONE, "")?;
+        let own = document.string_or(keys::OWN_ZONE, "")?;
         let own = names.iter().position(|name| name == own);
         Ok(Self {
             own: own.unwrap_or(names.len()),
@@ -130,7 +131,7 @@
     }
 }
 
-/// What a proxy may do.
+/// The features that a proxy may use, and the limit of attempts (sections `ceilings` and `extra`).
 struct Capabilities {
     max_attempts: usize,
     can_cancel: bool,
@@ -151,7 +152,7 @@
     }
 }
 
-/// Longest Retry-After that clients honour, s; 0 where they get none.
+/// Returns the longest `Retry-After` that clients honour, in seconds; 0 if responses carry none.
 fn max_retry_after(ceilings: &JsonReader) -> Result<f64, SettingsError> {
     if ceilings.boolean_or_false("retry-after")? {
         ceilings.seconds_or("max-retry-after-ns", 0.0)
@@ -160,7 +161,7 @@
     }
 }
 
-/// `penalties` and `goal`: by what decisions are judged.
+/// Sections `penalties` and `goal`: the objective of the decisions.
 struct Objective {
     health_check_cost: f64,
     cross_zone_cost: f64,
@@ -181,7 +182,7 @@
     }
 }
 
-/// Refuses an objective of 0 nines; one that is missing is none.
+/// Rejects a target availability of 0 nines, by which losses cannot be divided. The target may be missing.
 pub(crate) fn check_target_nines(document: &JsonReader) -> Result<(), SettingsError> {
     match document.section("goal").optional("nines-wanted") {
         Some(nines) if nines.number()? == 0.0 => Err(SettingsError::ZeroTargetNines {
@@ -191,7 +192,7 @@
     }
 }
 
-/// `contract`: what backends and the endpoint list are held to.
+/// Section `contract`: the behaviour that backends and the endpoint list guarantee.
 struct Contract {
     max_poll_interval: f64,
     drain_grace: f64,
@@ -206,7 +207,8 @@
 impl Contract {
     fn parse(contract: &JsonReader) -> Result<Self, SettingsError> {
         Ok(Self {
-            max_poll_interval: contract.timeout_or("ask-within-ns", DEFAULT_MAX_POLL_INTERVAL)?,
+            max_poll_interval: contract
+                .timeout_or("ask-within-ns", DEFAULT_MAX_POLL_INTERVAL_SECONDS)?,
             drain_grace: contract.required("drain-grace-ns")?.seconds()?,
             only_draining_is_binding: contract.boolean_or_false("removal-not-binding")?,
             key_cooldown: contract.seconds_or("key-quiet-ns", 0.0)?,
