--- a/src/backend.rs
+++ b/src/backend.rs
@@ -44,8 +44,8 @@
     pub consecutive_failures: Cell<f64>,
     /// End of its ejection.
     pub ejected_until: Cell<f64>,
-    /// Time until which it is taken to be full, because it rejected an attempt.
-    pub full_until: Cell<f64>,
+    /// Time until which it counts as saturated, because it rejected an attempt.
+    pub saturated_until: Cell<f64>,
     /// Time until which its entry in the idle queue is valid, while it has one.
     pub queued_until: Cell<Option<f64>>,
     /// Average time to a response, s.
@@ -100,7 +100,7 @@
         self.invalidate_queue_entry();
         self.consecutive_failures.set(0.0);
         self.ejected_until.set(0.0);
-        self.full_until.set(0.0);
+        self.saturated_until.set(0.0);
     }
 
     /// An attempt has ended; unless it succeeded or never arrived, the backend may still work on it.
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -64,7 +64,7 @@
         let (now, checks) = (platform.now(), &self.health_checks);
         let idle = self.pending.is_empty();
         let check_at = if idle {
-            checks.next_ahead_at(&self.fleet.estimates, now)
+            checks.next_proactive_at(&self.fleet.estimates, now)
         } else {
             checks.next_round_at
         };
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -7,7 +7,7 @@
 use crate::interface::*;
 use crate::policy::dispatch::Dispatcher;
 use crate::policy::fallback::CELLS_PER_KEY;
-use crate::policy::health_checks::PER_ROUND;
+use crate::policy::health_checks::CHECKS_PER_ROUND;
 use crate::policy::{fairness, throttle};
 use crate::tenant::QuotaClass;
 use crate::{
@@ -35,7 +35,7 @@
         dispatcher
             .health_checks
             .tokens
-            .add(PER_ROUND as f64, PER_ROUND as f64);
+            .add(CHECKS_PER_ROUND as f64, CHECKS_PER_ROUND as f64);
         dispatcher.apply_settings(settings, &CarriedOver::default(), 0.0);
         Self(Rc::new(RefCell::new(dispatcher)))
     }
@@ -128,7 +128,7 @@
         let wanted = dispatcher.idle_queue.is_empty() && !dispatcher.rules.limits.key_affinity;
         dispatcher
             .health_checks
-            .start_ahead(wanted, &dispatcher.fleet, platform);
+            .start_proactive(wanted, &dispatcher.fleet, platform);
         dispatcher.serve(platform);
     }
 
--- a/src/balancer/rpc_handle.rs
+++ b/src/balancer/rpc_handle.rs
@@ -3,7 +3,7 @@
 use crate::backend::Backend;
 use crate::estimates::AVERAGING_TIME;
 use crate::interface::{AttemptOutcome, LoadReport, PacedBy, Platform};
-use crate::policy::dispatch::Dispatcher;
+use crate::policy::dispatch::{AttemptResult, Dispatcher};
 use crate::policy::load_reports::{IdleSignal, ReportSource};
 use crate::policy::{outlier_detection, throttle};
 use crate::rpc_state::RpcState;
@@ -75,7 +75,12 @@
         dispatcher.record_attempt(&self.rpc, &attempt, now);
         dispatcher.record_outcome(&attempt, report, now);
         dispatcher.reindex(&attempt.backend, now);
-        dispatcher.finish_or_retry(&self.rpc, answered || attempt.succeeded(), platform);
+        let result = if answered || attempt.succeeded() {
+            AttemptResult::Answered
+        } else {
+            AttemptResult::Failed
+        };
+        dispatcher.finish_or_retry(&self.rpc, result, platform);
         dispatcher.release_key(&self.rpc);
         dispatcher.serve(platform);
     }
--- a/src/check_tokens.rs
+++ b/src/check_tokens.rs
@@ -1,7 +1,7 @@
-//! Bookkeeping of health checks: how many are paid for and how many are in flight.
+//! Token bucket that pays for health checks, and the count of health checks in flight.
 use crate::backend::Backend;
 
-/// Tokens that pay for health checks, and the checks in flight.
+/// The tokens, of which each health check takes one, and the health checks in flight.
 #[derive(Default)]
 pub(crate) struct CheckTokens {
     tokens: f64,
@@ -14,24 +14,25 @@
         self.tokens = (self.tokens + tokens).min(max);
     }
 
-    /// Whether there is a token for a check.
+    /// Returns whether there is a token for a health check.
     pub(crate) fn can_pay(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Whether a check is in flight or there is a token for one.
+    /// Returns whether a health check is in flight or there is a token for one.
     pub(crate) fn any_left(&self) -> bool {
         self.can_pay() || self.in_flight > 0
     }
 
-    /// A check of the backend is sent; it takes a token.
+    /// Takes a token for a health check of the backend that is sent now.
     pub(crate) fn start(&mut self, backend: &Backend, now: f64) {
         backend.health_check_sent_at.set(Some(now));
         self.in_flight += 1;
         self.tokens -= 1.0;
     }
 
-    /// A check has ended, or its backend is forgotten. Returns when it was sent, if one was in flight.
+    /// Records that the health check of a backend has ended, or that the backend was removed. Returns
+    /// when the check was sent, if one was in flight.
     pub(crate) fn finish(&mut self, backend: &Backend) -> Option<f64> {
         let sent_at = backend.health_check_sent_at.take();
         self.in_flight -= usize::from(sent_at.is_some());
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -10,16 +10,16 @@
     pub can_hedge: bool,
     /// An attempt in flight may be cancelled.
     pub can_cancel: bool,
-    /// A cell that served the key of an RPC lately has less work with it.
+    /// Cells cache what they need for a key, so that its RPCs are kept to a few cells.
     pub key_affinity: bool,
-    /// Longest `retry_after` that clients honour, s.
+    /// Longest `retry_after` that clients honour, in seconds.
     pub max_retry_after: f64,
-    /// Time for which a key waits after an attempt that may still run, s.
+    /// Time for which a key waits after an attempt that may still run, in seconds.
     pub key_cooldown: f64,
 }
 
 impl Limits {
-    /// The limits that these settings name.
+    /// Returns the limits that these settings name.
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
             max_attempts: settings.max_attempts,
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,173 +1,208 @@
-//! Dispatch: which RPC goes where. A pending RPC is served from the idle queue, or by the fallback when its
-//! wait is over; after a failed attempt there is a retry or the final answer.
-use super::{
-    admission::Admission, discovery::Discovery, fallback::Fallback, load_reports::LoadReports,
-};
-use super::{
-    deadlines, health_checks, health_checks::HealthChecks, idle_queue, rules, rules::Rules,
-};
-use super::{
-    idle_queue::IdleQueue, outlier_detection::OutlierDetection, retry_budget::RetryBudget,
-};
+//! Dispatch: which RPC goes to which backend, and what follows a failed attempt.
+//!
+//! As in Join-Idle-Queue, an RPC takes a backend from the idle queue, and a random one if there is
+//! none. What differs: while health checks look for idle backends the RPC waits a moment, and pending
+//! RPCs are served by precedence instead of by arrival.
+use super::admission::Admission;
+use super::deadlines;
+use super::discovery::Discovery;
+use super::fallback::Fallback;
+use super::health_checks::HealthChecks;
+use super::idle_queue::{self, IdleQueue};
+use super::load_reports::LoadReports;
+use super::outlier_detection::OutlierDetection;
+use super::retry_budget::RetryBudget;
+use super::rules::{self, Rules};
 use crate::attempt::BackendChoice;
+use crate::backend::Backend;
+use crate::fleet::Fleet;
+use crate::interface::Platform;
+use crate::keyed_queue::KeyedQueue;
+use crate::pending_queue::PendingQueue;
+use crate::rpc_state::RpcState;
 use crate::tenant::{QuotaClass, TenantQuotas};
-use crate::{backend::Backend, fleet::Fleet, interface::Platform, rpc_state::RpcState};
-use crate::{keyed_queue::KeyedQueue, pending_queue::PendingQueue};
 use std::rc::Rc;
 
-/// The mechanisms, each with its own state, and pending RPCs. `crate::balancer` hands it events and keeps its
-/// books: attempts that start, the timer, the subsets of backends.
+/// The mechanisms, each with its own state, and the pending RPCs. `crate::balancer` passes it events,
+/// and keeps the books: the attempts that start, the timer and the subsets of the backends.
 #[derive(Default)]
 pub(crate) struct Dispatcher {
+    /// Rules that no attempt may break.
     pub rules: Rules,
+    /// Backends that are taken to be idle.
     pub idle_queue: IdleQueue,
+    /// What load reports tell.
     pub load_reports: LoadReports,
+    /// Choice of a random backend.
     pub fallback: Fallback,
+    /// Admission control of the fallback.
     pub admission: Admission,
+    /// Use of the tenants' quotas.
     pub quotas: TenantQuotas,
+    /// Retries that may be sent.
     pub retry_budget: RetryBudget,
+    /// Ejection of failing backends.
     pub outlier_detection: OutlierDetection,
+    /// Budget and schedule of health checks.
     pub health_checks: HealthChecks,
+    /// Schedule of polls of the endpoint list.
     pub discovery: Discovery,
+    /// The backends.
     pub fleet: Fleet,
+    /// RPCs that wait for a backend.
     pub pending: PendingQueue,
+    /// RPCs that run in the order of their keys.
     pub keyed: KeyedQueue,
+    /// Time for which a timer is set.
     pub timer_at: Option<f64>,
 }
 
+/// How an RPC goes on after one of its attempts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum AttemptResult {
+    /// The client has its final answer from this attempt.
+    Answered,
+    /// The RPC still needs an answer.
+    Failed,
+}
+
 impl Dispatcher {
-    /// Serves the pending RPCs after any event.
+    /// Serves the pending RPCs; called after each event.
     pub(crate) fn serve(&mut self, platform: &mut dyn Platform) {
         let now = platform.now();
         while let Some(rpc) = self.keyed.next_ready(now) {
             self.enqueue_rpc(&rpc, now);
         }
         self.serve_from_idle_queue(platform);
-        if let Some(rpc) = self.pending.next_after(None)
-            && self
-                .health_checks
-                .take_due_round(self.fleet.estimates.service_time(), now)
-        {
-            self.health_checks.start(
-                health_checks::PER_ROUND,
-                &rpc.preferred_cells,
-                &self.fleet,
-                platform,
-            );
+        if let Some(rpc) = self.pending.next_after(None) {
+            self.health_checks
+                .start_due_round(&rpc.preferred_cells, &self.fleet, platform);
         }
         self.serve_by_fallback(platform);
         self.schedule_timer(platform);
     }
 
-    /// The first by priority first, while there are idle backends.
+    /// Serves pending RPCs by precedence while there are idle backends.
     fn serve_from_idle_queue(&mut self, platform: &mut dyn Platform) {
-        let (mut position, mut passed) = (None, 0);
-        while passed < idle_queue::SCAN_LIMIT && !self.idle_queue.is_empty() {
+        let mut position = None;
+        let mut passed_over = 0;
+        while passed_over < idle_queue::SCAN_LIMIT && !self.idle_queue.is_empty() {
             let Some(rpc) = self.pending.next_after(position) else {
                 return;
             };
             position = rpc.pending_position.get();
-            if self.attempt_idle(&rpc, platform) {
+            if self.attempt_at_idle_backend(&rpc, platform) {
                 self.pending.remove(&rpc);
             } else {
-                passed += 1;
+                passed_over += 1;
             }
         }
     }
 
-    /// Picks a random backend for those whose wait is over; for all if no health check may find an idle one.
+    /// Sends RPCs whose wait is over to random backends, or all RPCs if no health check may find an
+    /// idle backend.
     fn serve_by_fallback(&mut self, platform: &mut dyn Platform) {
         let now = platform.now();
         let may_wait = self.health_checks.tokens.any_left() || self.fleet.index.is_empty();
-        loop {
-            let ended = self
-                .pending
-                .first_end()
-                .filter(|(end, _)| *end <= now)
-                .map(|(_, rpc)| rpc);
-            let next = || {
-                if may_wait {
-                    None
-                } else {
-                    self.pending.next_after(None)
-                }
-            };
-            let Some(rpc) = ended.or_else(next) else {
-                return;
-            };
+        while let Some(rpc) = self.next_for_fallback(may_wait, now) {
             self.pending.remove(&rpc);
-            if !self.attempt_fallback(&rpc, platform) {
+            if !self.attempt_at_random_backend(&rpc, platform) {
                 self.give_up(&rpc, platform);
             }
         }
     }
 
-    /// Starts an attempt at a backend of the idle queue; false if none fits.
-    fn attempt_idle(&mut self, rpc: &Rc<RpcState>, platform: &mut dyn Platform) -> bool {
-        let (rules, budget, fleet, now) =
-            (&self.rules, &self.retry_budget, &self.fleet, platform.now());
-        let fits =
-            |b: &Rc<Backend>| rules.may_attempt(rpc, b, None, fleet, now) && budget.allows(rpc, b);
+    /// Returns an RPC whose wait is over; if RPCs may not wait, else the first of the others.
+    fn next_for_fallback(&self, may_wait: bool, now: f64) -> Option<Rc<RpcState>> {
+        match self.pending.first_end() {
+            Some((end, rpc)) if end <= now => Some(rpc),
+            _ if may_wait => None,
+            _ => self.pending.next_after(None),
+        }
+    }
+
+    /// Starts an attempt at a backend of the idle queue. Returns false if none fits.
+    fn attempt_at_idle_backend(&mut self, rpc: &Rc<RpcState>, platform: &mut dyn Platform) -> bool {
+        let now = platform.now();
+        let rules = &self.rules;
+        let retry_budget = &self.retry_budget;
+        let fleet = &self.fleet;
+        let fits = |backend: &Rc<Backend>| {
+            rules.may_attempt(rpc, backend, None, fleet, now) && retry_budget.allows(rpc, backend)
+        };
         let backend = self.idle_queue.dequeue(rpc, &fleet.estimates, now, fits);
-        backend
-            .map(|backend| self.start_attempt(rpc, backend, BackendChoice::IdleQueue, platform))
-            .is_some()
+        let Some(backend) = backend else {
+            return false;
+        };
+        self.start_attempt(rpc, backend, BackendChoice::IdleQueue, platform);
+        true
     }
 
-    /// Starts an attempt at a random backend; false if the RPC is not admitted or none fits.
-    fn attempt_fallback(&mut self, rpc: &Rc<RpcState>, platform: &mut dyn Platform) -> bool {
+    /// Starts an attempt at a random backend. Returns false if the RPC is not admitted or none fits.
+    fn attempt_at_random_backend(
+        &mut self,
+        rpc: &Rc<RpcState>,
+        platform: &mut dyn Platform,
+    ) -> bool {
         let now = platform.now();
-        if !self.admission.admits(rpc, &self.fleet.estimates, now)
-            || rpc.quota_class == QuotaClass::Beyond
-        {
+        let is_admitted = self.admission.admits(rpc, &self.fleet.estimates, now);
+        if !is_admitted || rpc.quota_class == QuotaClass::Beyond {
             return false;
         }
         self.reindex_expired(now);
         let mean_load = self.fleet.estimates.recent_load(now);
-        let choice = BackendChoice::Random { mean_load };
-        let sample = Some(self.rules.slow_start.budget.record_random_pick(rpc.id, now));
-        let (rules, budget, fleet) = (&self.rules, &self.retry_budget, &self.fleet);
-        let fits = |b: &Rc<Backend>| {
-            rules.may_attempt(rpc, b, sample, fleet, now) && budget.allows(rpc, b)
+        let budget = &self.rules.slow_start.budget;
+        let sample = budget.record_random_choice(rpc.id, now);
+        let fits = |backend: &Rc<Backend>| {
+            self.rules
+                .may_attempt(rpc, backend, Some(sample), &self.fleet, now)
+                && self.retry_budget.allows(rpc, backend)
         };
-        let backend = self.fallback.pick(rpc, fleet, now, fits);
-        backend
-            .map(|backend| self.start_attempt(rpc, backend, choice, platform))
-            .is_some()
+        let Some(backend) = self.fallback.pick(rpc, &self.fleet, now, fits) else {
+            return false;
+        };
+        self.start_attempt(rpc, backend, BackendChoice::Random { mean_load }, platform);
+        true
     }
 
-    /// After an attempt: its response is the final answer, else a retry where rules, time and budget allow.
+    /// Finishes an RPC after an attempt, or retries it where rules, time and budget allow.
     pub(crate) fn finish_or_retry(
         &mut self,
         rpc: &Rc<RpcState>,
-        done: bool,
+        result: AttemptResult,
         platform: &mut dyn Platform,
     ) {
-        if done || rpc.streaming.get() {
+        if result == AttemptResult::Answered || rpc.streaming.get() {
             rpc.answered.set(true);
-            return self.cancel_attempts(rpc, platform);
+            self.cancel_attempts(rpc, platform);
+            return;
         }
         if rpc.answered.get() || rpc.has_attempt_in_flight() {
             return;
         }
-        let in_time = rpc.useful_until - platform.now() > self.fleet.estimates.service_time();
-        if !(in_time && (self.attempt_idle(rpc, platform) || self.attempt_fallback(rpc, platform)))
-        {
+        if !self.retry(rpc, platform) {
             self.give_up(rpc, platform);
         }
     }
 
-    /// The final answer without a response.
+    /// Starts another attempt if a response is expected in time. Returns false if none was started.
+    fn retry(&mut self, rpc: &Rc<RpcState>, platform: &mut dyn Platform) -> bool {
+        let time_left = rpc.useful_until - platform.now();
+        time_left > self.fleet.estimates.service_time()
+            && (self.attempt_at_idle_backend(rpc, platform)
+                || self.attempt_at_random_backend(rpc, platform))
+    }
+
+    /// Gives the final answer to an RPC that no backend has answered.
     pub(crate) fn give_up(&mut self, rpc: &RpcState, platform: &mut dyn Platform) {
         self.cancel_attempts(rpc, platform);
         rpc.answered.set(true);
         if rules::may_reject(rpc) {
-            let longest = self.rules.limits.max_retry_after;
+            let max_retry_after = self.rules.limits.max_retry_after;
             let service_time = self.fleet.estimates.service_time();
-            platform.reject(
-                rpc.id,
-                deadlines::retry_after(rpc, &self.keyed, service_time, longest),
-            );
+            let retry_after =
+                deadlines::retry_after(rpc, &self.keyed, service_time, max_retry_after);
+            platform.reject(rpc.id, retry_after);
         } else {
             platform.fail(rpc.id);
         }
--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -1,27 +1,69 @@
-//! The fallback while the idle queue is empty: a random ready backend.
-use super::{outlier_detection::is_available, rules::allowed_subset};
+//! The fallback of Join-Idle-Queue: a random ready backend while the idle queue is empty.
+//!
+//! What differs from a uniform choice: backends that are ejected, saturated or hang are skipped while
+//! enough others are available (the panic threshold of Envoy); where crossing zones has a cost, some
+//! choices stay local, as in zone-aware routing; and an RPC with a key goes to the few cells that are
+//! likely to have the key cached.
+use super::outlier_detection::is_available;
+use super::rules::allowed_subset;
+use crate::backend::Backend;
 use crate::backend_index::Subset;
-use crate::{backend::Backend, fleet::Fleet, interface::Settings, rpc_state::RpcState};
+use crate::fleet::Fleet;
+use crate::interface::Settings;
+use crate::rpc_state::RpcState;
 use std::rc::Rc;
 
-const FULL_LOCAL_COST: f64 = 0.033; // points; at it a fair part of picks stays local, less by the square
-const MIN_AVAILABLE: usize = 3; // below one in so many, health doesn't count: a slowdown must leave some
-pub(crate) const CELLS_PER_KEY: usize = 3; // cells that a key is kept to: each first check goes to another
+/// Cost of crossing zones, in points of service, from which on choices stay local as far as the own
+/// zone's part of the backends allows. Below it they do so with the square of the cost.
+const FULL_LOCALITY_COST_POINTS: f64 = 0.033;
+/// Availability is ignored if fewer than one in so many allowed backends are available: during a
+/// general slowdown some backends must remain.
+const PANIC_THRESHOLD_DIVISOR: usize = 3;
+/// Cells that a key is kept to. Each of the first health checks of an RPC goes to another one.
+pub(crate) const CELLS_PER_KEY: usize = 3;
 
-/// How far picks stay local.
+/// The preference for the own zone.
 #[derive(Default)]
 pub(crate) struct Fallback {
-    local_weight: f64, // part of picks that stay local, over the part of backends that are local
+    /// Probability of a local choice, divided by the fraction of the backends that are local.
+    local_weight: f64,
+}
+
+/// The subsets that a backend is chosen from.
+struct Candidates {
+    all: Subset,
+    local: Subset,
+}
+
+impl Candidates {
+    /// Returns the available backends, or all allowed ones if too few are available.
+    fn of(allowed: Subset, fleet: &Fleet) -> Self {
+        let index = &fleet.index;
+        let available = index.count(Subset::Available);
+        let enough_available = available * PANIC_THRESHOLD_DIVISOR >= index.count(allowed);
+        if enough_available && allowed == Subset::Ready {
+            Self {
+                all: Subset::Available,
+                local: Subset::AvailableLocal,
+            }
+        } else {
+            Self {
+                all: allowed,
+                local: Subset::Zone(index.own_zone),
+            }
+        }
+    }
 }
 
 impl Fallback {
-    /// Takes over what another zone costs.
+    /// Adopts the cost of crossing zones.
     pub(crate) fn apply_settings(&mut self, settings: &Settings) {
-        let cost = (settings.cross_zone_cost / FULL_LOCAL_COST).min(1.0);
-        self.local_weight = settings.zone_count as f64 * cost.powi(2);
+        let relative_cost = (settings.cross_zone_cost / FULL_LOCALITY_COST_POINTS).min(1.0);
+        self.local_weight = settings.zone_count as f64 * relative_cost.powi(2);
     }
 
-    /// A backend in a cell that the RPC prefers, else a local one by chance, else any.
+    /// Returns a random backend: in a cell that the RPC prefers, else a local one with some
+    /// probability, else any.
     pub(crate) fn pick(
         &self,
         rpc: &RpcState,
@@ -29,32 +71,40 @@
         now: f64,
         may_attempt: impl Fn(&Rc<Backend>) -> bool,
     ) -> Option<Rc<Backend>> {
-        let (index, rng, allowed) = (&fleet.index, &fleet.rng, allowed_subset(rpc));
-        let cells: &[Subset] = if allowed == Subset::Ready {
-            &rpc.preferred_cells
-        } else {
-            &[]
-        };
-        let fits = |b: &Rc<Backend>| may_attempt(b) && is_available(b, now);
-        if let Some(backend) = cells
-            .iter()
-            .find_map(|cell| index.pick_random(*cell, rng, fits))
+        let allowed = allowed_subset(rpc);
+        if allowed == Subset::Ready
+            && let Some(backend) = pick_in_preferred_cell(rpc, fleet, now, &may_attempt)
         {
             return Some(backend);
         }
-        let enough = index.count(Subset::Available) * MIN_AVAILABLE >= index.count(allowed);
-        let (all, local) = if enough && allowed == Subset::Ready {
-            (Subset::Available, Subset::AvailableLocal)
+        let pick = |subset| fleet.index.pick_random(subset, &fleet.rng, &may_attempt);
+        let candidates = Candidates::of(allowed, fleet);
+        let local = if self.stays_local(&candidates, fleet) {
+            pick(candidates.local)
         } else {
-            (allowed, Subset::Zone(index.own_zone))
+            None
         };
-        let local_part = index.count(local) as f64 / index.count(all) as f64;
-        let stays_local = rng.uniform(0.0..1.0) < self.local_weight * local_part;
-        let pick = |subset| index.pick_random(subset, rng, &may_attempt);
-        Some(local)
-            .filter(|_| stays_local)
-            .and_then(pick)
-            .or_else(|| pick(all))
+        local
+            .or_else(|| pick(candidates.all))
             .or_else(|| pick(allowed))
     }
+
+    /// Draws whether a choice stays in the own zone.
+    fn stays_local(&self, candidates: &Candidates, fleet: &Fleet) -> bool {
+        let local_count = fleet.index.count(candidates.local) as f64;
+        let local_fraction = local_count / fleet.index.count(candidates.all) as f64;
+        fleet.rng.uniform(0.0..1.0) < self.local_weight * local_fraction
+    }
+}
+
+/// Returns an available backend in the first of the RPC's preferred cells that has one.
+fn pick_in_preferred_cell(
+    rpc: &RpcState,
+    fleet: &Fleet,
+    now: f64,
+    may_attempt: impl Fn(&Rc<Backend>) -> bool,
+) -> Option<Rc<Backend>> {
+    let fits = |backend: &Rc<Backend>| may_attempt(backend) && is_available(backend, now);
+    let mut cells = rpc.preferred_cells.iter();
+    cells.find_map(|cell| fleet.index.pick_random(*cell, &fleet.rng, fits))
 }
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,104 +1,136 @@
-//! Health checks of random backends that look for idle ones: as many as are worth their cost.
+//! Health checks that look for idle backends, as many as are worth their cost.
+//!
+//! Where responses carry no load reports, a few random backends are checked for a pending RPC, as in
+//! the power of d choices; whichever reports idle first joins the idle queue. What differs: the number
+//! of checks follows from their cost by a token bucket, and a backend is also checked proactively
+//! while no RPC is pending, so that the next one finds the queue filled.
+use super::idle_queue::entry_lifetime;
 use super::load_reports::IdleSignal;
-use super::{idle_queue::entry_lifetime, outlier_detection::is_healthy};
+use super::outlier_detection::is_healthy;
+use crate::backend::Backend;
+use crate::backend_index::Subset;
+use crate::check_tokens::CheckTokens;
 use crate::estimates::{CLOCK_TOLERANCE, Estimates};
+use crate::fleet::Fleet;
 use crate::interface::{LoadReportSource, Platform, Settings};
-use crate::{backend::Backend, backend_index::Subset, check_tokens::CheckTokens, fleet::Fleet};
 use std::rc::Rc;
 
-const FIRST_CHECK_WORTH: f64 = 0.032; // points that an RPC's first check is worth: it saves late picks
-const MISS_CHANCE: f64 = 0.6; // chance that a check finds no idle backend: the next is worth so much less
-const MIN_COST: f64 = 1e-6; // points: checks may be free
-const MAX_PER_RPC: f64 = 6.0; // checks an RPC where they are nearly free, for the backends' sake
-const MIN_PER_RPC: f64 = 0.05; // checks an RPC where they are dear: without reports nothing is queued
-pub(crate) const PER_ROUND: usize = 3; // checks at once: finds an idle backend more often than not
-const SAVED_RPCS: f64 = 20.0; // RPCs whose checks may be saved up beside one round
-const AHEAD_INTERVAL: f64 = 0.05; // s between checks ahead of RPCs if one surely comes: a service time
-const ROUND_SERVICE_TIMES: f64 = 0.1; // between rounds for pending RPCs: some backend may be done
+/// Value of an RPC's first health check, in points of service: it saves late responses.
+const FIRST_CHECK_VALUE_POINTS: f64 = 0.032;
+/// Probability that a health check finds no idle backend. Each further check of an RPC is worth so
+/// much less than the one before.
+const MISS_PROBABILITY: f64 = 0.6;
+/// Least cost of a health check, in points of service; settings may say 0.
+const MIN_CHECK_COST_POINTS: f64 = 1e-6;
+/// Most health checks for each RPC, to spare the backends where checks are almost free.
+const MAX_CHECKS_PER_RPC: f64 = 6.0;
+/// Fewest health checks for each RPC: without reports no backend joins the idle queue.
+const MIN_CHECKS_PER_RPC: f64 = 0.05;
+/// Health checks sent at once for a pending RPC; more often than not one finds an idle backend.
+pub(crate) const CHECKS_PER_ROUND: usize = 3;
+/// RPCs whose health checks can be saved up, beside one round.
+const MAX_SAVED_RPCS: f64 = 20.0;
+/// Time between two proactive health checks if an RPC is certain to arrive, in seconds.
+const PROACTIVE_INTERVAL_SECONDS: f64 = 0.05;
+/// Time between two rounds for pending RPCs, in mean service times.
+const ROUND_INTERVAL_SERVICE_TIMES: f64 = 0.1;
 
-/// How many checks are worth their cost, and when they are sent.
+/// The budget and the schedule of health checks.
 #[derive(Default)]
 pub(crate) struct HealthChecks {
-    pub enabled: bool, // they tell something that responses do not
+    /// Health checks tell something that responses do not.
+    pub enabled: bool,
+    /// At least one health check for each RPC is worth its cost.
     pub affordable: bool,
+    /// Health checks that each RPC pays for.
     pub per_rpc: f64,
+    /// Time of the next round for pending RPCs.
     pub next_round_at: f64,
+    /// Tokens that pay for health checks.
     pub tokens: CheckTokens,
-    last_ahead_at: f64, // of checks ahead of RPCs
+    last_proactive_at: f64,
 }
 
 impl HealthChecks {
-    /// Where responses bring all that a check would tell, it tells nothing; else its report or its time does.
+    /// Derives from new settings whether health checks are useful, and how many are worth their cost.
     pub(crate) fn apply_settings(&mut self, settings: &Settings) {
-        let source = settings.load_report_source;
-        let by_time = source == LoadReportSource::Responses && !settings.reports_include_queue;
-        self.enabled =
-            settings.can_health_check && (by_time || source == LoadReportSource::HealthChecks);
-        let worth =
-            (FIRST_CHECK_WORTH / settings.health_check_cost.max(MIN_COST)).log(1.0 / MISS_CHANCE);
-        (self.affordable, self.per_rpc) = (worth >= 0.0, worth.clamp(MIN_PER_RPC, MAX_PER_RPC));
+        let tell_load = match settings.load_report_source {
+            LoadReportSource::HealthChecks => true,
+            // The duration of a check tells the queue that the reports in responses do not.
+            LoadReportSource::Responses => !settings.reports_include_queue,
+            LoadReportSource::None => false,
+        };
+        self.enabled = settings.can_health_check && tell_load;
+        let cost = settings.health_check_cost.max(MIN_CHECK_COST_POINTS);
+        let worthwhile_checks = (FIRST_CHECK_VALUE_POINTS / cost).log(1.0 / MISS_PROBABILITY);
+        self.affordable = worthwhile_checks >= 0.0;
+        self.per_rpc = worthwhile_checks.clamp(MIN_CHECKS_PER_RPC, MAX_CHECKS_PER_RPC);
     }
 
-    /// An RPC has come in and pays for checks: for few where responses fill the idle queue.
+    /// Adds the tokens that an arriving RPC pays; few where responses fill the idle queue.
     pub(crate) fn record_arrival(&mut self, signal: IdleSignal) {
         let tokens = match signal {
             IdleSignal::LowLoad => self.per_rpc,
-            IdleSignal::Response => MIN_PER_RPC,
+            IdleSignal::Response => MIN_CHECKS_PER_RPC,
         };
-        self.tokens
-            .add(tokens, tokens * SAVED_RPCS + PER_ROUND as f64);
+        let max_tokens = tokens * MAX_SAVED_RPCS + CHECKS_PER_ROUND as f64;
+        self.tokens.add(tokens, max_tokens);
     }
 
-    /// Checks a few random backends, spread over these cells if there are any.
-    pub(crate) fn start(
-        &mut self,
-        max: usize,
-        cells: &[Subset],
-        fleet: &Fleet,
-        platform: &mut dyn Platform,
-    ) {
+    /// Checks up to `max` random backends, spread over these cells if there are any.
+    fn start(&mut self, max: usize, cells: &[Subset], fleet: &Fleet, platform: &mut dyn Platform) {
         let now = platform.now();
-        let unknown = |b: &Backend| b.health_check_sent_at.get().is_none() && !b.is_queued(now);
-        let fits = |b: &Rc<Backend>| is_healthy(b, now) && unknown(b);
+        let is_unknown = |backend: &Backend| {
+            backend.health_check_sent_at.get().is_none() && !backend.is_queued(now)
+        };
+        let fits = |backend: &Rc<Backend>| is_healthy(backend, now) && is_unknown(backend);
         for number in 0..max {
-            let subset = cells
-                .get(number * cells.len() / max)
-                .copied()
-                .unwrap_or(Subset::Ready);
             if !self.enabled || !self.tokens.can_pay() {
                 return;
             }
-            let Some(backend) = fleet.index.pick_random(subset, &fleet.rng, fits) else {
-                continue;
-            };
-            self.tokens.start(&backend, now);
-            platform.health_check(backend.id);
+            let cell = cells.get(number * cells.len() / max);
+            let subset = cell.copied().unwrap_or(Subset::Ready);
+            if let Some(backend) = fleet.index.pick_random(subset, &fleet.rng, fits) {
+                self.tokens.start(&backend, now);
+                platform.health_check(backend.id);
+            }
         }
     }
 
-    /// Checks a backend ahead of RPCs, if it is time and an idle one is wanted.
-    pub(crate) fn start_ahead(&mut self, wanted: bool, fleet: &Fleet, platform: &mut dyn Platform) {
+    /// Checks a round of backends for a pending RPC, if one is due.
+    pub(crate) fn start_due_round(
+        &mut self,
+        cells: &[Subset],
+        fleet: &Fleet,
+        platform: &mut dyn Platform,
+    ) {
         let now = platform.now();
-        if now + CLOCK_TOLERANCE >= self.next_ahead_at(&fleet.estimates, now) {
-            self.last_ahead_at = now;
-            self.start(usize::from(wanted), &[], fleet, platform);
+        if now >= self.next_round_at {
+            let interval = ROUND_INTERVAL_SERVICE_TIMES * fleet.estimates.service_time();
+            self.next_round_at = now + interval;
+            self.start(CHECKS_PER_ROUND, cells, fleet, platform);
         }
     }
 
-    /// A round for pending RPCs is due; the next one is later.
-    pub(crate) fn take_due_round(&mut self, service_time: f64, now: f64) -> bool {
-        let due = now >= self.next_round_at;
-        self.next_round_at = if due {
-            now + ROUND_SERVICE_TIMES * service_time
-        } else {
-            self.next_round_at
-        };
-        due
+    /// Checks one backend proactively, if it is time and an idle one is wanted.
+    pub(crate) fn start_proactive(
+        &mut self,
+        is_wanted: bool,
+        fleet: &Fleet,
+        platform: &mut dyn Platform,
+    ) {
+        let now = platform.now();
+        if now + CLOCK_TOLERANCE >= self.next_proactive_at(&fleet.estimates, now) {
+            self.last_proactive_at = now;
+            self.start(usize::from(is_wanted), &[], fleet, platform);
+        }
     }
 
-    /// When to check ahead of RPCs: seldom if none may come while the entry is valid, lest many pay for few.
-    pub(crate) fn next_ahead_at(&self, estimates: &Estimates, now: f64) -> f64 {
-        let arrivals = estimates.completion_rate(now) * entry_lifetime(estimates);
-        self.last_ahead_at + AHEAD_INTERVAL / (1.0 - (-arrivals).exp())
+    /// Returns the time of the next proactive check. The interval grows with the probability that no
+    /// RPC arrives while an entry in the idle queue is valid, as many checks would be wasted then.
+    pub(crate) fn next_proactive_at(&self, estimates: &Estimates, now: f64) -> f64 {
+        let expected_arrivals = estimates.completion_rate(now) * entry_lifetime(estimates);
+        let arrival_probability = 1.0 - (-expected_arrivals).exp();
+        self.last_proactive_at + PROACTIVE_INTERVAL_SECONDS / arrival_probability
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,6 +1,8 @@
-//! All decisions of birchhub: Join-Idle-Queue load balancing and the mechanisms beside it (docs/design.md),
-//! one module each. `dispatch` says which RPC goes where, `rules` what is never done, `crate::balancer` tells
-//! them of events. In comments a "part" is a fraction; times are in seconds.
+//! All decisions of birchhub: Join-Idle-Queue load balancing and the mechanisms beside it.
+//!
+//! Each mechanism is one module. `dispatch` is the place to start: it asks the others which RPC goes
+//! to which backend; `rules` holds what is never done. `crate::balancer` passes events on to them.
+//! Times and durations are in seconds; `docs/design.md` explains the design.
 pub(crate) mod admission;
 pub(crate) mod admission_rate;
 pub(crate) mod deadlines;
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,58 +1,73 @@
-//! Outlier detection: ejects backends that fail, and skips those that are full or hang.
+//! Outlier detection: ejects backends that fail, and skips those that are saturated or hang.
+//!
+//! After Envoy's outlier detection by consecutive failures, with ejections that grow with each further
+//! failure. What differs: a success takes back part of a failure instead of all, as a backend that
+//! loses some responses seldom fails several times in a row; more is taken back while all backends
+//! fail, as an overload is no backend's fault; and after an ejection one attempt at a time is let
+//! through until one succeeds, as by a half-open circuit breaker.
+use crate::backend::Backend;
+use crate::estimates::AVERAGING_TIME;
+use crate::ewma::Ewma;
+use crate::fleet::Fleet;
 use crate::interface::AttemptOutcome;
-use crate::{backend::Backend, estimates::AVERAGING_TIME, ewma::Ewma, fleet::Fleet};
+use std::ops::Range;
 
-const FAILURES_TO_EJECT: f64 = 3.0; // timeouts and resets in a row; any other failure counts for all
-const FORGIVEN: f64 = 0.2; // of a failure that a success takes back: one in six is borne ...
-const FORGIVEN_ODDS: f64 = 3.0; // ... or so many times the odds of all: overload is no backend's fault
-const FIRST_EJECTION: f64 = 0.5; // s, doubled with each further failure: outlasts a pause
-const EJECTION_RESPONSES: f64 = 12.0; // that an ejection lasts at least: at few a second 0.5 s pass unseen
-const MAX_EJECTION: f64 = 8.0; // s; a dead backend costs one attempt in it, a recovered one waits no longer
-const JITTER: std::ops::Range<f64> = 0.8..1.2; // of an ejection: proxies must not all come back at once
-const IN_FLIGHT_MULTIPLE: f64 = 2.0; // times its own mean in flight that makes a backend be skipped ...
-const IN_FLIGHT_MARGIN: f64 = 1.0; // RPCs; ... and more than this beyond, or a mean near 0 would shut it out
+/// Consecutive timeouts and resets that eject a backend. Any other failure counts as so many at once.
+const FAILURES_TO_EJECT: f64 = 3.0;
+/// Failures that one success takes back at the least.
+const FAILURES_FORGIVEN_PER_SUCCESS: f64 = 0.2;
+/// Failures that one success takes back, as a multiple of the odds of a failure at any backend.
+const FORGIVEN_MULTIPLE_OF_FAILURE_ODDS: f64 = 3.0;
+/// Duration of the first ejection in seconds; each further failure doubles it.
+const FIRST_EJECTION_SECONDS: f64 = 0.5;
+/// Most times that an ejection is doubled, before [`MAX_EJECTION_SECONDS`] applies.
+const MAX_EJECTION_DOUBLINGS: f64 = 10.0;
+/// Shortest ejection, in mean times between two responses to this proxy: with few RPCs a shorter one
+/// would have no effect.
+const MIN_EJECTION_RESPONSES: f64 = 12.0;
+/// Longest ejection in seconds, which is the longest that a recovered backend waits.
+const MAX_EJECTION_SECONDS: f64 = 8.0;
+/// Random factor of an ejection, so that not all proxies return to the backend at once.
+const EJECTION_JITTER: Range<f64> = 0.8..1.2;
+/// RPCs in flight above which a backend is skipped, as a multiple of its own mean.
+const MAX_IN_FLIGHT_MULTIPLE: f64 = 2.0;
+/// RPCs added to that limit; otherwise a mean near 0 would shut a backend out.
+const MAX_IN_FLIGHT_MARGIN: f64 = 1.0;
 
-/// The failure rate of all; ejections are kept with the backends.
+/// The failure rate over all backends. Failures and ejections of each are kept in [`Backend`].
 #[derive(Default)]
 pub(crate) struct OutlierDetection {
-    failure_rate: Ewma, // of attempts and health checks
+    /// Fraction of the attempts and health checks that fail.
+    failure_rate: Ewma,
 }
 
 impl OutlierDetection {
-    /// Counts a failure, and ejects the backend if it is one too many. A quick failure must not look idle,
-    /// and a dead backend must not be picked again and again.
+    /// Records a failure, and ejects the backend if it is one too many. Removes the backend from the
+    /// idle queue: one that fails at once must not look idle.
     pub(crate) fn record_failure(
         &self,
         backend: &Backend,
-        how: AttemptOutcome,
+        outcome: AttemptOutcome,
         fleet: &mut Fleet,
         now: f64,
     ) {
-        // Timeouts and resets may come by chance and would eject all in turn; all else meets every attempt.
-        let by_chance = matches!(how, AttemptOutcome::TimedOut | AttemptOutcome::Reset);
-        let failures = (backend.consecutive_failures.get() + 1.0).max(if by_chance {
-            1.0
-        } else {
-            FAILURES_TO_EJECT
-        });
+        let failures = failures_after(backend, outcome);
         self.failure_rate.add(1.0, now, AVERAGING_TIME);
         backend.consecutive_failures.set(failures);
         backend.invalidate_queue_entry();
         if failures >= FAILURES_TO_EJECT && now >= backend.ejected_until.get() {
-            let least =
-                EJECTION_RESPONSES * AVERAGING_TIME / fleet.estimates.recent_completions(now);
-            let doubled = FIRST_EJECTION * 2_f64.powf((failures - FAILURES_TO_EJECT).min(10.0));
-            let duration = doubled.max(least).min(MAX_EJECTION) * fleet.rng.uniform(JITTER);
-            backend.ejected_until.set(now + duration);
-            fleet.index.add_expiry(now + duration, backend);
+            let ejected_until = now + ejection_seconds(failures, fleet, now);
+            backend.ejected_until.set(ejected_until);
+            fleet.index.add_expiry(ejected_until, backend);
         }
     }
 
-    /// Takes back a part of the failures; not all, as one that loses some responses seldom fails in a row.
+    /// Takes back part of the failures of a backend.
     pub(crate) fn record_success(&self, backend: &Backend, now: f64) {
         self.failure_rate.add(0.0, now, AVERAGING_TIME);
         let rate = self.failure_rate.value_or(0.0);
-        let forgiven = FORGIVEN.max(FORGIVEN_ODDS * rate / (1.0 - rate));
+        let forgiven_by_odds = FORGIVEN_MULTIPLE_OF_FAILURE_ODDS * rate / (1.0 - rate);
+        let forgiven = FAILURES_FORGIVEN_PER_SUCCESS.max(forgiven_by_odds);
         let failures = backend.consecutive_failures.get().min(FAILURES_TO_EJECT);
         backend
             .consecutive_failures
@@ -60,22 +75,49 @@
     }
 }
 
-/// A backend that rejects is full; the next place there comes free after a service time or less.
+/// Returns the consecutive failures of a backend after one more. Timeouts and resets may be chance and
+/// would eject all backends in turn; whatever else fails will fail again.
+fn failures_after(backend: &Backend, outcome: AttemptOutcome) -> f64 {
+    let may_be_chance = matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset);
+    let least = if may_be_chance {
+        1.0
+    } else {
+        FAILURES_TO_EJECT
+    };
+    (backend.consecutive_failures.get() + 1.0).max(least)
+}
+
+/// Returns the duration of an ejection after so many consecutive failures, in seconds.
+fn ejection_seconds(failures: f64, fleet: &Fleet, now: f64) -> f64 {
+    let doublings = (failures - FAILURES_TO_EJECT).min(MAX_EJECTION_DOUBLINGS);
+    let doubled = FIRST_EJECTION_SECONDS * 2_f64.powf(doublings);
+    let shortest =
+        MIN_EJECTION_RESPONSES * AVERAGING_TIME / fleet.estimates.recent_completions(now);
+    let duration = doubled.max(shortest).min(MAX_EJECTION_SECONDS);
+    duration * fleet.rng.uniform(EJECTION_JITTER)
+}
+
+/// Marks a backend that rejected an attempt as saturated for up to one mean service time.
 pub(crate) fn record_rejection(backend: &Backend, fleet: &mut Fleet, now: f64) {
     let until = now + fleet.estimates.service_time() * fleet.rng.uniform(0.0..1.0);
-    backend.full_until.set(until);
+    backend.saturated_until.set(until);
     fleet.index.add_expiry(until, backend);
 }
 
-/// Neither ejected nor full. After an ejection one attempt at a time is let through, until one succeeds.
+/// Returns whether a backend is neither ejected nor saturated. After an ejection it is healthy while
+/// it has no attempt in flight, until one succeeds.
 pub(crate) fn is_healthy(backend: &Backend, now: f64) -> bool {
-    let trial = now >= backend.ejected_until.get() && backend.in_flight.get() == 0;
-    (backend.consecutive_failures.get() < FAILURES_TO_EJECT || trial)
-        && now >= backend.full_until.get()
+    let has_failed = backend.consecutive_failures.get() >= FAILURES_TO_EJECT;
+    let ejection_is_over = now >= backend.ejected_until.get();
+    let takes_trial = ejection_is_over && backend.in_flight.get() == 0;
+    let is_saturated = now < backend.saturated_until.get();
+    (!has_failed || takes_trial) && !is_saturated
 }
 
-/// Healthy, and with no more in flight than usual: a backend that hangs collects RPCs.
+/// Returns whether a backend is healthy and has no more in flight than usual. A backend that hangs
+/// collects RPCs.
 pub(crate) fn is_available(backend: &Backend, now: f64) -> bool {
-    let usual = backend.mean_in_flight.value_or(0.0) * IN_FLIGHT_MULTIPLE + IN_FLIGHT_MARGIN;
-    is_healthy(backend, now) && backend.in_flight.get() as f64 <= usual
+    let mean_in_flight = backend.mean_in_flight.value_or(0.0);
+    let max_in_flight = mean_in_flight * MAX_IN_FLIGHT_MULTIPLE + MAX_IN_FLIGHT_MARGIN;
+    is_healthy(backend, now) && backend.in_flight.get() as f64 <= max_in_flight
 }
--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -1,19 +1,31 @@
-//! The rules that no attempt and no rejection may break. Whether an attempt is wise is decided elsewhere.
-use super::{deadlines::DEADLINE_MARGIN_SECONDS, slow_start::SlowStart};
-use crate::interface::{DeduplicationScope as Scope, Idempotency};
-use crate::{
-    backend::Backend, backend_index::Subset, fleet::Fleet, limits::Limits, rpc_state::RpcState,
-};
+//! Rules that no attempt and no rejection may break. Other modules decide whether an attempt is wise.
+//!
+//! 1. An RPC gets one final answer, in time, and no attempt after it.
+//! 2. No effect is executed twice: an RPC that may have run is repeated only where that is harmless.
+//!    RPCs with a key run in order.
+//! 3. A backend that is draining or removed gets nothing new.
+//! 4. A warming backend gets no more than its slow-start budget.
+use super::deadlines::DEADLINE_MARGIN_SECONDS;
+use super::slow_start::SlowStart;
+use crate::backend::Backend;
+use crate::backend_index::Subset;
+use crate::fleet::Fleet;
+use crate::interface::{DeduplicationScope, Idempotency};
+use crate::limits::Limits;
+use crate::rpc_state::RpcState;
 
-/// The limits of the deployment and the slow start budget.
+/// The limits of the deployment and the slow-start budget.
 #[derive(Default)]
 pub(crate) struct Rules {
+    /// Limits that the settings name.
     pub limits: Limits,
+    /// Slow start of warming backends.
     pub slow_start: SlowStart,
 }
 
 impl Rules {
-    /// Judges every attempt. `sample` is the random sample of the fallback's pick.
+    /// Returns whether an attempt breaks no rule; every attempt is judged here. `sample` is the random
+    /// sample of the fallback's choice.
     pub(crate) fn may_attempt(
         &self,
         rpc: &RpcState,
@@ -22,69 +34,74 @@
         fleet: &Fleet,
         now: f64,
     ) -> bool {
-        // 1: one final answer, in time, and nothing after it.
-        let ended = rpc.answered.get() || rpc.retry_forbidden.get() || now >= rpc.deadline;
-        let open = !ended && rpc.attempts.borrow().len() < self.limits.max_attempts;
-        let alone = self.limits.can_hedge || !rpc.has_attempt_in_flight();
-        // 2: no effect twice.
-        let harmless = is_repeat_harmless(rpc, to, now);
-        // RPCs with its key that were accepted before it have ended, and so have their effects.
-        let in_order = rpc.key_ready.get();
-        // 3: `ready` is cleared the moment a drain or removal is told. 4: the slow start budget.
-        let allowed = to.ready.get() && self.slow_start.has_room(to, sample, fleet, now);
-        open && in_order && alone && harmless && allowed
+        self.is_open(rpc, now)
+            && rpc.key_ready.get()
+            && is_repeat_harmless(rpc, to, now)
+            // `ready` is cleared in the call that announces a drain or a removal.
+            && to.ready.get()
+            && self.slow_start.has_room(to, sample, fleet, now)
+    }
+
+    /// Returns whether the RPC may have another attempt at all.
+    fn is_open(&self, rpc: &RpcState, now: f64) -> bool {
+        let has_ended = rpc.answered.get() || rpc.retry_forbidden.get() || now >= rpc.deadline;
+        let has_attempts_left = rpc.attempts.borrow().len() < self.limits.max_attempts;
+        let may_run_beside = self.limits.can_hedge || !rpc.has_attempt_in_flight();
+        !has_ended && has_attempts_left && may_run_beside
     }
 }
 
-/// Whether executing the RPC there repeats no effect. An attempt in flight may have run.
+/// Returns whether executing the RPC at this backend repeats no effect. An attempt in flight may have
+/// run.
 fn is_repeat_harmless(rpc: &RpcState, to: &Backend, now: f64) -> bool {
-    let attempts = rpc.attempts.borrow();
-    let mut may_have_run = attempts.iter().filter(|attempt| attempt.may_have_run());
     match rpc.method.settings.idempotency {
         Idempotency::Idempotent => true,
-        Idempotency::NonIdempotent => may_have_run.next().is_none(),
-        Idempotency::Deduplicated { scope, window } => may_have_run.all(|attempt| {
-            let same_scope = match scope {
-                Scope::All => true,
-                Scope::Zone => attempt.backend.zone == to.zone,
-                Scope::Cell => attempt.backend.cell == to.cell,
-            };
-            same_scope && now + DEADLINE_MARGIN_SECONDS < attempt.sent_at + window
-        }),
+        Idempotency::NonIdempotent => !rpc.may_have_run(),
+        Idempotency::Deduplicated { scope, window } => {
+            let attempts = rpc.attempts.borrow();
+            let mut may_have_run = attempts.iter().filter(|attempt| attempt.may_have_run());
+            may_have_run.all(|attempt| {
+                let is_in_window = now + DEADLINE_MARGIN_SECONDS < attempt.sent_at + window;
+                shares_deduplication(scope, &attempt.backend, to) && is_in_window
+            })
+        }
+    }
+}
+
+/// Returns whether two backends drop each other's duplicates.
+fn shares_deduplication(scope: DeduplicationScope, one: &Backend, other: &Backend) -> bool {
+    match scope {
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => one.zone == other.zone,
+        DeduplicationScope::Cell => one.cell == other.cell,
     }
 }
 
-/// Judges whether a client may be told that a retry is harmless.
+/// Returns whether the RPC may be rejected, which tells its client that a retry is harmless.
 pub(crate) fn may_reject(rpc: &RpcState) -> bool {
     match rpc.method.settings.idempotency {
         Idempotency::Idempotent
         | Idempotency::Deduplicated {
-            scope: Scope::All, ..
+            scope: DeduplicationScope::All,
+            ..
         } => true,
-        _ => !rpc.may_have_run(),
+        Idempotency::Deduplicated { .. } | Idempotency::NonIdempotent => !rpc.may_have_run(),
     }
 }
 
-/// The backends that rule 2 leaves: what may have run is tied to the scope that drops its duplicates.
+/// Returns the subset of backends at which a repeat is harmless: an RPC that may have run stays in the
+/// scope that drops its duplicates.
 pub(crate) fn allowed_subset(rpc: &RpcState) -> Subset {
+    let Idempotency::Deduplicated { scope, .. } = rpc.method.settings.idempotency else {
+        return Subset::Ready;
+    };
     let attempts = rpc.attempts.borrow();
-    let first = attempts
-        .iter()
-        .find(|attempt| attempt.may_have_run())
-        .map(|attempt| &attempt.backend);
-    match (rpc.method.settings.idempotency, first) {
-        (
-            Idempotency::Deduplicated {
-                scope: Scope::Zone, ..
-            },
-            Some(b),
-        ) => Subset::Zone(b.zone.get()),
-        (
-            Idempotency::Deduplicated {
-                scope: Scope::Cell, ..
-            },
-            Some(b),
-        ) => Subset::Cell(b.cell.get()),
-        _ => Subset::Ready,
+    let Some(first) = attempts.iter().find(|attempt| attempt.may_have_run()) else {
+        return Subset::Ready;
+    };
+    match scope {
+        DeduplicationScope::All => Subset::Ready,
+        DeduplicationScope::Zone => Subset::Zone(first.backend.zone.get()),
+        DeduplicationScope::Cell => Subset::Cell(first.backend.cell.get()),
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,27 +1,50 @@
-//! Slow start: this proxy's part of what all proxies may send a backend that started lately. The parts sum to
-//! the budget or less: a new backend must not be sent all traffic at once.
-use crate::slow_start_budget::{SlowStartBudget, sure_work};
-use crate::{backend::Backend, fleet::Fleet, interface::Settings};
+//! Slow start: how much of a warming backend's budget this proxy may use.
+//!
+//! Other proxies ramp up the weight of a new backend, as Envoy's slow start does. Here its capacity is
+//! known, and all proxies together must stay below the load at which it fails, without talking to each
+//! other. Each therefore takes a share of the budget, and the shares sum to the budget or less: most of
+//! it goes by the traffic that a proxy carries, the rest evenly. What is below one RPC is decided by
+//! chance, so that hundreds of proxies do not send one RPC each.
+use crate::backend::Backend;
+use crate::fleet::Fleet;
+use crate::interface::Settings;
+use crate::slow_start_budget::{SlowStartBudget, guaranteed_work};
 use birchhub_invariants::{Violation, slow_start_limit};
 
-const SAFETY: f64 = 0.7; // part of the budget that is used: the work of one RPC is known only roughly
-const TRAFFIC_PART: f64 = 0.8; // of it split by traffic, the rest evenly: few completions earn few attempts
+/// Fraction of the budget that is used: the work of one RPC is known only roughly.
+const SAFETY_FRACTION: f64 = 0.7;
+/// Fraction of the budget that is split by traffic; the rest is split evenly, since a proxy that
+/// completes few RPCs would earn few attempts.
+const TRAFFIC_FRACTION: f64 = 0.8;
 
-/// The budget, and the rule by which this proxy keeps to its part.
+/// The budget, and the rule by which this proxy keeps to its share.
 #[derive(Default)]
 pub(crate) struct SlowStart {
+    /// The budget of a warming backend, and the traffic by which it is split.
     pub budget: SlowStartBudget,
 }
 
+/// What this proxy may send to a warming backend.
+struct Allowance {
+    /// Attempts per window that fit with near certainty.
+    guaranteed_attempts: f64,
+    /// Attempts per window that fit on average. Beyond the guaranteed ones they are sent by chance.
+    maximum_attempts: f64,
+    /// Attempts in flight at once.
+    maximum_in_flight: f64,
+}
+
 impl SlowStart {
-    /// Takes over the budget.
+    /// Adopts the budget of new settings.
     pub(crate) fn apply_settings(&mut self, settings: &Settings, health_checks_per_rpc: f64) {
         self.budget
-            .apply_settings(settings, SAFETY, health_checks_per_rpc);
+            .apply_settings(settings, SAFETY_FRACTION, health_checks_per_rpc);
     }
 
-    /// Whether this proxy's part has room for one more attempt. `sample` is that of a random pick, the same
-    /// for all backends: otherwise picks would go on until a lucky one is found.
+    /// Returns whether this proxy's share of the backend's budget has room for one more attempt; it
+    /// has if the backend is warm. `sample` is the sample of a random choice and the same for all
+    /// backends: otherwise a choice would go on until it finds a backend that is lucky. Without one,
+    /// the sample of the backend's last health check counts.
     pub(crate) fn has_room(
         &self,
         to: &Backend,
@@ -29,38 +52,77 @@
         fleet: &Fleet,
         now: f64,
     ) -> bool {
-        let (budget, work_per_rpc) = (&self.budget, fleet.estimates.service_time());
-        let Some(work) = to.started_at.get().and_then(|at| budget.work(now - at)) else {
+        let budget = &self.budget;
+        let Some(work) = budget.window_work(to, now) else {
             return true;
         };
-        let (proxies, rate) = (budget.proxies(), budget.completion_rate(now));
-        let by_traffic = TRAFFIC_PART * rate * to.relative_size.get();
-        let part = by_traffic + (1.0 - TRAFFIC_PART) / (work_per_rpc * proxies); // RPCs per second
-        let (sure, most) = (sure_work(work, work_per_rpc) * part, (work * part).max(1.0));
-        // The last attempt goes by chance: of picks that may lead to any backend, no more than complete.
-        // Otherwise hundreds of proxies would each send their one.
-        let completed_part = rate * fleet.index.ready_count() as f64 / budget.offered_rate(now);
-        let chance = (work / SAFETY / budget.window * completed_part).max(sure);
-        let sample = sample.unwrap_or(to.slow_start_sample.get() * budget.health_checks_per_rpc);
+        let work_per_rpc = fleet.estimates.service_time();
+        if is_idle_and_reliable(to, budget, now)
+            && budget.fits_one_from_each_proxy(work, work_per_rpc)
+        {
+            return true;
+        }
+        let allowance = self.allowance(to, work, work_per_rpc, now);
         let sent = to.recent_attempts.count(now, budget.window) + 1.0;
         let in_flight = to.in_flight.get() as f64 + 1.0;
-        // Few proxies would leave it idle until it is warm; one that fails is not always tried again.
-        let only_one = in_flight <= 1.0 && to.has_completed_all(now, budget.window);
-        only_one && budget.fits_one_from_each_proxy(work, work_per_rpc, proxies)
-            || in_flight <= budget.concurrency(part * work_per_rpc).max(1.0)
-                && (sent <= sure || sent <= most && sample < chance)
+        if in_flight > allowance.maximum_in_flight {
+            return false;
+        }
+        let sample =
+            sample.unwrap_or_else(|| to.slow_start_sample.get() * budget.health_checks_per_rpc);
+        let probability = self
+            .attempt_probability(work, fleet, now)
+            .max(allowance.guaranteed_attempts);
+        sent <= allowance.guaranteed_attempts
+            || sent <= allowance.maximum_attempts && sample < probability
+    }
+
+    /// Returns this proxy's allowance for a backend that may get this much work in a window, in seconds
+    /// of a warm backend's work.
+    fn allowance(&self, to: &Backend, work: f64, work_per_rpc: f64, now: f64) -> Allowance {
+        let budget = &self.budget;
+        let completion_rate = budget.completion_rate(now);
+        let traffic_share = TRAFFIC_FRACTION * completion_rate * to.relative_size.get();
+        let even_share = (1.0 - TRAFFIC_FRACTION) / (work_per_rpc * budget.process_total());
+        // RPCs for each second of work in the budget.
+        let share = traffic_share + even_share;
+        Allowance {
+            guaranteed_attempts: guaranteed_work(work, work_per_rpc) * share,
+            maximum_attempts: (work * share).max(1.0),
+            maximum_in_flight: budget.concurrency(share * work_per_rpc).max(1.0),
+        }
+    }
+
+    /// Returns the probability with which an RPC that may go to any backend goes to a warming one, so
+    /// that on average this proxy sends it no more than its share: the backend's relative capacity times
+    /// the RPCs that this proxy completes for each that it offers.
+    fn attempt_probability(&self, work: f64, fleet: &Fleet, now: f64) -> f64 {
+        let budget = &self.budget;
+        let ready_count = fleet.index.ready_count() as f64;
+        let completed_fraction =
+            budget.completion_rate(now) * ready_count / budget.offered_rate(now);
+        let relative_capacity = work / SAFETY_FRACTION / budget.window;
+        relative_capacity * completed_fraction
     }
 
-    /// That this proxy alone has sent a warming backend more than all proxies may, if it has: its part is far less.
+    /// Returns the violation of the slow-start rule if this proxy alone has sent a warming backend more
+    /// than all proxies together may; its own share is far less.
     pub(crate) fn violation(&self, to: &Backend, fleet: &Fleet, now: f64) -> Option<Violation> {
         let budget = &self.budget;
-        let work = budget.work(now - to.started_at.get()?)?;
+        let work = budget.window_work(to, now)?;
         let sent = to.recent_attempts.count(now, budget.window);
-        let limit = slow_start_limit(work / SAFETY / fleet.estimates.service_time());
-        let is_counted = sent.is_finite() && sent > limit;
-        is_counted.then_some(Violation::SlowStart {
+        let limit = slow_start_limit(work / SAFETY_FRACTION / fleet.estimates.service_time());
+        // The count is infinite while another process of this proxy may have filled the window.
+        let is_violated = sent.is_finite() && sent > limit;
+        is_violated.then_some(Violation::SlowStart {
             sent: sent as u32,
             limit,
         })
     }
 }
+
+/// Returns whether the backend has no attempt of this proxy in flight and has completed all that ended
+/// within the window. Few proxies would leave it idle until it is warm if they kept to their shares.
+fn is_idle_and_reliable(to: &Backend, budget: &SlowStartBudget, now: f64) -> bool {
+    to.in_flight.get() == 0 && to.has_completed_all(now, budget.window)
+}
--- a/src/slow_start_budget.rs
+++ b/src/slow_start_budget.rs
@@ -1,5 +1,5 @@
-//! What all proxies together may send a backend that started lately, and the traffic that this proxy's part
-//! of it is derived from. The part itself is decided in `policy::slow_start`.
+//! Slow-start budget: how much work all proxies together may send to a warming backend, and the
+//! traffic by which `policy::slow_start` splits it.
 use crate::backend::Backend;
 use crate::estimates::AVERAGING_TIME;
 use crate::ewma::DecayingCounter;
@@ -8,35 +8,47 @@
 use crate::rng::{Rng, pair_sample};
 use std::cell::Cell;
 
-/// Variance of an RPC's work over the square of its mean, taken to be no higher than this: so many RPCs vary
-/// by 2 sigma as `2 * sqrt(count * WORK_VARIANCE)`.
+/// Highest squared coefficient of variation assumed for the work of an RPC: the total of `count` RPCs
+/// varies by two standard deviations, `2 * sqrt(count * WORK_VARIANCE)` times the mean.
 const WORK_VARIANCE: f64 = 1.0;
-/// Fraction of a warm backend's rate that a warming one has at the least: a backend may start with no
-/// capacity at all.
+/// Least rate of a warming backend, as a fraction of that of a warm one; it may start without any
+/// capacity.
 const MIN_CAPACITY_FRACTION: f64 = 0.05;
-/// RPCs counted beside those offered: a new process has offered few, which would prove a high chance.
-const PRIOR_OFFERED: f64 = 4.0;
+/// RPCs counted beside those offered. A new process has offered few, from which a high probability of
+/// an attempt would follow.
+const PRIOR_OFFERED_RPCS: f64 = 4.0;
 
-/// The budget of a warming backend, and the rates that it is split by.
+/// The budget of a warming backend, and the rates that it is split by. Work is in seconds of a warm
+/// backend of size 1.
 #[derive(Default)]
 pub(crate) struct SlowStartBudget {
-    /// Time over which a warming backend's load counts, s.
+    /// Time over which the load of a warming backend counts, in seconds.
     pub window: f64,
     /// Health checks that each RPC may cost, 1 at the least.
     pub health_checks_per_rpc: f64,
+    /// Number of proxies.
     proxy_count: f64,
-    process_count: f64, // that are this proxy: while one replaces another there are two
-    completed: DecayingCounter, // in shares of a warm backend of size 1
-    offered: DecayingCounter, // random picks, and reports of health checks as fractions of an RPC's
+    /// Number of processes of this proxy; there are two while one replaces the other.
+    process_count: f64,
+    /// RPCs completed, as multiples of what one ready backend of size 1 completes for this proxy.
+    completed: DecayingCounter,
+    /// RPCs that may have gone to any backend: random choices, and reports of health checks as
+    /// fractions of an RPC.
+    offered: DecayingCounter,
+    /// Time of the first endpoint list.
     first_list_at: Cell<Option<f64>>,
+    /// Fraction of its capacity that a backend has when it starts.
     initial_fraction: f64,
+    /// Time that a backend takes to warm up, in seconds.
     duration: f64,
-    overload_multiple: f64, // with the safety factor
+    /// Multiple of its present capacity up to which a warming backend is loaded; includes `safety`.
+    overload_multiple: f64,
+    /// Fraction of the budget that is used.
     safety: f64,
 }
 
 impl SlowStartBudget {
-    /// Takes over what settings say; what was measured stays.
+    /// Adopts new settings; observations are kept. `safety` is the fraction of the budget that is used.
     pub(crate) fn apply_settings(
         &mut self,
         settings: &Settings,
@@ -53,35 +65,36 @@
         self.process_count = self.process_count.max(1.0);
     }
 
-    /// So many processes are this proxy.
+    /// Sets the number of processes of this proxy.
     pub(crate) fn set_process_count(&mut self, processes: usize) {
         self.process_count = processes as f64;
     }
 
-    /// Number of processes that share the budget.
-    pub(crate) fn proxies(&self) -> f64 {
+    /// Returns the number of processes of all proxies, which share the budget.
+    pub(crate) fn process_total(&self) -> f64 {
         self.proxy_count * self.process_count
     }
 
-    /// An endpoint list has come.
+    /// Records the arrival of an endpoint list.
     pub(crate) fn record_list(&self, now: f64) {
-        self.first_list_at
-            .set(self.first_list_at.get().or(Some(now)));
+        let first_list_at = self.first_list_at.get().unwrap_or(now);
+        self.first_list_at.set(Some(first_list_at));
     }
 
-    /// Whether an earlier process of this proxy may have known a backend that started then.
+    /// Returns whether an earlier process of this proxy may have known a backend that started then.
     pub(crate) fn precedes_this_process(&self, started_at: Option<f64>) -> bool {
-        started_at.is_some_and(|at| self.first_list_at.get().is_some_and(|first| at < first))
+        let first_list_at = self.first_list_at.get();
+        started_at.is_some_and(|started_at| first_list_at.is_some_and(|first| started_at < first))
     }
 
-    /// An RPC is about to pick a random backend. Returns the random sample of that pick.
-    pub(crate) fn record_random_pick(&self, rpc: u64, now: f64) -> f64 {
+    /// Records that an RPC is about to choose a random backend. Returns the sample of that choice.
+    pub(crate) fn record_random_choice(&self, rpc: u64, now: f64) -> f64 {
         self.offered.add(1.0, now, AVERAGING_TIME);
         pair_sample(rpc, now.to_bits())
     }
 
-    /// A load report has come. That of a health check offers a part of an RPC, and gives the backend another
-    /// random sample; one with a response stands for an attempt that was sent already.
+    /// Records a load report. That of a health check offers part of an RPC and gives the backend a new
+    /// sample; that of a response stands for an attempt that was already sent.
     pub(crate) fn record_report(
         &self,
         backend: &Backend,
@@ -97,56 +110,60 @@
         self.offered.add(offered, now, AVERAGING_TIME);
     }
 
-    /// RPCs per second that may have led to any backend.
+    /// Returns the rate of RPCs that may have gone to any backend, per second.
     pub(crate) fn offered_rate(&self, now: f64) -> f64 {
-        (self.offered.read(now, AVERAGING_TIME) + PRIOR_OFFERED) / AVERAGING_TIME
+        (self.offered.read(now, AVERAGING_TIME) + PRIOR_OFFERED_RPCS) / AVERAGING_TIME
     }
 
-    /// One of `ready` backends has answered. Its size, and the number that are ready now, are counted in:
-    /// otherwise the answers of a small one, and of many that have gone since, would be taken for what each
-    /// does. Those of a warming one count for as many as it could have been sent.
-    pub(crate) fn record_completion(&self, backend: &Backend, ready: usize, now: f64) {
-        let work = backend.started_at.get().and_then(|at| self.work(now - at));
-        let fraction =
-            |work: f64| (work / self.safety / self.window).clamp(MIN_CAPACITY_FRACTION, 1.0);
-        let capacity =
-            ready.max(1) as f64 * backend.relative_size.get() * work.map_or(1.0, fraction);
+    /// Records a completed RPC at one of `ready_count` backends. It is divided by the capacity of all
+    /// of these: otherwise the responses of a small backend, or of many that have gone since, would be
+    /// taken for what each backend completes. A warming backend counts by what it could be sent.
+    pub(crate) fn record_completion(&self, backend: &Backend, ready_count: usize, now: f64) {
+        let work = self.window_work(backend, now);
+        let capacity_fraction = work.map_or(1.0, |work| self.capacity_fraction(work));
+        let capacity = ready_count.max(1) as f64 * backend.relative_size.get() * capacity_fraction;
         self.completed.add(1.0 / capacity, now, AVERAGING_TIME);
     }
 
-    /// RPCs per second that a warm backend of size 1 answers to this proxy.
+    /// Returns the relative capacity of a warming backend that may get this much work in a window.
+    fn capacity_fraction(&self, work: f64) -> f64 {
+        (work / self.safety / self.window).clamp(MIN_CAPACITY_FRACTION, 1.0)
+    }
+
+    /// Returns the RPCs per second that a warm backend of size 1 completes for this proxy.
     pub(crate) fn completion_rate(&self, now: f64) -> f64 {
         self.completed.read(now, AVERAGING_TIME) / AVERAGING_TIME
     }
 
-    /// RPCs in flight that keep this many cores busy for a window.
+    /// Returns the RPCs in flight that keep this many cores busy for a window.
     pub(crate) fn concurrency(&self, cores: f64) -> f64 {
         self.overload_multiple * cores
     }
 
-    /// Seconds of a warm backend's work that one of this age may get in a window; none once it is warm.
-    pub(crate) fn work(&self, age: f64) -> Option<f64> {
-        let fraction =
-            self.initial_fraction + (1.0 - self.initial_fraction) * (age / self.duration).max(0.0);
-        (age < self.duration).then_some(self.overload_multiple * self.window * fraction)
+    /// Returns the work that a backend may get in a window; `None` once it is warm.
+    pub(crate) fn window_work(&self, backend: &Backend, now: f64) -> Option<f64> {
+        let age = now - backend.started_at.get()?;
+        let warm_fraction = (age / self.duration).max(0.0);
+        let capacity_fraction =
+            self.initial_fraction + (1.0 - self.initial_fraction) * warm_fraction;
+        let work = self.overload_multiple * self.window * capacity_fraction;
+        (age < self.duration).then_some(work)
     }
 
-    /// Whether one RPC of every proxy surely fits beside this work and what the backend completes in the
-    /// window.
-    pub(crate) fn fits_one_from_each_proxy(
-        &self,
-        work: f64,
-        work_per_rpc: f64,
-        proxies: f64,
-    ) -> bool {
-        let left =
-            work / self.safety - work / self.overload_multiple - sure_work(work, work_per_rpc);
-        sure_work(left.max(0.0), work_per_rpc) >= proxies * work_per_rpc
+    /// Returns whether one RPC from each process of all proxies fits with near certainty beside this
+    /// work and what the backend completes in the window.
+    pub(crate) fn fits_one_from_each_proxy(&self, work: f64, work_per_rpc: f64) -> bool {
+        let limit = work / self.safety;
+        let completed = work / self.overload_multiple;
+        let left = limit - completed - guaranteed_work(work, work_per_rpc);
+        let required = self.process_total() * work_per_rpc;
+        guaranteed_work(left.max(0.0), work_per_rpc) >= required
     }
 }
 
-/// The part of this work up to which RPCs of this mean, and twice their standard deviation, surely fit: long
-/// ones may come together by chance and overload a warming backend.
-pub(crate) fn sure_work(work: f64, work_per_rpc: f64) -> f64 {
-    ((work / work_per_rpc + WORK_VARIANCE).sqrt() - WORK_VARIANCE.sqrt()).powi(2) * work_per_rpc
+/// Returns the mean work of as many RPCs as stay within `work` up to two standard deviations: long RPCs
+/// that arrive together by chance must not overload a warming backend.
+pub(crate) fn guaranteed_work(work: f64, work_per_rpc: f64) -> f64 {
+    let rpcs = work / work_per_rpc;
+    ((rpcs + WORK_VARIANCE).sqrt() - WORK_VARIANCE.sqrt()).powi(2) * work_per_rpc
 }
