--- a/crates/daemon/src/discovery/error.rs
+++ b/crates/daemon/src/discovery/error.rs
@@ -2,7 +2,8 @@
 
 use crate::discovery::timing::CallTiming;
 use crate::discovery::update::DecodeError;
-use crate::net::connection::{ConnectError, ConnectionError};
+use crate::net::connect::ConnectError;
+use crate::net::connection::ConnectionError;
 use hyper::StatusCode;
 use thiserror::Error;
 
--- a/crates/daemon/src/downstream/listener.rs
+++ b/crates/daemon/src/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections within the socket budget, and starts a task for each.
+//! The listener for clients: accepts connections within the socket budget and starts a task for each.
 use crate::clock::until;
 use crate::downstream::connection_task::ConnectionTask;
 use crate::downstream::request_parser::RequestParser;
@@ -18,38 +18,41 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep};
 
-/// Connections beyond the budget that still get a rejection, at a time.
+/// Concurrent connections beyond the budget, whose RPCs are rejected.
 const EXCESS_CONNECTION_LIMIT: usize = 16;
-/// Before the next accept where no socket is to be had.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Before the accept after the first that failed; then twice as long each time.
-const FIRST_ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(1);
-/// Failed accepts in a row from which on a shortage is taken to last: an idle connection is evicted for the next.
-const LASTING_SHORTAGE: u32 = 6;
-/// For which a shortage counts as lasting after an eviction was needed.
+/// Backoff before the next accept during a lasting shortage of sockets.
+const SHORTAGE_BACKOFF: Duration = Duration::from_millis(10);
+/// Backoff after the first failed accept; doubled with each further one.
+const FIRST_ACCEPT_BACKOFF: Duration = Duration::from_millis(1);
+/// Consecutive failed accepts after which a shortage of sockets counts as lasting.
+const LASTING_SHORTAGE_FAILURES: u32 = 6;
+/// How long a shortage counts as lasting after the latest eviction.
 const SHORTAGE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Accepts connections of clients.
+/// The listener for clients' connections.
 pub(crate) struct Listener {
     service: Rc<RpcService>,
     state: watch::Receiver<ProxyState>,
     budget: Rc<SocketBudget>,
     invariants: Rc<Invariants>,
-    /// Counts the connections, for the log.
+    /// The number of the next connection, for the log.
     next_connection: Cell<u64>,
-    /// Until when a shortage of sockets counts as lasting.
+    /// When a lasting shortage of sockets is taken to be over.
     short_until: Cell<Option<Instant>>,
 }
 
-/// What ends a wait for the next connection.
+/// An event that the listener waits for.
 enum AcceptEvent {
+    /// A connection was accepted, or the accept failed.
     Accepted(io::Result<TcpStream>),
+    /// The state of the proxy changed.
     StateChanged,
+    /// The accept deadline of a shutdown has come.
     DeadlineReached,
 }
 
 impl Listener {
-    /// Accepts clients within the budget and hands their RPCs over as events.
+    /// Creates a listener that sends RPCs to the decision actor through `events`.
     pub(crate) fn new(
         parser: RequestParser,
         state: watch::Receiver<ProxyState>,
@@ -68,42 +71,33 @@
         }
     }
 
-    /// Accepts until this process is to accept no more.
+    /// Accepts connections until the accept deadline of a shutdown.
     pub(crate) async fn run(self: Rc<Self>, listener: TcpListener) {
         let mut state = self.state.clone();
         let mut is_deadline_reached = false;
         let mut failures = 0;
         loop {
-            let (accepts_until, is_inherited) = {
+            let (accept_deadline, is_inherited) = {
                 let state = state.borrow_and_update();
                 (state.accept_deadline(), state.inherited_listener)
             };
-            let is_over = accepts_until.is_some_and(|end| end <= Instant::now());
-            // What waits on a socket that outlives this process is accepted by another.
+            let is_over = accept_deadline.is_some_and(|deadline| deadline <= Instant::now());
+            // Connections that wait on an inherited socket are accepted by another process.
             if is_inherited && is_over {
                 return;
             }
-            match next_event(&listener, &mut state, accepts_until).await {
+            match next_event(&listener, &mut state, accept_deadline).await {
                 AcceptEvent::Accepted(Ok(stream)) => {
                     failures = 0;
                     self.start(stream).await;
                 }
-                // The next one in the queue has nothing to do with it.
-                AcceptEvent::Accepted(Err(error)) if !is_resource_shortage(&error) => {
-                    log::debug!("a connection ended before it was accepted: {error}");
-                    yield_now().await;
-                }
                 AcceptEvent::Accepted(Err(error)) => {
-                    if failures == 0 {
-                        log::warn!("no connection accepted: {error}");
-                    }
-                    failures += 1;
-                    self.wait_for_socket(failures).await;
+                    self.handle_accept_error(&error, &mut failures).await;
                 }
                 AcceptEvent::StateChanged => {}
                 AcceptEvent::DeadlineReached if is_deadline_reached => return,
                 AcceptEvent::DeadlineReached => {
-                    // The timer fires before the event loop polls the socket: one more accept is tried.
+                    // The timer fires before the event loop polls the socket, so one more accept is tried.
                     is_deadline_reached = true;
                     yield_now().await;
                 }
@@ -111,7 +105,23 @@
         }
     }
 
-    /// Starts the task of a connection, and waits while too many are beyond the budget.
+    /// Logs a failed accept, and waits for a socket if the system has none. `failures` counts the consecutive failures for
+    /// that reason.
+    async fn handle_accept_error(&self, error: &io::Error, failures: &mut u32) {
+        // The error of one connection says nothing about the next one in the queue.
+        if !is_resource_shortage(error) {
+            log::debug!("connection ended before it was accepted: {error}");
+            yield_now().await;
+            return;
+        }
+        if *failures == 0 {
+            log::warn!("accepting connections failed, retrying: {error}");
+        }
+        *failures += 1;
+        self.wait_for_socket(*failures).await;
+    }
+
+    /// Starts the task of a connection, then waits while too many connections are beyond the budget.
     async fn start(&self, stream: TcpStream) {
         let permit = self.budget.acquire(SocketClass::Clients);
         let is_beyond_budget = permit.is_none();
@@ -129,39 +139,40 @@
             is_beyond_budget,
         };
         spawn_local(task.run(stream));
-        // What it has brought is read before the next connection may evict it.
+        // Lets the task read an RPC that has already arrived, before the next connection may evict this one.
         yield_now().await;
         while self.budget.excess(SocketClass::Clients) > EXCESS_CONNECTION_LIMIT {
-            sleep(ACCEPT_RETRY_DELAY).await;
+            sleep(SHORTAGE_BACKOFF).await;
         }
     }
 
-    /// Waits before the next accept after so many failed in a row for want of a socket. Where that lasts the system has
-    /// fewer sockets than were configured, and an idle connection is evicted; a moment's failure costs no client its
-    /// connection.
+    /// Waits before the next accept, after this number of consecutive failures for lack of a socket. A lasting shortage
+    /// means that the system has fewer sockets than configured: an idle connection is evicted. A short one costs no client
+    /// its connection.
     async fn wait_for_socket(&self, failures: u32) {
         let now = Instant::now();
         let is_lasting = self.short_until.get().is_some_and(|until| now < until);
-        if is_lasting || failures >= LASTING_SHORTAGE {
+        if is_lasting || failures >= LASTING_SHORTAGE_FAILURES {
             self.short_until.set(Some(now + SHORTAGE_PERIOD));
             self.budget.evict_oldest(SocketClass::Clients);
-            sleep(ACCEPT_RETRY_DELAY).await;
+            sleep(SHORTAGE_BACKOFF).await;
         } else {
-            sleep(FIRST_ACCEPT_RETRY_DELAY * 2_u32.pow(failures - 1)).await;
+            sleep(FIRST_ACCEPT_BACKOFF * 2_u32.pow(failures - 1)).await;
         }
     }
 }
 
-/// Waits for a connection first of all: one that the system has accepted would be reset as the socket is closed.
+/// Waits for the next event. Connections come first: those that the system has accepted would be reset when the listening
+/// socket is closed.
 async fn next_event(
     listener: &TcpListener,
     state: &mut watch::Receiver<ProxyState>,
-    accepts_until: Option<Instant>,
+    accept_deadline: Option<Instant>,
 ) -> AcceptEvent {
     select! {
         biased;
         accepted = listener.accept() => AcceptEvent::Accepted(accepted.map(|(stream, _)| stream)),
         _ = state.changed() => AcceptEvent::StateChanged,
-        () = until(accepts_until) => AcceptEvent::DeadlineReached,
+        () = until(accept_deadline) => AcceptEvent::DeadlineReached,
     }
 }
--- a/crates/daemon/src/log_budget.rs
+++ b/crates/daemon/src/log_budget.rs
@@ -1,31 +1,31 @@
-//! Bounds the log lines that clients can cause: bad ones must not fill the log, and the first of them tell most.
+//! Limits the rate of log lines that clients can cause, so that malicious ones can't fill the log.
 use log::Level;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Lines that clients may cause in a period.
-const LINES: u32 = 20;
-/// After which as many may follow.
+/// Lines per period.
+const LINES_PER_PERIOD: u32 = 20;
+/// Length of a period.
 const PERIOD: Duration = Duration::from_secs(1);
 
 thread_local! {
     static BUDGET: LogBudget = LogBudget::new(Instant::now());
 }
 
-/// The level of a line that a client caused, and that operators want to see: `debug` once there were too many.
+/// Returns the level of a log line that a client caused: `info`, or `debug` once the budget of the period is used up.
 pub(crate) fn client_line_level() -> Level {
     BUDGET.with(|budget| match budget.take(Instant::now()) {
         Some(0) => Level::Info,
-        Some(left_out) => {
-            log::info!("{left_out} lines about clients were left out");
+        Some(suppressed) => {
+            log::info!("{suppressed} log lines about clients were suppressed at level info");
             Level::Info
         }
         None => Level::Debug,
     })
 }
 
-/// How many lines there were in this period.
+/// The number of lines in the current period.
 struct LogBudget {
     period_began: Cell<Instant>,
     lines: Cell<u32>,
@@ -39,16 +39,17 @@
         }
     }
 
-    /// Takes a line out of the budget, and tells how many were left out before it; none where the budget is used up.
+    /// Takes one line from the budget, and returns the number of lines that were suppressed in the period before; none if
+    /// the budget is used up.
     fn take(&self, now: Instant) -> Option<u32> {
-        let mut left_out = 0;
+        let mut suppressed = 0;
         if now >= self.period_began.get() + PERIOD {
-            left_out = self.lines.get().saturating_sub(LINES);
+            suppressed = self.lines.get().saturating_sub(LINES_PER_PERIOD);
             self.period_began.set(now);
             self.lines.set(0);
         }
         self.lines.update(|lines| lines.saturating_add(1));
-        (self.lines.get() <= LINES).then_some(left_out)
+        (self.lines.get() <= LINES_PER_PERIOD).then_some(suppressed)
     }
 }
 
--- a/crates/daemon/src/log_budget/tests.rs
+++ b/crates/daemon/src/log_budget/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn lines_beyond_the_budget_are_left_out_and_counted() {
+fn lines_beyond_the_budget_are_suppressed_and_counted() {
     let start = Instant::now();
     let budget = LogBudget::new(start);
-    for _ in 0..LINES {
+    for _ in 0..LINES_PER_PERIOD {
         assert_eq!(budget.take(start), Some(0));
     }
     for _ in 0..7 {
--- a/crates/daemon/src/net/body/mod.rs
+++ b/crates/daemon/src/net/body/mod.rs
@@ -1,21 +1,38 @@
-//! Bodies of requests and responses. Small ones are buffered; longer ones are streamed, a frame at a time, and
-//! whoever reads sets the pace of whoever writes.
+//! Bodies of requests and responses. Short ones are buffered; longer ones are streamed, a frame at a time, at the pace of
+//! their reader.
+pub(crate) mod request_body;
 pub(crate) mod response_body;
 pub(crate) mod streamed_body;
 pub(crate) mod upload;
 
+pub(crate) use request_body::RequestBody;
 pub(crate) use response_body::{DeliveryStatus, ResponseBody};
 pub(crate) use streamed_body::{StreamedBody, streamed_body};
-pub(crate) use upload::{RequestBody, RequestUpload, UploadError};
+pub(crate) use upload::{RequestUpload, UploadError};
 
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::{Body, Frame};
+use std::pin::Pin;
+use std::task::{Context, Poll};
 use thiserror::Error;
 
-/// Bytes of a body that are buffered; a longer one is streamed.
+/// Longest body that is buffered, in bytes.
 pub(crate) const BUFFERED_BODY_LIMIT: usize = 64 << 10;
-/// Bytes of a body at most, by the protocol.
+/// Longest body that the protocol permits, in bytes.
 pub(crate) const BODY_LIMIT: u64 = 32 << 20;
 
-/// A body that ended before its last byte.
+/// A body ended before its last byte.
 #[derive(Debug, Error)]
-#[error("the body was cut off")]
+#[error("the body was truncated")]
 pub(crate) struct BodyTruncated;
+
+/// The next frame of a body, as [`Body::poll_frame`] returns it.
+type NextFrame = Option<Result<Frame<Bytes>, BodyTruncated>>;
+
+/// Polls a buffered body, which can't fail, for its next frame.
+fn poll_buffered(body: &mut Full<Bytes>, cx: &mut Context) -> Poll<NextFrame> {
+    Pin::new(body)
+        .poll_frame(cx)
+        .map_err(|never| match never {})
+}
--- a/crates/daemon/src/net/body/response_body.rs
+++ b/crates/daemon/src/net/body/response_body.rs
@@ -1,5 +1,5 @@
-//! Responses on their way to a client.
-use crate::net::body::{BodyTruncated, StreamedBody};
+//! The body of a response on its way to a client.
+use crate::net::body::{BodyTruncated, NextFrame, StreamedBody, poll_buffered};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
@@ -8,31 +8,31 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
 
-/// Whether a [`ResponseBody`] has handed over its last byte; outlives the body.
+/// Whether a [`ResponseBody`] has handed over its last byte. Outlives the body.
 #[derive(Clone, Default)]
 pub(crate) struct DeliveryStatus(Rc<Cell<bool>>);
 
 impl DeliveryStatus {
-    /// The last byte was handed over to the connection.
+    /// Whether the last byte was handed over to the client's connection.
     pub(crate) fn is_complete(&self) -> bool {
         self.0.get()
     }
 }
 
-/// Where a response's bytes come from.
+/// The source of a response's bytes.
 enum Source {
     Buffered(Full<Bytes>),
     Streamed(StreamedBody),
 }
 
-/// A response's body on its way to a client.
+/// The body of a response on its way to a client.
 pub(crate) struct ResponseBody {
     source: Source,
     delivery: DeliveryStatus,
 }
 
 impl ResponseBody {
-    /// A complete body.
+    /// Creates a body from all of its bytes.
     pub(crate) fn buffered(bytes: Bytes) -> Self {
         let body = Full::new(bytes);
         let is_empty = body.is_end_stream();
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A body that is streamed from a backend.
+    /// Creates a body that is streamed from a backend.
     pub(crate) fn streamed(body: StreamedBody) -> Self {
         Self {
             source: Source::Streamed(body),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Tells when its last byte has been handed over.
+    /// Returns the delivery status of this body.
     pub(crate) fn delivery(&self) -> DeliveryStatus {
         self.delivery.clone()
     }
@@ -60,22 +60,17 @@
     type Data = Bytes;
     type Error = BodyTruncated;
 
-    fn poll_frame(
-        self: Pin<&mut Self>,
-        cx: &mut Context,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyTruncated>>> {
+    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<NextFrame> {
         let this = self.get_mut();
-        let delivered = &this.delivery.0;
+        let is_delivered = &this.delivery.0;
         match &mut this.source {
             Source::Buffered(body) => {
-                delivered.set(true);
-                Pin::new(body)
-                    .poll_frame(cx)
-                    .map_err(|never| match never {})
+                is_delivered.set(true);
+                poll_buffered(body, cx)
             }
             Source::Streamed(body) => {
                 let chunk = ready!(body.poll_chunk(cx));
-                delivered.set(match &chunk {
+                is_delivered.set(match &chunk {
                     Some(Ok(_)) => body.is_end_stream(),
                     Some(Err(_)) => false,
                     None => true,
--- a/crates/daemon/src/net/body/streamed_body.rs
+++ b/crates/daemon/src/net/body/streamed_body.rs
@@ -1,4 +1,4 @@
-//! A response's body that is streamed from a backend's connection to a client's, a chunk at a time.
+//! The body of a response that is streamed from a backend's connection to a client's, a chunk at a time.
 use crate::net::body::BodyTruncated;
 use bytes::Bytes;
 use std::cell::Cell;
@@ -6,33 +6,33 @@
 use std::task::{Context, Poll, ready};
 use tokio::sync::mpsc;
 
-/// Chunks between the two connections: with one, the client's pace is the backend's.
-const CHUNKS_IN_FLIGHT: usize = 1;
+/// Chunks that are buffered between the two connections. With a single one, the backend sends at the client's pace.
+const BUFFERED_CHUNKS: usize = 1;
 
-/// The backend's end of a streamed body. Dropped without [`BodySender::finish`] it truncates the body.
+/// The sending end of a streamed body. Dropping it without [`BodySender::finish`] truncates the body.
 pub(crate) struct BodySender {
     chunks: mpsc::Sender<Bytes>,
     is_finished: Rc<Cell<bool>>,
 }
 
 impl BodySender {
-    /// Waits until the client's end takes the chunk; false if the client has disconnected.
+    /// Sends a chunk, and waits until there is space for it; false if the client has disconnected.
     pub(crate) async fn send(&self, chunk: Bytes) -> bool {
         self.chunks.send(chunk).await.is_ok()
     }
 
-    /// Waits until the client has disconnected.
+    /// Waits until the client disconnects.
     pub(crate) async fn closed(&self) {
         self.chunks.closed().await;
     }
 
-    /// Ends the body as complete.
+    /// Marks the body as complete.
     pub(crate) fn finish(self) {
         self.is_finished.set(true);
     }
 }
 
-/// The client's end of a streamed body.
+/// The receiving end of a streamed body.
 pub(crate) struct StreamedBody {
     first_part: Option<Bytes>,
     chunks: mpsc::Receiver<Bytes>,
@@ -40,25 +40,28 @@
     is_finished: Rc<Cell<bool>>,
 }
 
-/// Both ends of a body that begins with `first_part`, of this length in all if that was declared.
+/// Creates both ends of a body that begins with `first_part`. `length` is the declared length of the whole body.
 pub(crate) fn streamed_body(first_part: Bytes, length: Option<u64>) -> (BodySender, StreamedBody) {
-    let (sender, receiver) = mpsc::channel(CHUNKS_IN_FLIGHT);
+    let (sender, receiver) = mpsc::channel(BUFFERED_CHUNKS);
     let is_finished = Rc::<Cell<bool>>::default();
-    let backend_end = BodySender {
+    let body_sender = BodySender {
         chunks: sender,
         is_finished: is_finished.clone(),
     };
-    let client_end = StreamedBody {
+    let body = StreamedBody {
         first_part: Some(first_part).filter(|first_part| !first_part.is_empty()),
         chunks: receiver,
         remaining_length: length,
         is_finished,
     };
-    (backend_end, client_end)
+    (body_sender, body)
 }
 
 impl StreamedBody {
-    /// The next chunk; none where the sender has finished the body, an error where it was dropped before.
+    /// Polls for the next chunk; none once the body is complete.
+    ///
+    /// # Errors
+    /// The sender was dropped before the body was complete.
     pub(super) fn poll_chunk(
         &mut self,
         cx: &mut Context,
@@ -79,12 +82,12 @@
         })
     }
 
-    /// All of the declared length was taken.
+    /// Whether all bytes of the declared length were read.
     pub(super) fn is_end_stream(&self) -> bool {
         self.remaining_length == Some(0)
     }
 
-    /// Bytes that are not taken yet, if the length was declared.
+    /// Returns the number of bytes that were not read yet, if the length was declared.
     pub(super) fn remaining_length(&self) -> Option<u64> {
         self.remaining_length
     }
--- a/crates/daemon/src/net/body/upload.rs
+++ b/crates/daemon/src/net/body/upload.rs
@@ -1,9 +1,8 @@
-//! Requests on their way to a backend: buffered, or streamed from the client.
+//! The body of a long request as it is received from the client, shared by the attempts that forward it.
 use crate::net::body::{BODY_LIMIT, BodyTruncated};
 use crate::net::progress_deadline::ProgressDeadline;
 use bytes::Bytes;
-use http_body_util::Full;
-use hyper::body::{Body, Frame, Incoming, SizeHint};
+use hyper::body::{Body, Incoming};
 use std::cell::{Cell, RefCell};
 use std::future::pending;
 use std::pin::Pin;
@@ -12,39 +11,39 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-/// Why a streamed request will never be complete.
+/// The reason for which the body of a streamed request will never be complete.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum UploadError {
-    /// It is longer than any request may be.
+    /// It exceeds the longest permitted length.
     LimitExceeded,
-    /// It is malformed, or the client's connection failed before its last byte.
+    /// It is malformed, or the client's connection failed before the last byte.
     Truncated,
-    /// It made no progress, or was not complete in time.
+    /// It stalled, or was not complete in time.
     Stalled,
 }
 
-/// How much of a streamed request was received.
+/// The state of the body on the client's side.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum ReceivedPart {
-    /// Not yet all of it.
-    Incomplete,
-    /// All of it, with the last byte at this time.
+enum UploadState {
+    /// More bytes are expected from the client.
+    Receiving,
+    /// The last byte was received at this time.
     Complete(Instant),
-    /// What is still missing will not be waited for.
+    /// The rest of the body is not waited for.
     Failed(UploadError),
 }
 
-/// A request's body that is too long to be buffered. Its first part is buffered;
-/// the rest is read by one attempt at a time.
+/// The body of a request that is too long to be buffered. Its first part is buffered, the rest is read from the client by
+/// one attempt at a time.
 pub(crate) struct RequestUpload {
-    /// Buffered for a further attempt, until more has been sent.
+    /// Kept for a retry until bytes behind it were sent.
     first_part: RefCell<Bytes>,
     remaining: RefCell<Incoming>,
-    /// Of all of it, if the client declared it.
-    length: Option<u64>,
+    /// Length of the whole body, if the client declared it.
+    declared_length: Option<u64>,
     received_bytes: Cell<u64>,
-    received: watch::Sender<ReceivedPart>,
-    /// By when more of it is to be received and handed over to be sent.
+    state: watch::Sender<UploadState>,
+    /// When more bytes must have been received and handed over to an attempt.
     deadline: Cell<ProgressDeadline>,
     is_consumed: Cell<bool>,
     has_reader: Cell<bool>,
@@ -52,7 +51,7 @@
 }
 
 impl RequestUpload {
-    /// A body of which `first_part` was received; the rest is to be received by the deadline.
+    /// Creates the upload of a body whose `first_part` was received.
     pub(crate) fn new(
         first_part: Bytes,
         remaining: Incoming,
@@ -63,9 +62,9 @@
         Rc::new(Self {
             first_part: first_part.into(),
             remaining: remaining.into(),
-            length: remaining_length.map(|length| length + received_bytes),
+            declared_length: remaining_length.map(|length| length + received_bytes),
             received_bytes: received_bytes.into(),
-            received: watch::Sender::new(ReceivedPart::Incomplete),
+            state: watch::Sender::new(UploadState::Receiving),
             deadline: deadline.into(),
             is_consumed: false.into(),
             has_reader: false.into(),
@@ -73,25 +72,25 @@
         })
     }
 
-    /// Something that is not buffered has been sent to a backend: it can't be sent again.
+    /// Whether bytes that are not buffered were sent to a backend, so that a retry is impossible.
     pub(crate) fn is_consumed(&self) -> bool {
         self.is_consumed.get()
     }
 
-    /// Its last byte was received, and handed over to be sent to a backend.
+    /// Whether the last byte was received and handed over to an attempt.
     pub(crate) fn is_complete(&self) -> bool {
-        matches!(*self.received.borrow(), ReceivedPart::Complete(_))
+        matches!(*self.state.borrow(), UploadState::Complete(_))
     }
 
-    /// When its last byte was received, if it was.
+    /// Returns when the last byte was received; none if it was not.
     pub(crate) fn completed_at(&self) -> Option<Instant> {
-        match *self.received.borrow() {
-            ReceivedPart::Complete(at) => Some(at),
-            ReceivedPart::Incomplete | ReceivedPart::Failed(_) => None,
+        match *self.state.borrow() {
+            UploadState::Complete(at) => Some(at),
+            UploadState::Receiving | UploadState::Failed(_) => None,
         }
     }
 
-    /// The attempt waits for more from the client; the backend is not what holds it up.
+    /// Whether an attempt waits for bytes of the client, rather than for its backend.
     pub(crate) fn is_waiting_for_client(&self) -> bool {
         self.is_waiting_for_client.get()
     }
@@ -101,34 +100,33 @@
         self.deadline.get().limit()
     }
 
-    /// Waits for its last byte and returns the time at which it was received. Where that never comes
-    /// [`RequestUpload::failed`] is ready instead.
+    /// Waits for the last byte and returns when it was received. If it never is, [`RequestUpload::failed`] returns
+    /// instead.
     pub(crate) async fn completed(&self) -> Instant {
-        let mut received = self.received.subscribe();
-        let completed = received
-            .wait_for(|part| matches!(part, ReceivedPart::Complete(_)))
+        let mut state = self.state.subscribe();
+        let completed = state
+            .wait_for(|state| matches!(state, UploadState::Complete(_)))
             .await
-            .map(|part| *part);
+            .map(|state| *state);
         match completed {
-            Ok(ReceivedPart::Complete(at)) => at,
+            Ok(UploadState::Complete(at)) => at,
             _ => pending().await,
         }
     }
 
-    /// Waits until it is certain that its last byte will not be waited for any longer, and returns why. Once the last
-    /// byte was received this is never ready.
+    /// Waits until the upload has failed and returns the reason. Pending for ever once the last byte was received.
     pub(crate) async fn failed(&self) -> UploadError {
         loop {
             let deadline = self.deadline.get().expires_at();
-            let mut received = self.received.subscribe();
-            let ended = received.wait_for(|part| *part != ReceivedPart::Incomplete);
+            let mut state = self.state.subscribe();
+            let ended = state.wait_for(|state| *state != UploadState::Receiving);
             match timeout_at(deadline, ended)
                 .await
-                .map(|part| part.map(|part| *part))
+                .map(|state| state.map(|state| *state))
             {
-                Ok(Ok(ReceivedPart::Failed(error))) => return error,
+                Ok(Ok(UploadState::Failed(error))) => return error,
                 Ok(_) => return pending().await,
-                // It may have moved while this was waited for.
+                // Progress has extended the deadline meanwhile.
                 Err(_) if self.deadline.get().expires_at() > deadline => {}
                 Err(_) => {
                     let _ = self.fail(UploadError::Stalled);
@@ -137,8 +135,31 @@
         }
     }
 
-    /// The next bytes from the client.
-    fn poll_remaining(&self, cx: &mut Context) -> Poll<Option<Result<Bytes, BodyTruncated>>> {
+    /// Returns the first part of the body, to be sent by an attempt.
+    pub(super) fn first_part(&self) -> Bytes {
+        self.first_part.borrow().clone()
+    }
+
+    /// Returns the length of the whole body, if the client declared it.
+    pub(super) fn declared_length(&self) -> Option<u64> {
+        self.declared_length
+    }
+
+    /// Makes the calling attempt the only reader of the rest; false if there is one already.
+    pub(super) fn try_acquire_reader(&self) -> bool {
+        !self.has_reader.replace(true)
+    }
+
+    /// Permits another attempt to become the reader.
+    pub(super) fn release_reader(&self) {
+        self.has_reader.set(false);
+    }
+
+    /// Reads the next bytes behind the first part from the client; none at the end of the body.
+    pub(super) fn poll_remaining(
+        &self,
+        cx: &mut Context,
+    ) -> Poll<Option<Result<Bytes, BodyTruncated>>> {
         let mut remaining = self.remaining.borrow_mut();
         loop {
             let next = Pin::new(&mut *remaining).poll_frame(cx);
@@ -171,111 +192,20 @@
 
     /// Records that the last byte was received now.
     fn complete(&self) {
-        let complete = ReceivedPart::Complete(Instant::now());
-        self.received.send_replace(complete);
+        let complete = UploadState::Complete(Instant::now());
+        self.state.send_replace(complete);
     }
 
+    /// Extends the deadline if enough bytes were received.
     fn record_progress(&self) {
         let mut deadline = self.deadline.get();
         deadline.record(self.received_bytes.get(), Instant::now());
         self.deadline.set(deadline);
     }
 
-    /// Records why the body will not be complete.
+    /// Records that the body will not be complete.
     fn fail(&self, error: UploadError) -> BodyTruncated {
-        self.received.send_replace(ReceivedPart::Failed(error));
+        self.state.send_replace(UploadState::Failed(error));
         BodyTruncated
     }
 }
-
-/// A request's body as one attempt sends it to a backend.
-pub(crate) enum RequestBody {
-    /// All of it.
-    Buffered(Full<Bytes>),
-    /// Streamed from the client.
-    Streamed {
-        /// Buffered bytes that this attempt has not sent yet.
-        first_part: Option<Bytes>,
-        /// What all attempts share.
-        upload: Rc<RequestUpload>,
-        /// This attempt is the one that reads from the client.
-        is_reader: bool,
-    },
-}
-
-impl RequestBody {
-    /// The body of a further attempt, from its first byte.
-    pub(crate) fn streamed(upload: &Rc<RequestUpload>) -> Self {
-        Self::Streamed {
-            first_part: Some(upload.first_part.borrow().clone()),
-            upload: upload.clone(),
-            is_reader: false,
-        }
-    }
-}
-
-impl Body for RequestBody {
-    type Data = Bytes;
-    type Error = BodyTruncated;
-
-    fn poll_frame(
-        self: Pin<&mut Self>,
-        cx: &mut Context,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyTruncated>>> {
-        let (first_part, upload, is_reader) = match self.get_mut() {
-            Self::Buffered(body) => {
-                return Pin::new(body)
-                    .poll_frame(cx)
-                    .map_err(|never| match never {});
-            }
-            Self::Streamed {
-                first_part,
-                upload,
-                is_reader,
-            } => (first_part, upload, is_reader),
-        };
-        if let Some(first_part) = first_part.take() {
-            return Poll::Ready(Some(Ok(Frame::data(first_part))));
-        }
-        // Two attempts must not each send a part of the rest.
-        if !*is_reader && upload.has_reader.replace(true) {
-            return Poll::Ready(Some(Err(BodyTruncated)));
-        }
-        *is_reader = true;
-        upload
-            .poll_remaining(cx)
-            .map(|next| next.map(|bytes| bytes.map(Frame::data)))
-    }
-
-    fn is_end_stream(&self) -> bool {
-        match self {
-            Self::Buffered(body) => body.is_end_stream(),
-            Self::Streamed {
-                first_part, upload, ..
-            } => first_part.is_none() && upload.is_complete(),
-        }
-    }
-
-    fn size_hint(&self) -> SizeHint {
-        match self {
-            Self::Buffered(body) => body.size_hint(),
-            Self::Streamed { upload, .. } => {
-                upload.length.map(SizeHint::with_exact).unwrap_or_default()
-            }
-        }
-    }
-}
-
-/// Lets another attempt read from the client.
-impl Drop for RequestBody {
-    fn drop(&mut self) {
-        if let Self::Streamed {
-            upload,
-            is_reader: true,
-            ..
-        } = self
-        {
-            upload.has_reader.set(false);
-        }
-    }
-}
--- a/crates/daemon/src/net/connection.rs
+++ b/crates/daemon/src/net/connection.rs
@@ -1,9 +1,9 @@
-//! An HTTP/1.1 connection that this proxy opens, to a backend or to discovery.
+//! An HTTP/1.1 connection that this proxy opens, to a backend or to the discovery service.
 //!
-//! It belongs to whoever holds the [`Connection`]: dropping it closes the socket and gives its permit back. Its
-//! owner drives it; no task stands behind it that could keep the socket open or send something again.
+//! The owner of a [`Connection`] drives it: no task behind it could keep the socket open or send a request again. Dropping
+//! it closes the socket and returns its permit to the budget.
 use crate::net::body::RequestBody;
-use crate::net::local_error::is_local;
+use crate::net::connect::{ConnectError, connect};
 use crate::net::observed_stream::ObservedStream;
 use crate::net::socket::Socket;
 use crate::net::socket_budget::SocketPermit;
@@ -15,88 +15,45 @@
 use hyper_util::rt::TokioIo;
 use std::cell::Cell;
 use std::future::{Future, poll_fn};
-use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::task::{Context, Poll};
-use std::time::Duration;
 use thiserror::Error;
-use tokio::net::TcpStream;
-use tokio::time::{Instant, sleep, timeout_at};
+use tokio::time::{Instant, timeout_at};
 
-/// Bytes that hyper buffers of a connection, and so of a response's head, at most.
+/// Bytes that hyper buffers of a connection, which bounds the head of a response.
 const READ_BUFFER_LIMIT: usize = 64 << 10;
 
-/// For this machine to have a socket for a connection.
-const SOCKET_WAIT: Duration = Duration::from_millis(50);
-/// Before the second try to get one; then twice as long each time.
-const FIRST_CONNECT_RETRY_DELAY: Duration = Duration::from_millis(1);
-
-/// How an exchange failed.
+/// An exchange on a connection failed.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub(crate) enum ConnectionError {
-    /// Provably no byte was written.
-    #[error("no byte of the request was sent")]
+    /// The connection ended before a byte of the request was written.
+    #[error("connection closed before the request was sent")]
     NotSent,
-    /// The connection was reset or closed after that, before a response: the request may have run.
-    #[error("the connection ended before a response")]
+    /// The connection ended after that, before a response: the request may have run.
+    #[error("connection closed before the response")]
     Closed,
-    /// The response is malformed, truncated or larger than the protocol allows: the request has run.
-    #[error("the response is malformed")]
+    /// The response is malformed, truncated or longer than the protocol permits: the request has run.
+    #[error("malformed response")]
     MalformedResponse,
 }
 
-/// Why a connection could not be opened.
-#[derive(Debug, Error)]
-pub(crate) enum ConnectError {
-    /// It did not come up in time.
-    #[error("no connection in time")]
-    TimedOut,
-    /// The peer, or the path to it, refused it.
-    #[error("no connection: {0}")]
-    Peer(io::Error),
-    /// This machine had no socket for it, for longer than a moment.
-    #[error("no socket: {0}")]
-    Local(io::Error),
-    /// The HTTP connection could not be set up on it.
-    #[error("no HTTP connection: {0}")]
-    Handshake(hyper::Error),
-}
-
-/// Connects; a failure of this machine alone is often over in a moment, so that it is tried again.
-async fn connect(to: SocketAddr) -> Result<TcpStream, ConnectError> {
-    let mut delay = FIRST_CONNECT_RETRY_DELAY;
-    let give_up_at = Instant::now() + SOCKET_WAIT;
-    loop {
-        // Without an address the ports of this machine are used up.
-        let is_shortage =
-            |error: &io::Error| is_local(error) || error.kind() == ErrorKind::AddrNotAvailable;
-        match TcpStream::connect(to).await {
-            Ok(stream) => return Ok(stream),
-            Err(error) if !is_shortage(&error) => return Err(ConnectError::Peer(error)),
-            Err(error) if Instant::now() >= give_up_at => return Err(ConnectError::Local(error)),
-            Err(_) => sleep(delay).await,
-        }
-        delay *= 2;
-    }
-}
-
-/// A response, with its complete body or the start of it.
+/// A response with its complete body, or with the first part of a longer one.
 pub(crate) struct Reply {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its header fields.
+    /// The header fields.
     pub headers: HeaderMap,
-    /// All of its body, or the first part of a longer one.
+    /// The complete body, or its first part.
     pub body: Bytes,
-    /// The rest of the body is still to be read, by [`Connection::next_chunk`].
+    /// Whether the rest of the body is still to be read with [`Connection::next_chunk`].
     pub is_partial: bool,
-    /// The length of all of the body, if it was declared.
+    /// The declared length of the complete body.
     pub length: Option<u64>,
 }
 
-/// What of a body was buffered.
+/// The buffered part of a body.
 struct BufferedBody {
     bytes: Bytes,
     is_partial: bool,
@@ -105,11 +62,11 @@
 type BackendStream = ObservedStream<Rc<Cell<u64>>, Socket>;
 type Http1Connection = http1::Connection<TokioIo<BackendStream>, RequestBody>;
 
-/// Moves the bytes of a connection; empty once that is closed, and the socket with it.
+/// Moves the bytes of a connection. Empty once the connection has ended, which closes the socket.
 struct Driver(Option<Pin<Box<Http1Connection>>>);
 
 impl Driver {
-    /// Moves bytes; true once the connection is of no more use.
+    /// Moves bytes; true once the connection has ended.
     fn poll_ended(&mut self, cx: &mut Context) -> bool {
         if let Some(connection) = &mut self.0
             && connection.as_mut().poll(cx).is_ready()
@@ -120,34 +77,38 @@
     }
 }
 
-/// A connection opened by this proxy, for one exchange at a time.
+/// A connection that this proxy opened, for one exchange at a time.
 pub(crate) struct Connection {
     sender: SendRequest<RequestBody>,
     driver: Driver,
-    /// Of a response that is longer than was buffered.
+    /// The rest of a response that is not buffered.
     remaining: Option<Incoming>,
-    written: Rc<Cell<u64>>,
+    bytes_written: Rc<Cell<u64>>,
     host: HeaderValue,
-    /// When the last response ended, or the connection was opened.
+    /// When the last response ended, or else when the connection was opened.
     pub last_used: Instant,
-    /// None where the reserve holds a descriptor for it.
+    /// None if the descriptor is one of the reserved ones.
     _permit: Option<SocketPermit>,
 }
 
 impl Connection {
-    /// Connects by `until`; `permit` is none where the reserve holds a descriptor for it.
+    /// Opens a connection to this address. `permit` is none if the descriptor is one of the reserved ones.
+    ///
+    /// # Errors
+    /// The connection is not established by `deadline`, or fails.
     pub(crate) async fn open(
-        to: SocketAddr,
+        address: SocketAddr,
         permit: Option<SocketPermit>,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Self, ConnectError> {
-        let host = HeaderValue::from_str(&to.to_string()).expect("an address is a header value");
-        let stream = timeout_at(until, connect(to))
+        let host =
+            HeaderValue::from_str(&address.to_string()).expect("an address is a header value");
+        let stream = timeout_at(deadline, connect(address))
             .await
             .unwrap_or(Err(ConnectError::TimedOut))?;
         stream.set_nodelay(true).map_err(ConnectError::Peer)?;
-        let written = Rc::<Cell<u64>>::default();
-        let io = TokioIo::new(ObservedStream::new(Socket(stream), written.clone()));
+        let bytes_written = Rc::<Cell<u64>>::default();
+        let io = TokioIo::new(ObservedStream::new(Socket(stream), bytes_written.clone()));
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(READ_BUFFER_LIMIT)
             .handshake(io)
@@ -157,44 +118,47 @@
             sender,
             driver: Driver(Some(Box::pin(connection))),
             remaining: None,
-            written,
+            bytes_written,
             host,
             last_used: Instant::now(),
             _permit: permit,
         })
     }
 
-    /// Moves bytes; true once the connection is of no more use.
+    /// Moves bytes; true once the connection has ended.
     pub(crate) fn poll_closed(&mut self, cx: &mut Context) -> bool {
         self.driver.poll_ended(cx)
     }
 
-    /// Whether it is still open, by what the event loop knows now.
+    /// Whether the connection is open, as far as the event loop knows.
     pub(crate) async fn is_open(&mut self) -> bool {
         poll_fn(|cx| Poll::Ready(!self.poll_closed(cx))).await
     }
 
-    /// Whether another exchange may begin now.
+    /// Whether the connection is open and ready for another exchange.
     pub(crate) async fn is_usable(&mut self) -> bool {
         self.is_open().await && self.sender.is_ready()
     }
 
-    /// The counter of the bytes written so far.
+    /// Returns the counter of bytes written on this connection.
     pub(crate) fn bytes_written(&self) -> Rc<Cell<u64>> {
-        self.written.clone()
+        self.bytes_written.clone()
     }
 
-    /// Sends one request and reads its response: all of it, which may hold `body_limit` bytes, or where the response
-    /// is ok and `may_stream` is set, at least that much of a longer one. `sent` is set as soon as a byte may be on
-    /// its way.
+    /// Sends a request and reads its response, with a body of up to `body_limit` bytes. If `may_stream` is set and the
+    /// status is 200, only the first part of a longer body is read. `is_sent` is set as soon as a byte of the request may
+    /// have been sent.
+    ///
+    /// # Errors
+    /// The connection ended, or the response is malformed or too long.
     pub(crate) async fn exchange(
         &mut self,
         request: Request<RequestBody>,
         body_limit: usize,
         may_stream: bool,
-        sent: &Cell<bool>,
+        is_sent: &Cell<bool>,
     ) -> Result<Reply, ConnectionError> {
-        let (head, body) = self.send(request, sent).await?.into_parts();
+        let (head, body) = self.send(request, is_sent).await?.into_parts();
         if is_framed_twice(&head.headers) {
             return Err(ConnectionError::MalformedResponse);
         }
@@ -211,30 +175,30 @@
         })
     }
 
-    /// Sends one request and waits for the head of its response.
+    /// Sends a request and waits for the head of its response.
     async fn send(
         &mut self,
         mut request: Request<RequestBody>,
-        sent: &Cell<bool>,
+        is_sent: &Cell<bool>,
     ) -> Result<Response<Incoming>, ConnectionError> {
         request.headers_mut().insert(HOST, self.host.clone());
-        let written_before = self.written.get();
+        let written_before = self.bytes_written.get();
         let Self {
             sender,
             driver,
-            written,
+            bytes_written,
             ..
         } = self;
         let mut response = pin!(sender.try_send_request(request));
         let response = poll_fn(|cx| {
             driver.poll_ended(cx);
-            sent.set(sent.get() || written.get() != written_before);
+            is_sent.set(is_sent.get() || bytes_written.get() != written_before);
             response.as_mut().poll(cx)
         });
         response.await.map_err(|failure| {
             if failure.error().is_parse() {
                 ConnectionError::MalformedResponse
-            } else if sent.get() {
+            } else if is_sent.get() {
                 ConnectionError::Closed
             } else {
                 ConnectionError::NotSent
@@ -242,14 +206,14 @@
         })
     }
 
-    /// Buffers a response's body up to its end, or up to the limit where the rest may be streamed.
+    /// Buffers a response's body up to its end, or up to the limit beyond which the rest may be streamed.
     async fn buffer_body(
         &mut self,
         length: Option<u64>,
         limit: usize,
         may_stream: bool,
     ) -> Result<BufferedBody, ConnectionError> {
-        // A body that is declared longer is streamed from its first byte: its time counts up to that.
+        // A body with a longer declared length is streamed from its first byte: the timeout of the attempt ends there.
         if may_stream && length.is_some_and(|length| length > limit as u64) {
             return Ok(BufferedBody {
                 bytes: Bytes::new(),
@@ -272,7 +236,10 @@
         })
     }
 
-    /// The next bytes of a response's body; none at its end.
+    /// Reads the next bytes of a response's body; none at its end.
+    ///
+    /// # Errors
+    /// The body is malformed or truncated.
     pub(crate) async fn next_chunk(&mut self) -> Result<Option<Bytes>, ConnectionError> {
         let Self {
             remaining, driver, ..
@@ -300,7 +267,7 @@
     }
 }
 
-/// Whether a response's head declares its framing in two ways, of which one is wrong.
+/// Whether a response declares its framing in two ways, of which one must be wrong.
 fn is_framed_twice(headers: &HeaderMap) -> bool {
     headers.contains_key(TRANSFER_ENCODING) && headers.contains_key(CONTENT_LENGTH)
 }
--- a/crates/daemon/src/net/inbound_stream.rs
+++ b/crates/daemon/src/net/inbound_stream.rs
@@ -1,8 +1,7 @@
-//! A client's stream that can be read ahead of its use, so that the client's disconnect is seen while an RPC is
-//! in flight.
+//! A client's stream with read-ahead, which detects a disconnect while an RPC is in flight.
 //!
-//! An HTTP/1.1 server reads one message at a time. The end of the stream may stand behind bytes of a further
-//! message, where such a reader does not see it. [`ReadAhead`] buffers those bytes and finds the end.
+//! An HTTP/1.1 server reads one message at a time. It doesn't see a disconnect that follows bytes of a further message.
+//! [`ReadAhead`] buffers those bytes and finds the end of the stream.
 use crate::net::socket;
 use bytes::BytesMut;
 use socket2::SockRef;
@@ -19,48 +18,48 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// Bytes read ahead of a client at most: usual clients send none while their RPC is in flight.
+/// Longest read-ahead, in bytes. Ordinary clients send nothing while their RPC is in flight.
 const READ_AHEAD_LIMIT: usize = 16 << 10;
-/// Bytes read ahead at a time, on the stack.
+/// Size of the buffer for one read, in bytes. It is on the stack.
 const READ_AHEAD_CHUNK: usize = 1 << 10;
-/// Between checks for a disconnect behind more bytes than are read ahead.
+/// Between two checks for a disconnect that follows more bytes than are read ahead.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A client's stream, with what was read ahead of it.
+/// A client's stream with read-ahead.
 pub(crate) struct InboundStream {
     reads: ReadAhead,
     writes: OwnedWriteHalf,
 }
 
-/// The reading half with its read-ahead buffer; shared by an [`InboundStream`] and its [`ReadAhead`].
+/// The read half and the read-ahead buffer, shared by an [`InboundStream`] and its [`ReadAhead`].
 struct ReadState {
     half: OwnedReadHalf,
     buffered: BytesMut,
-    /// Of the task that waits for bytes of the stream.
+    /// Wakes the task that waits for bytes of the stream.
     reader: Option<Waker>,
 }
 
-/// Why reading ahead stopped.
+/// The reason for which reading ahead stopped.
 enum ReadAheadOutcome {
     /// The client has closed or reset the connection.
     Ended,
-    /// There is nothing more to read now.
+    /// No more bytes are available now.
     Drained,
-    /// The buffer is full; more may stand in the socket.
+    /// The buffer is full; the socket may hold more bytes.
     BufferFull,
 }
 
-/// Reads ahead on an [`InboundStream`] and sees its end.
+/// Reads ahead on an [`InboundStream`] and detects its end.
 #[derive(Clone)]
 pub(crate) struct ReadAhead(Rc<RefCell<ReadState>>);
 
-/// Whether a client is still connected. It does not keep the connection open.
+/// Tells whether a client is connected, without keeping its connection open.
 #[derive(Clone)]
 pub(crate) struct ClientLiveness(Weak<RefCell<ReadState>>);
 
 impl ClientLiveness {
-    /// Whether the client's connection has ended, by what the system knows at this moment: a disconnect while
-    /// this process was stopped has not reached the event loop yet.
+    /// Whether the client has disconnected, as far as the system knows at this moment. The event loop may not know yet,
+    /// for example after this process was suspended.
     pub(crate) async fn is_disconnected(&self) -> bool {
         let Some(reads) = self.0.upgrade() else {
             return true;
@@ -71,7 +70,7 @@
             ReadAheadOutcome::Drained => return false,
             ReadAheadOutcome::BufferFull => drop(reads),
         }
-        // Lets the event loop learn what stands behind the bytes for which there is no room.
+        // Lets the event loop learn of a disconnect behind the bytes that don't fit into the buffer.
         yield_now().await;
         self.0.upgrade().is_none_or(|reads| {
             let mut cx = Context::from_waker(Waker::noop());
@@ -81,7 +80,7 @@
 }
 
 impl InboundStream {
-    /// Takes over a connection that a client opened.
+    /// Wraps a connection that a client opened.
     pub(crate) fn new(stream: TcpStream) -> Self {
         let (half, writes) = stream.into_split();
         let state = ReadState {
@@ -95,14 +94,14 @@
         }
     }
 
-    /// The handle by which the stream is read ahead.
+    /// Returns a handle to read ahead on this stream.
     pub(crate) fn read_ahead(&self) -> ReadAhead {
         self.reads.clone()
     }
 }
 
 impl ReadState {
-    /// Whether the event loop knows of the stream's end.
+    /// Whether the event loop knows that the stream has ended.
     fn is_read_closed(&self, cx: &mut Context) -> bool {
         let ready = pin!(self.half.ready(Interest::READABLE)).poll(cx);
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
@@ -122,8 +121,8 @@
         Poll::Ready(ReadAheadOutcome::BufferFull)
     }
 
-    /// Reads ahead what the system holds now, past the event loop. As a rule this costs one system call that reads
-    /// nothing.
+    /// Reads the bytes that the system has received, without the event loop. This is usually a single system call, which
+    /// reads nothing.
     fn read_available(&mut self) -> ReadAheadOutcome {
         let mut chunk = [0; READ_AHEAD_CHUNK];
         while self.buffered.len() < READ_AHEAD_LIMIT {
@@ -132,7 +131,7 @@
                 Ok(0) => return ReadAheadOutcome::Ended,
                 Ok(length) => {
                     self.buffered.extend_from_slice(&chunk[..length]);
-                    // The event loop may not report these bytes any more.
+                    // The event loop may not report these bytes again.
                     self.reader.take().into_iter().for_each(Waker::wake);
                 }
                 Err(error) => match error.kind() {
@@ -147,17 +146,17 @@
 }
 
 impl ReadAhead {
-    /// A handle that tells whether the client is still connected.
+    /// Returns a handle that tells whether the client is connected.
     pub(crate) fn liveness(&self) -> ClientLiveness {
         ClientLiveness(Rc::downgrade(&self.0))
     }
 
-    /// Reads ahead what the system holds at this moment.
+    /// Reads ahead the bytes that the system has received.
     pub(crate) fn read_available(&self) {
         let _ = self.0.borrow_mut().read_available();
     }
 
-    /// Returns when the client has closed or reset the connection, whatever stands unread before that.
+    /// Waits until the client has closed or reset the connection, even if unread bytes precede that.
     pub(crate) async fn disconnected(&self) {
         loop {
             let outcome = poll_fn(|cx| self.0.borrow_mut().poll_read_ahead(cx)).await;
@@ -168,7 +167,7 @@
         }
     }
 
-    /// Whether the event loop knows of an end behind bytes that still stand in the socket.
+    /// Whether the event loop knows that the stream has ended behind bytes that the socket still holds.
     async fn is_read_closed(&self) -> bool {
         poll_fn(|cx| Poll::Ready(self.0.borrow().is_read_closed(cx))).await
     }
--- a/crates/daemon/src/net/linger.rs
+++ b/crates/daemon/src/net/linger.rs
@@ -1,29 +1,29 @@
-//! Closing a connection without losing the last response on it.
+//! Lingering close: closes a connection without losing the last response on it.
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Bytes that a peer may go on sending before its connection is closed all the same.
-const DISCARD_LIMIT: usize = 4 << 20;
-/// Bytes discarded with one read.
-const DISCARD_CHUNK: usize = 16 << 10;
+/// Bytes that are discarded before the connection is closed even though the peer goes on sending.
+const DISCARD_LIMIT_BYTES: usize = 4 << 20;
+/// Size of the buffer for one read, in bytes.
+const DISCARD_CHUNK_BYTES: usize = 16 << 10;
 
-/// Ends a connection such that a peer that still sends can read the last response, within `time_limit`: closed with
-/// bytes unread it would be reset, and a reset overtakes the response.
+/// Shuts down the write half, discards what the peer still sends and closes the connection, after `time_limit` at the
+/// latest. Closing a socket with unread bytes resets the connection, and the peer might lose the last response.
 pub(crate) async fn linger(mut stream: impl AsyncRead + AsyncWrite + Unpin, time_limit: Duration) {
     let discard = async {
-        let mut chunk = vec![0; DISCARD_CHUNK];
-        let mut allowed = DISCARD_LIMIT;
+        let mut chunk = vec![0; DISCARD_CHUNK_BYTES];
+        let mut bytes_left = DISCARD_LIMIT_BYTES;
         stream.shutdown().await?;
-        while allowed > 0 {
+        while bytes_left > 0 {
             let length = stream.read(&mut chunk).await?;
             if length == 0 {
                 break;
             }
-            allowed = allowed.saturating_sub(length);
+            bytes_left = bytes_left.saturating_sub(length);
         }
         std::io::Result::Ok(())
     };
-    // Whether the peer closed, the time ran out or the connection broke: it is closed now.
+    // The connection is closed now in any case, whether the peer closed it, it failed or the time is over.
     let _ = timeout(time_limit, discard).await;
 }
--- a/crates/daemon/src/net/mod.rs
+++ b/crates/daemon/src/net/mod.rs
@@ -1,6 +1,7 @@
-//! Sockets and bodies for both sides of the proxy: the socket budget, streams, connections and flow control.
+//! Sockets and HTTP bodies, for clients and backends: socket budget, streams, connections and flow control.
 
 pub(crate) mod body;
+pub(crate) mod connect;
 pub(crate) mod connection;
 pub(crate) mod inbound_stream;
 pub(crate) mod linger;
--- a/crates/daemon/src/net/observed_stream.rs
+++ b/crates/daemon/src/net/observed_stream.rs
@@ -1,40 +1,40 @@
-//! A stream that reports to an observer what is read and written on it.
+//! A stream that reports its reads and writes to an observer.
 use std::cell::Cell;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Hears of the bytes that move on an [`ObservedStream`].
+/// Observes the reads and writes of an [`ObservedStream`].
 pub(crate) trait IoObserver: Unpin {
     /// These bytes were read.
     fn on_read(&self, _bytes: &[u8]) {}
-    /// So many bytes were taken over by the system to be sent.
+    /// The system has accepted this number of bytes to send.
     fn on_write(&self, _bytes: u64) {}
-    /// All that was written by now was taken over by the system.
+    /// The system has accepted all bytes written so far.
     fn on_flush(&self) {}
 }
 
-/// Counts the bytes written.
+/// Counts the written bytes.
 impl IoObserver for Rc<Cell<u64>> {
     fn on_write(&self, bytes: u64) {
         self.update(|written| written + bytes);
     }
 }
 
-/// A stream and its observer.
+/// A stream with its observer.
 pub(crate) struct ObservedStream<O, S> {
     stream: S,
     observer: O,
 }
 
 impl<O, S> ObservedStream<O, S> {
-    /// Reports to `observer` what moves on `stream`.
+    /// Reports the reads and writes of `stream` to `observer`.
     pub(crate) fn new(stream: S, observer: O) -> Self {
         Self { stream, observer }
     }
 
-    /// The stream without its observer.
+    /// Returns the stream without its observer.
     pub(crate) fn into_stream(self) -> S {
         self.stream
     }
--- a/crates/daemon/src/net/socket.rs
+++ b/crates/daemon/src/net/socket.rs
@@ -1,13 +1,14 @@
-//! Reading and writing a socket whatever the system calls return: a call that a signal interrupted is made again, and a
-//! short one says nothing about whether there is more. Only `EWOULDBLOCK` does; the stream types of tokio take a short
-//! read or write for it, and then wait for an event that never comes.
+//! Reads and writes a socket, with interrupted and short system calls.
+//!
+//! An interrupted call is repeated, and only `EWOULDBLOCK` means that the socket isn't ready. The stream types of tokio
+//! also take a short read or write for that, and then wait for an event that may never come.
 use std::io::{self, ErrorKind};
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Reads what there is, as [`AsyncRead::poll_read`] does.
+/// Reads available bytes, like [`AsyncRead::poll_read`].
 pub(crate) fn poll_read(
     stream: &TcpStream,
     cx: &mut Context,
@@ -23,7 +24,7 @@
     }
 }
 
-/// Writes what there is room for, as [`AsyncWrite::poll_write`] does.
+/// Writes as many bytes as the socket accepts, like [`AsyncWrite::poll_write`].
 pub(crate) fn poll_write(
     stream: &TcpStream,
     cx: &mut Context,
@@ -38,12 +39,12 @@
     }
 }
 
-/// Nothing has happened to the connection: the call is to be made again, once the stream is ready for it.
+/// Whether a call is to be repeated once the stream is ready.
 fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
 }
 
-/// A TCP connection that is read and written like this.
+/// A TCP connection that repeats interrupted and short calls.
 pub(crate) struct Socket(pub TcpStream);
 
 impl AsyncRead for Socket {
--- a/crates/daemon/src/net/socket_budget.rs
+++ b/crates/daemon/src/net/socket_budget.rs
@@ -1,22 +1,23 @@
-//! The budget of sockets: how many may be open for clients and for backends, and which idle one is closed
-//! to make room for a new one.
+//! The socket budget: limits the open sockets of clients and of backends, and evicts idle ones to make room for new ones.
 //!
-//! Whoever opens a socket first acquires a [`SocketPermit`] and keeps it for as long as the socket is open.
-//! The count goes down in one place only, when the permit is dropped.
+//! Each open socket has a [`SocketPermit`], which is acquired first and returned to the budget when it is dropped.
 use crate::lifecycle::process_group::MAX_DESCRIPTORS as PROCESS_GROUP_DESCRIPTORS;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
 
-/// Admin connections at a time; each has a descriptor set aside.
+/// Concurrent admin connections; each has a reserved descriptor.
 pub(crate) const ADMIN_CONNECTIONS: usize = 8;
-/// Descriptors set aside for standard streams, listeners, epoll, discovery, connections beyond the budget that
-/// are rejected, admin calls and what is shared with other processes.
-const RESERVED_DESCRIPTORS: usize = 40 + ADMIN_CONNECTIONS + PROCESS_GROUP_DESCRIPTORS;
-/// Sockets that are left for use however small the configured limit is.
+/// Descriptors reserved for standard streams, listeners, epoll, discovery and connections beyond the budget that are
+/// rejected.
+const BASE_RESERVED_DESCRIPTORS: usize = 40;
+/// All reserved descriptors: also those of admin connections and of the process group.
+const RESERVED_DESCRIPTORS: usize =
+    BASE_RESERVED_DESCRIPTORS + ADMIN_CONNECTIONS + PROCESS_GROUP_DESCRIPTORS;
+/// Sockets in the budget, however low the configured limit is.
 const MIN_SOCKETS: usize = 8;
 
-/// The two classes of sockets, each with its own limit.
+/// A class of sockets with its own limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum SocketClass {
     /// Connections that clients opened.
@@ -25,51 +26,51 @@
     Backends,
 }
 
-/// An idle connection that can be closed to make room for another.
+/// An idle connection that can be evicted to make room for another one.
 pub(crate) trait Evictable {
-    /// Closes it if it is still idle; false if it is not.
+    /// Closes the connection if it is still idle; false if it is not.
     fn evict(&self) -> bool;
 }
 
-/// Position among the eviction candidates: the lowest rank first, then the earliest registered.
+/// Order of eviction: the lowest rank first, within a rank the earliest registration.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionOrder {
     rank: u8,
     registration: u64,
 }
 
-/// Sockets of one class.
+/// The budget of one class of sockets.
 #[derive(Default)]
 struct ClassBudget {
     open: Cell<usize>,
     limit: Cell<usize>,
-    /// The log line about the exhausted class was written; not again until a permit is given back.
-    exhaustion_logged: Cell<bool>,
+    /// Whether the exhaustion was logged. Reset when the class has a free permit again.
+    is_exhaustion_logged: Cell<bool>,
     evictable: RefCell<BTreeMap<EvictionOrder, Weak<dyn Evictable>>>,
     next_registration: Cell<u64>,
 }
 
-/// Counts all sockets of clients and backends.
+/// The budget of all sockets of clients and backends.
 pub(crate) struct SocketBudget {
     sockets: usize,
     clients: ClassBudget,
     backends: ClassBudget,
 }
 
-/// The right to one open socket; given back when dropped.
+/// The permit for one open socket. Returned to the budget when dropped.
 pub(crate) struct SocketPermit {
     budget: Rc<SocketBudget>,
     class: SocketClass,
 }
 
-/// A registered [`Evictable`]; withdrawn when this is dropped.
+/// The registration of an [`Evictable`]. Withdrawn when dropped.
 pub(crate) struct EvictionCandidate {
     budget: Rc<SocketBudget>,
     class: SocketClass,
     order: EvictionOrder,
 }
 
-/// Descriptors that the operating system allows this process, if that can be read.
+/// Returns how many descriptors the system permits this process; none if that can't be read.
 fn descriptor_limit() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = limits
@@ -79,13 +80,13 @@
 }
 
 impl SocketBudget {
-    /// A budget of the configured number of sockets, or fewer where the system allows no more. Otherwise clients
-    /// could take the last descriptor, which the connection to discovery needs.
+    /// Creates a budget of the configured number of sockets, or of fewer if the system permits no more. Otherwise clients
+    /// could take the last descriptor, which the connection to the discovery service needs.
     pub(crate) fn new(configured: usize) -> Rc<Self> {
         let sockets = configured.min(descriptor_limit().unwrap_or(configured));
         if sockets < configured {
             log::warn!(
-                "limits.sockets is {configured}, but the machine allows {sockets} descriptors"
+                "limits.sockets is {configured}, but the system permits {sockets} descriptors: using the lower limit"
             );
         }
         let budget = Self {
@@ -97,7 +98,7 @@
         Rc::new(budget)
     }
 
-    /// Shares the budget evenly among so many processes; what is idle beyond this one's part is evicted.
+    /// Divides the budget evenly among this number of processes, and evicts idle connections beyond the new limits.
     pub(crate) fn divide(&self, processes: usize) {
         let sockets = (self.sockets / processes)
             .saturating_sub(RESERVED_DESCRIPTORS)
@@ -111,14 +112,14 @@
         }
     }
 
-    /// Evicts the first candidate that is still idle; false if there is none.
+    /// Evicts the first candidate that is still idle; false if there is none. The task of a client's connection closes it a
+    /// moment later.
     pub(crate) fn evict_oldest(&self, class: SocketClass) -> bool {
         loop {
             let first = self.class(class).evictable.borrow_mut().pop_first();
             let Some((_, candidate)) = first else {
                 return false;
             };
-            // A client's connection is closed by its own task a moment later.
             if candidate
                 .upgrade()
                 .is_some_and(|candidate| candidate.evict())
@@ -128,14 +129,15 @@
         }
     }
 
-    /// A permit for one more socket; where none is left the longest idle connection is evicted for it.
+    /// Acquires a permit for one more socket, and evicts an idle connection if the limit is reached; none if no connection
+    /// is idle.
     pub(crate) fn acquire(self: &Rc<Self>, class: SocketClass) -> Option<SocketPermit> {
         let budget = self.class(class);
-        let exhausted = budget.open.get() >= budget.limit.get();
-        if exhausted && !self.evict_oldest(class) {
-            if !budget.exhaustion_logged.replace(true) {
+        let is_exhausted = budget.open.get() >= budget.limit.get();
+        if is_exhausted && !self.evict_oldest(class) {
+            if !budget.is_exhaustion_logged.replace(true) {
                 log::warn!(
-                    "no socket left for {class:?}: {} are open, none idle",
+                    "socket budget of {class:?} exhausted: {} open, none idle, rejecting further ones",
                     budget.open.get()
                 );
             }
@@ -144,7 +146,7 @@
         Some(self.acquire_beyond_limit(class))
     }
 
-    /// A permit out of the reserve, whatever the limit of the class is.
+    /// Acquires a permit whether or not the limit of the class is reached. The socket has a reserved descriptor.
     pub(crate) fn acquire_beyond_limit(self: &Rc<Self>, class: SocketClass) -> SocketPermit {
         self.class(class).open.update(|open| open + 1);
         SocketPermit {
@@ -153,9 +155,8 @@
         }
     }
 
-    /// Registers a connection that may be evicted for a new socket, for as long as the candidate lives; the
-    /// lowest rank is evicted first. The cost grows with the logarithm of the number registered: a walk over all idle
-    /// sockets with every response would be too dear.
+    /// Registers an idle connection as a candidate for eviction, until the returned registration is dropped. The lowest
+    /// rank is evicted first. This runs with every response, so its cost is logarithmic in the number of candidates.
     pub(crate) fn register_evictable<E: Evictable + 'static>(
         self: &Rc<Self>,
         class: SocketClass,
@@ -175,12 +176,12 @@
         }
     }
 
-    /// Sockets of this class that are open now.
+    /// Returns the number of open sockets of this class.
     pub(crate) fn open_sockets(&self, class: SocketClass) -> usize {
         self.class(class).open.get()
     }
 
-    /// Open sockets beyond the limit of the class, out of the reserve.
+    /// Returns the number of open sockets beyond the limit of the class.
     pub(crate) fn excess(&self, class: SocketClass) -> usize {
         let limit = self.class(class).limit.get();
         self.open_sockets(class).saturating_sub(limit)
@@ -206,7 +207,7 @@
         let budget = self.budget.class(self.class);
         budget.open.update(|open| open - 1);
         if budget.open.get() < budget.limit.get() {
-            budget.exhaustion_logged.set(false);
+            budget.is_exhaustion_logged.set(false);
         }
     }
 }
--- a/crates/daemon/src/upstream/attempt/connect.rs
+++ b/crates/daemon/src/upstream/attempt/connect.rs
@@ -1,6 +1,7 @@
 //! Takes an idle connection to the backend of an exchange, or opens a new one.
 use super::RunningExchange;
-use crate::net::connection::{ConnectError, Connection};
+use crate::net::connect::ConnectError;
+use crate::net::connection::Connection;
 use crate::net::socket_budget::SocketClass;
 use birchhub::interface::AttemptOutcome;
 use std::net::SocketAddr;
--- a/crates/daemon/tests/crowd.rs
+++ b/crates/daemon/tests/crowd.rs
@@ -170,7 +170,10 @@
     let open = daemon.descriptors();
     let limit = allowed.min(sockets) as usize;
     assert!(open <= limit, "{idle:?}: {open} descriptors");
-    let refused = daemon.logged().matches("no connection accepted").count();
+    let refused = daemon
+        .logged()
+        .matches("accepting connections failed, retrying")
+        .count();
     assert!(refused <= 1, "{idle:?}: {refused} log lines of one cause");
     drop(all);
     std::fs::remove_file(program).expect("the program");
