--- a/crates/audit/src/audit.rs
+++ b/crates/audit/src/audit.rs
@@ -5,7 +5,7 @@
 //!    pushed back only where that is harmless.
 //! 3. Nothing new to a draining or gone node later than the grace after its proxy was told.
 //! 4. No cold node pushed over by what informed proxies sent, all together.
-use crate::event::{Answer, End, Entry, Event, Left, State, Taken};
+use crate::event::{Admission, Answer, AttemptEnd, End, Entry, Event, State};
 use crate::head::{Head, Kind};
 use crate::service::{Service, Tally};
 use serde::Serialize;
@@ -93,7 +93,7 @@
     attempt_id: u64,
     incarnation: u32,
     begun: f64,
-    taken: Taken,
+    taken: Admission,
     /// When it was over for its proxy.
     over: Option<f64>,
     /// How long its node was told that the proxy waits, s.
@@ -295,8 +295,8 @@
             }
             Event::Started { attempt_id } => self.started(at, attempt_id),
             Event::Repeated { .. } => self.counts.dropped_repeats += 1,
-            Event::Left { attempt_id, how } => {
-                self.counts.withdrawn += usize::from(how == Left::Withdrawn);
+            Event::AttemptEnded { attempt_id, how } => {
+                self.counts.withdrawn += usize::from(how == AttemptEnd::Cancelled);
                 if let Some(pick) = self.pick_mut(attempt_id) {
                     pick.over.get_or_insert(at);
                 }
@@ -365,18 +365,18 @@
         };
         let (rpc, before, deadline) = (entry.rpc, entry.answer, entry.deadline());
         entry.answer.get_or_insert((at, answer));
-        if before.is_some() {
-            let what = format!("answered twice: {:?}, then {answer:?}", before.map(|b| b.1));
+        if let Some((_, before)) = before {
+            let what = format!("answered twice: Some({before}), then {answer}");
             return self.breach(Rule::OneAnswer, at, Self::rpc_name(rpc), what, false);
         }
         match answer {
             Answer::Ok => self.counts.ok += 1,
-            Answer::PushedBack(_) => self.counts.pushed_back += 1,
+            Answer::Rejected(_) => self.counts.pushed_back += 1,
             Answer::Aborted(_) => self.counts.aborted += 1,
             Answer::Unreachable => self.counts.unreachable += 1,
-            Answer::HungUp => self.counts.hung_up += 1,
-            Answer::Lost | Answer::Silence => {}
-            Answer::Garbled => {
+            Answer::Cancelled => self.counts.hung_up += 1,
+            Answer::Lost | Answer::TimedOut => {}
+            Answer::Malformed => {
                 let what = "the answer was none, or bytes came behind it".to_owned();
                 self.breach(Rule::OneAnswer, at, Self::rpc_name(rpc), what, false);
             }
@@ -399,10 +399,10 @@
         attempt_id: u64,
         request_id: u64,
         begun: f64,
-        taken: Taken,
+        taken: Admission,
     ) {
         self.counts.picks += 1;
-        self.counts.turned_away += usize::from(taken == Taken::TurnedAway);
+        self.counts.turned_away += usize::from(taken == Admission::Rejected);
         self.attempt_ids.insert(attempt_id, request_id);
         let (rpc, proxy, sent, patience) = (u32::MAX, u16::MAX, begun, f64::INFINITY);
         let entry = self.tries.entry(request_id);
@@ -414,7 +414,7 @@
             answer: None,
             picks: Vec::new(),
         });
-        let over = (taken == Taken::TurnedAway).then_some(begun);
+        let over = (taken == Admission::Rejected).then_some(begun);
         entry.picks.push(Pick {
             attempt_id,
             incarnation,
@@ -553,7 +553,7 @@
             return;
         };
         let mut found = Vec::new();
-        let ran = |p: &&Pick| p.taken != Taken::TurnedAway;
+        let ran = |p: &&Pick| p.taken != Admission::Rejected;
         for (n, pick) in entry.picks.iter().enumerate() {
             let after = entry
                 .answer
@@ -573,9 +573,9 @@
                     true,
                 ));
             }
-            let hung_up = entry
-                .answer
-                .filter(|(at, a)| *a == Answer::HungUp && pick.begun > at + AFTER_HANG_UP + slack);
+            let hung_up = entry.answer.filter(|(at, a)| {
+                *a == Answer::Cancelled && pick.begun > at + AFTER_HANG_UP + slack
+            });
             if hung_up.is_some() {
                 let what = "sent on after its client had hung up".to_owned();
                 found.push((Rule::OneAnswer, pick.begun, what, true));
@@ -628,7 +628,7 @@
                 found.push((Rule::NoEffectTwice, pick.begun, what, timed));
             }
         }
-        if let Some((at, Answer::PushedBack(_))) = entry.answer
+        if let Some((at, Answer::Rejected(_))) = entry.answer
             && !kind.repeats_anywhere()
             && entry.picks.iter().any(|p| ran(&p) && p.begun <= at)
         {
@@ -643,7 +643,7 @@
             .answer
             .map_or(self.now.min(entry.deadline()), |(at, _)| at);
         let unanswered = match entry.answer {
-            Some((_, Answer::Lost | Answer::Silence)) => true,
+            Some((_, Answer::Lost | Answer::TimedOut)) => true,
             Some(_) => false,
             // Still open when the ledger ends: owed only if its time is over.
             None => self.now > entry.deadline() + slack,
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -1,12 +1,14 @@
 //! What can happen in a rehearsal. Numbers stand for names; the head of the ledger tells the names.
 use serde::{Deserialize, Serialize};
+use std::fmt;
 
 /// What a client was told of one try of an RPC, or what it saw instead.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
     Ok,
     /// Come back after so many seconds, if told.
-    PushedBack(Option<f32>),
+    #[serde(rename = "PushedBack")]
+    Rejected(Option<f32>),
     /// Any other status.
     Aborted(u16),
     /// The connection ended without an answer.
@@ -14,17 +16,36 @@
     /// No connection came up, or it was refused: the proxy never had it.
     Unreachable,
     /// The client waited longer than it had said, and nothing came.
-    Silence,
+    #[serde(rename = "Silence")]
+    TimedOut,
     /// The client hung up early, of its own will.
-    HungUp,
+    #[serde(rename = "HungUp")]
+    Cancelled,
     /// Bytes behind the answer, or an answer that was none.
-    Garbled,
+    #[serde(rename = "Garbled")]
+    Malformed,
 }
 
 impl Answer {
     /// Whether it is a final answer of the proxy.
     pub fn is_final(self) -> bool {
-        matches!(self, Self::Ok | Self::PushedBack(_) | Self::Aborted(_))
+        matches!(self, Self::Ok | Self::Rejected(_) | Self::Aborted(_))
+    }
+}
+
+/// Writes the word of the stored ledger, as `birchhub ledger show` and the report print it.
+impl fmt::Display for Answer {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Ok => formatter.write_str("Ok"),
+            Self::Rejected(retry_after) => write!(formatter, "PushedBack({retry_after:?})"),
+            Self::Aborted(status) => write!(formatter, "Aborted({status})"),
+            Self::Lost => formatter.write_str("Lost"),
+            Self::Unreachable => formatter.write_str("Unreachable"),
+            Self::TimedOut => formatter.write_str("Silence"),
+            Self::Cancelled => formatter.write_str("HungUp"),
+            Self::Malformed => formatter.write_str("Garbled"),
+        }
     }
 }
 
@@ -38,27 +59,55 @@
 
 /// How a node took a pick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Taken {
-    Held,
+pub enum Admission {
+    #[serde(rename = "Held")]
+    Admitted,
     /// Told the proxy that it never ran: queue full, draining, too many connections.
-    TurnedAway,
+    #[serde(rename = "TurnedAway")]
+    Rejected,
     /// Told the proxy nothing: the pick is lost, and for all that the proxy knows it may have run.
-    Swallowed,
+    #[serde(rename = "Swallowed")]
+    Dropped,
     /// Told the proxy of an error, after no run.
-    Error,
+    #[serde(rename = "Error")]
+    Failed,
+}
+
+/// Writes the word of the stored ledger, as `birchhub ledger show` prints it.
+impl fmt::Display for Admission {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Self::Admitted => "Held",
+            Self::Rejected => "TurnedAway",
+            Self::Dropped => "Swallowed",
+            Self::Failed => "Error",
+        })
+    }
 }
 
 /// How a pick left its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Left {
+pub enum AttemptEnd {
     /// Its answer was written.
     Replied,
     /// The proxy closed the connection first.
-    Withdrawn,
+    #[serde(rename = "Withdrawn")]
+    Cancelled,
     /// The node's end of the connection broke: a reset, a spoilt answer, a crash.
     Broken,
 }
 
+/// Writes the word of the stored ledger, as `birchhub ledger show` prints it.
+impl fmt::Display for AttemptEnd {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Self::Replied => "Replied",
+            Self::Cancelled => "Withdrawn",
+            Self::Broken => "Broken",
+        })
+    }
+}
+
 /// How a proxy's process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
@@ -135,7 +184,7 @@
         begun: f64,
         work: f32,
         pushed: f32,
-        taken: Taken,
+        taken: Admission,
     },
     Started {
         #[serde(rename = "job")]
@@ -150,10 +199,11 @@
         #[serde(rename = "job")]
         attempt_id: u64,
     },
-    Left {
+    #[serde(rename = "Left")]
+    AttemptEnded {
         #[serde(rename = "job")]
         attempt_id: u64,
-        how: Left,
+        how: AttemptEnd,
     },
     /// The truth about a node changed and the list service knows.
     Changed {
--- a/crates/audit/src/story.rs
+++ b/crates/audit/src/story.rs
@@ -51,7 +51,7 @@
             Event::Started { attempt_id }
             | Event::Repeated { attempt_id }
             | Event::Finished { attempt_id }
-            | Event::Left { attempt_id, .. }
+            | Event::AttemptEnded { attempt_id, .. }
             | Event::TimeTold { attempt_id, .. } => of_attempt(attempt_id),
             _ => None,
         }
@@ -109,7 +109,7 @@
                 )
             }
             Event::Answered { request_id, answer } => {
-                format!("try {request_id:016x} answered: {answer:?}")
+                format!("try {request_id:016x} answered: {answer}")
             }
             Event::BackendStarted {
                 incarnation,
@@ -143,7 +143,7 @@
                 taken,
             } => format!(
                 "try {request_id:016x} pick {attempt_id} at {} from {}, first byte at {begun:.4}, work {:.1} ms, pushed {:.0}%: \
-                 {taken:?}",
+                 {taken}",
                 self.incarnation(*incarnation),
                 self.proxy(*proxy),
                 work * 1e3,
@@ -152,7 +152,9 @@
             Event::Started { attempt_id } => format!("pick {attempt_id} runs"),
             Event::Repeated { attempt_id } => format!("pick {attempt_id} dropped as a repeat"),
             Event::Finished { attempt_id } => format!("pick {attempt_id} has run"),
-            Event::Left { attempt_id, how } => format!("pick {attempt_id} is over: {how:?}"),
+            Event::AttemptEnded { attempt_id, how } => {
+                format!("pick {attempt_id} is over: {how}")
+            }
             Event::Changed {
                 node,
                 incarnation,
--- a/crates/audit/tests/audit.rs
+++ b/crates/audit/tests/audit.rs
@@ -1,6 +1,6 @@
 //! A ledger for each kind of breach, written by hand: each breach is found exactly once, with its RPC or node named, and
 //! the same ledger without it has no findings.
-use birchhub_audit::event::{Left, Taken};
+use birchhub_audit::event::{Admission, AttemptEnd};
 use birchhub_audit::head::{Bars, Node};
 use birchhub_audit::{
     Answer, Audit, Entry, Event, Findings, Group, Head, Kind, Method, Rule, Rules, State, ledger,
@@ -112,7 +112,7 @@
         request_id: u64,
         attempt_id: u64,
         incarnation: u32,
-        taken: Taken,
+        taken: Admission,
     ) -> &mut Self {
         let (proxy, begun, work, pushed) = (0, at, 0.1, 0.0);
         self.at(
@@ -133,8 +133,8 @@
         self.at(at, Event::Started { attempt_id })
             .at(at + 0.05, Event::Finished { attempt_id })
     }
-    fn left(&mut self, at: f64, attempt_id: u64, how: Left) -> &mut Self {
-        self.at(at, Event::Left { attempt_id, how })
+    fn left(&mut self, at: f64, attempt_id: u64, how: AttemptEnd) -> &mut Self {
+        self.at(at, Event::AttemptEnded { attempt_id, how })
     }
     fn answered(&mut self, at: f64, request_id: u64, answer: Answer) -> &mut Self {
         self.at(at, Event::Answered { request_id, answer })
@@ -143,9 +143,9 @@
     fn good(&mut self, at: f64, rpc: u32, method: u8) -> &mut Self {
         let (request_id, attempt_id) = (u64::from(rpc), u64::from(rpc) + 1000);
         self.asked(at, rpc, method)
-            .got(at + 0.001, request_id, attempt_id, 0, Taken::Held)
+            .got(at + 0.001, request_id, attempt_id, 0, Admission::Admitted)
             .runs(at + 0.001, attempt_id);
-        self.left(at + 0.06, attempt_id, Left::Replied)
+        self.left(at + 0.06, attempt_id, AttemptEnd::Replied)
             .answered(at + 0.061, request_id, Answer::Ok)
     }
     fn audit(&mut self) -> Findings {
@@ -216,10 +216,10 @@
         let mut builder = LedgerBuilder::new();
         builder
             .asked(1.0, 7, READ)
-            .answered(1.1, 7, Answer::HungUp)
-            .got(begun, 7, 70, 0, Taken::Held)
+            .answered(1.1, 7, Answer::Cancelled)
+            .got(begun, 7, 70, 0, Admission::Admitted)
             .runs(begun, 70)
-            .left(begun + 0.06, 70, Left::Withdrawn);
+            .left(begun + 0.06, 70, AttemptEnd::Cancelled);
         builder
     };
     hung_up(1.24).clean();
@@ -247,7 +247,7 @@
 fn a_missing_answer_is_found_unless_its_proxy_was_killed() {
     LedgerBuilder::new()
         .asked(1.0, 7, READ)
-        .answered(1.6, 7, Answer::Silence)
+        .answered(1.6, 7, Answer::TimedOut)
         .only(Rule::OneAnswer, "rpc 7", "no answer");
     LedgerBuilder::new()
         .asked(1.0, 7, READ)
@@ -269,7 +269,7 @@
     }
     LedgerBuilder::new()
         .asked(1.0, 7, READ)
-        .answered(1.2, 7, Answer::HungUp)
+        .answered(1.2, 7, Answer::Cancelled)
         .clean();
     LedgerBuilder::new()
         .asked(1.0, 7, READ)
@@ -297,7 +297,7 @@
     let mut garbled = LedgerBuilder::new();
     garbled
         .asked(1.0, 7, READ)
-        .answered(1.1, 7, Answer::Garbled)
+        .answered(1.1, 7, Answer::Malformed)
         .only(Rule::OneAnswer, "rpc 7", "behind");
 }
 
@@ -306,15 +306,15 @@
     let mut after = LedgerBuilder::new();
     after
         .good(1.0, 7, READ)
-        .got(1.2, 7, 9, 0, Taken::Held)
+        .got(1.2, 7, 9, 0, Admission::Admitted)
         .only(Rule::OneAnswer, "rpc 7", "after its final");
     let mut late = LedgerBuilder::new();
     late.asked(1.0, 7, READ)
-        .answered(1.3, 7, Answer::HungUp)
-        .got(1.6, 7, 9, 0, Taken::Held);
+        .answered(1.3, 7, Answer::Cancelled)
+        .got(1.6, 7, 9, 0, Admission::Admitted);
     late.only(Rule::OneAnswer, "rpc 7", "after its deadline");
     let mut made_up = LedgerBuilder::new();
-    made_up.got(1.0, 0xabc, 9, 0, Taken::Held).only(
+    made_up.got(1.0, 0xabc, 9, 0, Admission::Admitted).only(
         Rule::OneAnswer,
         "try 0000000000000abc",
         "no client",
@@ -322,33 +322,33 @@
 }
 
 /// Two attempts of one RPC, the first accepted in this way, the second at this time and node; then success.
-fn twice(method: u8, first: Taken, second: f64, incarnation: u32) -> LedgerBuilder {
+fn twice(method: u8, first: Admission, second: f64, incarnation: u32) -> LedgerBuilder {
     let mut builder = LedgerBuilder::new();
     builder
         .asked(1.0, 7, method)
         .got(1.001, 7, 100, 0, first)
-        .left(1.01, 100, Left::Broken);
+        .left(1.01, 100, AttemptEnd::Broken);
     builder
-        .got(second, 7, 101, incarnation, Taken::Held)
-        .left(second + 0.01, 101, Left::Replied);
+        .got(second, 7, 101, incarnation, Admission::Admitted)
+        .left(second + 0.01, 101, AttemptEnd::Replied);
     builder.answered(second + 0.02, 7, Answer::Ok);
     builder
 }
 
 #[test]
 fn a_retry_that_may_run_twice_is_found() {
-    twice(READ, Taken::Held, 1.1, 2).clean();
-    twice(BOOK, Taken::TurnedAway, 1.1, 2).clean();
-    for first in [Taken::Held, Taken::Swallowed, Taken::Error] {
+    twice(READ, Admission::Admitted, 1.1, 2).clean();
+    twice(BOOK, Admission::Rejected, 1.1, 2).clean();
+    for first in [Admission::Admitted, Admission::Dropped, Admission::Failed] {
         twice(BOOK, first, 1.1, 0).only(
             Rule::NoEffectTwice,
             "rpc 7",
             "may have run: n0 at 1.001, n0 at 1.100",
         );
     }
-    twice(LOG, Taken::Held, 1.1, 1).clean();
-    twice(LOG, Taken::TurnedAway, 1.1, 2).clean();
-    twice(LOG, Taken::Held, 1.1, 2).only(Rule::NoEffectTwice, "rpc 7", "outside the group");
+    twice(LOG, Admission::Admitted, 1.1, 1).clean();
+    twice(LOG, Admission::Rejected, 1.1, 2).clean();
+    twice(LOG, Admission::Admitted, 1.1, 2).only(Rule::NoEffectTwice, "rpc 7", "outside the group");
 }
 
 #[test]
@@ -374,11 +374,13 @@
             },
         );
         builder
-            .got(1.001, 7, 100, 0, Taken::Held)
-            .left(1.01, 100, Left::Broken);
-        builder
-            .got(second, 7, 101, 1, Taken::Held)
-            .left(second + 0.01, 101, Left::Replied);
+            .got(1.001, 7, 100, 0, Admission::Admitted)
+            .left(1.01, 100, AttemptEnd::Broken);
+        builder.got(second, 7, 101, 1, Admission::Admitted).left(
+            second + 0.01,
+            101,
+            AttemptEnd::Replied,
+        );
         builder.answered(second + 0.02, 7, Answer::Ok);
         builder
     };
@@ -391,16 +393,16 @@
     let mut builder = LedgerBuilder::new();
     builder
         .asked(1.0, 7, BOOK)
-        .got(1.001, 7, 100, 0, Taken::Held)
+        .got(1.001, 7, 100, 0, Admission::Admitted)
         .runs(1.01, 100);
     builder
-        .left(1.1, 100, Left::Broken)
+        .left(1.1, 100, AttemptEnd::Broken)
         .answered(1.1, 7, Answer::Unreachable);
     builder
         .sent(1.2, 70, 7)
-        .got(1.201, 70, 101, 2, Taken::Held)
+        .got(1.201, 70, 101, 2, Admission::Admitted)
         .runs(1.21, 101)
-        .left(1.3, 101, Left::Replied);
+        .left(1.3, 101, AttemptEnd::Replied);
     builder.answered(1.31, 70, Answer::Ok);
     builder.only(Rule::NoEffectTwice, "rpc 7", "ran 2 times");
 }
@@ -410,19 +412,19 @@
     let mut copies = LedgerBuilder::new();
     copies
         .asked(1.0, 7, READ)
-        .got(1.001, 7, 100, 0, Taken::Held)
-        .got(1.1, 7, 101, 1, Taken::Held);
+        .got(1.001, 7, 100, 0, Admission::Admitted)
+        .got(1.1, 7, 101, 1, Admission::Admitted);
     copies
-        .left(1.2, 100, Left::Withdrawn)
-        .left(1.2, 101, Left::Replied)
+        .left(1.2, 100, AttemptEnd::Cancelled)
+        .left(1.2, 101, AttemptEnd::Replied)
         .answered(1.2, 7, Answer::Ok);
     copies.only(Rule::NoEffectTwice, "rpc 7", "second copy");
     let mut many = LedgerBuilder::new();
     many.asked(1.0, 7, BOOK);
     for n in 0..4 {
-        many.got(1.01 + 0.01 * n as f64, 7, 100 + n, 0, Taken::TurnedAway);
+        many.got(1.01 + 0.01 * n as f64, 7, 100 + n, 0, Admission::Rejected);
     }
-    many.answered(1.1, 7, Answer::PushedBack(None)).only(
+    many.answered(1.1, 7, Answer::Rejected(None)).only(
         Rule::NoEffectTwice,
         "rpc 7",
         "4 picks, 3 are allowed",
@@ -432,17 +434,17 @@
 #[test]
 fn a_rejection_of_what_may_have_run_is_found() {
     for (method, taken, harmful) in [
-        (READ, Taken::Held, false),
-        (BOOK, Taken::TurnedAway, false),
-        (BOOK, Taken::Held, true),
-        (LOG, Taken::Swallowed, true),
+        (READ, Admission::Admitted, false),
+        (BOOK, Admission::Rejected, false),
+        (BOOK, Admission::Admitted, true),
+        (LOG, Admission::Dropped, true),
     ] {
         let mut builder = LedgerBuilder::new();
         builder
             .asked(1.0, 7, method)
             .got(1.01, 7, 100, 0, taken)
-            .left(1.2, 100, Left::Withdrawn);
-        builder.answered(1.2, 7, Answer::PushedBack(Some(0.1)));
+            .left(1.2, 100, AttemptEnd::Cancelled);
+        builder.answered(1.2, 7, Answer::Rejected(Some(0.1)));
         match harmful {
             true => builder.only(Rule::NoEffectTwice, "rpc 7", "pushed back although"),
             false => drop(builder.clean()),
@@ -534,7 +536,7 @@
             begun: at,
             work: 1.0,
             pushed: 0.34 * (rpc + 1) as f32,
-            taken: Taken::Held,
+            taken: Admission::Admitted,
         };
         ledger.at(at, asked).at(at, sent).at(at, got);
         ledger.answered(1.5, request_id, Answer::Aborted(502));
@@ -565,13 +567,13 @@
     }
     builder
         .asked(12.0, 100, BOOK)
-        .answered(12.05, 100, Answer::PushedBack(None));
+        .answered(12.05, 100, Answer::Rejected(None));
     builder
         .sent(12.1, 101, 100)
         .answered(12.19, 101, Answer::Ok); // in time from its first request
     builder
         .asked(13.0, 200, BOOK)
-        .answered(13.05, 200, Answer::PushedBack(None));
+        .answered(13.05, 200, Answer::Rejected(None));
     builder.sent(13.2, 201, 200).answered(13.3, 201, Answer::Ok); // late: a quarter
     builder.at(
         14.0,
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -1,11 +1,16 @@
 //! The stored form of a ledger. `fixtures/ledger-1` and `fixtures/records.jsonl` were written by the code of
 //! 2026-12-02; ledgers of that time are read, and new ones are written, exactly as they were.
-use birchhub_audit::event::{End, Left, Taken};
+use birchhub_audit::event::{Admission, AttemptEnd, End};
 use birchhub_audit::head::{Bars, Node, Trouble};
-use birchhub_audit::{Answer, Entry, Event, Group, Head, Kind, Method, Rules, State, ledger};
+use birchhub_audit::story::Story;
+use birchhub_audit::{
+    Answer, Audit, Entry, Event, Group, Head, Kind, Method, Rules, State, ledger,
+};
 
 const LEDGER: &[u8] = include_bytes!("fixtures/ledger-1");
 const RECORDS: &str = include_str!("fixtures/records.jsonl");
+const TIMELINE: &str = include_str!("fixtures/timeline.txt");
+const FINDINGS: &str = include_str!("fixtures/findings.json");
 const MAGIC: &str = "birchhub-ledger 1";
 const EVENT_KINDS: u8 = 21;
 const ANSWER_KINDS: u8 = 8;
@@ -79,14 +84,14 @@
 fn answers() -> [Answer; 9] {
     [
         Answer::Ok,
-        Answer::PushedBack(None),
-        Answer::PushedBack(Some(0.5)),
+        Answer::Rejected(None),
+        Answer::Rejected(Some(0.5)),
         Answer::Aborted(503),
         Answer::Lost,
         Answer::Unreachable,
-        Answer::Silence,
-        Answer::HungUp,
-        Answer::Garbled,
+        Answer::TimedOut,
+        Answer::Cancelled,
+        Answer::Malformed,
     ]
 }
 
@@ -101,7 +106,7 @@
         pushed: 0.0625,
         taken,
     };
-    let left = |how| Event::Left { attempt_id: 4, how };
+    let left = |how| Event::AttemptEnded { attempt_id: 4, how };
     vec![
         Event::BackendStarted {
             incarnation: 3,
@@ -112,16 +117,16 @@
         Event::BackendDraining { incarnation: 3 },
         Event::BackendEnded { incarnation: 3 },
         Event::BackendCollapsed { incarnation: 3 },
-        got(Taken::Held),
-        got(Taken::TurnedAway),
-        got(Taken::Swallowed),
-        got(Taken::Error),
+        got(Admission::Admitted),
+        got(Admission::Rejected),
+        got(Admission::Dropped),
+        got(Admission::Failed),
         Event::Started { attempt_id: 4 },
         Event::Repeated { attempt_id: 4 },
         Event::Finished { attempt_id: 4 },
-        left(Left::Replied),
-        left(Left::Withdrawn),
-        left(Left::Broken),
+        left(AttemptEnd::Replied),
+        left(AttemptEnd::Cancelled),
+        left(AttemptEnd::Broken),
     ]
 }
 
@@ -296,3 +301,20 @@
     writer.write(&entry).expect("a record");
     file.split_off(start + size_of::<u16>() + size_of::<f64>())
 }
+
+/// `fixtures/timeline.txt` is what `birchhub ledger show` printed of the stored ledger on 2026-12-03.
+#[test]
+fn the_timeline_of_a_stored_ledger_keeps_its_text() {
+    let (head, entries) = (head(), entries());
+    let timeline = Story::new(&head, &entries);
+    let lines: Vec<_> = entries.iter().map(|entry| timeline.line(entry)).collect();
+    assert_eq!(lines, TIMELINE.lines().collect::<Vec<_>>());
+}
+
+/// `fixtures/findings.json` is the part of `report.json` that an audit of the stored ledger wrote on 2026-12-03.
+#[test]
+fn the_findings_keep_their_keys_and_the_order_of_their_fields() {
+    let findings = Audit::of(&head(), &entries());
+    let json = serde_json::to_string_pretty(&findings).expect("JSON");
+    assert_eq!(json, FINDINGS.trim_end());
+}
--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -203,12 +203,12 @@
             read = peer.read(Kind::Response, self.clock()) => read,
             () = self.clock().sleep_until((begun + call.patience + LINGER).min(leaves)) => {
                 let early = leaves <= begun + call.patience + LINGER;
-                return Went::Over(if early { Answer::HungUp } else { Answer::Silence });
+                return Went::Over(if early { Answer::Cancelled } else { Answer::TimedOut });
             }
         };
         let message = match read {
             Ok(message) => message,
-            Err(Stop::Garbled) => return Went::Over(Answer::Garbled),
+            Err(Stop::Garbled) => return Went::Over(Answer::Malformed),
             // Closed without a byte of an answer, at once, on a kept connection: the two crossed. Later it may have
             // been read, and only the client's own rules say whether it may go out again.
             Err(Stop::Closed | Stop::Broken)
@@ -220,7 +220,7 @@
         };
         let answer = meaning(call, &message);
         match peer.rest() {
-            Rest::Bytes => return Went::Over(Answer::Garbled),
+            Rest::Bytes => return Went::Over(Answer::Malformed),
             Rest::Open if !message.is_last() => {
                 self.idle.borrow_mut().entry(at).or_default().push(peer)
             }
@@ -239,12 +239,12 @@
         {
             Answer::Ok
         }
-        200 => Answer::Garbled,
+        200 => Answer::Malformed,
         429 | 503 => {
             let after = message
                 .header("retry-after")
                 .and_then(|value| value.parse().ok());
-            Answer::PushedBack(after)
+            Answer::Rejected(after)
         }
         status => Answer::Aborted(status),
     }
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Fleet;
 use crate::wire::{Kind, Message, Peer, listen, response};
 use birchhub_audit::Event;
-use birchhub_audit::event::{Left, Taken};
+use birchhub_audit::event::{Admission, AttemptEnd};
 use birchhub_backend_model::{
     AttemptId, Backend, BackendEvent, IncomingWork, LoadReport, RejectionReason, Spec, Start,
 };
@@ -106,7 +106,7 @@
     host: &'a NodeHost,
     incarnation: u32,
     attempt_id: AttemptId,
-    how: Left,
+    how: AttemptEnd,
     /// When the proxy gave it up, if that was before the node could take it.
     closed_at: Option<f64>,
 }
@@ -114,7 +114,7 @@
 impl Pick<'_> {
     /// The proxy no longer waits: the work is dropped where the model says so.
     fn withdrawn(mut self) {
-        self.how = Left::Withdrawn;
+        self.how = AttemptEnd::Cancelled;
         self.host
             .change(self.incarnation, |incarnation, now, fleet, out| {
                 incarnation.waiting.remove(&self.attempt_id);
@@ -133,7 +133,7 @@
         let notes = &self.host.fleet.notes;
         let at = self.closed_at.unwrap_or_else(|| notes.clock.now());
         let (attempt_id, how) = (self.attempt_id, self.how);
-        notes.tell_at(at, Event::Left { attempt_id, how });
+        notes.tell_at(at, Event::AttemptEnded { attempt_id, how });
     }
 }
 
@@ -634,19 +634,19 @@
             host: self,
             incarnation,
             attempt_id,
-            how: Left::Broken,
+            how: AttemptEnd::Broken,
             closed_at,
         };
         match fault {
             Some(Fault::Mute { .. }) => {
-                got(Taken::Swallowed, 0.0);
+                got(Admission::Dropped, 0.0);
                 peer.ended().await;
-                pick.how = Left::Withdrawn;
+                pick.how = AttemptEnd::Cancelled;
                 return Next::Close;
             }
             Some(Fault::Error { .. }) => {
-                got(Taken::Error, 0.0);
-                pick.how = Left::Replied;
+                got(Admission::Failed, 0.0);
+                pick.how = AttemptEnd::Replied;
                 return self.answer(peer, incarnation, 500, &[], b"failed\n").await;
             }
             _ => {}
@@ -678,9 +678,9 @@
         let (taken, pushed) = taken.unwrap_or((Err(RejectionReason::Down), 0.0));
         got(
             match taken {
-                Ok(()) => Taken::Held,
-                Err(RejectionReason::Down) => Taken::Swallowed,
-                Err(_) => Taken::TurnedAway,
+                Ok(()) => Admission::Admitted,
+                Err(RejectionReason::Down) => Admission::Dropped,
+                Err(_) => Admission::Rejected,
             },
             pushed,
         );
@@ -690,7 +690,7 @@
             Ok(()) => {}
             Err(RejectionReason::Down) => return Next::Reset,
             Err(_) => {
-                pick.how = Left::Replied;
+                pick.how = AttemptEnd::Replied;
                 let next = self
                     .answer(
                         peer,
@@ -734,30 +734,30 @@
 }
 
 /// Writes an answer as the fault will have it.
-async fn write_with(peer: &mut Peer, bytes: &[u8], fault: Option<Fault>) -> (Next, Left) {
+async fn write_with(peer: &mut Peer, bytes: &[u8], fault: Option<Fault>) -> (Next, AttemptEnd) {
     let whole = |written: io::Result<()>| match written {
-        Ok(()) => (Next::Read, Left::Replied),
-        Err(_) => (Next::Close, Left::Broken),
+        Ok(()) => (Next::Read, AttemptEnd::Replied),
+        Err(_) => (Next::Close, AttemptEnd::Broken),
     };
     match fault {
-        Some(Fault::Reset { .. }) => (Next::Reset, Left::Broken),
+        Some(Fault::Reset { .. }) => (Next::Reset, AttemptEnd::Broken),
         Some(Fault::Half { .. }) => {
             let _ = peer.write(&bytes[..bytes.len() - bytes.len() / 8]).await;
-            (Next::Close, Left::Broken)
+            (Next::Close, AttemptEnd::Broken)
         }
         Some(Fault::Garbage { .. }) => {
             let _ = peer.write(b"\x00\x01 what?\r\n\r\n").await;
-            (Next::Close, Left::Broken)
+            (Next::Close, AttemptEnd::Broken)
         }
         Some(Fault::Trickle { over, .. }) => {
             let pause = Duration::from_secs_f64(over / bytes.len() as f64);
             for byte in bytes {
                 if peer.write(std::slice::from_ref(byte)).await.is_err() {
-                    return (Next::Close, Left::Broken);
+                    return (Next::Close, AttemptEnd::Broken);
                 }
                 sleep(pause).await;
             }
-            (Next::Read, Left::Replied)
+            (Next::Read, AttemptEnd::Replied)
         }
         _ => whole(peer.write(bytes).await),
     }
--- a/crates/emulator/tests/stand_ins.rs
+++ b/crates/emulator/tests/stand_ins.rs
@@ -1,5 +1,5 @@
 //! Stand-ins over loopback sockets: each fault shows on the connection as a proxy would see it, and in the ledger.
-use birchhub_audit::event::{Left, Taken};
+use birchhub_audit::event::{Admission, AttemptEnd};
 use birchhub_audit::{Answer, Entry, Event, Group, Kind as Effect, State};
 use birchhub_backend_model::{Spec, Start, Work, work::Spread};
 use birchhub_emulator::fleet::request_id_of;
@@ -136,7 +136,7 @@
 }
 
 fn is_left(event: &Event) -> bool {
-    matches!(event, Event::Left { .. })
+    matches!(event, Event::AttemptEnded { .. })
 }
 
 #[test]
@@ -166,12 +166,12 @@
             } => Some((*proxy, *request_id, *taken)),
             _ => None,
         });
-        assert_eq!(got, Some((1, 0x700, Taken::Held)));
+        assert_eq!(got, Some((1, 0x700, Admission::Admitted)));
         assert!(
             events.iter().any(|e| matches!(
                 e,
-                Event::Left {
-                    how: Left::Replied,
+                Event::AttemptEnded {
+                    how: AttemptEnd::Replied,
                     ..
                 }
             )),
@@ -267,8 +267,8 @@
         assert!(
             matches!(
                 left,
-                Event::Left {
-                    how: Left::Withdrawn,
+                Event::AttemptEnded {
+                    how: AttemptEnd::Cancelled,
                     ..
                 }
             ) && node.is_idle()
@@ -296,8 +296,8 @@
         assert!(
             matches!(
                 left,
-                Event::Left {
-                    how: Left::Broken,
+                Event::AttemptEnded {
+                    how: AttemptEnd::Broken,
                     ..
                 }
             ),
@@ -366,7 +366,7 @@
             matches!(
                 e,
                 Event::Got {
-                    taken: Taken::Swallowed,
+                    taken: Admission::Dropped,
                     ..
                 }
             )
@@ -383,8 +383,8 @@
         let left = await_event(&entries, is_left).await;
         assert!(matches!(
             left,
-            Event::Left {
-                how: Left::Withdrawn,
+            Event::AttemptEnded {
+                how: AttemptEnd::Cancelled,
                 ..
             }
         ));
@@ -713,13 +713,13 @@
         let truncated = b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n".to_vec();
         let cases: Vec<(Vec<u8>, Answer)> = vec![
             (ok(1), Answer::Ok),
-            (ok(2), Answer::Garbled),
-            ([ok(1), ok(1)].concat(), Answer::Garbled),
+            (ok(2), Answer::Malformed),
+            ([ok(1), ok(1)].concat(), Answer::Malformed),
             (
                 wire::response(503, &retry_after, b""),
-                Answer::PushedBack(Some(0.5)),
+                Answer::Rejected(Some(0.5)),
             ),
-            (wire::response(429, &[], b""), Answer::PushedBack(None)),
+            (wire::response(429, &[], b""), Answer::Rejected(None)),
             (wire::response(502, &[], b""), Answer::Aborted(502)),
             (truncated, Answer::Lost),
             (vec![], Answer::Lost),
@@ -739,12 +739,12 @@
         let at = silent.local_addr().expect("an address");
         let caller = || Caller::new(notes.clone());
         let answer = caller().call(&call(1, 0.05), at).await;
-        assert_eq!(answer, Answer::Silence);
+        assert_eq!(answer, Answer::TimedOut);
         let leaving = Call {
             leaves_after: Some(0.01),
             ..call(1, 5.0)
         };
-        assert_eq!(caller().call(&leaving, at).await, Answer::HungUp);
+        assert_eq!(caller().call(&leaving, at).await, Answer::Cancelled);
         drop(silent);
         let answer = caller().call(&call(1, 5.0), at).await;
         assert_eq!(answer, Answer::Unreachable);
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -161,7 +161,7 @@
             let answer = self.caller.call(&call, at).await;
             let counter = match answer {
                 Answer::Ok => &self.progress.ok,
-                Answer::PushedBack(_) => &self.progress.pushed_back,
+                Answer::Rejected(_) => &self.progress.pushed_back,
                 _ => &self.progress.failed,
             };
             counter.fetch_add(1, Ordering::Relaxed);
@@ -169,7 +169,7 @@
                 break;
             }
             let asked = match answer {
-                Answer::PushedBack(Some(after)) if clients.obey_retry_after => f64::from(after),
+                Answer::Rejected(Some(after)) if clients.obey_retry_after => f64::from(after),
                 _ => 0.0,
             };
             clock.sleep_until(clock.now() + wait.max(asked)).await;
@@ -182,8 +182,8 @@
 /// anywhere, within its window. `since` is the time from when the RPC was due, s.
 pub fn tries_again(answer: Answer, method: &Method, since: f64) -> bool {
     match (answer, method.effect()) {
-        (Answer::Ok | Answer::HungUp, _) => false,
-        (Answer::PushedBack(_) | Answer::Unreachable, _) => true,
+        (Answer::Ok | Answer::Cancelled, _) => false,
+        (Answer::Rejected(_) | Answer::Unreachable, _) => true,
         (_, Effect::Idempotent) => true,
         (_, Effect::NonIdempotent) => false,
         (_, Effect::Deduplicated { group, window }) => group == Group::All && since < window,
--- a/crates/rehearsal/src/page.rs
+++ b/crates/rehearsal/src/page.rs
@@ -160,7 +160,7 @@
                     most[node][second] = most[node][second].max(now[node]);
                 }
             }
-            Event::Left { attempt_id, .. } => {
+            Event::AttemptEnded { attempt_id, .. } => {
                 if let Some(node) = attempt_ids.remove(&attempt_id) {
                     now[node] -= 1;
                 }
--- a/crates/rehearsal/tests/verdicts.rs
+++ b/crates/rehearsal/tests/verdicts.rs
@@ -1,5 +1,5 @@
 //! The verdict: rules, bars, and whether the kit itself was on time.
-use birchhub_audit::event::Taken;
+use birchhub_audit::event::Admission;
 use birchhub_audit::{Answer, Entry, Event, Head};
 use birchhub_rehearsal::{Plan, Report, Scenario, Verdict, settings, shipped};
 
@@ -76,7 +76,7 @@
                 begun,
                 work,
                 pushed,
-                taken: Taken::Held,
+                taken: Admission::Admitted,
             },
         }
     };
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -4,7 +4,7 @@
 use super::process::ProcessId;
 use super::{NETWORK_DELAY, World};
 use birchhub::interface::{AttemptOutcome, LoadReport};
-use birchhub_audit::event::{Left, Taken};
+use birchhub_audit::event::{Admission, AttemptEnd};
 use birchhub_audit::{Answer, Event, Kind};
 use birchhub_backend_model::{IdempotencyKey, IncomingWork, RejectionReason};
 use birchhub_rehearsal::plan::Trick;
@@ -41,7 +41,7 @@
 
 impl ReceivedAttempt {
     /// The ledger's record of what the backend did with it; `pushed` is the load that the backend reports.
-    fn record(&self, taken: Taken, pushed: f64) -> Event {
+    fn record(&self, taken: Admission, pushed: f64) -> Event {
         Event::Got {
             incarnation: self.incarnation,
             attempt_id: self.attempt_id,
@@ -179,16 +179,16 @@
     /// The backend holds the attempt and never answers.
     fn swallow(&mut self, received: &ReceivedAttempt) {
         self.hold(received, None);
-        self.record(received.record(Taken::Swallowed, 0.0));
+        self.record(received.record(Admission::Dropped, 0.0));
     }
 
     /// The backend answers with an error at once.
     fn reply_error(&mut self, received: &ReceivedAttempt) {
         let attempt_id = received.attempt_id;
-        self.record(received.record(Taken::Error, 0.0));
-        self.record(Event::Left {
+        self.record(received.record(Admission::Failed, 0.0));
+        self.record(Event::AttemptEnded {
             attempt_id,
-            how: Left::Replied,
+            how: AttemptEnd::Replied,
         });
         self.send_outcome(attempt_id, AttemptOutcome::Failed, 0.0);
     }
@@ -212,15 +212,23 @@
         match taken {
             Ok(()) => {
                 self.hold(received, fault);
-                self.record(received.record(Taken::Held, pushed));
+                self.record(received.record(Admission::Admitted, pushed));
             }
             Err(RejectionReason::Down) => {
-                self.record(received.record(Taken::Swallowed, pushed));
-                self.refuse(received.attempt_id, Left::Broken, AttemptOutcome::Reset);
+                self.record(received.record(Admission::Dropped, pushed));
+                self.refuse(
+                    received.attempt_id,
+                    AttemptEnd::Broken,
+                    AttemptOutcome::Reset,
+                );
             }
             Err(_) => {
-                self.record(received.record(Taken::TurnedAway, pushed));
-                self.refuse(received.attempt_id, Left::Replied, AttemptOutcome::Rejected);
+                self.record(received.record(Admission::Rejected, pushed));
+                self.refuse(
+                    received.attempt_id,
+                    AttemptEnd::Replied,
+                    AttemptOutcome::Rejected,
+                );
             }
         }
         self.apply_backend_events(received.node, events);
@@ -249,8 +257,8 @@
         }
     }
 
-    fn refuse(&mut self, attempt_id: u64, how: Left, outcome: AttemptOutcome) {
-        self.record(Event::Left { attempt_id, how });
+    fn refuse(&mut self, attempt_id: u64, how: AttemptEnd, outcome: AttemptOutcome) {
+        self.record(Event::AttemptEnded { attempt_id, how });
         self.send_outcome(attempt_id, outcome, 0.0);
     }
 
@@ -265,12 +273,14 @@
         let entry = self.proxy_attempts.get(&attempt_id);
         let (outcome, how, delay) = match entry.and_then(|entry| entry.fault.as_ref()) {
             Some(Trick::Reset(_) | Trick::Half(_) | Trick::Garbage(_)) => {
-                (AttemptOutcome::Reset, Left::Broken, 0.0)
+                (AttemptOutcome::Reset, AttemptEnd::Broken, 0.0)
             }
-            Some(Trick::Trickle(_, over)) => (AttemptOutcome::Succeeded, Left::Replied, *over),
-            _ => (AttemptOutcome::Succeeded, Left::Replied, 0.0),
+            Some(Trick::Trickle(_, over)) => {
+                (AttemptOutcome::Succeeded, AttemptEnd::Replied, *over)
+            }
+            _ => (AttemptOutcome::Succeeded, AttemptEnd::Replied, 0.0),
         };
-        self.record(Event::Left { attempt_id, how });
+        self.record(Event::AttemptEnded { attempt_id, how });
         self.send_outcome(attempt_id, outcome, delay);
     }
 
@@ -288,9 +298,9 @@
             let node = &mut backend.model;
             node.cancel(self.now, attempt_id, &mut self.deduplication, &mut events);
         }
-        self.record(Event::Left {
+        self.record(Event::AttemptEnded {
             attempt_id,
-            how: Left::Withdrawn,
+            how: AttemptEnd::Cancelled,
         });
         self.apply_backend_events(entry.node, events);
     }
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -5,7 +5,7 @@
 use super::process::ProcessId;
 use super::{NETWORK_DELAY, POLL_INTERVAL, World};
 use birchhub::interface::{AttemptOutcome, LoadReport};
-use birchhub_audit::event::Left;
+use birchhub_audit::event::AttemptEnd;
 use birchhub_audit::{Event, State};
 use birchhub_backend_model::{Backend, BackendEvent, DeduplicationCache, Start};
 
@@ -70,9 +70,9 @@
         machine.version += 1;
         self.record(Event::BackendEnded { incarnation });
         for attempt_id in held_attempts {
-            self.record(Event::Left {
+            self.record(Event::AttemptEnded {
                 attempt_id,
-                how: Left::Broken,
+                how: AttemptEnd::Broken,
             });
             self.send_outcome(attempt_id, AttemptOutcome::Reset, 0.0);
         }
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -112,7 +112,7 @@
     fn retry_delay(&self, number: u8, answer: Answer) -> f64 {
         let policy = &self.scenario.clients;
         let retry_after = match answer {
-            Answer::PushedBack(Some(after)) if policy.obey_retry_after => f64::from(after),
+            Answer::Rejected(Some(after)) if policy.obey_retry_after => f64::from(after),
             _ => 0.0,
         };
         let factor = if policy.backoff {
@@ -129,7 +129,7 @@
             return;
         };
         let proxy = sent.proxy;
-        self.answer_client(request_id, Answer::HungUp);
+        self.answer_client(request_id, Answer::Cancelled);
         let disconnected = ProcessEvent::ClientDisconnected(request_id);
         self.send_to_process(proxy, NETWORK_DELAY, disconnected);
     }
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -76,7 +76,7 @@
                 retry_after,
             } => {
                 let retry_after = (retry_after > 0.0).then_some(retry_after as f32);
-                self.send_answer(proxy, request_id, Answer::PushedBack(retry_after));
+                self.send_answer(proxy, request_id, Answer::Rejected(retry_after));
             }
             Command::Fail { request_id } => {
                 self.send_answer(proxy, request_id, Answer::Aborted(BAD_GATEWAY))
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -206,7 +206,7 @@
             Due::ConnectionClosed { attempt_id } => self.close_connection(attempt_id),
             Due::HealthCheckAtBackend { process, node } => self.answer_health_check(process, node),
             Due::AnswerAtClient { request_id, answer } => self.answer_client(request_id, answer),
-            Due::ClientGivesUp { request_id } => self.answer_client(request_id, Answer::Silence),
+            Due::ClientGivesUp { request_id } => self.answer_client(request_id, Answer::TimedOut),
             Due::ClientDisconnects { request_id } => self.disconnect_client(request_id),
             Due::PublishEndpoint { node, list_entry } => self.publish_endpoint(node, list_entry),
             Due::ListCallArrives(process) => self.start_list_call(process),
--- a/crates/simulation/tests/simulated.rs
+++ b/crates/simulation/tests/simulated.rs
@@ -43,7 +43,7 @@
             count(|e| matches!(
                 e,
                 Event::Answered {
-                    answer: Answer::Silence,
+                    answer: Answer::TimedOut,
                     ..
                 }
             )),
@@ -54,7 +54,7 @@
         let got = count(|e| matches!(e, Event::Got { .. }));
         assert_eq!(
             got,
-            count(|e| matches!(e, Event::Left { .. })),
+            count(|e| matches!(e, Event::AttemptEnded { .. })),
             "{}",
             shipped.name
         );
