--- a/crates/audit/src/audit.rs
+++ b/crates/audit/src/audit.rs
@@ -92,8 +92,8 @@
 struct Pick {
     attempt_id: u64,
     incarnation: u32,
-    begun: f64,
-    taken: Admission,
+    first_byte_at: f64,
+    admission: Admission,
     /// When it was over for its proxy.
     over: Option<f64>,
     /// How long its node was told that the proxy waits, s.
@@ -105,14 +105,14 @@
     rpc: u32,
     proxy: u16,
     sent: f64,
-    patience: f64,
+    client_timeout: f64,
     answer: Option<(f64, Answer)>,
     picks: Vec<Pick>,
 }
 
 impl Try {
     fn deadline(&self) -> f64 {
-        self.sent + self.patience
+        self.sent + self.client_timeout
     }
 }
 
@@ -222,11 +222,11 @@
         let at = entry.at;
         self.now = self.now.max(at);
         match entry.event {
-            Event::Asked {
+            Event::Arrival {
                 rpc,
                 method,
                 tenant,
-                within,
+                within_quota,
             } => {
                 self.counts.rpcs += 1;
                 self.rpcs.insert(
@@ -237,29 +237,29 @@
                     },
                 );
                 self.tally
-                    .asked(at, rpc, method as usize, tenant as usize, within);
+                    .asked(at, rpc, method as usize, tenant as usize, within_quota);
             }
-            Event::Sent {
+            Event::RequestSent {
                 request_id,
                 rpc,
                 proxy,
-                patience,
+                client_timeout,
             } => {
                 self.counts.tries += 1;
-                let (patience, picks) = (f64::from(patience), Vec::new());
+                let (client_timeout, picks) = (f64::from(client_timeout), Vec::new());
                 // The first pick may have overtaken the note of the send.
                 let known = self.tries.remove(&request_id).map_or(picks, |t| t.picks);
                 let entry = Try {
                     rpc,
                     proxy,
                     sent: at,
-                    patience,
+                    client_timeout,
                     answer: None,
                     picks: known,
                 };
                 self.tries.insert(request_id, entry);
             }
-            Event::Answered { request_id, answer } => self.answered(at, request_id, answer),
+            Event::RequestAnswered { request_id, answer } => self.answered(at, request_id, answer),
             Event::BackendStarted {
                 incarnation,
                 node,
@@ -279,29 +279,35 @@
                 );
             }
             Event::BackendCollapsed { incarnation } => self.fell(at, incarnation),
-            Event::Got {
+            Event::AttemptReceived {
                 incarnation,
                 attempt_id,
                 request_id,
                 proxy,
-                begun,
+                first_byte_at,
                 work,
-                pushed,
-                taken,
+                overload,
+                admission,
             } => {
-                self.got(incarnation, attempt_id, request_id, begun, taken);
-                self.after_told(incarnation, request_id, proxy, begun);
-                self.pushed(at, incarnation, proxy, f64::from(work), f64::from(pushed));
+                self.got(
+                    incarnation,
+                    attempt_id,
+                    request_id,
+                    first_byte_at,
+                    admission,
+                );
+                self.after_told(incarnation, request_id, proxy, first_byte_at);
+                self.overload(at, incarnation, proxy, f64::from(work), f64::from(overload));
             }
-            Event::Started { attempt_id } => self.started(at, attempt_id),
-            Event::Repeated { .. } => self.counts.dropped_repeats += 1,
+            Event::ExecutionStarted { attempt_id } => self.started(at, attempt_id),
+            Event::DuplicateDropped { .. } => self.counts.dropped_repeats += 1,
             Event::AttemptEnded { attempt_id, how } => {
                 self.counts.withdrawn += usize::from(how == AttemptEnd::Cancelled);
                 if let Some(pick) = self.pick_mut(attempt_id) {
                     pick.over.get_or_insert(at);
                 }
             }
-            Event::Told {
+            Event::ProxyNotified {
                 proxy,
                 node,
                 incarnation,
@@ -331,9 +337,9 @@
                 }
                 self.ended.entry(proxy).or_default().push((at, how));
             }
-            Event::KitLate { by } => self.late.push(f64::from(by)),
-            Event::StageLate { by } => self.stage_late.push(f64::from(by)),
-            Event::TimeTold {
+            Event::ClientLate { by } => self.late.push(f64::from(by)),
+            Event::EmulatorLate { by } => self.stage_late.push(f64::from(by)),
+            Event::TimeoutForwarded {
                 attempt_id,
                 seconds,
             } => {
@@ -343,10 +349,10 @@
             }
             Event::BackendDraining { .. }
             | Event::BackendEnded { .. }
-            | Event::Finished { .. }
-            | Event::Changed { .. }
+            | Event::ExecutionFinished { .. }
+            | Event::EndpointChanged { .. }
             | Event::ProxyReady { .. }
-            | Event::Trouble { .. } => {}
+            | Event::Fault { .. } => {}
         }
     }
 
@@ -398,35 +404,35 @@
         incarnation: u32,
         attempt_id: u64,
         request_id: u64,
-        begun: f64,
-        taken: Admission,
+        first_byte_at: f64,
+        admission: Admission,
     ) {
         self.counts.picks += 1;
-        self.counts.turned_away += usize::from(taken == Admission::Rejected);
+        self.counts.turned_away += usize::from(admission == Admission::Rejected);
         self.attempt_ids.insert(attempt_id, request_id);
-        let (rpc, proxy, sent, patience) = (u32::MAX, u16::MAX, begun, f64::INFINITY);
+        let (rpc, proxy, sent, client_timeout) = (u32::MAX, u16::MAX, first_byte_at, f64::INFINITY);
         let entry = self.tries.entry(request_id);
         let entry = entry.or_insert(Try {
             rpc,
             proxy,
             sent,
-            patience,
+            client_timeout,
             answer: None,
             picks: Vec::new(),
         });
-        let over = (taken == Admission::Rejected).then_some(begun);
+        let over = (admission == Admission::Rejected).then_some(first_byte_at);
         entry.picks.push(Pick {
             attempt_id,
             incarnation,
-            begun,
-            taken,
+            first_byte_at,
+            admission,
             over,
             time: None,
         });
     }
 
     /// Rule 3, for one pick.
-    fn after_told(&mut self, incarnation: u32, request_id: u64, proxy: u16, begun: f64) {
+    fn after_told(&mut self, incarnation: u32, request_id: u64, proxy: u16, first_byte_at: f64) {
         let Some(node) = self.incarnations.get(&incarnation).map(|l| l.node) else {
             return;
         };
@@ -439,7 +445,7 @@
         else {
             return;
         };
-        let late = begun - off;
+        let late = first_byte_at - off;
         self.latest_after_told = self.latest_after_told.max(late);
         if late > self.head.rules.drain_grace + self.head.rules.slack {
             let rpc = self.tries.get(&request_id).map_or(u32::MAX, |t| t.rpc);
@@ -449,11 +455,11 @@
                 late * 1e3,
                 self.proxy_name(proxy)
             );
-            self.breach(Rule::Drains, begun, Self::rpc_name(rpc), what, true);
+            self.breach(Rule::Drains, first_byte_at, Self::rpc_name(rpc), what, true);
         }
     }
 
-    fn pushed(&mut self, at: f64, incarnation: u32, proxy: u16, work: f64, pushed: f64) {
+    fn overload(&mut self, at: f64, incarnation: u32, proxy: u16, work: f64, overload: f64) {
         let window = self.head.rules.fall_window;
         let Some(entry) = self.incarnations.get_mut(&incarnation) else {
             return;
@@ -465,7 +471,7 @@
             .told
             .get(&(proxy, entry.node))
             .is_some_and(|told| told.0 == incarnation);
-        entry.peak = entry.peak.max(pushed);
+        entry.peak = entry.peak.max(overload);
         entry.push.push_back((at, work, informed));
         while entry
             .push
@@ -544,7 +550,7 @@
                 let what = "sent to a node, and no client had asked for it".to_owned();
                 self.breach(
                     Rule::OneAnswer,
-                    pick.begun,
+                    pick.first_byte_at,
                     format!("try {request_id:016x}"),
                     what,
                     false,
@@ -553,49 +559,49 @@
             return;
         };
         let mut found = Vec::new();
-        let ran = |p: &&Pick| p.taken != Admission::Rejected;
+        let ran = |p: &&Pick| p.admission != Admission::Rejected;
         for (n, pick) in entry.picks.iter().enumerate() {
             let after = entry
                 .answer
-                .filter(|(at, a)| a.is_final() && pick.begun > at + slack);
+                .filter(|(at, a)| a.is_final() && pick.first_byte_at > at + slack);
             if after.is_some() {
                 found.push((
                     Rule::OneAnswer,
-                    pick.begun,
+                    pick.first_byte_at,
                     "sent on after its final answer".to_owned(),
                     true,
                 ));
-            } else if pick.begun > entry.deadline() + slack {
+            } else if pick.first_byte_at > entry.deadline() + slack {
                 found.push((
                     Rule::OneAnswer,
-                    pick.begun,
+                    pick.first_byte_at,
                     "sent on after its deadline".to_owned(),
                     true,
                 ));
             }
             let hung_up = entry.answer.filter(|(at, a)| {
-                *a == Answer::Cancelled && pick.begun > at + AFTER_HANG_UP + slack
+                *a == Answer::Cancelled && pick.first_byte_at > at + AFTER_HANG_UP + slack
             });
             if hung_up.is_some() {
                 let what = "sent on after its client had hung up".to_owned();
-                found.push((Rule::OneAnswer, pick.begun, what, true));
+                found.push((Rule::OneAnswer, pick.first_byte_at, what, true));
             }
-            let left = entry.deadline() - pick.begun;
+            let left = entry.deadline() - pick.first_byte_at;
             if let Some(time) = pick.time.filter(|time| *time > left + TIME_SLACK + slack) {
                 let what = format!("told its node {time:.3} s where {left:.3} s are left");
-                found.push((Rule::OneAnswer, pick.begun, what, true));
+                found.push((Rule::OneAnswer, pick.first_byte_at, what, true));
             }
             if n >= rules.most_picks {
                 let what = format!("{} picks, {} are allowed", n + 1, rules.most_picks);
-                found.push((Rule::NoEffectTwice, pick.begun, what, false));
+                found.push((Rule::NoEffectTwice, pick.first_byte_at, what, false));
             }
             let before = &entry.picks[..n];
             let out = before
                 .iter()
-                .any(|p| ran(&p) && p.over.is_none_or(|over| over > pick.begun + slack));
+                .any(|p| ran(&p) && p.over.is_none_or(|over| over > pick.first_byte_at + slack));
             if out && !rules.second_copies {
                 let what = "a second copy while one was out".to_owned();
-                found.push((Rule::NoEffectTwice, pick.begun, what, true));
+                found.push((Rule::NoEffectTwice, pick.first_byte_at, what, true));
             }
             for first in before.iter().filter(ran) {
                 let node = |incarnation| {
@@ -612,7 +618,7 @@
                         false,
                     ),
                     Kind::Deduplicated { window, .. }
-                        if pick.begun > first.begun + window + slack =>
+                        if pick.first_byte_at > first.first_byte_at + window + slack =>
                     {
                         ("sent again after repeats are forgotten".to_owned(), true)
                     }
@@ -621,16 +627,16 @@
                 let what = format!(
                     "{what}: {} at {:.3}, {} at {:.3}",
                     self.node_name(one),
-                    first.begun,
+                    first.first_byte_at,
                     self.node_name(other),
-                    pick.begun
+                    pick.first_byte_at
                 );
-                found.push((Rule::NoEffectTwice, pick.begun, what, timed));
+                found.push((Rule::NoEffectTwice, pick.first_byte_at, what, timed));
             }
         }
         if let Some((at, Answer::Rejected(_))) = entry.answer
             && !kind.repeats_anywhere()
-            && entry.picks.iter().any(|p| ran(&p) && p.begun <= at)
+            && entry.picks.iter().any(|p| ran(&p) && p.first_byte_at <= at)
         {
             found.push((
                 Rule::NoEffectTwice,
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -128,33 +128,39 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// An RPC was due, whether or not it could be sent.
-    Asked {
+    #[serde(rename = "Asked")]
+    Arrival {
         rpc: u32,
         method: u8,
         tenant: u8,
-        within: bool,
+        #[serde(rename = "within")]
+        within_quota: bool,
     },
     /// A client's request: its last byte left at this time.
-    Sent {
+    #[serde(rename = "Sent")]
+    RequestSent {
         #[serde(rename = "attempt")]
         request_id: u64,
         rpc: u32,
         proxy: u16,
-        patience: f32,
+        #[serde(rename = "patience")]
+        client_timeout: f32,
     },
-    Answered {
+    #[serde(rename = "Answered")]
+    RequestAnswered {
         #[serde(rename = "attempt")]
         request_id: u64,
         answer: Answer,
     },
-    /// An incarnation of a node began; `able` is what it can do when warm, in standard cores.
+    /// An incarnation of a node began; `warm_capacity` is what it can do when warm, in standard cores.
     #[serde(rename = "Born")]
     BackendStarted {
         #[serde(rename = "life")]
         incarnation: u32,
         node: u32,
         cold: bool,
-        able: f32,
+        #[serde(rename = "able")]
+        warm_capacity: f32,
     },
     #[serde(rename = "Drained")]
     BackendDraining {
@@ -172,8 +178,9 @@
         #[serde(rename = "life")]
         incarnation: u32,
     },
-    /// A pick arrived whole; its first byte came at `begun`. `pushed` is how far it pushed a cold node to its fall.
-    Got {
+    /// A pick arrived whole; its first byte came at `first_byte_at`. `overload` is how far it pushed a cold node to its fall.
+    #[serde(rename = "Got")]
+    AttemptReceived {
         #[serde(rename = "life")]
         incarnation: u32,
         #[serde(rename = "job")]
@@ -181,21 +188,27 @@
         #[serde(rename = "attempt")]
         request_id: u64,
         proxy: u16,
-        begun: f64,
+        #[serde(rename = "begun")]
+        first_byte_at: f64,
         work: f32,
-        pushed: f32,
-        taken: Admission,
+        #[serde(rename = "pushed")]
+        overload: f32,
+        #[serde(rename = "taken")]
+        admission: Admission,
     },
-    Started {
+    #[serde(rename = "Started")]
+    ExecutionStarted {
         #[serde(rename = "job")]
         attempt_id: u64,
     },
     /// Dropped as a repeat: answered as done, with no effect.
-    Repeated {
+    #[serde(rename = "Repeated")]
+    DuplicateDropped {
         #[serde(rename = "job")]
         attempt_id: u64,
     },
-    Finished {
+    #[serde(rename = "Finished")]
+    ExecutionFinished {
         #[serde(rename = "job")]
         attempt_id: u64,
     },
@@ -206,14 +219,16 @@
         how: AttemptEnd,
     },
     /// The truth about a node changed and the list service knows.
-    Changed {
+    #[serde(rename = "Changed")]
+    EndpointChanged {
         node: u32,
         #[serde(rename = "life")]
         incarnation: u32,
         state: State,
     },
     /// The list service wrote it to a proxy, or the proxy started with it.
-    Told {
+    #[serde(rename = "Told")]
+    ProxyNotified {
         proxy: u16,
         node: u32,
         #[serde(rename = "life")]
@@ -232,20 +247,24 @@
         how: End,
     },
     /// A trouble of the scenario began or ended.
-    Trouble {
+    #[serde(rename = "Trouble")]
+    Fault {
         number: u16,
         begins: bool,
     },
     /// The kit itself was late by so much, s: what was due at a time happened later.
-    KitLate {
+    #[serde(rename = "KitLate")]
+    ClientLate {
         by: f32,
     },
     /// What was due by itself at a stand-in node happened so much later, s.
-    StageLate {
+    #[serde(rename = "StageLate")]
+    EmulatorLate {
         by: f32,
     },
     /// A pick told its node that the proxy waits for so long, s.
-    TimeTold {
+    #[serde(rename = "TimeTold")]
+    TimeoutForwarded {
         #[serde(rename = "job")]
         attempt_id: u64,
         seconds: f32,
--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -53,7 +53,7 @@
     method: usize,
     tenant: usize,
     utility: f64,
-    within: bool,
+    within_quota: bool,
 }
 
 /// Adds up what was asked for and what was answered.
@@ -86,7 +86,10 @@
         if self.seconds.len() <= second {
             self.seconds.resize(second + 1, Sum::default());
         }
-        let tenant = self.tenants.get_mut(rpc.tenant).filter(|_| rpc.within);
+        let tenant = self
+            .tenants
+            .get_mut(rpc.tenant)
+            .filter(|_| rpc.within_quota);
         let sums = [
             Some(&mut self.whole),
             self.methods.get_mut(rpc.method),
@@ -99,9 +102,9 @@
         }
     }
 
-    pub fn asked(&mut self, due: f64, rpc: u32, method: usize, tenant: usize, within: bool) {
+    pub fn asked(&mut self, due: f64, rpc: u32, method: usize, tenant: usize, within_quota: bool) {
         let full = self.head.methods.get(method).map_or(0.0, |m| m.utility);
-        let utility = if within {
+        let utility = if within_quota {
             full
         } else {
             full * self.head.rules.over_quota_utility
@@ -111,7 +114,7 @@
             method,
             tenant,
             utility,
-            within,
+            within_quota,
         };
         self.add(&open, utility, 0.0);
         self.open.insert(rpc, open);
--- a/crates/audit/src/story.rs
+++ b/crates/audit/src/story.rs
@@ -22,10 +22,10 @@
         };
         for entry in entries {
             match entry.event {
-                Event::Sent {
+                Event::RequestSent {
                     request_id, rpc, ..
                 } => drop(story.rpcs.insert(request_id, rpc)),
-                Event::Got {
+                Event::AttemptReceived {
                     attempt_id,
                     request_id,
                     ..
@@ -44,15 +44,14 @@
         let of_attempt =
             |attempt_id: &u64| self.rpcs.get(self.attempt_ids.get(attempt_id)?).copied();
         match event {
-            Event::Asked { rpc, .. } | Event::Sent { rpc, .. } => Some(*rpc),
-            Event::Answered { request_id, .. } | Event::Got { request_id, .. } => {
-                self.rpcs.get(request_id).copied()
-            }
-            Event::Started { attempt_id }
-            | Event::Repeated { attempt_id }
-            | Event::Finished { attempt_id }
+            Event::Arrival { rpc, .. } | Event::RequestSent { rpc, .. } => Some(*rpc),
+            Event::RequestAnswered { request_id, .. }
+            | Event::AttemptReceived { request_id, .. } => self.rpcs.get(request_id).copied(),
+            Event::ExecutionStarted { attempt_id }
+            | Event::DuplicateDropped { attempt_id }
+            | Event::ExecutionFinished { attempt_id }
             | Event::AttemptEnded { attempt_id, .. }
-            | Event::TimeTold { attempt_id, .. } => of_attempt(attempt_id),
+            | Event::TimeoutForwarded { attempt_id, .. } => of_attempt(attempt_id),
             _ => None,
         }
     }
@@ -88,37 +87,41 @@
                 .map_or("-", String::as_str)
         };
         let what = match &entry.event {
-            Event::Asked {
+            Event::Arrival {
                 rpc,
                 method: m,
                 tenant: t,
-                within,
+                within_quota,
             } => {
-                let quota = if *within { "" } else { ", beyond its quota" };
+                let quota = if *within_quota {
+                    ""
+                } else {
+                    ", beyond its quota"
+                };
                 format!("rpc {rpc} due: {} of {}{quota}", method(*m), tenant(*t))
             }
-            Event::Sent {
+            Event::RequestSent {
                 request_id,
                 rpc,
                 proxy,
-                patience,
+                client_timeout,
             } => {
                 format!(
-                    "rpc {rpc} try {request_id:016x} sent to {}, waits {patience:.3} s",
+                    "rpc {rpc} try {request_id:016x} sent to {}, waits {client_timeout:.3} s",
                     self.proxy(*proxy)
                 )
             }
-            Event::Answered { request_id, answer } => {
+            Event::RequestAnswered { request_id, answer } => {
                 format!("try {request_id:016x} answered: {answer}")
             }
             Event::BackendStarted {
                 incarnation,
                 cold,
-                able,
+                warm_capacity,
                 ..
             } => {
                 format!(
-                    "{} starts {}, able {able:.2}",
+                    "{} starts {}, able {warm_capacity:.2}",
                     self.incarnation(*incarnation),
                     if *cold { "cold" } else { "warm" }
                 )
@@ -132,37 +135,39 @@
             Event::BackendCollapsed { incarnation } => {
                 format!("{} is pushed over", self.incarnation(*incarnation))
             }
-            Event::Got {
+            Event::AttemptReceived {
                 incarnation,
                 attempt_id,
                 request_id,
                 proxy,
-                begun,
+                first_byte_at,
                 work,
-                pushed,
-                taken,
+                overload,
+                admission,
             } => format!(
-                "try {request_id:016x} pick {attempt_id} at {} from {}, first byte at {begun:.4}, work {:.1} ms, pushed {:.0}%: \
-                 {taken}",
+                "try {request_id:016x} pick {attempt_id} at {} from {}, first byte at {first_byte_at:.4}, work {:.1} ms, pushed {:.0}%: \
+                 {admission}",
                 self.incarnation(*incarnation),
                 self.proxy(*proxy),
                 work * 1e3,
-                pushed * 1e2
+                overload * 1e2
             ),
-            Event::Started { attempt_id } => format!("pick {attempt_id} runs"),
-            Event::Repeated { attempt_id } => format!("pick {attempt_id} dropped as a repeat"),
-            Event::Finished { attempt_id } => format!("pick {attempt_id} has run"),
+            Event::ExecutionStarted { attempt_id } => format!("pick {attempt_id} runs"),
+            Event::DuplicateDropped { attempt_id } => {
+                format!("pick {attempt_id} dropped as a repeat")
+            }
+            Event::ExecutionFinished { attempt_id } => format!("pick {attempt_id} has run"),
             Event::AttemptEnded { attempt_id, how } => {
                 format!("pick {attempt_id} is over: {how}")
             }
-            Event::Changed {
+            Event::EndpointChanged {
                 node,
                 incarnation,
                 state,
             } => {
                 format!("{} (life {incarnation}) is {state:?}", self.node(*node))
             }
-            Event::Told {
+            Event::ProxyNotified {
                 proxy,
                 node,
                 incarnation,
@@ -177,7 +182,7 @@
             Event::ProxyStarted { proxy } => format!("{} started", self.proxy(*proxy)),
             Event::ProxyReady { proxy } => format!("{} ready", self.proxy(*proxy)),
             Event::ProxyEnded { proxy, how } => format!("{} ended: {how:?}", self.proxy(*proxy)),
-            Event::Trouble { number, begins } => {
+            Event::Fault { number, begins } => {
                 let name = self
                     .head
                     .troubles
@@ -185,14 +190,14 @@
                     .map_or("?", |t| &t.name);
                 format!("trouble {name} {}", if *begins { "begins" } else { "ends" })
             }
-            Event::TimeTold {
+            Event::TimeoutForwarded {
                 attempt_id,
                 seconds,
             } => {
                 format!("job {attempt_id} was told that the proxy waits {seconds:.3} s")
             }
-            Event::StageLate { by } => format!("a stand-in is {:.2} ms late", by * 1e3),
-            Event::KitLate { by } => format!("the kit is {:.2} ms late", by * 1e3),
+            Event::EmulatorLate { by } => format!("a stand-in is {:.2} ms late", by * 1e3),
+            Event::ClientLate { by } => format!("the kit is {:.2} ms late", by * 1e3),
         };
         format!("{:10.4}  {what}", entry.at)
     }
--- a/crates/audit/tests/audit.rs
+++ b/crates/audit/tests/audit.rs
@@ -72,7 +72,7 @@
                     incarnation,
                     node: incarnation,
                     cold: false,
-                    able: 2.0,
+                    warm_capacity: 2.0,
                 },
             );
         }
@@ -86,11 +86,11 @@
     fn asked(&mut self, at: f64, rpc: u32, method: u8) -> &mut Self {
         self.at(
             at,
-            Event::Asked {
+            Event::Arrival {
                 rpc,
                 method,
                 tenant: 0,
-                within: true,
+                within_quota: true,
             },
         );
         self.sent(at, u64::from(rpc), rpc)
@@ -98,11 +98,11 @@
     fn sent(&mut self, at: f64, request_id: u64, rpc: u32) -> &mut Self {
         self.at(
             at,
-            Event::Sent {
+            Event::RequestSent {
                 request_id,
                 rpc,
                 proxy: 0,
-                patience: 0.5,
+                client_timeout: 0.5,
             },
         )
     }
@@ -112,32 +112,32 @@
         request_id: u64,
         attempt_id: u64,
         incarnation: u32,
-        taken: Admission,
+        admission: Admission,
     ) -> &mut Self {
-        let (proxy, begun, work, pushed) = (0, at, 0.1, 0.0);
+        let (proxy, first_byte_at, work, overload) = (0, at, 0.1, 0.0);
         self.at(
             at,
-            Event::Got {
+            Event::AttemptReceived {
                 incarnation,
                 attempt_id,
                 request_id,
                 proxy,
-                begun,
+                first_byte_at,
                 work,
-                pushed,
-                taken,
+                overload,
+                admission,
             },
         )
     }
     fn runs(&mut self, at: f64, attempt_id: u64) -> &mut Self {
-        self.at(at, Event::Started { attempt_id })
-            .at(at + 0.05, Event::Finished { attempt_id })
+        self.at(at, Event::ExecutionStarted { attempt_id })
+            .at(at + 0.05, Event::ExecutionFinished { attempt_id })
     }
     fn left(&mut self, at: f64, attempt_id: u64, how: AttemptEnd) -> &mut Self {
         self.at(at, Event::AttemptEnded { attempt_id, how })
     }
     fn answered(&mut self, at: f64, request_id: u64, answer: Answer) -> &mut Self {
-        self.at(at, Event::Answered { request_id, answer })
+        self.at(at, Event::RequestAnswered { request_id, answer })
     }
     /// An RPC that succeeds.
     fn good(&mut self, at: f64, rpc: u32, method: u8) -> &mut Self {
@@ -212,14 +212,14 @@
 
 #[test]
 fn an_attempt_after_its_client_hung_up_is_found() {
-    let hung_up = |begun: f64| {
+    let hung_up = |first_byte_at: f64| {
         let mut builder = LedgerBuilder::new();
         builder
             .asked(1.0, 7, READ)
             .answered(1.1, 7, Answer::Cancelled)
-            .got(begun, 7, 70, 0, Admission::Admitted)
-            .runs(begun, 70)
-            .left(begun + 0.06, 70, AttemptEnd::Cancelled);
+            .got(first_byte_at, 7, 70, 0, Admission::Admitted)
+            .runs(first_byte_at, 70)
+            .left(first_byte_at + 0.06, 70, AttemptEnd::Cancelled);
         builder
     };
     hung_up(1.24).clean();
@@ -232,7 +232,7 @@
         let mut builder = LedgerBuilder::new();
         builder.good(1.0, 7, READ).at(
             1.001,
-            Event::TimeTold {
+            Event::TimeoutForwarded {
                 attempt_id: 1007,
                 seconds,
             },
@@ -357,20 +357,20 @@
         let mut builder = LedgerBuilder::new();
         builder.at(
             1.0,
-            Event::Asked {
+            Event::Arrival {
                 rpc: 7,
                 method: LOG,
                 tenant: 0,
-                within: true,
+                within_quota: true,
             },
         );
         builder.at(
             1.0,
-            Event::Sent {
+            Event::RequestSent {
                 request_id: 7,
                 rpc: 7,
                 proxy: 0,
-                patience: 5.0,
+                client_timeout: 5.0,
             },
         );
         builder
@@ -433,7 +433,7 @@
 
 #[test]
 fn a_rejection_of_what_may_have_run_is_found() {
-    for (method, taken, harmful) in [
+    for (method, admission, harmful) in [
         (READ, Admission::Admitted, false),
         (BOOK, Admission::Rejected, false),
         (BOOK, Admission::Admitted, true),
@@ -442,7 +442,7 @@
         let mut builder = LedgerBuilder::new();
         builder
             .asked(1.0, 7, method)
-            .got(1.01, 7, 100, 0, taken)
+            .got(1.01, 7, 100, 0, admission)
             .left(1.2, 100, AttemptEnd::Cancelled);
         builder.answered(1.2, 7, Answer::Rejected(Some(0.1)));
         match harmful {
@@ -454,7 +454,7 @@
 
 #[test]
 fn an_attempt_at_a_draining_node_is_found_once_its_proxy_was_notified() {
-    let told = |state, incarnation, at| Event::Told {
+    let told = |state, incarnation, at| Event::ProxyNotified {
         proxy: at,
         node: 0,
         incarnation,
@@ -504,9 +504,9 @@
         incarnation: LIFE,
         node: 2,
         cold: true,
-        able: 2.0,
+        warm_capacity: 2.0,
     };
-    let notified = Event::Told {
+    let notified = Event::ProxyNotified {
         proxy: 0,
         node: 2,
         incarnation: LIFE,
@@ -516,27 +516,27 @@
     for rpc in 0..3 {
         let (at, request_id) = (1.2 + f64::from(rpc) * 0.1, u64::from(rpc));
         let proxy = u16::from(rpc >= from_notified_proxy);
-        let asked = Event::Asked {
+        let asked = Event::Arrival {
             rpc,
             method: READ,
             tenant: 0,
-            within: true,
+            within_quota: true,
         };
-        let sent = Event::Sent {
+        let sent = Event::RequestSent {
             request_id,
             rpc,
             proxy,
-            patience: 0.5,
+            client_timeout: 0.5,
         };
-        let got = Event::Got {
+        let got = Event::AttemptReceived {
             incarnation: LIFE,
             attempt_id: request_id,
             request_id,
             proxy,
-            begun: at,
+            first_byte_at: at,
             work: 1.0,
-            pushed: 0.34 * (rpc + 1) as f32,
-            taken: Admission::Admitted,
+            overload: 0.34 * (rpc + 1) as f32,
+            admission: Admission::Admitted,
         };
         ledger.at(at, asked).at(at, sent).at(at, got);
         ledger.answered(1.5, request_id, Answer::Aborted(502));
@@ -577,11 +577,11 @@
     builder.sent(13.2, 201, 200).answered(13.3, 201, Answer::Ok); // late: a quarter
     builder.at(
         14.0,
-        Event::Asked {
+        Event::Arrival {
             rpc: 300,
             method: BOOK,
             tenant: 0,
-            within: false,
+            within_quota: false,
         },
     ); // a tenth of 2, not gained
     let service = builder.clean().service;
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -96,15 +96,15 @@
 }
 
 fn backend_events() -> Vec<Event> {
-    let got = |taken| Event::Got {
+    let got = |admission| Event::AttemptReceived {
         incarnation: 3,
         attempt_id: 4,
         request_id: 5,
         proxy: 1,
-        begun: 0.75,
+        first_byte_at: 0.75,
         work: 0.125,
-        pushed: 0.0625,
-        taken,
+        overload: 0.0625,
+        admission,
     };
     let left = |how| Event::AttemptEnded { attempt_id: 4, how };
     vec![
@@ -112,7 +112,7 @@
             incarnation: 3,
             node: 2,
             cold: true,
-            able: 1.5,
+            warm_capacity: 1.5,
         },
         Event::BackendDraining { incarnation: 3 },
         Event::BackendEnded { incarnation: 3 },
@@ -121,9 +121,9 @@
         got(Admission::Rejected),
         got(Admission::Dropped),
         got(Admission::Failed),
-        Event::Started { attempt_id: 4 },
-        Event::Repeated { attempt_id: 4 },
-        Event::Finished { attempt_id: 4 },
+        Event::ExecutionStarted { attempt_id: 4 },
+        Event::DuplicateDropped { attempt_id: 4 },
+        Event::ExecutionFinished { attempt_id: 4 },
         left(AttemptEnd::Replied),
         left(AttemptEnd::Cancelled),
         left(AttemptEnd::Broken),
@@ -132,12 +132,12 @@
 
 fn endpoint_list_events() -> Vec<Event> {
     let states = [State::Ready, State::Draining, State::Gone];
-    let changed = states.map(|state| Event::Changed {
+    let changed = states.map(|state| Event::EndpointChanged {
         node: 2,
         incarnation: 3,
         state,
     });
-    let told = states.map(|state| Event::Told {
+    let told = states.map(|state| Event::ProxyNotified {
         proxy: 1,
         node: 2,
         incarnation: 3,
@@ -165,20 +165,20 @@
 /// Each kind of record with each of its variants, a quarter of a second apart.
 fn entries() -> Vec<Entry> {
     let mut events = vec![
-        Event::Asked {
+        Event::Arrival {
             rpc: 9,
             method: 2,
             tenant: 1,
-            within: true,
+            within_quota: true,
         },
-        Event::Sent {
+        Event::RequestSent {
             request_id: 5,
             rpc: 9,
             proxy: 1,
-            patience: 0.5,
+            client_timeout: 0.5,
         },
     ];
-    events.extend(answers().map(|answer| Event::Answered {
+    events.extend(answers().map(|answer| Event::RequestAnswered {
         request_id: 5,
         answer,
     }));
@@ -186,13 +186,13 @@
     events.extend(endpoint_list_events());
     events.extend(proxy_events());
     events.extend([
-        Event::Trouble {
+        Event::Fault {
             number: 0,
             begins: true,
         },
-        Event::KitLate { by: 0.25 },
-        Event::StageLate { by: 0.5 },
-        Event::TimeTold {
+        Event::ClientLate { by: 0.25 },
+        Event::EmulatorLate { by: 0.5 },
+        Event::TimeoutForwarded {
             attempt_id: 77,
             seconds: 0.5,
         },
@@ -272,7 +272,7 @@
     let answer_kinds: std::collections::BTreeSet<u8> = answers()
         .iter()
         .map(|answer| {
-            record(&Event::Answered {
+            record(&Event::RequestAnswered {
                 request_id: 5,
                 answer: *answer,
             })[2]
--- a/crates/cli/tests/exit_codes.rs
+++ b/crates/cli/tests/exit_codes.rs
@@ -76,19 +76,19 @@
 
 /// An RPC that was answered after its deadline.
 fn answered_late() -> Vec<(f64, Event)> {
-    let asked = Event::Asked {
+    let asked = Event::Arrival {
         rpc: 1,
         method: 0,
         tenant: 0,
-        within: true,
+        within_quota: true,
     };
-    let sent = Event::Sent {
+    let sent = Event::RequestSent {
         request_id: 1,
         rpc: 1,
         proxy: 0,
-        patience: 0.5,
+        client_timeout: 0.5,
     };
-    let answered = Event::Answered {
+    let answered = Event::RequestAnswered {
         request_id: 1,
         answer: Answer::Aborted(502),
     };
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_verdict_of_void_exits_with_2() {
-    let (code, text) = audit("void", vec![(1.0, Event::KitLate { by: 0.5 })]);
+    let (code, text) = audit("void", vec![(1.0, Event::ClientLate { by: 0.5 })]);
     assert_eq!(code, VOID, "{text}");
     assert!(text.starts_with("VOID  by hand"), "{text}");
 }
--- a/crates/daemon/tests/watches.rs
+++ b/crates/daemon/tests/watches.rs
@@ -577,7 +577,9 @@
     let _ = std::fs::remove_dir_all(out);
     let back = 10.0; // s, when the outage ends
     let drains = entries.iter().filter_map(|entry| match entry.event {
-        Event::Changed { node, .. } if (2.0..back).contains(&entry.at) => Some((node, entry.at)),
+        Event::EndpointChanged { node, .. } if (2.0..back).contains(&entry.at) => {
+            Some((node, entry.at))
+        }
         _ => None,
     });
     let drains: Vec<_> = drains.collect();
@@ -586,7 +588,7 @@
         for (drained, at) in &drains {
             // Every later update about it has this state or a newer one.
             let told = entries.iter().find(|entry| {
-                entry.at > *at && matches!(entry.event, Event::Told { proxy: to, node, .. } if to == proxy && node == *drained)
+                entry.at > *at && matches!(entry.event, Event::ProxyNotified { proxy: to, node, .. } if to == proxy && node == *drained)
             });
             let told = told.map_or(f64::INFINITY, |entry| entry.at - back);
             assert!(
--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -26,7 +26,7 @@
     pub key: Option<String>,
     pub retry: bool,
     /// s that the client waits.
-    pub patience: f64,
+    pub client_timeout: f64,
     /// It hangs up after so many seconds, if the answer has not come.
     pub leaves_after: Option<f64>,
     pub body: usize,
@@ -41,7 +41,7 @@
             self.verb,
             self.path,
             self.request_id,
-            self.patience * 1e3
+            self.client_timeout * 1e3
         );
         if let Some(tenant) = &self.tenant {
             text.push_str(&format!("Tenant: {tenant}\r\n"));
@@ -136,16 +136,16 @@
             proxy,
             ..
         } = *call;
-        self.notes.tell(Event::Sent {
+        self.notes.tell(Event::RequestSent {
             request_id,
             rpc,
             proxy,
-            patience: call.patience as f32,
+            client_timeout: call.client_timeout as f32,
         });
     }
 
     fn answered(&self, call: &Call, answer: Answer) -> Answer {
-        self.notes.tell(Event::Answered {
+        self.notes.tell(Event::RequestAnswered {
             request_id: call.request_id,
             answer,
         });
@@ -201,8 +201,8 @@
         let read = select! {
             biased;
             read = peer.read(Kind::Response, self.clock()) => read,
-            () = self.clock().sleep_until((begun + call.patience + LINGER).min(leaves)) => {
-                let early = leaves <= begun + call.patience + LINGER;
+            () = self.clock().sleep_until((begun + call.client_timeout + LINGER).min(leaves)) => {
+                let early = leaves <= begun + call.client_timeout + LINGER;
                 return Went::Over(if early { Answer::Cancelled } else { Answer::TimedOut });
             }
         };
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -156,7 +156,7 @@
 
     /// A node is now so. Proxies that watch are told.
     pub fn change(&self, node: u32, line: Line) {
-        self.notes.tell(Event::Changed {
+        self.notes.tell(Event::EndpointChanged {
             node,
             incarnation: line.incarnation,
             state: line.state,
@@ -253,7 +253,7 @@
         }
         for (node, incarnation, state) in news {
             if known.insert((proxy, node), (incarnation, state)) != Some((incarnation, state)) {
-                self.notes.tell(Event::Told {
+                self.notes.tell(Event::ProxyNotified {
                     proxy,
                     node,
                     incarnation,
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -194,7 +194,7 @@
         let number = self.fleet.new_incarnation();
         let now = self.fleet.notes.clock.now();
         let spec = &self.place.spec;
-        let able = (spec.cores as f64 * spec.speed) as f32;
+        let warm_capacity = (spec.cores as f64 * spec.speed) as f32;
         let mut node = Backend::new(spec.clone(), now, start);
         node.scale(
             now,
@@ -207,7 +207,7 @@
             incarnation: number,
             node: self.place.index,
             cold: start == Start::Cold,
-            able,
+            warm_capacity,
         });
         *self.incarnation.borrow_mut() = Some(Incarnation {
             number,
@@ -333,15 +333,15 @@
         for event in happened {
             let over = match event {
                 BackendEvent::Started(attempt_id) => {
-                    notes.tell(Event::Started { attempt_id });
+                    notes.tell(Event::ExecutionStarted { attempt_id });
                     continue;
                 }
                 BackendEvent::Finished(attempt_id) => {
-                    notes.tell(Event::Finished { attempt_id });
+                    notes.tell(Event::ExecutionFinished { attempt_id });
                     attempt_id
                 }
                 BackendEvent::DuplicateDropped(attempt_id) => {
-                    notes.tell(Event::Repeated { attempt_id });
+                    notes.tell(Event::DuplicateDropped { attempt_id });
                     attempt_id
                 }
                 BackendEvent::Collapsed => {
@@ -377,7 +377,7 @@
             }
             let (now, mut out) = (clock.now(), Vec::new());
             if let Some(due) = next {
-                self.fleet.notes.tell(Event::StageLate {
+                self.fleet.notes.tell(Event::EmulatorLate {
                     by: (now - due).max(0.0) as f32,
                 });
             }
@@ -603,25 +603,26 @@
                 .await;
         };
         let attempt_id = fleet.new_attempt_id();
-        let got = |taken, pushed: f64| {
-            let (begun, work, pushed) = (message.begun, work as f32, pushed as f32);
+        let got = |admission, overload: f64| {
+            let (first_byte_at, work, overload) =
+                (message.first_byte_at, work as f32, overload as f32);
             // A pick that was given up before the node could take it had come by then.
             let at = closed_at.unwrap_or_else(|| fleet.notes.clock.now());
             fleet.notes.tell_at(
                 at,
-                Event::Got {
+                Event::AttemptReceived {
                     incarnation,
                     attempt_id,
                     request_id,
                     proxy,
-                    begun,
+                    first_byte_at,
                     work,
-                    pushed,
-                    taken,
+                    overload,
+                    admission,
                 },
             );
             if let Some(seconds) = time_told(message) {
-                fleet.notes.tell(Event::TimeTold {
+                fleet.notes.tell(Event::TimeoutForwarded {
                     attempt_id,
                     seconds,
                 });
@@ -659,34 +660,34 @@
             first_on_connection: peer.messages == 1,
         };
         let (now, mut out) = (fleet.notes.clock.now(), Vec::new());
-        let taken = self.with(incarnation, |incarnation| {
+        let admission = self.with(incarnation, |incarnation| {
             if !slot.held {
                 return (Err(RejectionReason::QueueFull), incarnation.node.overload());
             }
             incarnation.waiting.insert(attempt_id, done);
-            let taken = incarnation.node.receive(
+            let admission = incarnation.node.receive(
                 now,
                 incoming,
                 &mut fleet.deduplication.borrow_mut(),
                 &mut out,
             );
-            if taken.is_err() {
+            if admission.is_err() {
                 incarnation.waiting.remove(&attempt_id);
             }
-            (taken, incarnation.node.overload())
+            (admission, incarnation.node.overload())
         });
-        let (taken, pushed) = taken.unwrap_or((Err(RejectionReason::Down), 0.0));
+        let (admission, overload) = admission.unwrap_or((Err(RejectionReason::Down), 0.0));
         got(
-            match taken {
+            match admission {
                 Ok(()) => Admission::Admitted,
                 Err(RejectionReason::Down) => Admission::Dropped,
                 Err(_) => Admission::Rejected,
             },
-            pushed,
+            overload,
         );
         self.tell(incarnation, out);
         self.moved.notify_one();
-        match taken {
+        match admission {
             Ok(()) => {}
             Err(RejectionReason::Down) => return Next::Reset,
             Err(_) => {
--- a/crates/emulator/src/wire.rs
+++ b/crates/emulator/src/wire.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// When its first byte came, and its last, s.
-    pub begun: f64,
+    pub first_byte_at: f64,
     pub whole: f64,
     /// Of a request.
     pub verb: String,
@@ -167,7 +167,7 @@
         if body > BODY_MOST {
             return Err(Stop::Garbled);
         }
-        message.begun = self.since;
+        message.first_byte_at = self.since;
         while self.ahead.len() < head + body {
             self.fill(clock).await?;
         }
--- a/crates/emulator/tests/stand_ins.rs
+++ b/crates/emulator/tests/stand_ins.rs
@@ -158,12 +158,12 @@
         );
         let events = events_so_far(&entries, |_| true);
         let got = events.iter().find_map(|e| match e {
-            Event::Got {
+            Event::AttemptReceived {
                 proxy,
                 request_id,
-                taken,
+                admission,
                 ..
-            } => Some((*proxy, *request_id, *taken)),
+            } => Some((*proxy, *request_id, *admission)),
             _ => None,
         });
         assert_eq!(got, Some((1, 0x700, Admission::Admitted)));
@@ -261,7 +261,7 @@
         let node = warm_node(&notes, 60.0);
         let mut connection = Connection::open(&node, &notes, 0).await;
         connection.send(1).await;
-        await_event(&entries, |e| matches!(e, Event::Started { .. })).await;
+        await_event(&entries, |e| matches!(e, Event::ExecutionStarted { .. })).await;
         drop(connection);
         let left = await_event(&entries, is_left).await;
         assert!(
@@ -286,7 +286,7 @@
             Connection::open(&node, &notes, 0).await,
         );
         busy.send(1).await;
-        await_event(&entries, |e| matches!(e, Event::Started { .. })).await;
+        await_event(&entries, |e| matches!(e, Event::ExecutionStarted { .. })).await;
         node.crash();
         assert_eq!(
             (busy.answer().await.err(), idle.answer().await.is_err()),
@@ -308,7 +308,7 @@
         }
         node.start(Start::Warm).expect("an incarnation");
         Connection::open(&node, &notes, 0).await.send(2).await;
-        await_event(&entries, |e| matches!(e, Event::Started { .. })).await;
+        await_event(&entries, |e| matches!(e, Event::ExecutionStarted { .. })).await;
     });
 }
 
@@ -347,7 +347,8 @@
                 sleep(Duration::from_millis(1)).await;
             }
             assert_eq!(
-                seen.iter().any(|e| matches!(e, Event::Started { .. })),
+                seen.iter()
+                    .any(|e| matches!(e, Event::ExecutionStarted { .. })),
                 runs,
                 "{fault:?}"
             );
@@ -365,8 +366,8 @@
         await_event(&entries, |e| {
             matches!(
                 e,
-                Event::Got {
-                    taken: Admission::Dropped,
+                Event::AttemptReceived {
+                    admission: Admission::Dropped,
                     ..
                 }
             )
@@ -452,9 +453,9 @@
         let ended = notes.clock.now();
         node.end_stall(2);
         assert_eq!(connection.answer().await.expect("an answer").status, 200);
-        let got = await_event(&entries, |e| matches!(e, Event::Got { .. })).await;
+        let got = await_event(&entries, |e| matches!(e, Event::AttemptReceived { .. })).await;
         assert!(
-            matches!(got, Event::Got { begun, .. } if begun >= before && begun < ended),
+            matches!(got, Event::AttemptReceived { first_byte_at, .. } if first_byte_at >= before && first_byte_at < ended),
             "{got:?}"
         );
     });
@@ -496,12 +497,18 @@
             assert_eq!(connection.answer().await.expect("an answer").status, 200);
         }
         let runs = events_so_far(&entries, |e| {
-            matches!(e, Event::Started { .. } | Event::Repeated { .. })
+            matches!(
+                e,
+                Event::ExecutionStarted { .. } | Event::DuplicateDropped { .. }
+            )
         });
         assert!(
             matches!(
                 runs.as_slice(),
-                [Event::Started { .. }, Event::Repeated { .. }]
+                [
+                    Event::ExecutionStarted { .. },
+                    Event::DuplicateDropped { .. }
+                ]
             ),
             "{runs:?}"
         );
@@ -568,11 +575,13 @@
         list.change(0, line(State::Gone, 1));
         let whole = ask(&list, 1, "", &clock).await.expect("a list");
         assert_eq!(whole["targets"].as_array().map(Vec::len), Some(0));
-        let heard = events_so_far(&entries, |e| matches!(e, Event::Told { proxy: 1, .. }));
+        let heard = events_so_far(&entries, |e| {
+            matches!(e, Event::ProxyNotified { proxy: 1, .. })
+        });
         let states: Vec<_> = heard
             .iter()
             .map(|e| {
-                if let Event::Told { state, .. } = e {
+                if let Event::ProxyNotified { state, .. } = e {
                     Some(*state)
                 } else {
                     None
@@ -671,7 +680,7 @@
     });
 }
 
-fn call(request_id: u64, patience: f64) -> Call {
+fn call(request_id: u64, client_timeout: f64) -> Call {
     let (path, body) = ("/read/1".into(), 0);
     let (tenant, key, leaves_after) = (None, None, None);
     Call {
@@ -683,7 +692,7 @@
         tenant,
         key,
         retry: false,
-        patience,
+        client_timeout,
         leaves_after,
         body,
         pieces: None,
@@ -774,7 +783,7 @@
             sleep(Duration::from_millis(5)).await;
         }
         assert_eq!(
-            events_so_far(&entries, |e| matches!(e, Event::Sent { .. })).len(),
+            events_so_far(&entries, |e| matches!(e, Event::RequestSent { .. })).len(),
             3
         );
     });
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -94,15 +94,16 @@
         let mut open = JoinSet::new();
         while let Some((rpc, arrival)) = due.recv().await {
             let by = (self.notes.clock.now() - arrival.due) as f32;
-            self.notes.tell(Event::KitLate { by });
-            let (method, tenant, within) = (arrival.method, arrival.tenant, arrival.within);
+            self.notes.tell(Event::ClientLate { by });
+            let (method, tenant, within_quota) =
+                (arrival.method, arrival.tenant, arrival.within_quota);
             self.notes.tell_at(
                 arrival.due,
-                Event::Asked {
+                Event::Arrival {
                     rpc,
                     method,
                     tenant,
-                    within,
+                    within_quota,
                 },
             );
             self.progress.asked.fetch_add(1, Ordering::Relaxed);
@@ -124,13 +125,13 @@
         let mut wait = clients.wait.0;
         for number in 0..=clients.retries {
             let left = until - clock.now();
-            let Some(patience) = patience(clients, method, left) else {
+            let Some(client_timeout) = client_timeout(clients, method, left) else {
                 break;
             };
             let leaves_after = arrival
                 .leaves
                 .filter(|_| number == 0)
-                .map(|part| part * patience);
+                .map(|part| part * client_timeout);
             let (proxy, at) = self.front.deal(
                 arrival.zone,
                 arrival.deal.rotate_left(u32::from(number) * 8),
@@ -153,7 +154,7 @@
                 key: (method.kind == MethodKind::Deduplicated)
                     .then(|| format!("{:016x}{rpc:08x}", self.seed)),
                 retry: number > 0 && clients.marks_retries,
-                patience,
+                client_timeout,
                 leaves_after,
                 body: method.body,
                 pieces: self.extras.pieces_of(arrival.deal),
@@ -192,7 +193,7 @@
 
 /// What a client waits for a try of a method, whole milliseconds as it is told, when so much is left to it; `None` where that
 /// is too little to begin.
-pub fn patience(clients: &Clients, method: &Method, left: f64) -> Option<f64> {
-    let patience = (method.deadline.0 * clients.try_patience).min(left);
-    (left >= WORTH_IT).then_some((patience * 1e3).floor() / 1e3)
+pub fn client_timeout(clients: &Clients, method: &Method, left: f64) -> Option<f64> {
+    let client_timeout = (method.deadline.0 * clients.try_patience).min(left);
+    (left >= WORTH_IT).then_some((client_timeout * 1e3).floor() / 1e3)
 }
--- a/crates/rehearsal/src/page.rs
+++ b/crates/rehearsal/src/page.rs
@@ -145,7 +145,7 @@
             Event::BackendStarted {
                 incarnation, node, ..
             } => drop(nodes.insert(incarnation, node as usize)),
-            Event::Got {
+            Event::AttemptReceived {
                 incarnation,
                 attempt_id,
                 ..
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -33,7 +33,7 @@
     pub zone: u32,
     pub deal: u64,
     /// Within its tenant's quota.
-    pub within: bool,
+    pub within_quota: bool,
     /// The client hangs up after this part of its patience.
     pub leaves: Option<f64>,
     /// Work, s of a standard core.
@@ -613,14 +613,14 @@
         } else {
             weighted(&tenants, drawn)
         };
-        let within = scenario.tenant.get(tenant).is_none_or(|settings| {
+        let within_quota = scenario.tenant.get(tenant).is_none_or(|settings| {
             let (last, credit) = &mut credit[tenant];
             *credit = (*credit + (due - *last) * settings.quota)
                 .min((settings.quota * QUOTA_BURST).max(1.0));
             *last = due;
-            let within = *credit >= 1.0;
-            *credit -= if within { 1.0 } else { 0.0 };
-            within
+            let within_quota = *credit >= 1.0;
+            *credit -= if within_quota { 1.0 } else { 0.0 };
+            within_quota
         });
         let leaves = (leaving.random::<f64>() < scenario.clients.leave).then(|| leaving.random());
         let m = &scenario.method[method];
@@ -637,7 +637,7 @@
             tenant,
             zone,
             deal,
-            within,
+            within_quota,
             leaves,
             work,
         });
--- a/crates/rehearsal/src/stage.rs
+++ b/crates/rehearsal/src/stage.rs
@@ -297,11 +297,11 @@
     fn act(self: &Rc<Self>, act: Act) {
         let host = |node| self.host(node);
         match act {
-            Act::Begin { trouble } => self.notes.tell(Event::Trouble {
+            Act::Begin { trouble } => self.notes.tell(Event::Fault {
                 number: trouble,
                 begins: true,
             }),
-            Act::End { trouble } => self.notes.tell(Event::Trouble {
+            Act::End { trouble } => self.notes.tell(Event::Fault {
                 number: trouble,
                 begins: false,
             }),
--- a/crates/rehearsal/tests/plans.rs
+++ b/crates/rehearsal/tests/plans.rs
@@ -148,13 +148,17 @@
     assert!((500..700).contains(&count(4.0, 6.0)), "{}", count(4.0, 6.0));
     assert_eq!(count(8.0, 10.0), 0);
     // Tenant one sends some 75 a second and has a quota of 40, and a burst of as many.
-    let within = plan
+    let within_quota = plan
         .arrivals
         .iter()
-        .filter(|a| a.tenant == 0 && a.due < 4.0 && a.within)
+        .filter(|a| a.tenant == 0 && a.due < 4.0 && a.within_quota)
         .count();
-    assert!((150..=200).contains(&within), "{within}");
-    assert!(plan.arrivals.iter().all(|a| a.tenant == 0 || a.within));
+    assert!((150..=200).contains(&within_quota), "{within_quota}");
+    assert!(
+        plan.arrivals
+            .iter()
+            .all(|a| a.tenant == 0 || a.within_quota)
+    );
 }
 
 /// Mistakes outside the faults of a scenario, and how each is reported: file, line, key, and what is wrong.
--- a/crates/rehearsal/tests/verdicts.rs
+++ b/crates/rehearsal/tests/verdicts.rs
@@ -15,26 +15,26 @@
     let mut entries = vec![
         Entry {
             at: due,
-            event: Event::Asked {
+            event: Event::Arrival {
                 rpc,
                 method,
                 tenant: 0,
-                within: true,
+                within_quota: true,
             },
         },
         Entry {
             at: due,
-            event: Event::Sent {
+            event: Event::RequestSent {
                 request_id,
                 rpc,
                 proxy: 0,
-                patience: 0.6,
+                client_timeout: 0.6,
             },
         },
     ];
     entries.extend(answered.map(|at| Entry {
         at,
-        event: Event::Answered {
+        event: Event::RequestAnswered {
             request_id,
             answer: Answer::Ok,
         },
@@ -49,7 +49,7 @@
         .collect();
     entries.extend((0..100).map(|n| Entry {
         at: f64::from(n) * 0.1,
-        event: Event::KitLate { by: late },
+        event: Event::ClientLate { by: late },
     }));
     entries.extend(more);
     entries.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -64,19 +64,19 @@
 /// A second attempt of an RPC that must not run twice.
 fn second_attempt(rpc: u32) -> Vec<Entry> {
     let got = |at: f64, attempt_id| {
-        let (incarnation, request_id, proxy, begun, work, pushed) =
+        let (incarnation, request_id, proxy, first_byte_at, work, overload) =
             (1, u64::from(rpc) << 8, 0, at, 0.0, 0.0);
         Entry {
             at,
-            event: Event::Got {
+            event: Event::AttemptReceived {
                 incarnation,
                 attempt_id,
                 request_id,
                 proxy,
-                begun,
+                first_byte_at,
                 work,
-                pushed,
-                taken: Admission::Admitted,
+                overload,
+                admission: Admission::Admitted,
             },
         }
     };
@@ -135,7 +135,7 @@
     let stage = |by| {
         (0..50).map(move |n| Entry {
             at: f64::from(n) * 0.1,
-            event: Event::StageLate { by },
+            event: Event::EmulatorLate { by },
         })
     };
     assert_eq!(
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -34,23 +34,23 @@
     node: u32,
     incarnation: u32,
     /// When its connection was opened, s.
-    begun: f64,
+    first_byte_at: f64,
     /// s of a standard core.
     work: f64,
 }
 
 impl ReceivedAttempt {
-    /// The ledger's record of what the backend did with it; `pushed` is the load that the backend reports.
-    fn record(&self, taken: Admission, pushed: f64) -> Event {
-        Event::Got {
+    /// The ledger's record of what the backend did with it; `overload` is the load that the backend reports.
+    fn record(&self, admission: Admission, overload: f64) -> Event {
+        Event::AttemptReceived {
             incarnation: self.incarnation,
             attempt_id: self.attempt_id,
             request_id: self.request_id,
             proxy: self.proxy,
-            begun: self.begun,
+            first_byte_at: self.first_byte_at,
             work: self.work as f32,
-            pushed: pushed as f32,
-            taken,
+            overload: overload as f32,
+            admission,
         }
     }
 }
@@ -143,7 +143,7 @@
     }
 
     /// An attempt arrives at its machine: the backend there takes it in, unless a fault keeps it from doing so.
-    pub(super) fn offer_to_backend(&mut self, attempt_id: u64, begun: f64) {
+    pub(super) fn offer_to_backend(&mut self, attempt_id: u64, first_byte_at: f64) {
         let Some(entry) = self.proxy_attempts.get(&attempt_id) else {
             return;
         };
@@ -153,7 +153,10 @@
         }
         let machine = &mut self.machines[node as usize];
         if machine.is_stalled() {
-            let arrival = SimulationEvent::AttemptAtBackend { attempt_id, begun };
+            let arrival = SimulationEvent::AttemptAtBackend {
+                attempt_id,
+                first_byte_at,
+            };
             return machine.deferred_events.push(arrival);
         }
         let Some(incarnation) = machine.incarnation() else {
@@ -166,7 +169,7 @@
             proxy,
             node,
             incarnation,
-            begun,
+            first_byte_at,
             work: arrival.work * self.method_slowdown[arrival.method as usize],
         };
         match self.injected_fault(node, request_id) {
@@ -207,15 +210,15 @@
             return;
         };
         let node = &mut backend.model;
-        let taken = node.receive(now, incoming, &mut self.deduplication, &mut events);
-        let pushed = node.overload();
-        match taken {
+        let admission = node.receive(now, incoming, &mut self.deduplication, &mut events);
+        let overload = node.overload();
+        match admission {
             Ok(()) => {
                 self.hold(received, fault);
-                self.record(received.record(Admission::Admitted, pushed));
+                self.record(received.record(Admission::Admitted, overload));
             }
             Err(RejectionReason::Down) => {
-                self.record(received.record(Admission::Dropped, pushed));
+                self.record(received.record(Admission::Dropped, overload));
                 self.refuse(
                     received.attempt_id,
                     AttemptEnd::Broken,
@@ -223,7 +226,7 @@
                 );
             }
             Err(_) => {
-                self.record(received.record(Admission::Rejected, pushed));
+                self.record(received.record(Admission::Rejected, overload));
                 self.refuse(
                     received.attempt_id,
                     AttemptEnd::Replied,
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -34,7 +34,7 @@
         let factor = machine.capacity_factor;
         let mut model = Backend::new(machine.spec.clone(), now, how);
         model.scale(now, factor, &mut self.deduplication, &mut Vec::new());
-        let able = (machine.spec.cores as f64 * machine.spec.speed) as f32;
+        let warm_capacity = (machine.spec.cores as f64 * machine.spec.speed) as f32;
         machine.backend = Some(BackendProcess { incarnation, model });
         machine.cold_started_at = (how == Start::Cold).then_some(now);
         machine.stalls.clear();
@@ -42,7 +42,7 @@
             incarnation,
             node,
             cold: how == Start::Cold,
-            able,
+            warm_capacity,
         });
         incarnation
     }
@@ -148,13 +148,15 @@
     pub(super) fn apply_backend_events(&mut self, node: u32, events: Vec<BackendEvent>) {
         for event in events {
             match event {
-                BackendEvent::Started(attempt_id) => self.record(Event::Started { attempt_id }),
+                BackendEvent::Started(attempt_id) => {
+                    self.record(Event::ExecutionStarted { attempt_id })
+                }
                 BackendEvent::Finished(attempt_id) => {
-                    self.record(Event::Finished { attempt_id });
+                    self.record(Event::ExecutionFinished { attempt_id });
                     self.send_reply(node, attempt_id);
                 }
                 BackendEvent::DuplicateDropped(attempt_id) => {
-                    self.record(Event::Repeated { attempt_id });
+                    self.record(Event::DuplicateDropped { attempt_id });
                     self.send_reply(node, attempt_id);
                 }
                 BackendEvent::Collapsed => {
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -19,7 +19,7 @@
     /// The proxy that it was sent to.
     pub(super) proxy: u16,
     /// How long the client waits, s.
-    pub(super) patience: f64,
+    pub(super) client_timeout: f64,
 }
 
 /// The ledger's number of an attempt; the first attempt of an RPC has the number 0.
@@ -41,12 +41,12 @@
     /// An RPC of the plan begins, with its first attempt.
     pub(super) fn start_rpc(&mut self, rpc: u32) {
         let arrival = &self.plan.arrivals[rpc as usize];
-        let (method, tenant, within) = (arrival.method, arrival.tenant, arrival.within);
-        self.record(Event::Asked {
+        let (method, tenant, within_quota) = (arrival.method, arrival.tenant, arrival.within_quota);
+        self.record(Event::Arrival {
             rpc,
             method,
             tenant,
-            within,
+            within_quota,
         });
         self.send_client_request(rpc, 0);
     }
@@ -56,26 +56,31 @@
         let (scenario, arrival) = (self.scenario, &self.plan.arrivals[rpc as usize]);
         let method = &scenario.method[arrival.method as usize];
         let left = arrival.due + method.deadline.0 - self.now;
-        let Some(patience) = clients::patience(&scenario.clients, method, left) else {
+        let Some(client_timeout) = clients::client_timeout(&scenario.clients, method, left) else {
             return;
         };
         let proxy = self.choose_proxy(rpc, number);
         let request_id = client_request_id(rpc, number);
-        self.client_requests
-            .insert(request_id, ClientRequest { proxy, patience });
-        self.record(Event::Sent {
+        self.client_requests.insert(
+            request_id,
+            ClientRequest {
+                proxy,
+                client_timeout,
+            },
+        );
+        self.record(Event::RequestSent {
             request_id,
             rpc,
             proxy,
-            patience: patience as f32,
+            client_timeout: client_timeout as f32,
         });
         let at_proxy = SimulationEvent::RequestAtProxy { request_id, proxy };
         self.schedule(NETWORK_DELAY, at_proxy);
         let give_up = SimulationEvent::ClientGivesUp { request_id };
-        self.schedule(patience + CLIENT_GRACE, give_up);
+        self.schedule(client_timeout + CLIENT_GRACE, give_up);
         if let Some(part) = arrival.leaves.filter(|_| number == 0) {
             let disconnect = SimulationEvent::ClientDisconnects { request_id };
-            self.schedule(part * patience, disconnect);
+            self.schedule(part * client_timeout, disconnect);
         }
     }
 
@@ -93,7 +98,7 @@
         if self.client_requests.remove(&request_id).is_none() {
             return;
         }
-        self.record(Event::Answered { request_id, answer });
+        self.record(Event::RequestAnswered { request_id, answer });
         let (rpc, number) = (rpc_of_request(request_id), request_number(request_id));
         let arrival = &self.plan.arrivals[rpc as usize];
         let method = &self.scenario.method[arrival.method as usize];
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -117,10 +117,13 @@
                 fault: None,
             },
         );
-        let begun = now + NETWORK_DELAY;
+        let first_byte_at = now + NETWORK_DELAY;
         self.schedule(
             NETWORK_DELAY,
-            SimulationEvent::AttemptAtBackend { attempt_id, begun },
+            SimulationEvent::AttemptAtBackend {
+                attempt_id,
+                first_byte_at,
+            },
         );
         self.send_to_process(
             process.proxy,
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -18,7 +18,7 @@
 impl World<'_> {
     /// The endpoint list service learns of a change, and sends it to the proxies that wait for one.
     pub(super) fn publish_endpoint(&mut self, node: u32, list_entry: ListEntry) {
-        self.record(Event::Changed {
+        self.record(Event::EndpointChanged {
             node,
             incarnation: list_entry.incarnation,
             state: list_entry.state,
@@ -46,7 +46,7 @@
     /// Records the entries that a proxy is given.
     pub(super) fn record_update(&mut self, proxy: u16, update: &[(u32, ListEntry)]) {
         for (node, list_entry) in update {
-            self.record(Event::Told {
+            self.record(Event::ProxyNotified {
                 proxy,
                 node: *node,
                 incarnation: list_entry.incarnation,
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -22,8 +22,8 @@
         process: ProcessId,
         event: ProcessEvent,
     },
-    /// A proxy's attempt arrives at its backend; its connection was opened at `begun`.
-    AttemptAtBackend { attempt_id: u64, begun: f64 },
+    /// A proxy's attempt arrives at its backend; its connection was opened at `first_byte_at`.
+    AttemptAtBackend { attempt_id: u64, first_byte_at: f64 },
     /// A backend's own next event is due, unless the machine has had a later version since.
     BackendDue { node: u32, version: u64 },
     /// The backend learns that the proxy has closed the connection of this attempt.
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -58,7 +58,7 @@
     }
 
     fn record_trouble(&mut self, number: u16, begins: bool) {
-        self.record(Event::Trouble { number, begins });
+        self.record(Event::Fault { number, begins });
     }
 
     fn scale_machine(&mut self, node: u32, factor: f64) {
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -201,7 +201,10 @@
                 self.accept_client_request(request_id, proxy)
             }
             Due::ToProcess { process, event } => self.deliver_to_process(process, event),
-            Due::AttemptAtBackend { attempt_id, begun } => self.offer_to_backend(attempt_id, begun),
+            Due::AttemptAtBackend {
+                attempt_id,
+                first_byte_at,
+            } => self.offer_to_backend(attempt_id, first_byte_at),
             Due::BackendDue { node, version } => self.advance_backend(node, version),
             Due::ConnectionClosed { attempt_id } => self.close_connection(attempt_id),
             Due::HealthCheckAtBackend { process, node } => self.answer_health_check(process, node),
--- a/crates/simulation/src/world/rpcs.rs
+++ b/crates/simulation/src/world/rpcs.rs
@@ -39,7 +39,7 @@
             let refusal = SimulationEvent::AnswerAtClient { request_id, answer };
             return self.schedule(NETWORK_DELAY, refusal);
         };
-        let until = self.now + sent.patience - NETWORK_DELAY;
+        let until = self.now + sent.client_timeout - NETWORK_DELAY;
         let incoming = self.incoming_rpc(request_id, until - DEADLINE_MARGIN - running.clock_lag);
         let accepted = InFlightRpc::new(until - DEADLINE_MARGIN);
         self.send_to_process(proxy, until - self.now, ProcessEvent::Deadline(request_id));
--- a/crates/simulation/tests/simulated.rs
+++ b/crates/simulation/tests/simulated.rs
@@ -32,17 +32,17 @@
         assert_eq!(report.verdict, Verdict::Pass, "{}", report.text());
         let count =
             |fits: fn(&Event) -> bool| outcome.entries.iter().filter(|e| fits(&e.event)).count();
-        let sent = count(|e| matches!(e, Event::Sent { .. }));
+        let sent = count(|e| matches!(e, Event::RequestSent { .. }));
         assert_eq!(
             sent,
-            count(|e| matches!(e, Event::Answered { .. })),
+            count(|e| matches!(e, Event::RequestAnswered { .. })),
             "{}",
             shipped.name
         );
         assert_eq!(
             count(|e| matches!(
                 e,
-                Event::Answered {
+                Event::RequestAnswered {
                     answer: Answer::TimedOut,
                     ..
                 }
@@ -51,7 +51,7 @@
             "{}",
             shipped.name
         );
-        let got = count(|e| matches!(e, Event::Got { .. }));
+        let got = count(|e| matches!(e, Event::AttemptReceived { .. }));
         assert_eq!(
             got,
             count(|e| matches!(e, Event::AttemptEnded { .. })),
