--- a/crates/audit/src/audit.rs
+++ b/crates/audit/src/audit.rs
@@ -6,88 +6,15 @@
 //! 3. Nothing new to a draining or gone node later than the grace after its proxy was told.
 //! 4. No cold node pushed over by what informed proxies sent, all together.
 use crate::event::{Admission, Answer, AttemptEnd, End, Entry, Event, State};
+use crate::findings::{ColdStart, Counts, Findings, LatenessSummary, Rule, Violation};
 use crate::head::{Head, Kind};
-use crate::service::{Service, Tally};
-use serde::Serialize;
+use crate::service::Totals;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 const AFTER_HANG_UP: f64 = 0.1; // s for a pick to begin after its client has hung up
 const TIME_SLACK: f64 = 0.15; // s by which the time that a pick tells its node may exceed what is left to the client
 const INFORMED: f64 = 2.0 / 3.0; // of a push: from as much on, a fall is the doing of proxies that were told of the start
 
-/// Which rule was broken; the number is the rule's.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Rule {
-    OneAnswer = 1,
-    NoEffectTwice = 2,
-    Drains = 3,
-    ColdNodes = 4,
-}
-
-/// One breach, told once for its rule and subject.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Breach {
-    pub rule: Rule,
-    pub at: f64,
-    /// The RPC's number, or the node's name for rule 4.
-    pub subject: String,
-    pub what: String,
-    /// Rests on a time limit: can't be upheld where the kit itself was late.
-    pub timed: bool,
-}
-
-/// Counts that a report shows beside the rules.
-#[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Counts {
-    pub rpcs: usize,
-    pub tries: usize,
-    pub picks: usize,
-    pub runs: usize,
-    pub ok: usize,
-    pub pushed_back: usize,
-    pub aborted: usize,
-    /// Tries that got no answer because their proxy was killed.
-    pub lost_with_proxy: usize,
-    pub unreachable: usize,
-    pub hung_up: usize,
-    pub turned_away: usize,
-    /// Runs beyond the first of an RPC, where the method allows them.
-    pub repeated_runs: usize,
-    /// Repeats that nodes dropped.
-    pub dropped_repeats: usize,
-    /// Runs beyond the first of an RPC whose method forbids them.
-    pub double_runs: usize,
-    /// Nodes that fell, and those that fell by no fault of informed proxies.
-    pub fallen: usize,
-    pub fallen_uninformed: usize,
-    pub withdrawn: usize,
-}
-
-/// A cold incarnation and how near to its fall it came.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct ColdLife {
-    pub node: String,
-    pub from: f64,
-    /// Part of what makes it fall.
-    pub peak: f64,
-}
-
-/// What an audit found.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Findings {
-    pub breaches: Vec<Breach>,
-    pub counts: Counts,
-    pub service: Service,
-    pub cold: Vec<ColdLife>,
-    /// Latest new work to a draining or gone node after its proxy was told, s.
-    pub latest_after_told: f64,
-    /// The kit's own lateness, s: median, 99th percentile and worst.
-    pub kit_late: [f64; 3],
-    /// The same of stand-in nodes: guards against a stage that is out of breath and taken for slow nodes.
-    pub stage_late: [f64; 3],
-}
-
 #[derive(Clone, Debug)]
 struct Pick {
     attempt_id: u64,
@@ -124,7 +51,7 @@
 
 #[derive(Debug)]
 struct Incarnation {
-    node: u32,
+    backend: u32,
     started_at: f64,
     cold: bool,
     peak: f64,
@@ -143,12 +70,12 @@
     told: HashMap<(u16, u32), (u32, Option<f64>)>,
     /// When each proxy's process ended.
     ended: HashMap<u16, Vec<(f64, End)>>,
-    breaches: BTreeMap<(Rule, String), Breach>,
+    violations: BTreeMap<(Rule, String), Violation>,
     counts: Counts,
     late: Vec<f64>,
     stage_late: Vec<f64>,
-    latest_after_told: f64,
-    tally: Tally<'a>,
+    latest_after_notification: f64,
+    totals: Totals<'a>,
     now: f64,
 }
 
@@ -162,12 +89,12 @@
             incarnations: HashMap::new(),
             told: HashMap::new(),
             ended: HashMap::new(),
-            breaches: BTreeMap::new(),
+            violations: BTreeMap::new(),
             counts: Counts::default(),
             late: Vec::new(),
             stage_late: Vec::new(),
-            latest_after_told: 0.0,
-            tally: Tally::new(head),
+            latest_after_notification: 0.0,
+            totals: Totals::new(head),
             now: 0.0,
         }
     }
@@ -179,21 +106,28 @@
         audit.finish()
     }
 
-    fn breach(&mut self, rule: Rule, at: f64, subject: String, what: String, timed: bool) {
-        let breach = Breach {
+    fn report(
+        &mut self,
+        rule: Rule,
+        at: f64,
+        subject: String,
+        description: String,
+        timing_dependent: bool,
+    ) {
+        let violation = Violation {
             rule,
             at,
             subject: subject.clone(),
-            what,
-            timed,
+            description,
+            timing_dependent,
         };
         // A fault seen in several ways is one breach; one that no clock can excuse outweighs one of time.
         let slot = self
-            .breaches
+            .violations
             .entry((rule, subject))
-            .or_insert_with(|| breach.clone());
-        if slot.timed && !timed {
-            *slot = breach;
+            .or_insert_with(|| violation.clone());
+        if slot.timing_dependent && !timing_dependent {
+            *slot = violation;
         }
     }
 
@@ -208,8 +142,11 @@
             .map_or("?", String::as_str)
     }
 
-    fn node_name(&self, node: u32) -> &str {
-        self.head.nodes.get(node as usize).map_or("?", |n| &n.name)
+    fn backend_name(&self, backend: u32) -> &str {
+        self.head
+            .backends
+            .get(backend as usize)
+            .map_or("?", |n| &n.name)
     }
 
     fn kind(&self, rpc: u32) -> Option<Kind> {
@@ -236,8 +173,8 @@
                         effects: 0,
                     },
                 );
-                self.tally
-                    .asked(at, rpc, method as usize, tenant as usize, within_quota);
+                self.totals
+                    .record_arrival(at, rpc, method as usize, tenant as usize, within_quota);
             }
             Event::RequestSent {
                 request_id,
@@ -245,7 +182,7 @@
                 proxy,
                 client_timeout,
             } => {
-                self.counts.tries += 1;
+                self.counts.client_requests += 1;
                 let (client_timeout, picks) = (f64::from(client_timeout), Vec::new());
                 // The first pick may have overtaken the note of the send.
                 let known = self.tries.remove(&request_id).map_or(picks, |t| t.picks);
@@ -262,7 +199,7 @@
             Event::RequestAnswered { request_id, answer } => self.answered(at, request_id, answer),
             Event::BackendStarted {
                 incarnation,
-                node,
+                backend,
                 cold,
                 ..
             } => {
@@ -270,7 +207,7 @@
                 self.incarnations.insert(
                     incarnation,
                     Incarnation {
-                        node,
+                        backend,
                         started_at: at,
                         cold,
                         peak: 0.0,
@@ -300,21 +237,24 @@
                 self.overload(at, incarnation, proxy, f64::from(work), f64::from(overload));
             }
             Event::ExecutionStarted { attempt_id } => self.started(at, attempt_id),
-            Event::DuplicateDropped { .. } => self.counts.dropped_repeats += 1,
+            Event::DuplicateDropped { .. } => self.counts.duplicates_dropped += 1,
             Event::AttemptEnded { attempt_id, how } => {
-                self.counts.withdrawn += usize::from(how == AttemptEnd::Cancelled);
+                self.counts.attempts_cancelled += usize::from(how == AttemptEnd::Cancelled);
                 if let Some(pick) = self.pick_mut(attempt_id) {
                     pick.over.get_or_insert(at);
                 }
             }
             Event::ProxyNotified {
                 proxy,
-                node,
+                backend,
                 incarnation,
                 state,
             } => {
                 let off = (state != State::Ready).then_some(at);
-                let slot = self.told.entry((proxy, node)).or_insert((incarnation, off));
+                let slot = self
+                    .told
+                    .entry((proxy, backend))
+                    .or_insert((incarnation, off));
                 let still = slot
                     .1
                     .filter(|_| slot.0 == incarnation && state != State::Ready);
@@ -327,7 +267,7 @@
             Event::ProxyEnded { proxy, how } => {
                 if how == End::Crashed {
                     let name = format!("proxy {}", self.proxy_name(proxy));
-                    self.breach(
+                    self.report(
                         Rule::OneAnswer,
                         at,
                         name,
@@ -373,18 +313,18 @@
         entry.answer.get_or_insert((at, answer));
         if let Some((_, before)) = before {
             let what = format!("answered twice: Some({before}), then {answer}");
-            return self.breach(Rule::OneAnswer, at, Self::rpc_name(rpc), what, false);
+            return self.report(Rule::OneAnswer, at, Self::rpc_name(rpc), what, false);
         }
         match answer {
             Answer::Ok => self.counts.ok += 1,
-            Answer::Rejected(_) => self.counts.pushed_back += 1,
+            Answer::Rejected(_) => self.counts.rejected += 1,
             Answer::Aborted(_) => self.counts.aborted += 1,
             Answer::Unreachable => self.counts.unreachable += 1,
-            Answer::Cancelled => self.counts.hung_up += 1,
+            Answer::Cancelled => self.counts.cancelled += 1,
             Answer::Lost | Answer::TimedOut => {}
             Answer::Malformed => {
                 let what = "the answer was none, or bytes came behind it".to_owned();
-                self.breach(Rule::OneAnswer, at, Self::rpc_name(rpc), what, false);
+                self.report(Rule::OneAnswer, at, Self::rpc_name(rpc), what, false);
             }
         }
         if answer.is_final() && at > deadline + self.head.rules.slack {
@@ -392,10 +332,10 @@
                 "answered {:.0} ms after its deadline",
                 (at - deadline) * 1e3
             );
-            self.breach(Rule::OneAnswer, at, Self::rpc_name(rpc), what, true);
+            self.report(Rule::OneAnswer, at, Self::rpc_name(rpc), what, true);
         }
         if answer == Answer::Ok {
-            self.tally.answered(at, rpc);
+            self.totals.record_success(at, rpc);
         }
     }
 
@@ -407,8 +347,8 @@
         first_byte_at: f64,
         admission: Admission,
     ) {
-        self.counts.picks += 1;
-        self.counts.turned_away += usize::from(admission == Admission::Rejected);
+        self.counts.attempts += 1;
+        self.counts.attempts_rejected += usize::from(admission == Admission::Rejected);
         self.attempt_ids.insert(attempt_id, request_id);
         let (rpc, proxy, sent, client_timeout) = (u32::MAX, u16::MAX, first_byte_at, f64::INFINITY);
         let entry = self.tries.entry(request_id);
@@ -433,34 +373,34 @@
 
     /// Rule 3, for one pick.
     fn after_told(&mut self, incarnation: u32, request_id: u64, proxy: u16, first_byte_at: f64) {
-        let Some(node) = self.incarnations.get(&incarnation).map(|l| l.node) else {
+        let Some(backend) = self.incarnations.get(&incarnation).map(|l| l.backend) else {
             return;
         };
         // Off since then, for this incarnation: what was said of an earlier one does not count.
         let Some((_, Some(off))) = self
             .told
-            .get(&(proxy, node))
+            .get(&(proxy, backend))
             .filter(|told| told.0 == incarnation)
             .copied()
         else {
             return;
         };
         let late = first_byte_at - off;
-        self.latest_after_told = self.latest_after_told.max(late);
+        self.latest_after_notification = self.latest_after_notification.max(late);
         if late > self.head.rules.drain_grace + self.head.rules.slack {
             let rpc = self.tries.get(&request_id).map_or(u32::MAX, |t| t.rpc);
             let what = format!(
                 "sent to {} {:.0} ms after {} was told that it takes nothing new",
-                self.node_name(node),
+                self.backend_name(backend),
                 late * 1e3,
                 self.proxy_name(proxy)
             );
-            self.breach(Rule::Drains, first_byte_at, Self::rpc_name(rpc), what, true);
+            self.report(Rule::Drains, first_byte_at, Self::rpc_name(rpc), what, true);
         }
     }
 
     fn overload(&mut self, at: f64, incarnation: u32, proxy: u16, work: f64, overload: f64) {
-        let window = self.head.rules.fall_window;
+        let window = self.head.rules.overload_window;
         let Some(entry) = self.incarnations.get_mut(&incarnation) else {
             return;
         };
@@ -469,7 +409,7 @@
         }
         let informed = self
             .told
-            .get(&(proxy, entry.node))
+            .get(&(proxy, entry.backend))
             .is_some_and(|told| told.0 == incarnation);
         entry.peak = entry.peak.max(overload);
         entry.push.push_back((at, work, informed));
@@ -484,7 +424,7 @@
 
     /// Rule 4.
     fn fell(&mut self, at: f64, incarnation: u32) {
-        self.counts.fallen += 1;
+        self.counts.collapsed += 1;
         let Some(entry) = self.incarnations.get_mut(&incarnation) else {
             return;
         };
@@ -498,22 +438,22 @@
                 .sum()
         };
         let (all, informed) = (sum(&|_| true), sum(&|informed| informed));
-        let (node, age) = (entry.node, at - entry.started_at);
+        let (backend, age) = (entry.backend, at - entry.started_at);
         if informed < INFORMED * all {
-            self.counts.fallen_uninformed += 1;
+            self.counts.collapsed_uninformed += 1;
             return;
         }
-        let name = self.node_name(node).to_owned();
+        let name = self.backend_name(backend).to_owned();
         let what = format!(
             "pushed over {age:.1} s after its start, {:.0}% of it by proxies that knew of the start",
             informed / all.max(f64::MIN_POSITIVE) * 100.0
         );
-        self.breach(Rule::ColdNodes, at, name, what, false);
+        self.report(Rule::ColdNodes, at, name, what, false);
     }
 
     /// An effect happened.
     fn started(&mut self, at: f64, attempt_id: u64) {
-        self.counts.runs += 1;
+        self.counts.executions += 1;
         let Some(rpc) = self
             .attempt_ids
             .get(&attempt_id)
@@ -530,11 +470,11 @@
         let effects = asked.effects;
         match kind {
             _ if effects < 2 => {}
-            Some(Kind::Idempotent) => self.counts.repeated_runs += 1,
+            Some(Kind::Idempotent) => self.counts.repeated_executions += 1,
             Some(_) => {
-                self.counts.double_runs += 1;
+                self.counts.double_executions += 1;
                 let what = format!("ran {effects} times");
-                self.breach(Rule::NoEffectTwice, at, Self::rpc_name(rpc), what, false);
+                self.report(Rule::NoEffectTwice, at, Self::rpc_name(rpc), what, false);
             }
             None => {}
         }
@@ -548,7 +488,7 @@
         let Some(kind) = self.kind(entry.rpc) else {
             if let Some(pick) = entry.picks.first() {
                 let what = "sent to a node, and no client had asked for it".to_owned();
-                self.breach(
+                self.report(
                     Rule::OneAnswer,
                     pick.first_byte_at,
                     format!("try {request_id:016x}"),
@@ -591,25 +531,25 @@
                 let what = format!("told its node {time:.3} s where {left:.3} s are left");
                 found.push((Rule::OneAnswer, pick.first_byte_at, what, true));
             }
-            if n >= rules.most_picks {
-                let what = format!("{} picks, {} are allowed", n + 1, rules.most_picks);
+            if n >= rules.max_attempts {
+                let what = format!("{} picks, {} are allowed", n + 1, rules.max_attempts);
                 found.push((Rule::NoEffectTwice, pick.first_byte_at, what, false));
             }
             let before = &entry.picks[..n];
             let out = before
                 .iter()
                 .any(|p| ran(&p) && p.over.is_none_or(|over| over > pick.first_byte_at + slack));
-            if out && !rules.second_copies {
+            if out && !rules.hedging_allowed {
                 let what = "a second copy while one was out".to_owned();
                 found.push((Rule::NoEffectTwice, pick.first_byte_at, what, true));
             }
             for first in before.iter().filter(ran) {
-                let node = |incarnation| {
+                let backend = |incarnation| {
                     self.incarnations
                         .get(&incarnation)
-                        .map_or(u32::MAX, |l| l.node)
+                        .map_or(u32::MAX, |l| l.backend)
                 };
-                let (one, other) = (node(first.incarnation), node(pick.incarnation));
+                let (one, other) = (backend(first.incarnation), backend(pick.incarnation));
                 let (what, timed) = match kind {
                     Kind::Idempotent => continue,
                     Kind::NonIdempotent => ("sent again after it may have run".to_owned(), false),
@@ -626,9 +566,9 @@
                 };
                 let what = format!(
                     "{what}: {} at {:.3}, {} at {:.3}",
-                    self.node_name(one),
+                    self.backend_name(one),
                     first.first_byte_at,
-                    self.node_name(other),
+                    self.backend_name(other),
                     pick.first_byte_at
                 );
                 found.push((Rule::NoEffectTwice, pick.first_byte_at, what, timed));
@@ -682,7 +622,7 @@
             }
         }
         for (rule, at, what, timed) in found {
-            self.breach(rule, at, name(), what, timed);
+            self.report(rule, at, name(), what, timed);
         }
     }
 
@@ -691,38 +631,32 @@
         for (request_id, entry) in &tries {
             self.judge(*request_id, entry);
         }
-        let cold = |l: &Incarnation| ColdLife {
-            node: self.node_name(l.node).to_owned(),
-            from: l.started_at,
-            peak: l.peak,
+        let cold = |l: &Incarnation| ColdStart {
+            backend: self.backend_name(l.backend).to_owned(),
+            started_at: l.started_at,
+            peak_overload: l.peak,
         };
-        let mut cold: Vec<_> = self
+        let mut cold_starts: Vec<_> = self
             .incarnations
             .values()
             .filter(|l| l.cold)
             .map(cold)
             .collect();
-        cold.sort_by(|a, b| a.from.total_cmp(&b.from).then_with(|| a.node.cmp(&b.node)));
-        let (kit_late, stage_late) = (parts(&mut self.late), parts(&mut self.stage_late));
-        let mut breaches: Vec<_> = self.breaches.into_values().collect();
-        breaches.sort_by(|a, b| a.at.total_cmp(&b.at));
+        cold_starts.sort_by(|a, b| {
+            a.started_at
+                .total_cmp(&b.started_at)
+                .then_with(|| a.backend.cmp(&b.backend))
+        });
+        let mut violations: Vec<_> = self.violations.into_values().collect();
+        violations.sort_by(|a, b| a.at.total_cmp(&b.at));
         Findings {
-            breaches,
+            violations,
             counts: self.counts,
-            service: self.tally.finish(),
-            cold,
-            latest_after_told: self.latest_after_told,
-            kit_late,
-            stage_late,
+            service: self.totals.finish(),
+            cold_starts,
+            latest_after_notification: self.latest_after_notification,
+            client_lateness: LatenessSummary::of(&mut self.late),
+            emulator_lateness: LatenessSummary::of(&mut self.stage_late),
         }
     }
 }
-
-/// Median, 99th percentile and the most.
-fn parts(of: &mut [f64]) -> [f64; 3] {
-    of.sort_by(f64::total_cmp);
-    [0.5, 0.99, 1.0].map(|part| {
-        let place = (part * of.len() as f64).ceil() as usize;
-        of.get(place.max(1) - 1).copied().unwrap_or(0.0)
-    })
-}
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -157,7 +157,8 @@
     BackendStarted {
         #[serde(rename = "life")]
         incarnation: u32,
-        node: u32,
+        #[serde(rename = "node")]
+        backend: u32,
         cold: bool,
         #[serde(rename = "able")]
         warm_capacity: f32,
@@ -221,7 +222,8 @@
     /// The truth about a node changed and the list service knows.
     #[serde(rename = "Changed")]
     EndpointChanged {
-        node: u32,
+        #[serde(rename = "node")]
+        backend: u32,
         #[serde(rename = "life")]
         incarnation: u32,
         state: State,
@@ -230,7 +232,8 @@
     #[serde(rename = "Told")]
     ProxyNotified {
         proxy: u16,
-        node: u32,
+        #[serde(rename = "node")]
+        backend: u32,
         #[serde(rename = "life")]
         incarnation: u32,
         state: State,
--- a/crates/audit/src/head.rs
+++ b/crates/audit/src/head.rs
@@ -68,18 +68,22 @@
     /// For the way over sockets and the kit's own delay: each time limit is so much longer.
     pub slack: f64,
     /// Work sent to a cold node is summed over this window.
-    pub fall_window: f64,
-    pub most_picks: usize,
-    pub second_copies: bool,
+    #[serde(rename = "fall_window")]
+    pub overload_window: f64,
+    #[serde(rename = "most_picks")]
+    pub max_attempts: usize,
+    #[serde(rename = "second_copies")]
+    pub hedging_allowed: bool,
     /// Part of the utility of what lies beyond a tenant's quota.
     pub over_quota_utility: f64,
     /// The kit's own lateness, 99th percentile, beyond which time limits can't be judged.
-    pub kit_late: f64,
+    #[serde(rename = "kit_late")]
+    pub max_lateness: f64,
 }
 
 /// A node, as far as rules and reports want to know it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Node {
+pub struct Backend {
     pub name: String,
     pub zone: u32,
     pub rack: u32,
@@ -87,19 +91,20 @@
 
 /// A trouble as the plan drew it: from, until, and the nodes or proxies that it befell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Trouble {
+pub struct Fault {
     pub name: String,
     pub kind: String,
     pub from: f64,
     pub until: f64,
-    pub nodes: Vec<u32>,
+    #[serde(rename = "nodes")]
+    pub backends: Vec<u32>,
     pub proxies: Vec<u16>,
 }
 
 /// What service must reach, parts of 1; `None` is not judged.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Bars {
+pub struct ServiceTargets {
     pub service: Option<f64>,
     pub worst_10s: Option<f64>,
     pub worst_method: Option<f64>,
@@ -115,18 +120,21 @@
     /// s, until the last arrival.
     pub length: f64,
     pub rules: Rules,
-    pub bars: Bars,
+    #[serde(rename = "bars")]
+    pub targets: ServiceTargets,
     pub methods: Vec<Method>,
     pub tenants: Vec<String>,
     pub proxies: Vec<String>,
-    pub nodes: Vec<Node>,
-    pub troubles: Vec<Trouble>,
+    #[serde(rename = "nodes")]
+    pub backends: Vec<Backend>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<Fault>,
 }
 
 impl Head {
     /// Whether repeats of this method at one node are dropped at the other.
     pub fn together(&self, group: Group, one: u32, other: u32) -> bool {
-        let of = |n: u32| self.nodes.get(n as usize);
+        let of = |n: u32| self.backends.get(n as usize);
         match (group, of(one), of(other)) {
             (Group::All, ..) => true,
             (Group::Zone, Some(a), Some(b)) => a.zone == b.zone,
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -8,12 +8,14 @@
 
 pub mod audit;
 pub mod event;
+pub mod findings;
 pub mod head;
 pub mod ledger;
 pub mod service;
-pub mod story;
+pub mod timeline;
 
-pub use audit::{Audit, Breach, Findings, Rule};
+pub use audit::Audit;
 pub use event::{Answer, Entry, Event, State};
+pub use findings::{Findings, Rule, Violation};
 pub use head::{Group, Head, Kind, Method, Rules};
 pub use service::Service;
--- a/crates/audit/src/story.rs
+++ b/crates/audit/src/timeline.rs
@@ -4,39 +4,41 @@
 use std::collections::HashMap;
 
 /// Which entries belong to an RPC, and the names behind the numbers.
-pub struct Story<'a> {
+pub struct Timeline<'a> {
     head: &'a Head,
     /// RPC of each request, request of each attempt, node of each incarnation.
     rpcs: HashMap<u64, u32>,
     attempt_ids: HashMap<u64, u64>,
-    nodes: HashMap<u32, u32>,
+    backends: HashMap<u32, u32>,
 }
 
-impl<'a> Story<'a> {
+impl<'a> Timeline<'a> {
     pub fn new(head: &'a Head, entries: &[Entry]) -> Self {
-        let mut story = Self {
+        let mut timeline = Self {
             head,
             rpcs: HashMap::new(),
             attempt_ids: HashMap::new(),
-            nodes: HashMap::new(),
+            backends: HashMap::new(),
         };
         for entry in entries {
             match entry.event {
                 Event::RequestSent {
                     request_id, rpc, ..
-                } => drop(story.rpcs.insert(request_id, rpc)),
+                } => drop(timeline.rpcs.insert(request_id, rpc)),
                 Event::AttemptReceived {
                     attempt_id,
                     request_id,
                     ..
-                } => drop(story.attempt_ids.insert(attempt_id, request_id)),
+                } => drop(timeline.attempt_ids.insert(attempt_id, request_id)),
                 Event::BackendStarted {
-                    incarnation, node, ..
-                } => drop(story.nodes.insert(incarnation, node)),
+                    incarnation,
+                    backend,
+                    ..
+                } => drop(timeline.backends.insert(incarnation, backend)),
                 _ => {}
             }
         }
-        story
+        timeline
     }
 
     /// The RPC that an event belongs to.
@@ -56,16 +58,19 @@
         }
     }
 
-    fn node(&self, node: u32) -> &str {
-        self.head.nodes.get(node as usize).map_or("?", |n| &n.name)
+    fn backend(&self, backend: u32) -> &str {
+        self.head
+            .backends
+            .get(backend as usize)
+            .map_or("?", |n| &n.name)
     }
 
     fn incarnation(&self, incarnation: u32) -> String {
         format!(
             "{} (life {incarnation})",
-            self.nodes
+            self.backends
                 .get(&incarnation)
-                .map_or("?", |node| self.node(*node))
+                .map_or("?", |backend| self.backend(*backend))
         )
     }
 
@@ -161,22 +166,25 @@
                 format!("pick {attempt_id} is over: {how}")
             }
             Event::EndpointChanged {
-                node,
+                backend,
                 incarnation,
                 state,
             } => {
-                format!("{} (life {incarnation}) is {state:?}", self.node(*node))
+                format!(
+                    "{} (life {incarnation}) is {state:?}",
+                    self.backend(*backend)
+                )
             }
             Event::ProxyNotified {
                 proxy,
-                node,
+                backend,
                 incarnation,
                 state,
             } => {
                 format!(
                     "{} told: {} (life {incarnation}) is {state:?}",
                     self.proxy(*proxy),
-                    self.node(*node)
+                    self.backend(*backend)
                 )
             }
             Event::ProxyStarted { proxy } => format!("{} started", self.proxy(*proxy)),
@@ -185,7 +193,7 @@
             Event::Fault { number, begins } => {
                 let name = self
                     .head
-                    .troubles
+                    .faults
                     .get(*number as usize)
                     .map_or("?", |t| &t.name);
                 format!("trouble {name} {}", if *begins { "begins" } else { "ends" })
--- a/crates/audit/tests/audit.rs
+++ b/crates/audit/tests/audit.rs
@@ -1,11 +1,11 @@
 //! A ledger for each kind of breach, written by hand: each breach is found exactly once, with its RPC or node named, and
 //! the same ledger without it has no findings.
 use birchhub_audit::event::{Admission, AttemptEnd};
-use birchhub_audit::head::{Bars, Node};
+use birchhub_audit::head::{Backend, ServiceTargets};
 use birchhub_audit::{
     Answer, Audit, Entry, Event, Findings, Group, Head, Kind, Method, Rule, Rules, State, ledger,
 };
-use birchhub_audit::{event::End, story::Story};
+use birchhub_audit::{event::End, timeline::Timeline};
 
 const READ: u8 = 0;
 const BOOK: u8 = 1;
@@ -20,7 +20,7 @@
         utility: 2.0,
         late_utility: 0.25,
     };
-    let node = |name: &str, rack| Node {
+    let backend = |name: &str, rack| Backend {
         name: name.into(),
         zone: 0,
         rack,
@@ -33,13 +33,13 @@
         rules: Rules {
             drain_grace: 0.3,
             slack: 0.05,
-            fall_window: 1.0,
-            most_picks: 3,
-            second_copies: false,
+            overload_window: 1.0,
+            max_attempts: 3,
+            hedging_allowed: false,
             over_quota_utility: 0.1,
-            kit_late: 0.01,
+            max_lateness: 0.01,
         },
-        bars: Bars::default(),
+        targets: ServiceTargets::default(),
         methods: vec![
             method("read", Kind::Idempotent),
             method("book", Kind::NonIdempotent),
@@ -53,8 +53,8 @@
         ],
         tenants: vec!["acme".into()],
         proxies: vec!["p0".into(), "p1".into()],
-        nodes: vec![node("n0", 0), node("n1", 0), node("n2", 1)],
-        troubles: vec![],
+        backends: vec![backend("n0", 0), backend("n1", 0), backend("n2", 1)],
+        faults: vec![],
     }
 }
 
@@ -70,7 +70,7 @@
                 0.0,
                 Event::BackendStarted {
                     incarnation,
-                    node: incarnation,
+                    backend: incarnation,
                     cold: false,
                     warm_capacity: 2.0,
                 },
@@ -161,18 +161,18 @@
     }
     /// The one breach.
     fn only(&mut self, rule: Rule, subject: &str, what: &str) {
-        let found = self.audit().breaches;
+        let found = self.audit().violations;
         assert_eq!(found.len(), 1, "{found:?}");
         assert_eq!(
             (found[0].rule, found[0].subject.as_str()),
             (rule, subject),
             "{found:?}"
         );
-        assert!(found[0].what.contains(what), "{found:?}");
+        assert!(found[0].description.contains(what), "{found:?}");
     }
     fn clean(&mut self) -> Findings {
         let findings = self.audit();
-        assert_eq!(findings.breaches, []);
+        assert_eq!(findings.violations, []);
         findings
     }
 }
@@ -188,12 +188,12 @@
         (
             findings.counts.rpcs,
             findings.counts.ok,
-            findings.counts.runs
+            findings.counts.executions
         ),
         (30, 30, 30)
     );
     assert_eq!(
-        (findings.service.whole, findings.service.worst_10s),
+        (findings.service.overall, findings.service.worst_10s),
         (1.0, 1.0)
     );
 }
@@ -456,7 +456,7 @@
 fn an_attempt_at_a_draining_node_is_found_once_its_proxy_was_notified() {
     let told = |state, incarnation, at| Event::ProxyNotified {
         proxy: at,
-        node: 0,
+        backend: 0,
         incarnation,
         state,
     };
@@ -468,7 +468,7 @@
             .at(2.0, told(state, 0, 0))
             .good(1.3, 7, READ);
         let findings = builder.clean();
-        assert!((findings.latest_after_told - 0.301).abs() < 1e-9);
+        assert!((findings.latest_after_notification - 0.301).abs() < 1e-9);
         builder.0.pop();
         builder
             .good(2.1, 8, READ)
@@ -502,13 +502,13 @@
     let mut ledger = LedgerBuilder::new();
     let started_at = Event::BackendStarted {
         incarnation: LIFE,
-        node: 2,
+        backend: 2,
         cold: true,
         warm_capacity: 2.0,
     };
     let notified = Event::ProxyNotified {
         proxy: 0,
-        node: 2,
+        backend: 2,
         incarnation: LIFE,
         state: State::Ready,
     };
@@ -552,9 +552,9 @@
         if is_breach {
             ledger.only(Rule::ColdNodes, "n2", "pushed over 0.5 s after its start");
         } else {
-            assert_eq!(ledger.clean().counts.fallen_uninformed, 1);
+            assert_eq!(ledger.clean().counts.collapsed_uninformed, 1);
         }
-        assert!((ledger.audit().cold[0].peak - 1.02).abs() < 1e-6);
+        assert!((ledger.audit().cold_starts[0].peak_overload - 1.02).abs() < 1e-6);
     }
 }
 
@@ -585,19 +585,22 @@
         },
     ); // a tenth of 2, not gained
     let service = builder.clean().service;
-    assert!((service.whole - (60.0 + 2.0 + 0.5) / (60.0 + 2.0 + 2.0 + 0.2)).abs() < 1e-9);
+    assert!((service.overall - (60.0 + 2.0 + 0.5) / (60.0 + 2.0 + 2.0 + 0.2)).abs() < 1e-9);
     // The worst ten seconds begin at 13: the late RPC and the unanswered one, and ten reads.
     assert!(
         (service.worst_10s - (20.0 + 0.5) / (20.0 + 2.2)).abs() < 1e-9,
         "{service:?}"
     );
-    assert_eq!(service.worst_from, 13.0);
+    assert_eq!(service.worst_10s_from, 13.0);
     assert!((service.worst_method().unwrap() - 2.5 / 4.2).abs() < 1e-9);
     assert!(
         (service.worst_tenant().unwrap() - 62.5 / 64.0).abs() < 1e-9,
         "an RPC over quota does not count for the tenant"
     );
-    assert!((service.latency[0] - 0.061).abs() < 1e-9 && (service.latency[2] - 0.3).abs() < 1e-9);
+    assert!(
+        (service.latency.median - 0.061).abs() < 1e-9
+            && (service.latency.percentile_99_9 - 0.3).abs() < 1e-9
+    );
 }
 
 #[test]
@@ -644,12 +647,12 @@
     builder.good(2.0, 7, BOOK).good(1.0, 8, LOG);
     builder.0.sort_by(|a, b| a.at.total_cmp(&b.at));
     let head = head();
-    let story = Story::new(&head, &builder.0);
+    let timeline = Timeline::new(&head, &builder.0);
     let lines: Vec<_> = builder
         .0
         .iter()
-        .filter(|e| story.rpc(&e.event) == Some(7))
-        .map(|e| story.line(e))
+        .filter(|e| timeline.rpc(&e.event) == Some(7))
+        .map(|e| timeline.line(e))
         .collect();
     assert_eq!(lines.len(), 7, "{lines:#?}");
     assert!(
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -1,8 +1,8 @@
 //! The stored form of a ledger. `fixtures/ledger-1` and `fixtures/records.jsonl` were written by the code of
 //! 2026-12-02; ledgers of that time are read, and new ones are written, exactly as they were.
 use birchhub_audit::event::{Admission, AttemptEnd, End};
-use birchhub_audit::head::{Bars, Node, Trouble};
-use birchhub_audit::story::Story;
+use birchhub_audit::head::{Backend, Fault, ServiceTargets};
+use birchhub_audit::timeline::Timeline;
 use birchhub_audit::{
     Answer, Audit, Entry, Event, Group, Head, Kind, Method, Rules, State, ledger,
 };
@@ -31,11 +31,11 @@
     Rules {
         drain_grace: 0.3,
         slack: 0.05,
-        fall_window: 1.5,
-        most_picks: 3,
-        second_copies: true,
+        overload_window: 1.5,
+        max_attempts: 3,
+        hedging_allowed: true,
         over_quota_utility: 0.125,
-        kit_late: 0.01,
+        max_lateness: 0.01,
     }
 }
 
@@ -50,7 +50,7 @@
         plan: "0123abcd".into(),
         length: 30.0,
         rules: rules(),
-        bars: Bars {
+        targets: ServiceTargets {
             service: Some(0.99),
             worst_10s: Some(0.98),
             worst_method: Some(0.97),
@@ -65,17 +65,17 @@
         ],
         tenants: vec!["acme".into()],
         proxies: vec!["p0".into(), "p1".into()],
-        nodes: vec![Node {
+        backends: vec![Backend {
             name: "n0".into(),
             zone: 1,
             rack: 2,
         }],
-        troubles: vec![Trouble {
+        faults: vec![Fault {
             name: "outage".into(),
             kind: "crash".into(),
             from: 1.0,
             until: 2.0,
-            nodes: vec![0],
+            backends: vec![0],
             proxies: vec![1],
         }],
     }
@@ -110,7 +110,7 @@
     vec![
         Event::BackendStarted {
             incarnation: 3,
-            node: 2,
+            backend: 2,
             cold: true,
             warm_capacity: 1.5,
         },
@@ -133,13 +133,13 @@
 fn endpoint_list_events() -> Vec<Event> {
     let states = [State::Ready, State::Draining, State::Gone];
     let changed = states.map(|state| Event::EndpointChanged {
-        node: 2,
+        backend: 2,
         incarnation: 3,
         state,
     });
     let told = states.map(|state| Event::ProxyNotified {
         proxy: 1,
-        node: 2,
+        backend: 2,
         incarnation: 3,
         state,
     });
@@ -306,7 +306,7 @@
 #[test]
 fn the_timeline_of_a_stored_ledger_keeps_its_text() {
     let (head, entries) = (head(), entries());
-    let timeline = Story::new(&head, &entries);
+    let timeline = Timeline::new(&head, &entries);
     let lines: Vec<_> = entries.iter().map(|entry| timeline.line(entry)).collect();
     assert_eq!(lines, TIMELINE.lines().collect::<Vec<_>>());
 }
--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -1,6 +1,6 @@
 //! `birchhub ledger` and `birchhub audit`: what is left of a rehearsal, read back.
 use crate::{Fault, print};
-use birchhub_audit::story::Story;
+use birchhub_audit::timeline::Timeline;
 use birchhub_rehearsal::{Report, run::open};
 use clap::{Args, Subcommand};
 use std::path::PathBuf;
@@ -48,11 +48,11 @@
         until,
     } = arguments.verb;
     let (head, entries) = open(&file).map_err(Fault::Input)?;
-    let story = Story::new(&head, &entries);
+    let timeline = Timeline::new(&head, &entries);
     let mut text = String::new();
     for entry in entries.iter().filter(|e| e.at >= from && e.at <= until) {
-        if rpc.is_none() || story.rpc(&entry.event) == rpc {
-            text.push_str(&story.line(entry));
+        if rpc.is_none() || timeline.rpc(&entry.event) == rpc {
+            text.push_str(&timeline.line(entry));
             text.push('\n');
         }
     }
--- a/crates/cli/tests/exit_codes.rs
+++ b/crates/cli/tests/exit_codes.rs
@@ -1,6 +1,6 @@
 //! The exit codes of `birchhub`: 0 PASS, 1 FAIL, 2 VOID, 64 bad input, 70 anything else that went wrong. Scripts and CI
 //! of those who use it go by these numbers.
-use birchhub_audit::head::Bars;
+use birchhub_audit::head::ServiceTargets;
 use birchhub_audit::{Answer, Entry, Event, Head, Kind, Method, Rules, ledger};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -52,13 +52,13 @@
         rules: Rules {
             drain_grace: 0.3,
             slack: 0.05,
-            fall_window: 1.0,
-            most_picks: 3,
-            second_copies: false,
+            overload_window: 1.0,
+            max_attempts: 3,
+            hedging_allowed: false,
             over_quota_utility: 0.1,
-            kit_late: 0.01,
+            max_lateness: 0.01,
         },
-        bars: Bars::default(),
+        targets: ServiceTargets::default(),
         methods: vec![Method {
             name: "read".into(),
             kind: Kind::Idempotent,
@@ -69,8 +69,8 @@
         }],
         tenants: vec!["acme".into()],
         proxies: vec!["p0".into()],
-        nodes: vec![],
-        troubles: vec![],
+        backends: vec![],
+        faults: vec![],
     }
 }
 
--- a/crates/daemon/tests/rehearsals.rs
+++ b/crates/daemon/tests/rehearsals.rs
@@ -111,7 +111,10 @@
 "#,
     );
     assert_eq!(
-        (report.findings.cold.len(), report.findings.counts.fallen),
+        (
+            report.findings.cold_starts.len(),
+            report.findings.counts.collapsed
+        ),
         (4, 0)
     );
 }
@@ -149,9 +152,9 @@
     let counts = &report.findings.counts;
     assert_eq!(
         (
-            report.findings.cold.len(),
-            counts.fallen,
-            counts.double_runs
+            report.findings.cold_starts.len(),
+            counts.collapsed,
+            counts.double_executions
         ),
         (4, 0, 0)
     );
--- a/crates/daemon/tests/watches.rs
+++ b/crates/daemon/tests/watches.rs
@@ -577,7 +577,7 @@
     let _ = std::fs::remove_dir_all(out);
     let back = 10.0; // s, when the outage ends
     let drains = entries.iter().filter_map(|entry| match entry.event {
-        Event::EndpointChanged { node, .. } if (2.0..back).contains(&entry.at) => {
+        Event::EndpointChanged { backend: node, .. } if (2.0..back).contains(&entry.at) => {
             Some((node, entry.at))
         }
         _ => None,
@@ -588,7 +588,7 @@
         for (drained, at) in &drains {
             // Every later update about it has this state or a newer one.
             let told = entries.iter().find(|entry| {
-                entry.at > *at && matches!(entry.event, Event::ProxyNotified { proxy: to, node, .. } if to == proxy && node == *drained)
+                entry.at > *at && matches!(entry.event, Event::ProxyNotified { proxy: to, backend: node, .. } if to == proxy && node == *drained)
             });
             let told = told.map_or(f64::INFINITY, |entry| entry.at - back);
             assert!(
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -157,7 +157,7 @@
     /// A node is now so. Proxies that watch are told.
     pub fn change(&self, node: u32, line: Line) {
         self.notes.tell(Event::EndpointChanged {
-            node,
+            backend: node,
             incarnation: line.incarnation,
             state: line.state,
         });
@@ -255,7 +255,7 @@
             if known.insert((proxy, node), (incarnation, state)) != Some((incarnation, state)) {
                 self.notes.tell(Event::ProxyNotified {
                     proxy,
-                    node,
+                    backend: node,
                     incarnation,
                     state,
                 });
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -205,7 +205,7 @@
         let (over, seen) = watch::channel(Over::Not);
         self.fleet.notes.tell(Event::BackendStarted {
             incarnation: number,
-            node: self.place.index,
+            backend: self.place.index,
             cold: start == Start::Cold,
             warm_capacity,
         });
--- a/crates/rehearsal/src/page.rs
+++ b/crates/rehearsal/src/page.rs
@@ -57,7 +57,7 @@
     }
 
     fn bands(&self, to: &mut String, head: &Head, height: f64) {
-        for (n, trouble) in head.troubles.iter().enumerate() {
+        for (n, trouble) in head.faults.iter().enumerate() {
             let (from, until) = (self.x(trouble.from), self.x(trouble.until));
             let (width, colour) = ((until - from).max(1.5), BANDS[n % BANDS.len()]);
             let _ = write!(
@@ -94,7 +94,7 @@
     let seconds = &report.findings.service.seconds;
     let most = seconds
         .iter()
-        .map(|(asked, _)| *asked)
+        .map(|utility| utility.requested)
         .fold(f64::MIN_POSITIVE, f64::max);
     let point = |second: usize, part: f64| {
         format!(
@@ -112,16 +112,17 @@
     let asked = seconds
         .iter()
         .enumerate()
-        .map(|(n, (asked, _))| point(n, asked / most));
+        .map(|(n, utility)| point(n, utility.requested / most));
     body += &line("#8a9ba8", 1.0, asked.collect());
     let had = seconds
         .iter()
         .enumerate()
-        .filter(|(_, (asked, _))| *asked > 0.0);
+        .filter(|(_, utility)| utility.requested > 0.0);
     body += &line(
         "#106ba3",
         2.0,
-        had.map(|(n, (asked, got))| point(n, got / asked)).collect(),
+        had.map(|(n, utility)| point(n, utility.obtained / utility.requested))
+            .collect(),
     );
     axis.ticks(&mut body, HEIGHT);
     svg(HEIGHT, &body)
@@ -129,8 +130,8 @@
 
 /// RPCs that each node held, the most in each second.
 fn held(head: &Head, entries: &[Entry], seconds: usize) -> Vec<Vec<u32>> {
-    let mut most = vec![vec![0; seconds]; head.nodes.len()];
-    let mut now = vec![0u32; head.nodes.len()];
+    let mut most = vec![vec![0; seconds]; head.backends.len()];
+    let mut now = vec![0u32; head.backends.len()];
     let (mut nodes, mut attempt_ids) = (HashMap::new(), HashMap::new());
     let mut second = 0;
     for entry in entries {
@@ -143,7 +144,9 @@
         }
         match entry.event {
             Event::BackendStarted {
-                incarnation, node, ..
+                incarnation,
+                backend: node,
+                ..
             } => drop(nodes.insert(incarnation, node as usize)),
             Event::AttemptReceived {
                 incarnation,
@@ -173,22 +176,22 @@
 
 #[expect(clippy::too_many_lines)]
 fn nodes(head: &Head, entries: &[Entry], axis: &Axis) -> String {
-    let rows = head.nodes.len().min(ROWS_MOST);
+    let rows = head.backends.len().min(ROWS_MOST);
     let seconds = axis.length.ceil().max(1.0) as usize;
     let most = held(head, entries, seconds);
     let highest = most.iter().flatten().copied().max().unwrap_or(1).max(1);
     let (height, mut body) = (rows as f64 * ROW, String::new());
     // Zone by zone and rack by rack; a successor below the node that it follows.
-    let mut order: Vec<_> = (0..head.nodes.len()).collect();
+    let mut order: Vec<_> = (0..head.backends.len()).collect();
     order.sort_by_key(|n| {
         (
-            head.nodes[*n].zone,
-            head.nodes[*n].rack,
-            &head.nodes[*n].name,
+            head.backends[*n].zone,
+            head.backends[*n].rack,
+            &head.backends[*n].name,
         )
     });
     for (row, n) in order.into_iter().take(rows).enumerate() {
-        let (y, node) = (row as f64 * ROW, &head.nodes[n]);
+        let (y, node) = (row as f64 * ROW, &head.backends[n]);
         let name = escape(&node.name);
         let _ = write!(
             body,
@@ -208,10 +211,10 @@
             );
         }
         for (t, trouble) in head
-            .troubles
+            .faults
             .iter()
             .enumerate()
-            .filter(|(_, t)| t.nodes.contains(&(n as u32)))
+            .filter(|(_, t)| t.backends.contains(&(n as u32)))
         {
             let (x, end) = (axis.x(trouble.from), axis.x(trouble.until));
             let (width, colour) = ((end - x).max(1.5), BANDS[t % BANDS.len()]);
@@ -223,7 +226,7 @@
         }
     }
     axis.ticks(&mut body, height);
-    let left_out = head.nodes.len() - rows;
+    let left_out = head.backends.len() - rows;
     let more = if left_out > 0 {
         format!("<p class='k'>{left_out} more nodes are not drawn.</p>")
     } else {
@@ -287,12 +290,12 @@
         let _ = writeln!(page, "<ul>{}</ul>", items.collect::<String>());
     }
     let bands: String = head
-        .troubles
+        .faults
         .iter()
         .enumerate()
         .map(|(n, t)| {
             let colour = BANDS[n % BANDS.len()];
-            let whom = match (t.nodes.len(), t.proxies.len()) {
+            let whom = match (t.backends.len(), t.proxies.len()) {
                 (0, 0) => String::new(),
                 (nodes, 0) => format!(", {nodes} nodes"),
                 (0, proxies) => format!(", {proxies} proxies"),
@@ -312,20 +315,22 @@
         service(report, head, &axis)
     );
     let parts = [
-        ("whole run".to_owned(), Some(service_parts.whole)),
+        ("whole run".to_owned(), Some(service_parts.overall)),
         (
-            format!("worst 10 s, from {:.0} s", service_parts.worst_from),
+            format!("worst 10 s, from {:.0} s", service_parts.worst_10s_from),
             Some(service_parts.worst_10s),
         ),
     ];
     let methods = service_parts
         .methods
         .iter()
-        .map(|(name, part)| (format!("method {name}"), *part));
-    let tenants = service_parts
-        .tenants
-        .iter()
-        .map(|(name, part)| (format!("tenant {name}, within its quota"), *part));
+        .map(|named| (format!("method {}", named.name), named.share));
+    let tenants = service_parts.tenants.iter().map(|named| {
+        (
+            format!("tenant {}, within its quota", named.name),
+            named.share,
+        )
+    });
     let rows = parts.into_iter().chain(methods).chain(tenants);
     let rows =
         rows.map(|(name, part)| vec![name, part.map_or("-".into(), |part| format!("{part:.4}"))]);
@@ -339,13 +344,13 @@
         nodes(head, entries, &axis)
     );
     let _ = write!(page, "<h2>Counts</h2>\n{}", table(rows, &["", ""]));
-    if !findings.cold.is_empty() {
-        let rows = findings.cold.iter();
+    if !findings.cold_starts.is_empty() {
+        let rows = findings.cold_starts.iter();
         let rows = rows.map(|c| {
             vec![
-                c.node.clone(),
-                format!("{:.1} s", c.from),
-                format!("{:.0}%", c.peak * 100.0),
+                c.backend.clone(),
+                format!("{:.1} s", c.started_at),
+                format!("{:.0}%", c.peak_overload * 100.0),
             ]
         });
         let _ = write!(
@@ -354,12 +359,13 @@
             table(rows, &["node", "start", "pushed, of its fall"])
         );
     }
-    let [median, p99, worst] = findings.kit_late.map(|s| format!("{:.2} ms", s * 1e3));
+    let [median, p99, worst] =
+        <[f64; 3]>::from(findings.client_lateness).map(|s| format!("{:.2} ms", s * 1e3));
     let _ = write!(
         page,
         "<h2>The kit itself</h2>\n<p>RPCs went out late by {median} (median), {p99} (99th percentile), {worst} (worst). \
          Latest new work to a node after its drain was told: {:.0} ms.</p>\n</body></html>\n",
-        findings.latest_after_told * 1e3
+        findings.latest_after_notification * 1e3
     );
     page
 }
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -164,7 +164,7 @@
     /// In the order of time.
     pub acts: Vec<(f64, Act)>,
     #[serde(skip)]
-    pub troubles: Vec<head::Trouble>,
+    pub troubles: Vec<head::Fault>,
 }
 
 pub fn proxy_name(proxy: u16) -> String {
@@ -496,12 +496,12 @@
         } else {
             Vec::new()
         };
-        self.troubles.push(head::Trouble {
+        self.troubles.push(head::Fault {
             name: trouble.name.clone(),
             kind: format!("{:?}", trouble.kind),
             from: at,
             until,
-            nodes: nodes.clone(),
+            backends: nodes.clone(),
             proxies: touched,
         });
         chosen.insert(&trouble.name, nodes);
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,6 +1,6 @@
 //! The verdict on a rehearsal, and its report as text and as JSON.
 use crate::page;
-use birchhub_audit::{Audit, Breach, Entry, Findings, Head};
+use birchhub_audit::{Audit, Entry, Findings, Head, Violation};
 use serde::Serialize;
 use std::path::Path;
 
@@ -60,23 +60,27 @@
 /// kit itself was on time.
 #[expect(clippy::too_many_lines)]
 fn judge(head: &Head, findings: &Findings, partial: bool) -> (Verdict, Vec<String>) {
-    let told = |b: &Breach| {
+    let told = |b: &Violation| {
         format!(
             "rule {}: {}: {} (at {:.3} s)",
-            b.rule as u8, b.subject, b.what, b.at
+            b.rule as u8, b.subject, b.description, b.at
         )
     };
-    let (timed, plain): (Vec<_>, Vec<_>) = findings.breaches.iter().partition(|b| b.timed);
+    let (timed, plain): (Vec<_>, Vec<_>) =
+        findings.violations.iter().partition(|b| b.timing_dependent);
     let mut reasons: Vec<String> = plain.iter().map(|b| told(b)).collect();
-    let (late, what) = match (findings.kit_late[1], findings.stage_late[1]) {
+    let (late, what) = match (
+        findings.client_lateness.percentile_99,
+        findings.emulator_lateness.percentile_99,
+    ) {
         (kit, stage) if stage > kit => (stage, "the runs at stand-in nodes ended"),
         (kit, _) => (kit, "the RPCs went out"),
     };
-    if late > head.rules.kit_late {
+    if late > head.rules.max_lateness {
         let busy = format!(
             "this machine was too busy: 1% of {what} {:.1} ms late or later ({:.1} ms are allowed)",
             late * 1e3,
-            head.rules.kit_late * 1e3
+            head.rules.max_lateness * 1e3
         );
         let verdict = if reasons.is_empty() {
             Verdict::Void
@@ -89,16 +93,20 @@
     reasons.extend(timed.iter().map(|b| told(b)));
     let service = &findings.service;
     let bars = [
-        ("service", head.bars.service, Some(service.whole)),
-        ("worst 10 s", head.bars.worst_10s, Some(service.worst_10s)),
+        ("service", head.targets.service, Some(service.overall)),
+        (
+            "worst 10 s",
+            head.targets.worst_10s,
+            Some(service.worst_10s),
+        ),
         (
             "worst method",
-            head.bars.worst_method,
+            head.targets.worst_method,
             service.worst_method(),
         ),
         (
             "worst tenant",
-            head.bars.worst_tenant,
+            head.targets.worst_tenant,
             service.worst_tenant(),
         ),
     ];
@@ -185,17 +193,17 @@
         }
         line(format!(
             "  service {:.4}  worst 10 s {:.4} (from {:.0} s)  latency p50 {:.1} ms, p99 {:.1} ms, p99.9 {:.1} ms",
-            service.whole,
+            service.overall,
             service.worst_10s,
-            service.worst_from,
-            service.latency[0] * 1e3,
-            service.latency[1] * 1e3,
-            service.latency[2] * 1e3
+            service.worst_10s_from,
+            service.latency.median * 1e3,
+            service.latency.percentile_99 * 1e3,
+            service.latency.percentile_99_9 * 1e3
         ));
         for (kind, parts) in [("method", &service.methods), ("tenant", &service.tenants)] {
             let parts: Vec<_> = parts
                 .iter()
-                .filter_map(|(name, part)| Some(format!("{name} {:.4}", (*part)?)))
+                .filter_map(|named| Some(format!("{} {:.4}", named.name, named.share?)))
                 .collect();
             if !parts.is_empty() {
                 line(format!("  by {kind}: {}", parts.join("  ")));
@@ -204,38 +212,38 @@
         line(format!(
             "  {} RPCs in {} tries: {} ok, {} pushed back, {} aborted, {} lost with a killed proxy, {} unreachable, {} hung up",
             counts.rpcs,
-            counts.tries,
+            counts.client_requests,
             counts.ok,
-            counts.pushed_back,
+            counts.rejected,
             counts.aborted,
             counts.lost_with_proxy,
             counts.unreachable,
-            counts.hung_up
+            counts.cancelled
         ));
         line(format!(
             "  {} picks, {} turned away, {} withdrawn; {} runs, {} repeated where allowed, {} repeats dropped, {} double runs",
-            counts.picks,
-            counts.turned_away,
-            counts.withdrawn,
-            counts.runs,
-            counts.repeated_runs,
-            counts.dropped_repeats,
-            counts.double_runs
+            counts.attempts,
+            counts.attempts_rejected,
+            counts.attempts_cancelled,
+            counts.executions,
+            counts.repeated_executions,
+            counts.duplicates_dropped,
+            counts.double_executions
         ));
         let peak = self
             .findings
-            .cold
+            .cold_starts
             .iter()
-            .map(|c| c.peak)
+            .map(|c| c.peak_overload)
             .fold(0.0, f64::max);
         line(format!(
             "  latest new work after a drain was told: {:.0} ms; cold nodes {}, pushed to {:.0}% of their fall at most; {} fell",
-            self.findings.latest_after_told * 1e3,
-            self.findings.cold.len(),
+            self.findings.latest_after_notification * 1e3,
+            self.findings.cold_starts.len(),
             peak * 100.0,
-            counts.fallen
+            counts.collapsed
         ));
-        let [median, p99, worst] = self.findings.kit_late;
+        let lateness = self.findings.client_lateness;
         let kit = self.kit.map_or(String::new(), |kit| {
             format!(
                 "; processor time {:.1} s, its proxies {:.1} s",
@@ -244,10 +252,10 @@
         });
         line(format!(
             "  the kit itself: late by {:.2} ms (median), {:.2} ms (p99), {:.1} ms (worst); stand-ins {:.2} ms (p99){kit}",
-            median * 1e3,
-            p99 * 1e3,
-            worst * 1e3,
-            self.findings.stage_late[1] * 1e3
+            lateness.median * 1e3,
+            lateness.percentile_99 * 1e3,
+            lateness.worst * 1e3,
+            self.findings.emulator_lateness.percentile_99 * 1e3
         ));
         to
     }
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,7 +1,7 @@
 //! The scenario's file: TOML, every key known or refused, every time with its unit. What is wrong is told with file,
 //! line and key.
 use crate::span::Span;
-use birchhub_audit::head::Bars;
+use birchhub_audit::head::ServiceTargets;
 use birchhub_audit::{Group, Kind};
 use birchhub_backend_model::work::Spread;
 use serde::Deserialize;
@@ -56,7 +56,7 @@
     #[serde(default)]
     pub trouble: Vec<Trouble>,
     #[serde(default)]
-    pub expect: Bars,
+    pub expect: ServiceTargets,
 }
 
 /// Figures of the rules; proxies are told them, and the audit judges by them.
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -95,7 +95,7 @@
         utility: m.utility,
         late_utility: m.late_utility,
     };
-    let node = |n: &crate::plan::PlannedNode| head::Node {
+    let backend = |n: &crate::plan::PlannedNode| head::Backend {
         name: n.name.clone(),
         zone: n.zone,
         rack: n.rack,
@@ -108,17 +108,17 @@
         rules: Rules {
             drain_grace: rules.drain_grace.0,
             slack: rules.slack.0,
-            fall_window: rules.fall_window.0,
-            most_picks: rules.most_picks,
-            second_copies: rules.second_copies,
+            overload_window: rules.fall_window.0,
+            max_attempts: rules.most_picks,
+            hedging_allowed: rules.second_copies,
             over_quota_utility: rules.over_quota_utility,
-            kit_late: rules.kit_late.0,
+            max_lateness: rules.kit_late.0,
         },
-        bars: scenario.expect.clone(),
+        targets: scenario.expect.clone(),
         methods: scenario.method.iter().map(method).collect(),
         tenants: scenario.tenant.iter().map(|t| t.name.clone()).collect(),
         proxies: (0..scenario.proxies.count as u16).map(proxy_name).collect(),
-        nodes: plan.nodes.iter().map(node).collect(),
-        troubles: plan.troubles.clone(),
+        backends: plan.nodes.iter().map(backend).collect(),
+        faults: plan.troubles.clone(),
     }
 }
--- a/crates/rehearsal/tests/plans.rs
+++ b/crates/rehearsal/tests/plans.rs
@@ -78,8 +78,8 @@
     let (none, one, two) = (none.unwrap(), one.unwrap(), two.unwrap());
     assert_eq!(none.arrivals, one.arrivals);
     assert_eq!(none.arrivals, two.arrivals);
-    assert_eq!(one.troubles[0].nodes, two.troubles[1].nodes);
-    assert_eq!(two.troubles[0].nodes.len(), 3);
+    assert_eq!(one.troubles[0].backends, two.troubles[1].backends);
+    assert_eq!(two.troubles[0].backends.len(), 3);
 }
 
 #[test]
@@ -101,7 +101,7 @@
     let plan = plan_of(&text, 1).expect("a plan");
     let names = |n: usize| {
         plan.troubles[n]
-            .nodes
+            .backends
             .iter()
             .map(|n| plan.nodes[*n as usize].name.as_str())
     };
--- a/crates/rehearsal/tests/scenario_file.rs
+++ b/crates/rehearsal/tests/scenario_file.rs
@@ -1,6 +1,6 @@
 //! The form of a scenario's file. `fixtures/every-key.toml` was written on 2026-12-02 and has each key of each table
 //! and each kind of fault; every key keeps its name and its meaning, and plans stay the plans that they were.
-use birchhub_audit::head::Bars;
+use birchhub_audit::head::ServiceTargets;
 use birchhub_audit::{Group, Kind};
 use birchhub_backend_model::work::Spread;
 use birchhub_rehearsal::scenario::{
@@ -196,7 +196,7 @@
         leave: 0.01,
     };
     assert_eq!(every_key().clients, clients);
-    let bars = Bars {
+    let bars = ServiceTargets {
         service: Some(0.99),
         worst_10s: Some(0.98),
         worst_method: Some(0.97),
--- a/crates/rehearsal/tests/wrong.rs
+++ b/crates/rehearsal/tests/wrong.rs
@@ -94,7 +94,7 @@
     let report = run_with(misbehaviour);
     assert_eq!(report.verdict, Verdict::Fail, "{}", report.text());
     assert!(
-        report.findings.breaches.iter().all(|b| b.rule == rule),
+        report.findings.violations.iter().all(|b| b.rule == rule),
         "{}",
         report.text()
     );
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -40,7 +40,7 @@
         machine.stalls.clear();
         self.record(Event::BackendStarted {
             incarnation,
-            node,
+            backend: node,
             cold: how == Start::Cold,
             warm_capacity,
         });
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -19,7 +19,7 @@
     /// The endpoint list service learns of a change, and sends it to the proxies that wait for one.
     pub(super) fn publish_endpoint(&mut self, node: u32, list_entry: ListEntry) {
         self.record(Event::EndpointChanged {
-            node,
+            backend: node,
             incarnation: list_entry.incarnation,
             state: list_entry.state,
         });
@@ -48,7 +48,7 @@
         for (node, list_entry) in update {
             self.record(Event::ProxyNotified {
                 proxy,
-                node: *node,
+                backend: *node,
                 incarnation: list_entry.incarnation,
                 state: list_entry.state,
             });
--- a/crates/simulation/tests/discovery.rs
+++ b/crates/simulation/tests/discovery.rs
@@ -48,12 +48,17 @@
 fn latest(entries: &[Entry], proxies: usize) -> f64 {
     let mut told = vec![Vec::new(); proxies];
     for entry in entries {
-        if let Event::ProxyNotified { proxy, node, .. } = entry.event {
+        if let Event::ProxyNotified {
+            proxy,
+            backend: node,
+            ..
+        } = entry.event
+        {
             told[proxy as usize].push((node, entry.at));
         }
     }
     let changes = entries.iter().filter_map(|entry| match entry.event {
-        Event::EndpointChanged { node, .. } if entry.at > 0.0 => Some((node, entry.at)),
+        Event::EndpointChanged { backend: node, .. } if entry.at > 0.0 => Some((node, entry.at)),
         _ => None,
     });
     let mut longest: f64 = 0.0;
--- a/crates/simulation/tests/simulated.rs
+++ b/crates/simulation/tests/simulated.rs
@@ -110,7 +110,11 @@
     let outcome = play(LARGE, 1);
     let report = report(&outcome);
     assert_eq!(report.verdict, Verdict::Pass, "{}", report.text());
-    assert!(report.findings.cold.len() > 1000, "{}", report.text());
+    assert!(
+        report.findings.cold_starts.len() > 1000,
+        "{}",
+        report.text()
+    );
     assert!(
         report.findings.counts.ok * 10 > report.findings.counts.rpcs * 8,
         "{}",
