--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -1,12 +1,14 @@
 //! What can happen in a rehearsal. Numbers stand for names; the head of the ledger tells the names.
 use serde::{Deserialize, Serialize};
+use std::fmt;
 
 /// What a client was told of one try of an RPC, or what it saw instead.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
     Ok,
     /// Come back after so many seconds, if told.
-    PushedBack(Option<f32>),
+    #[serde(rename = "PushedBack")]
+    Rejected(Option<f32>),
     /// Any other status.
     Aborted(u16),
     /// The connection ended without an answer.
@@ -14,17 +16,36 @@
     /// No connection came up, or it was refused: the proxy never had it.
     Unreachable,
     /// The client waited longer than it had said, and nothing came.
-    Silence,
+    #[serde(rename = "Silence")]
+    TimedOut,
     /// The client hung up early, of its own will.
-    HungUp,
+    #[serde(rename = "HungUp")]
+    Cancelled,
     /// Bytes behind the answer, or an answer that was none.
-    Garbled,
+    #[serde(rename = "Garbled")]
+    Malformed,
 }
 
 impl Answer {
     /// Whether it is a final answer of the proxy.
     pub fn is_final(self) -> bool {
-        matches!(self, Self::Ok | Self::PushedBack(_) | Self::Aborted(_))
+        matches!(self, Self::Ok | Self::Rejected(_) | Self::Aborted(_))
+    }
+}
+
+/// Writes the word of the stored ledger, as `birchhub ledger show` and the report print it.
+impl fmt::Display for Answer {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Ok => formatter.write_str("Ok"),
+            Self::Rejected(retry_after) => write!(formatter, "PushedBack({retry_after:?})"),
+            Self::Aborted(status) => write!(formatter, "Aborted({status})"),
+            Self::Lost => formatter.write_str("Lost"),
+            Self::Unreachable => formatter.write_str("Unreachable"),
+            Self::TimedOut => formatter.write_str("Silence"),
+            Self::Cancelled => formatter.write_str("HungUp"),
+            Self::Malformed => formatter.write_str("Garbled"),
+        }
     }
 }
 
@@ -38,27 +59,55 @@
 
 /// How a node took a pick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Taken {
-    Held,
+pub enum Admission {
+    #[serde(rename = "Held")]
+    Admitted,
     /// Told the proxy that it never ran: queue full, draining, too many connections.
-    TurnedAway,
+    #[serde(rename = "TurnedAway")]
+    Rejected,
     /// Told the proxy nothing: the pick is lost, and for all that the proxy knows it may have run.
-    Swallowed,
+    #[serde(rename = "Swallowed")]
+    Dropped,
     /// Told the proxy of an error, after no run.
-    Error,
+    #[serde(rename = "Error")]
+    Failed,
+}
+
+/// Writes the word of the stored ledger, as `birchhub ledger show` prints it.
+impl fmt::Display for Admission {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Self::Admitted => "Held",
+            Self::Rejected => "TurnedAway",
+            Self::Dropped => "Swallowed",
+            Self::Failed => "Error",
+        })
+    }
 }
 
 /// How a pick left its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Left {
+pub enum AttemptEnd {
     /// Its answer was written.
     Replied,
     /// The proxy closed the connection first.
-    Withdrawn,
+    #[serde(rename = "Withdrawn")]
+    Cancelled,
     /// The node's end of the connection broke: a reset, a spoilt answer, a crash.
     Broken,
 }
 
+/// Writes the word of the stored ledger, as `birchhub ledger show` prints it.
+impl fmt::Display for AttemptEnd {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Self::Replied => "Replied",
+            Self::Cancelled => "Withdrawn",
+            Self::Broken => "Broken",
+        })
+    }
+}
+
 /// How a proxy's process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
@@ -79,33 +128,40 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// An RPC was due, whether or not it could be sent.
-    Asked {
+    #[serde(rename = "Asked")]
+    Arrival {
         rpc: u32,
         method: u8,
         tenant: u8,
-        within: bool,
+        #[serde(rename = "within")]
+        within_quota: bool,
     },
     /// A client's request: its last byte left at this time.
-    Sent {
+    #[serde(rename = "Sent")]
+    RequestSent {
         #[serde(rename = "attempt")]
         request_id: u64,
         rpc: u32,
         proxy: u16,
-        patience: f32,
+        #[serde(rename = "patience")]
+        client_timeout: f32,
     },
-    Answered {
+    #[serde(rename = "Answered")]
+    RequestAnswered {
         #[serde(rename = "attempt")]
         request_id: u64,
         answer: Answer,
     },
-    /// An incarnation of a node began; `able` is what it can do when warm, in standard cores.
+    /// An incarnation of a node began; `warm_capacity` is what it can do when warm, in standard cores.
     #[serde(rename = "Born")]
     BackendStarted {
         #[serde(rename = "life")]
         incarnation: u32,
-        node: u32,
+        #[serde(rename = "node")]
+        backend: u32,
         cold: bool,
-        able: f32,
+        #[serde(rename = "able")]
+        warm_capacity: f32,
     },
     #[serde(rename = "Drained")]
     BackendDraining {
@@ -123,8 +179,9 @@
         #[serde(rename = "life")]
         incarnation: u32,
     },
-    /// A pick arrived whole; its first byte came at `begun`. `pushed` is how far it pushed a cold node to its fall.
-    Got {
+    /// A pick arrived whole; its first byte came at `first_byte_at`. `overload` is how far it pushed a cold node to its fall.
+    #[serde(rename = "Got")]
+    AttemptReceived {
         #[serde(rename = "life")]
         incarnation: u32,
         #[serde(rename = "job")]
@@ -132,40 +189,51 @@
         #[serde(rename = "attempt")]
         request_id: u64,
         proxy: u16,
-        begun: f64,
+        #[serde(rename = "begun")]
+        first_byte_at: f64,
         work: f32,
-        pushed: f32,
-        taken: Taken,
+        #[serde(rename = "pushed")]
+        overload: f32,
+        #[serde(rename = "taken")]
+        admission: Admission,
     },
-    Started {
+    #[serde(rename = "Started")]
+    ExecutionStarted {
         #[serde(rename = "job")]
         attempt_id: u64,
     },
     /// Dropped as a repeat: answered as done, with no effect.
-    Repeated {
+    #[serde(rename = "Repeated")]
+    DuplicateDropped {
         #[serde(rename = "job")]
         attempt_id: u64,
     },
-    Finished {
+    #[serde(rename = "Finished")]
+    ExecutionFinished {
         #[serde(rename = "job")]
         attempt_id: u64,
     },
-    Left {
+    #[serde(rename = "Left")]
+    AttemptEnded {
         #[serde(rename = "job")]
         attempt_id: u64,
-        how: Left,
+        how: AttemptEnd,
     },
     /// The truth about a node changed and the list service knows.
-    Changed {
-        node: u32,
+    #[serde(rename = "Changed")]
+    EndpointChanged {
+        #[serde(rename = "node")]
+        backend: u32,
         #[serde(rename = "life")]
         incarnation: u32,
         state: State,
     },
     /// The list service wrote it to a proxy, or the proxy started with it.
-    Told {
+    #[serde(rename = "Told")]
+    ProxyNotified {
         proxy: u16,
-        node: u32,
+        #[serde(rename = "node")]
+        backend: u32,
         #[serde(rename = "life")]
         incarnation: u32,
         state: State,
@@ -182,20 +250,24 @@
         how: End,
     },
     /// A trouble of the scenario began or ended.
-    Trouble {
+    #[serde(rename = "Trouble")]
+    Fault {
         number: u16,
         begins: bool,
     },
     /// The kit itself was late by so much, s: what was due at a time happened later.
-    KitLate {
+    #[serde(rename = "KitLate")]
+    ClientLate {
         by: f32,
     },
     /// What was due by itself at a stand-in node happened so much later, s.
-    StageLate {
+    #[serde(rename = "StageLate")]
+    EmulatorLate {
         by: f32,
     },
     /// A pick told its node that the proxy waits for so long, s.
-    TimeTold {
+    #[serde(rename = "TimeTold")]
+    TimeoutForwarded {
         #[serde(rename = "job")]
         attempt_id: u64,
         seconds: f32,
--- a/crates/audit/src/story.rs
+++ b/crates/audit/src/timeline.rs
@@ -4,39 +4,41 @@
 use std::collections::HashMap;
 
 /// Which entries belong to an RPC, and the names behind the numbers.
-pub struct Story<'a> {
+pub struct Timeline<'a> {
     head: &'a Head,
     /// RPC of each request, request of each attempt, node of each incarnation.
     rpcs: HashMap<u64, u32>,
     attempt_ids: HashMap<u64, u64>,
-    nodes: HashMap<u32, u32>,
+    backends: HashMap<u32, u32>,
 }
 
-impl<'a> Story<'a> {
+impl<'a> Timeline<'a> {
     pub fn new(head: &'a Head, entries: &[Entry]) -> Self {
-        let mut story = Self {
+        let mut timeline = Self {
             head,
             rpcs: HashMap::new(),
             attempt_ids: HashMap::new(),
-            nodes: HashMap::new(),
+            backends: HashMap::new(),
         };
         for entry in entries {
             match entry.event {
-                Event::Sent {
+                Event::RequestSent {
                     request_id, rpc, ..
-                } => drop(story.rpcs.insert(request_id, rpc)),
-                Event::Got {
+                } => drop(timeline.rpcs.insert(request_id, rpc)),
+                Event::AttemptReceived {
                     attempt_id,
                     request_id,
                     ..
-                } => drop(story.attempt_ids.insert(attempt_id, request_id)),
+                } => drop(timeline.attempt_ids.insert(attempt_id, request_id)),
                 Event::BackendStarted {
-                    incarnation, node, ..
-                } => drop(story.nodes.insert(incarnation, node)),
+                    incarnation,
+                    backend,
+                    ..
+                } => drop(timeline.backends.insert(incarnation, backend)),
                 _ => {}
             }
         }
-        story
+        timeline
     }
 
     /// The RPC that an event belongs to.
@@ -44,29 +46,31 @@
         let of_attempt =
             |attempt_id: &u64| self.rpcs.get(self.attempt_ids.get(attempt_id)?).copied();
         match event {
-            Event::Asked { rpc, .. } | Event::Sent { rpc, .. } => Some(*rpc),
-            Event::Answered { request_id, .. } | Event::Got { request_id, .. } => {
-                self.rpcs.get(request_id).copied()
-            }
-            Event::Started { attempt_id }
-            | Event::Repeated { attempt_id }
-            | Event::Finished { attempt_id }
-            | Event::Left { attempt_id, .. }
-            | Event::TimeTold { attempt_id, .. } => of_attempt(attempt_id),
+            Event::Arrival { rpc, .. } | Event::RequestSent { rpc, .. } => Some(*rpc),
+            Event::RequestAnswered { request_id, .. }
+            | Event::AttemptReceived { request_id, .. } => self.rpcs.get(request_id).copied(),
+            Event::ExecutionStarted { attempt_id }
+            | Event::DuplicateDropped { attempt_id }
+            | Event::ExecutionFinished { attempt_id }
+            | Event::AttemptEnded { attempt_id, .. }
+            | Event::TimeoutForwarded { attempt_id, .. } => of_attempt(attempt_id),
             _ => None,
         }
     }
 
-    fn node(&self, node: u32) -> &str {
-        self.head.nodes.get(node as usize).map_or("?", |n| &n.name)
+    fn backend(&self, backend: u32) -> &str {
+        self.head
+            .backends
+            .get(backend as usize)
+            .map_or("?", |n| &n.name)
     }
 
     fn incarnation(&self, incarnation: u32) -> String {
         format!(
             "{} (life {incarnation})",
-            self.nodes
+            self.backends
                 .get(&incarnation)
-                .map_or("?", |node| self.node(*node))
+                .map_or("?", |backend| self.backend(*backend))
         )
     }
 
@@ -88,37 +92,41 @@
                 .map_or("-", String::as_str)
         };
         let what = match &entry.event {
-            Event::Asked {
+            Event::Arrival {
                 rpc,
                 method: m,
                 tenant: t,
-                within,
+                within_quota,
             } => {
-                let quota = if *within { "" } else { ", beyond its quota" };
+                let quota = if *within_quota {
+                    ""
+                } else {
+                    ", beyond its quota"
+                };
                 format!("rpc {rpc} due: {} of {}{quota}", method(*m), tenant(*t))
             }
-            Event::Sent {
+            Event::RequestSent {
                 request_id,
                 rpc,
                 proxy,
-                patience,
+                client_timeout,
             } => {
                 format!(
-                    "rpc {rpc} try {request_id:016x} sent to {}, waits {patience:.3} s",
+                    "rpc {rpc} try {request_id:016x} sent to {}, waits {client_timeout:.3} s",
                     self.proxy(*proxy)
                 )
             }
-            Event::Answered { request_id, answer } => {
-                format!("try {request_id:016x} answered: {answer:?}")
+            Event::RequestAnswered { request_id, answer } => {
+                format!("try {request_id:016x} answered: {answer}")
             }
             Event::BackendStarted {
                 incarnation,
                 cold,
-                able,
+                warm_capacity,
                 ..
             } => {
                 format!(
-                    "{} starts {}, able {able:.2}",
+                    "{} starts {}, able {warm_capacity:.2}",
                     self.incarnation(*incarnation),
                     if *cold { "cold" } else { "warm" }
                 )
@@ -132,65 +140,72 @@
             Event::BackendCollapsed { incarnation } => {
                 format!("{} is pushed over", self.incarnation(*incarnation))
             }
-            Event::Got {
+            Event::AttemptReceived {
                 incarnation,
                 attempt_id,
                 request_id,
                 proxy,
-                begun,
+                first_byte_at,
                 work,
-                pushed,
-                taken,
+                overload,
+                admission,
             } => format!(
-                "try {request_id:016x} pick {attempt_id} at {} from {}, first byte at {begun:.4}, work {:.1} ms, pushed {:.0}%: \
-                 {taken:?}",
+                "try {request_id:016x} pick {attempt_id} at {} from {}, first byte at {first_byte_at:.4}, work {:.1} ms, pushed {:.0}%: \
+                 {admission}",
                 self.incarnation(*incarnation),
                 self.proxy(*proxy),
                 work * 1e3,
-                pushed * 1e2
+                overload * 1e2
             ),
-            Event::Started { attempt_id } => format!("pick {attempt_id} runs"),
-            Event::Repeated { attempt_id } => format!("pick {attempt_id} dropped as a repeat"),
-            Event::Finished { attempt_id } => format!("pick {attempt_id} has run"),
-            Event::Left { attempt_id, how } => format!("pick {attempt_id} is over: {how:?}"),
-            Event::Changed {
-                node,
+            Event::ExecutionStarted { attempt_id } => format!("pick {attempt_id} runs"),
+            Event::DuplicateDropped { attempt_id } => {
+                format!("pick {attempt_id} dropped as a repeat")
+            }
+            Event::ExecutionFinished { attempt_id } => format!("pick {attempt_id} has run"),
+            Event::AttemptEnded { attempt_id, how } => {
+                format!("pick {attempt_id} is over: {how}")
+            }
+            Event::EndpointChanged {
+                backend,
                 incarnation,
                 state,
             } => {
-                format!("{} (life {incarnation}) is {state:?}", self.node(*node))
+                format!(
+                    "{} (life {incarnation}) is {state:?}",
+                    self.backend(*backend)
+                )
             }
-            Event::Told {
+            Event::ProxyNotified {
                 proxy,
-                node,
+                backend,
                 incarnation,
                 state,
             } => {
                 format!(
                     "{} told: {} (life {incarnation}) is {state:?}",
                     self.proxy(*proxy),
-                    self.node(*node)
+                    self.backend(*backend)
                 )
             }
             Event::ProxyStarted { proxy } => format!("{} started", self.proxy(*proxy)),
             Event::ProxyReady { proxy } => format!("{} ready", self.proxy(*proxy)),
             Event::ProxyEnded { proxy, how } => format!("{} ended: {how:?}", self.proxy(*proxy)),
-            Event::Trouble { number, begins } => {
+            Event::Fault { number, begins } => {
                 let name = self
                     .head
-                    .troubles
+                    .faults
                     .get(*number as usize)
                     .map_or("?", |t| &t.name);
                 format!("trouble {name} {}", if *begins { "begins" } else { "ends" })
             }
-            Event::TimeTold {
+            Event::TimeoutForwarded {
                 attempt_id,
                 seconds,
             } => {
                 format!("job {attempt_id} was told that the proxy waits {seconds:.3} s")
             }
-            Event::StageLate { by } => format!("a stand-in is {:.2} ms late", by * 1e3),
-            Event::KitLate { by } => format!("the kit is {:.2} ms late", by * 1e3),
+            Event::EmulatorLate { by } => format!("a stand-in is {:.2} ms late", by * 1e3),
+            Event::ClientLate { by } => format!("the kit is {:.2} ms late", by * 1e3),
         };
         format!("{:10.4}  {what}", entry.at)
     }
--- a/crates/audit/tests/audit.rs
+++ b/crates/audit/tests/audit.rs
@@ -1,11 +1,11 @@
 //! A ledger for each kind of breach, written by hand: each breach is found exactly once, with its RPC or node named, and
 //! the same ledger without it has no findings.
-use birchhub_audit::event::{Left, Taken};
-use birchhub_audit::head::{Bars, Node};
+use birchhub_audit::event::{Admission, AttemptEnd};
+use birchhub_audit::head::{Backend, ServiceTargets};
 use birchhub_audit::{
     Answer, Audit, Entry, Event, Findings, Group, Head, Kind, Method, Rule, Rules, State, ledger,
 };
-use birchhub_audit::{event::End, story::Story};
+use birchhub_audit::{event::End, timeline::Timeline};
 
 const READ: u8 = 0;
 const BOOK: u8 = 1;
@@ -20,7 +20,7 @@
         utility: 2.0,
         late_utility: 0.25,
     };
-    let node = |name: &str, rack| Node {
+    let backend = |name: &str, rack| Backend {
         name: name.into(),
         zone: 0,
         rack,
@@ -33,13 +33,13 @@
         rules: Rules {
             drain_grace: 0.3,
             slack: 0.05,
-            fall_window: 1.0,
-            most_picks: 3,
-            second_copies: false,
+            overload_window: 1.0,
+            max_attempts: 3,
+            hedging_allowed: false,
             over_quota_utility: 0.1,
-            kit_late: 0.01,
+            max_lateness: 0.01,
         },
-        bars: Bars::default(),
+        targets: ServiceTargets::default(),
         methods: vec![
             method("read", Kind::Idempotent),
             method("book", Kind::NonIdempotent),
@@ -53,8 +53,8 @@
         ],
         tenants: vec!["acme".into()],
         proxies: vec!["p0".into(), "p1".into()],
-        nodes: vec![node("n0", 0), node("n1", 0), node("n2", 1)],
-        troubles: vec![],
+        backends: vec![backend("n0", 0), backend("n1", 0), backend("n2", 1)],
+        faults: vec![],
     }
 }
 
@@ -70,9 +70,9 @@
                 0.0,
                 Event::BackendStarted {
                     incarnation,
-                    node: incarnation,
+                    backend: incarnation,
                     cold: false,
-                    able: 2.0,
+                    warm_capacity: 2.0,
                 },
             );
         }
@@ -86,11 +86,11 @@
     fn asked(&mut self, at: f64, rpc: u32, method: u8) -> &mut Self {
         self.at(
             at,
-            Event::Asked {
+            Event::Arrival {
                 rpc,
                 method,
                 tenant: 0,
-                within: true,
+                within_quota: true,
             },
         );
         self.sent(at, u64::from(rpc), rpc)
@@ -98,11 +98,11 @@
     fn sent(&mut self, at: f64, request_id: u64, rpc: u32) -> &mut Self {
         self.at(
             at,
-            Event::Sent {
+            Event::RequestSent {
                 request_id,
                 rpc,
                 proxy: 0,
-                patience: 0.5,
+                client_timeout: 0.5,
             },
         )
     }
@@ -112,40 +112,40 @@
         request_id: u64,
         attempt_id: u64,
         incarnation: u32,
-        taken: Taken,
+        admission: Admission,
     ) -> &mut Self {
-        let (proxy, begun, work, pushed) = (0, at, 0.1, 0.0);
+        let (proxy, first_byte_at, work, overload) = (0, at, 0.1, 0.0);
         self.at(
             at,
-            Event::Got {
+            Event::AttemptReceived {
                 incarnation,
                 attempt_id,
                 request_id,
                 proxy,
-                begun,
+                first_byte_at,
                 work,
-                pushed,
-                taken,
+                overload,
+                admission,
             },
         )
     }
     fn runs(&mut self, at: f64, attempt_id: u64) -> &mut Self {
-        self.at(at, Event::Started { attempt_id })
-            .at(at + 0.05, Event::Finished { attempt_id })
+        self.at(at, Event::ExecutionStarted { attempt_id })
+            .at(at + 0.05, Event::ExecutionFinished { attempt_id })
     }
-    fn left(&mut self, at: f64, attempt_id: u64, how: Left) -> &mut Self {
-        self.at(at, Event::Left { attempt_id, how })
+    fn left(&mut self, at: f64, attempt_id: u64, how: AttemptEnd) -> &mut Self {
+        self.at(at, Event::AttemptEnded { attempt_id, how })
     }
     fn answered(&mut self, at: f64, request_id: u64, answer: Answer) -> &mut Self {
-        self.at(at, Event::Answered { request_id, answer })
+        self.at(at, Event::RequestAnswered { request_id, answer })
     }
     /// An RPC that succeeds.
     fn good(&mut self, at: f64, rpc: u32, method: u8) -> &mut Self {
         let (request_id, attempt_id) = (u64::from(rpc), u64::from(rpc) + 1000);
         self.asked(at, rpc, method)
-            .got(at + 0.001, request_id, attempt_id, 0, Taken::Held)
+            .got(at + 0.001, request_id, attempt_id, 0, Admission::Admitted)
             .runs(at + 0.001, attempt_id);
-        self.left(at + 0.06, attempt_id, Left::Replied)
+        self.left(at + 0.06, attempt_id, AttemptEnd::Replied)
             .answered(at + 0.061, request_id, Answer::Ok)
     }
     fn audit(&mut self) -> Findings {
@@ -161,18 +161,18 @@
     }
     /// The one breach.
     fn only(&mut self, rule: Rule, subject: &str, what: &str) {
-        let found = self.audit().breaches;
+        let found = self.audit().violations;
         assert_eq!(found.len(), 1, "{found:?}");
         assert_eq!(
             (found[0].rule, found[0].subject.as_str()),
             (rule, subject),
             "{found:?}"
         );
-        assert!(found[0].what.contains(what), "{found:?}");
+        assert!(found[0].description.contains(what), "{found:?}");
     }
     fn clean(&mut self) -> Findings {
         let findings = self.audit();
-        assert_eq!(findings.breaches, []);
+        assert_eq!(findings.violations, []);
         findings
     }
 }
@@ -188,12 +188,12 @@
         (
             findings.counts.rpcs,
             findings.counts.ok,
-            findings.counts.runs
+            findings.counts.executions
         ),
         (30, 30, 30)
     );
     assert_eq!(
-        (findings.service.whole, findings.service.worst_10s),
+        (findings.service.overall, findings.service.worst_10s),
         (1.0, 1.0)
     );
 }
@@ -212,14 +212,14 @@
 
 #[test]
 fn an_attempt_after_its_client_hung_up_is_found() {
-    let hung_up = |begun: f64| {
+    let hung_up = |first_byte_at: f64| {
         let mut builder = LedgerBuilder::new();
         builder
             .asked(1.0, 7, READ)
-            .answered(1.1, 7, Answer::HungUp)
-            .got(begun, 7, 70, 0, Taken::Held)
-            .runs(begun, 70)
-            .left(begun + 0.06, 70, Left::Withdrawn);
+            .answered(1.1, 7, Answer::Cancelled)
+            .got(first_byte_at, 7, 70, 0, Admission::Admitted)
+            .runs(first_byte_at, 70)
+            .left(first_byte_at + 0.06, 70, AttemptEnd::Cancelled);
         builder
     };
     hung_up(1.24).clean();
@@ -232,7 +232,7 @@
         let mut builder = LedgerBuilder::new();
         builder.good(1.0, 7, READ).at(
             1.001,
-            Event::TimeTold {
+            Event::TimeoutForwarded {
                 attempt_id: 1007,
                 seconds,
             },
@@ -247,7 +247,7 @@
 fn a_missing_answer_is_found_unless_its_proxy_was_killed() {
     LedgerBuilder::new()
         .asked(1.0, 7, READ)
-        .answered(1.6, 7, Answer::Silence)
+        .answered(1.6, 7, Answer::TimedOut)
         .only(Rule::OneAnswer, "rpc 7", "no answer");
     LedgerBuilder::new()
         .asked(1.0, 7, READ)
@@ -269,7 +269,7 @@
     }
     LedgerBuilder::new()
         .asked(1.0, 7, READ)
-        .answered(1.2, 7, Answer::HungUp)
+        .answered(1.2, 7, Answer::Cancelled)
         .clean();
     LedgerBuilder::new()
         .asked(1.0, 7, READ)
@@ -297,7 +297,7 @@
     let mut garbled = LedgerBuilder::new();
     garbled
         .asked(1.0, 7, READ)
-        .answered(1.1, 7, Answer::Garbled)
+        .answered(1.1, 7, Answer::Malformed)
         .only(Rule::OneAnswer, "rpc 7", "behind");
 }
 
@@ -306,15 +306,15 @@
     let mut after = LedgerBuilder::new();
     after
         .good(1.0, 7, READ)
-        .got(1.2, 7, 9, 0, Taken::Held)
+        .got(1.2, 7, 9, 0, Admission::Admitted)
         .only(Rule::OneAnswer, "rpc 7", "after its final");
     let mut late = LedgerBuilder::new();
     late.asked(1.0, 7, READ)
-        .answered(1.3, 7, Answer::HungUp)
-        .got(1.6, 7, 9, 0, Taken::Held);
+        .answered(1.3, 7, Answer::Cancelled)
+        .got(1.6, 7, 9, 0, Admission::Admitted);
     late.only(Rule::OneAnswer, "rpc 7", "after its deadline");
     let mut made_up = LedgerBuilder::new();
-    made_up.got(1.0, 0xabc, 9, 0, Taken::Held).only(
+    made_up.got(1.0, 0xabc, 9, 0, Admission::Admitted).only(
         Rule::OneAnswer,
         "try 0000000000000abc",
         "no client",
@@ -322,33 +322,33 @@
 }
 
 /// Two attempts of one RPC, the first accepted in this way, the second at this time and node; then success.
-fn twice(method: u8, first: Taken, second: f64, incarnation: u32) -> LedgerBuilder {
+fn twice(method: u8, first: Admission, second: f64, incarnation: u32) -> LedgerBuilder {
     let mut builder = LedgerBuilder::new();
     builder
         .asked(1.0, 7, method)
         .got(1.001, 7, 100, 0, first)
-        .left(1.01, 100, Left::Broken);
+        .left(1.01, 100, AttemptEnd::Broken);
     builder
-        .got(second, 7, 101, incarnation, Taken::Held)
-        .left(second + 0.01, 101, Left::Replied);
+        .got(second, 7, 101, incarnation, Admission::Admitted)
+        .left(second + 0.01, 101, AttemptEnd::Replied);
     builder.answered(second + 0.02, 7, Answer::Ok);
     builder
 }
 
 #[test]
 fn a_retry_that_may_run_twice_is_found() {
-    twice(READ, Taken::Held, 1.1, 2).clean();
-    twice(BOOK, Taken::TurnedAway, 1.1, 2).clean();
-    for first in [Taken::Held, Taken::Swallowed, Taken::Error] {
+    twice(READ, Admission::Admitted, 1.1, 2).clean();
+    twice(BOOK, Admission::Rejected, 1.1, 2).clean();
+    for first in [Admission::Admitted, Admission::Dropped, Admission::Failed] {
         twice(BOOK, first, 1.1, 0).only(
             Rule::NoEffectTwice,
             "rpc 7",
             "may have run: n0 at 1.001, n0 at 1.100",
         );
     }
-    twice(LOG, Taken::Held, 1.1, 1).clean();
-    twice(LOG, Taken::TurnedAway, 1.1, 2).clean();
-    twice(LOG, Taken::Held, 1.1, 2).only(Rule::NoEffectTwice, "rpc 7", "outside the group");
+    twice(LOG, Admission::Admitted, 1.1, 1).clean();
+    twice(LOG, Admission::Rejected, 1.1, 2).clean();
+    twice(LOG, Admission::Admitted, 1.1, 2).only(Rule::NoEffectTwice, "rpc 7", "outside the group");
 }
 
 #[test]
@@ -357,28 +357,30 @@
         let mut builder = LedgerBuilder::new();
         builder.at(
             1.0,
-            Event::Asked {
+            Event::Arrival {
                 rpc: 7,
                 method: LOG,
                 tenant: 0,
-                within: true,
+                within_quota: true,
             },
         );
         builder.at(
             1.0,
-            Event::Sent {
+            Event::RequestSent {
                 request_id: 7,
                 rpc: 7,
                 proxy: 0,
-                patience: 5.0,
+                client_timeout: 5.0,
             },
         );
         builder
-            .got(1.001, 7, 100, 0, Taken::Held)
-            .left(1.01, 100, Left::Broken);
-        builder
-            .got(second, 7, 101, 1, Taken::Held)
-            .left(second + 0.01, 101, Left::Replied);
+            .got(1.001, 7, 100, 0, Admission::Admitted)
+            .left(1.01, 100, AttemptEnd::Broken);
+        builder.got(second, 7, 101, 1, Admission::Admitted).left(
+            second + 0.01,
+            101,
+            AttemptEnd::Replied,
+        );
         builder.answered(second + 0.02, 7, Answer::Ok);
         builder
     };
@@ -391,16 +393,16 @@
     let mut builder = LedgerBuilder::new();
     builder
         .asked(1.0, 7, BOOK)
-        .got(1.001, 7, 100, 0, Taken::Held)
+        .got(1.001, 7, 100, 0, Admission::Admitted)
         .runs(1.01, 100);
     builder
-        .left(1.1, 100, Left::Broken)
+        .left(1.1, 100, AttemptEnd::Broken)
         .answered(1.1, 7, Answer::Unreachable);
     builder
         .sent(1.2, 70, 7)
-        .got(1.201, 70, 101, 2, Taken::Held)
+        .got(1.201, 70, 101, 2, Admission::Admitted)
         .runs(1.21, 101)
-        .left(1.3, 101, Left::Replied);
+        .left(1.3, 101, AttemptEnd::Replied);
     builder.answered(1.31, 70, Answer::Ok);
     builder.only(Rule::NoEffectTwice, "rpc 7", "ran 2 times");
 }
@@ -410,19 +412,19 @@
     let mut copies = LedgerBuilder::new();
     copies
         .asked(1.0, 7, READ)
-        .got(1.001, 7, 100, 0, Taken::Held)
-        .got(1.1, 7, 101, 1, Taken::Held);
+        .got(1.001, 7, 100, 0, Admission::Admitted)
+        .got(1.1, 7, 101, 1, Admission::Admitted);
     copies
-        .left(1.2, 100, Left::Withdrawn)
-        .left(1.2, 101, Left::Replied)
+        .left(1.2, 100, AttemptEnd::Cancelled)
+        .left(1.2, 101, AttemptEnd::Replied)
         .answered(1.2, 7, Answer::Ok);
     copies.only(Rule::NoEffectTwice, "rpc 7", "second copy");
     let mut many = LedgerBuilder::new();
     many.asked(1.0, 7, BOOK);
     for n in 0..4 {
-        many.got(1.01 + 0.01 * n as f64, 7, 100 + n, 0, Taken::TurnedAway);
+        many.got(1.01 + 0.01 * n as f64, 7, 100 + n, 0, Admission::Rejected);
     }
-    many.answered(1.1, 7, Answer::PushedBack(None)).only(
+    many.answered(1.1, 7, Answer::Rejected(None)).only(
         Rule::NoEffectTwice,
         "rpc 7",
         "4 picks, 3 are allowed",
@@ -431,18 +433,18 @@
 
 #[test]
 fn a_rejection_of_what_may_have_run_is_found() {
-    for (method, taken, harmful) in [
-        (READ, Taken::Held, false),
-        (BOOK, Taken::TurnedAway, false),
-        (BOOK, Taken::Held, true),
-        (LOG, Taken::Swallowed, true),
+    for (method, admission, harmful) in [
+        (READ, Admission::Admitted, false),
+        (BOOK, Admission::Rejected, false),
+        (BOOK, Admission::Admitted, true),
+        (LOG, Admission::Dropped, true),
     ] {
         let mut builder = LedgerBuilder::new();
         builder
             .asked(1.0, 7, method)
-            .got(1.01, 7, 100, 0, taken)
-            .left(1.2, 100, Left::Withdrawn);
-        builder.answered(1.2, 7, Answer::PushedBack(Some(0.1)));
+            .got(1.01, 7, 100, 0, admission)
+            .left(1.2, 100, AttemptEnd::Cancelled);
+        builder.answered(1.2, 7, Answer::Rejected(Some(0.1)));
         match harmful {
             true => builder.only(Rule::NoEffectTwice, "rpc 7", "pushed back although"),
             false => drop(builder.clean()),
@@ -452,9 +454,9 @@
 
 #[test]
 fn an_attempt_at_a_draining_node_is_found_once_its_proxy_was_notified() {
-    let told = |state, incarnation, at| Event::Told {
+    let told = |state, incarnation, at| Event::ProxyNotified {
         proxy: at,
-        node: 0,
+        backend: 0,
         incarnation,
         state,
     };
@@ -466,7 +468,7 @@
             .at(2.0, told(state, 0, 0))
             .good(1.3, 7, READ);
         let findings = builder.clean();
-        assert!((findings.latest_after_told - 0.301).abs() < 1e-9);
+        assert!((findings.latest_after_notification - 0.301).abs() < 1e-9);
         builder.0.pop();
         builder
             .good(2.1, 8, READ)
@@ -500,13 +502,13 @@
     let mut ledger = LedgerBuilder::new();
     let started_at = Event::BackendStarted {
         incarnation: LIFE,
-        node: 2,
+        backend: 2,
         cold: true,
-        able: 2.0,
+        warm_capacity: 2.0,
     };
-    let notified = Event::Told {
+    let notified = Event::ProxyNotified {
         proxy: 0,
-        node: 2,
+        backend: 2,
         incarnation: LIFE,
         state: State::Ready,
     };
@@ -514,27 +516,27 @@
     for rpc in 0..3 {
         let (at, request_id) = (1.2 + f64::from(rpc) * 0.1, u64::from(rpc));
         let proxy = u16::from(rpc >= from_notified_proxy);
-        let asked = Event::Asked {
+        let asked = Event::Arrival {
             rpc,
             method: READ,
             tenant: 0,
-            within: true,
+            within_quota: true,
         };
-        let sent = Event::Sent {
+        let sent = Event::RequestSent {
             request_id,
             rpc,
             proxy,
-            patience: 0.5,
+            client_timeout: 0.5,
         };
-        let got = Event::Got {
+        let got = Event::AttemptReceived {
             incarnation: LIFE,
             attempt_id: request_id,
             request_id,
             proxy,
-            begun: at,
+            first_byte_at: at,
             work: 1.0,
-            pushed: 0.34 * (rpc + 1) as f32,
-            taken: Taken::Held,
+            overload: 0.34 * (rpc + 1) as f32,
+            admission: Admission::Admitted,
         };
         ledger.at(at, asked).at(at, sent).at(at, got);
         ledger.answered(1.5, request_id, Answer::Aborted(502));
@@ -550,9 +552,9 @@
         if is_breach {
             ledger.only(Rule::ColdNodes, "n2", "pushed over 0.5 s after its start");
         } else {
-            assert_eq!(ledger.clean().counts.fallen_uninformed, 1);
+            assert_eq!(ledger.clean().counts.collapsed_uninformed, 1);
         }
-        assert!((ledger.audit().cold[0].peak - 1.02).abs() < 1e-6);
+        assert!((ledger.audit().cold_starts[0].peak_overload - 1.02).abs() < 1e-6);
     }
 }
 
@@ -565,37 +567,40 @@
     }
     builder
         .asked(12.0, 100, BOOK)
-        .answered(12.05, 100, Answer::PushedBack(None));
+        .answered(12.05, 100, Answer::Rejected(None));
     builder
         .sent(12.1, 101, 100)
         .answered(12.19, 101, Answer::Ok); // in time from its first request
     builder
         .asked(13.0, 200, BOOK)
-        .answered(13.05, 200, Answer::PushedBack(None));
+        .answered(13.05, 200, Answer::Rejected(None));
     builder.sent(13.2, 201, 200).answered(13.3, 201, Answer::Ok); // late: a quarter
     builder.at(
         14.0,
-        Event::Asked {
+        Event::Arrival {
             rpc: 300,
             method: BOOK,
             tenant: 0,
-            within: false,
+            within_quota: false,
         },
     ); // a tenth of 2, not gained
     let service = builder.clean().service;
-    assert!((service.whole - (60.0 + 2.0 + 0.5) / (60.0 + 2.0 + 2.0 + 0.2)).abs() < 1e-9);
+    assert!((service.overall - (60.0 + 2.0 + 0.5) / (60.0 + 2.0 + 2.0 + 0.2)).abs() < 1e-9);
     // The worst ten seconds begin at 13: the late RPC and the unanswered one, and ten reads.
     assert!(
         (service.worst_10s - (20.0 + 0.5) / (20.0 + 2.2)).abs() < 1e-9,
         "{service:?}"
     );
-    assert_eq!(service.worst_from, 13.0);
+    assert_eq!(service.worst_10s_from, 13.0);
     assert!((service.worst_method().unwrap() - 2.5 / 4.2).abs() < 1e-9);
     assert!(
         (service.worst_tenant().unwrap() - 62.5 / 64.0).abs() < 1e-9,
         "an RPC over quota does not count for the tenant"
     );
-    assert!((service.latency[0] - 0.061).abs() < 1e-9 && (service.latency[2] - 0.3).abs() < 1e-9);
+    assert!(
+        (service.latency.median - 0.061).abs() < 1e-9
+            && (service.latency.percentile_99_9 - 0.3).abs() < 1e-9
+    );
 }
 
 #[test]
@@ -642,12 +647,12 @@
     builder.good(2.0, 7, BOOK).good(1.0, 8, LOG);
     builder.0.sort_by(|a, b| a.at.total_cmp(&b.at));
     let head = head();
-    let story = Story::new(&head, &builder.0);
+    let timeline = Timeline::new(&head, &builder.0);
     let lines: Vec<_> = builder
         .0
         .iter()
-        .filter(|e| story.rpc(&e.event) == Some(7))
-        .map(|e| story.line(e))
+        .filter(|e| timeline.rpc(&e.event) == Some(7))
+        .map(|e| timeline.line(e))
         .collect();
     assert_eq!(lines.len(), 7, "{lines:#?}");
     assert!(
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -1,11 +1,16 @@
 //! The stored form of a ledger. `fixtures/ledger-1` and `fixtures/records.jsonl` were written by the code of
 //! 2026-12-02; ledgers of that time are read, and new ones are written, exactly as they were.
-use birchhub_audit::event::{End, Left, Taken};
-use birchhub_audit::head::{Bars, Node, Trouble};
-use birchhub_audit::{Answer, Entry, Event, Group, Head, Kind, Method, Rules, State, ledger};
+use birchhub_audit::event::{Admission, AttemptEnd, End};
+use birchhub_audit::head::{Backend, Fault, ServiceTargets};
+use birchhub_audit::timeline::Timeline;
+use birchhub_audit::{
+    Answer, Audit, Entry, Event, Group, Head, Kind, Method, Rules, State, ledger,
+};
 
 const LEDGER: &[u8] = include_bytes!("fixtures/ledger-1");
 const RECORDS: &str = include_str!("fixtures/records.jsonl");
+const TIMELINE: &str = include_str!("fixtures/timeline.txt");
+const FINDINGS: &str = include_str!("fixtures/findings.json");
 const MAGIC: &str = "birchhub-ledger 1";
 const EVENT_KINDS: u8 = 21;
 const ANSWER_KINDS: u8 = 8;
@@ -26,11 +31,11 @@
     Rules {
         drain_grace: 0.3,
         slack: 0.05,
-        fall_window: 1.5,
-        most_picks: 3,
-        second_copies: true,
+        overload_window: 1.5,
+        max_attempts: 3,
+        hedging_allowed: true,
         over_quota_utility: 0.125,
-        kit_late: 0.01,
+        max_lateness: 0.01,
     }
 }
 
@@ -45,7 +50,7 @@
         plan: "0123abcd".into(),
         length: 30.0,
         rules: rules(),
-        bars: Bars {
+        targets: ServiceTargets {
             service: Some(0.99),
             worst_10s: Some(0.98),
             worst_method: Some(0.97),
@@ -60,17 +65,17 @@
         ],
         tenants: vec!["acme".into()],
         proxies: vec!["p0".into(), "p1".into()],
-        nodes: vec![Node {
+        backends: vec![Backend {
             name: "n0".into(),
             zone: 1,
             rack: 2,
         }],
-        troubles: vec![Trouble {
+        faults: vec![Fault {
             name: "outage".into(),
             kind: "crash".into(),
             from: 1.0,
             until: 2.0,
-            nodes: vec![0],
+            backends: vec![0],
             proxies: vec![1],
         }],
     }
@@ -79,62 +84,62 @@
 fn answers() -> [Answer; 9] {
     [
         Answer::Ok,
-        Answer::PushedBack(None),
-        Answer::PushedBack(Some(0.5)),
+        Answer::Rejected(None),
+        Answer::Rejected(Some(0.5)),
         Answer::Aborted(503),
         Answer::Lost,
         Answer::Unreachable,
-        Answer::Silence,
-        Answer::HungUp,
-        Answer::Garbled,
+        Answer::TimedOut,
+        Answer::Cancelled,
+        Answer::Malformed,
     ]
 }
 
 fn backend_events() -> Vec<Event> {
-    let got = |taken| Event::Got {
+    let got = |admission| Event::AttemptReceived {
         incarnation: 3,
         attempt_id: 4,
         request_id: 5,
         proxy: 1,
-        begun: 0.75,
+        first_byte_at: 0.75,
         work: 0.125,
-        pushed: 0.0625,
-        taken,
+        overload: 0.0625,
+        admission,
     };
-    let left = |how| Event::Left { attempt_id: 4, how };
+    let left = |how| Event::AttemptEnded { attempt_id: 4, how };
     vec![
         Event::BackendStarted {
             incarnation: 3,
-            node: 2,
+            backend: 2,
             cold: true,
-            able: 1.5,
+            warm_capacity: 1.5,
         },
         Event::BackendDraining { incarnation: 3 },
         Event::BackendEnded { incarnation: 3 },
         Event::BackendCollapsed { incarnation: 3 },
-        got(Taken::Held),
-        got(Taken::TurnedAway),
-        got(Taken::Swallowed),
-        got(Taken::Error),
-        Event::Started { attempt_id: 4 },
-        Event::Repeated { attempt_id: 4 },
-        Event::Finished { attempt_id: 4 },
-        left(Left::Replied),
-        left(Left::Withdrawn),
-        left(Left::Broken),
+        got(Admission::Admitted),
+        got(Admission::Rejected),
+        got(Admission::Dropped),
+        got(Admission::Failed),
+        Event::ExecutionStarted { attempt_id: 4 },
+        Event::DuplicateDropped { attempt_id: 4 },
+        Event::ExecutionFinished { attempt_id: 4 },
+        left(AttemptEnd::Replied),
+        left(AttemptEnd::Cancelled),
+        left(AttemptEnd::Broken),
     ]
 }
 
 fn endpoint_list_events() -> Vec<Event> {
     let states = [State::Ready, State::Draining, State::Gone];
-    let changed = states.map(|state| Event::Changed {
-        node: 2,
+    let changed = states.map(|state| Event::EndpointChanged {
+        backend: 2,
         incarnation: 3,
         state,
     });
-    let told = states.map(|state| Event::Told {
+    let told = states.map(|state| Event::ProxyNotified {
         proxy: 1,
-        node: 2,
+        backend: 2,
         incarnation: 3,
         state,
     });
@@ -160,20 +165,20 @@
 /// Each kind of record with each of its variants, a quarter of a second apart.
 fn entries() -> Vec<Entry> {
     let mut events = vec![
-        Event::Asked {
+        Event::Arrival {
             rpc: 9,
             method: 2,
             tenant: 1,
-            within: true,
+            within_quota: true,
         },
-        Event::Sent {
+        Event::RequestSent {
             request_id: 5,
             rpc: 9,
             proxy: 1,
-            patience: 0.5,
+            client_timeout: 0.5,
         },
     ];
-    events.extend(answers().map(|answer| Event::Answered {
+    events.extend(answers().map(|answer| Event::RequestAnswered {
         request_id: 5,
         answer,
     }));
@@ -181,13 +186,13 @@
     events.extend(endpoint_list_events());
     events.extend(proxy_events());
     events.extend([
-        Event::Trouble {
+        Event::Fault {
             number: 0,
             begins: true,
         },
-        Event::KitLate { by: 0.25 },
-        Event::StageLate { by: 0.5 },
-        Event::TimeTold {
+        Event::ClientLate { by: 0.25 },
+        Event::EmulatorLate { by: 0.5 },
+        Event::TimeoutForwarded {
             attempt_id: 77,
             seconds: 0.5,
         },
@@ -267,7 +272,7 @@
     let answer_kinds: std::collections::BTreeSet<u8> = answers()
         .iter()
         .map(|answer| {
-            record(&Event::Answered {
+            record(&Event::RequestAnswered {
                 request_id: 5,
                 answer: *answer,
             })[2]
@@ -296,3 +301,20 @@
     writer.write(&entry).expect("a record");
     file.split_off(start + size_of::<u16>() + size_of::<f64>())
 }
+
+/// `fixtures/timeline.txt` is what `birchhub ledger show` printed of the stored ledger on 2026-12-03.
+#[test]
+fn the_timeline_of_a_stored_ledger_keeps_its_text() {
+    let (head, entries) = (head(), entries());
+    let timeline = Timeline::new(&head, &entries);
+    let lines: Vec<_> = entries.iter().map(|entry| timeline.line(entry)).collect();
+    assert_eq!(lines, TIMELINE.lines().collect::<Vec<_>>());
+}
+
+/// `fixtures/findings.json` is the part of `report.json` that an audit of the stored ledger wrote on 2026-12-03.
+#[test]
+fn the_findings_keep_their_keys_and_the_order_of_their_fields() {
+    let findings = Audit::of(&head(), &entries());
+    let json = serde_json::to_string_pretty(&findings).expect("JSON");
+    assert_eq!(json, FINDINGS.trim_end());
+}
--- a/crates/cli/tests/exit_codes.rs
+++ b/crates/cli/tests/exit_codes.rs
@@ -1,6 +1,6 @@
 //! The exit codes of `birchhub`: 0 PASS, 1 FAIL, 2 VOID, 64 bad input, 70 anything else that went wrong. Scripts and CI
 //! of those who use it go by these numbers.
-use birchhub_audit::head::Bars;
+use birchhub_audit::head::ServiceTargets;
 use birchhub_audit::{Answer, Entry, Event, Head, Kind, Method, Rules, ledger};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -52,13 +52,13 @@
         rules: Rules {
             drain_grace: 0.3,
             slack: 0.05,
-            fall_window: 1.0,
-            most_picks: 3,
-            second_copies: false,
+            overload_window: 1.0,
+            max_attempts: 3,
+            hedging_allowed: false,
             over_quota_utility: 0.1,
-            kit_late: 0.01,
+            max_lateness: 0.01,
         },
-        bars: Bars::default(),
+        targets: ServiceTargets::default(),
         methods: vec![Method {
             name: "read".into(),
             kind: Kind::Idempotent,
@@ -69,26 +69,26 @@
         }],
         tenants: vec!["acme".into()],
         proxies: vec!["p0".into()],
-        nodes: vec![],
-        troubles: vec![],
+        backends: vec![],
+        faults: vec![],
     }
 }
 
 /// An RPC that was answered after its deadline.
 fn answered_late() -> Vec<(f64, Event)> {
-    let asked = Event::Asked {
+    let asked = Event::Arrival {
         rpc: 1,
         method: 0,
         tenant: 0,
-        within: true,
+        within_quota: true,
     };
-    let sent = Event::Sent {
+    let sent = Event::RequestSent {
         request_id: 1,
         rpc: 1,
         proxy: 0,
-        patience: 0.5,
+        client_timeout: 0.5,
     };
-    let answered = Event::Answered {
+    let answered = Event::RequestAnswered {
         request_id: 1,
         answer: Answer::Aborted(502),
     };
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_verdict_of_void_exits_with_2() {
-    let (code, text) = audit("void", vec![(1.0, Event::KitLate { by: 0.5 })]);
+    let (code, text) = audit("void", vec![(1.0, Event::ClientLate { by: 0.5 })]);
     assert_eq!(code, VOID, "{text}");
     assert!(text.starts_with("VOID  by hand"), "{text}");
 }
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -156,8 +156,8 @@
 
     /// A node is now so. Proxies that watch are told.
     pub fn change(&self, node: u32, line: Line) {
-        self.notes.tell(Event::Changed {
-            node,
+        self.notes.tell(Event::EndpointChanged {
+            backend: node,
             incarnation: line.incarnation,
             state: line.state,
         });
@@ -253,9 +253,9 @@
         }
         for (node, incarnation, state) in news {
             if known.insert((proxy, node), (incarnation, state)) != Some((incarnation, state)) {
-                self.notes.tell(Event::Told {
+                self.notes.tell(Event::ProxyNotified {
                     proxy,
-                    node,
+                    backend: node,
                     incarnation,
                     state,
                 });
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Fleet;
 use crate::wire::{Kind, Message, Peer, listen, response};
 use birchhub_audit::Event;
-use birchhub_audit::event::{Left, Taken};
+use birchhub_audit::event::{Admission, AttemptEnd};
 use birchhub_backend_model::{
     AttemptId, Backend, BackendEvent, IncomingWork, LoadReport, RejectionReason, Spec, Start,
 };
@@ -106,7 +106,7 @@
     host: &'a NodeHost,
     incarnation: u32,
     attempt_id: AttemptId,
-    how: Left,
+    how: AttemptEnd,
     /// When the proxy gave it up, if that was before the node could take it.
     closed_at: Option<f64>,
 }
@@ -114,7 +114,7 @@
 impl Pick<'_> {
     /// The proxy no longer waits: the work is dropped where the model says so.
     fn withdrawn(mut self) {
-        self.how = Left::Withdrawn;
+        self.how = AttemptEnd::Cancelled;
         self.host
             .change(self.incarnation, |incarnation, now, fleet, out| {
                 incarnation.waiting.remove(&self.attempt_id);
@@ -133,7 +133,7 @@
         let notes = &self.host.fleet.notes;
         let at = self.closed_at.unwrap_or_else(|| notes.clock.now());
         let (attempt_id, how) = (self.attempt_id, self.how);
-        notes.tell_at(at, Event::Left { attempt_id, how });
+        notes.tell_at(at, Event::AttemptEnded { attempt_id, how });
     }
 }
 
@@ -194,7 +194,7 @@
         let number = self.fleet.new_incarnation();
         let now = self.fleet.notes.clock.now();
         let spec = &self.place.spec;
-        let able = (spec.cores as f64 * spec.speed) as f32;
+        let warm_capacity = (spec.cores as f64 * spec.speed) as f32;
         let mut node = Backend::new(spec.clone(), now, start);
         node.scale(
             now,
@@ -205,9 +205,9 @@
         let (over, seen) = watch::channel(Over::Not);
         self.fleet.notes.tell(Event::BackendStarted {
             incarnation: number,
-            node: self.place.index,
+            backend: self.place.index,
             cold: start == Start::Cold,
-            able,
+            warm_capacity,
         });
         *self.incarnation.borrow_mut() = Some(Incarnation {
             number,
@@ -333,15 +333,15 @@
         for event in happened {
             let over = match event {
                 BackendEvent::Started(attempt_id) => {
-                    notes.tell(Event::Started { attempt_id });
+                    notes.tell(Event::ExecutionStarted { attempt_id });
                     continue;
                 }
                 BackendEvent::Finished(attempt_id) => {
-                    notes.tell(Event::Finished { attempt_id });
+                    notes.tell(Event::ExecutionFinished { attempt_id });
                     attempt_id
                 }
                 BackendEvent::DuplicateDropped(attempt_id) => {
-                    notes.tell(Event::Repeated { attempt_id });
+                    notes.tell(Event::DuplicateDropped { attempt_id });
                     attempt_id
                 }
                 BackendEvent::Collapsed => {
@@ -377,7 +377,7 @@
             }
             let (now, mut out) = (clock.now(), Vec::new());
             if let Some(due) = next {
-                self.fleet.notes.tell(Event::StageLate {
+                self.fleet.notes.tell(Event::EmulatorLate {
                     by: (now - due).max(0.0) as f32,
                 });
             }
@@ -603,25 +603,26 @@
                 .await;
         };
         let attempt_id = fleet.new_attempt_id();
-        let got = |taken, pushed: f64| {
-            let (begun, work, pushed) = (message.begun, work as f32, pushed as f32);
+        let got = |admission, overload: f64| {
+            let (first_byte_at, work, overload) =
+                (message.first_byte_at, work as f32, overload as f32);
             // A pick that was given up before the node could take it had come by then.
             let at = closed_at.unwrap_or_else(|| fleet.notes.clock.now());
             fleet.notes.tell_at(
                 at,
-                Event::Got {
+                Event::AttemptReceived {
                     incarnation,
                     attempt_id,
                     request_id,
                     proxy,
-                    begun,
+                    first_byte_at,
                     work,
-                    pushed,
-                    taken,
+                    overload,
+                    admission,
                 },
             );
             if let Some(seconds) = time_told(message) {
-                fleet.notes.tell(Event::TimeTold {
+                fleet.notes.tell(Event::TimeoutForwarded {
                     attempt_id,
                     seconds,
                 });
@@ -634,19 +635,19 @@
             host: self,
             incarnation,
             attempt_id,
-            how: Left::Broken,
+            how: AttemptEnd::Broken,
             closed_at,
         };
         match fault {
             Some(Fault::Mute { .. }) => {
-                got(Taken::Swallowed, 0.0);
+                got(Admission::Dropped, 0.0);
                 peer.ended().await;
-                pick.how = Left::Withdrawn;
+                pick.how = AttemptEnd::Cancelled;
                 return Next::Close;
             }
             Some(Fault::Error { .. }) => {
-                got(Taken::Error, 0.0);
-                pick.how = Left::Replied;
+                got(Admission::Failed, 0.0);
+                pick.how = AttemptEnd::Replied;
                 return self.answer(peer, incarnation, 500, &[], b"failed\n").await;
             }
             _ => {}
@@ -659,38 +660,38 @@
             first_on_connection: peer.messages == 1,
         };
         let (now, mut out) = (fleet.notes.clock.now(), Vec::new());
-        let taken = self.with(incarnation, |incarnation| {
+        let admission = self.with(incarnation, |incarnation| {
             if !slot.held {
                 return (Err(RejectionReason::QueueFull), incarnation.node.overload());
             }
             incarnation.waiting.insert(attempt_id, done);
-            let taken = incarnation.node.receive(
+            let admission = incarnation.node.receive(
                 now,
                 incoming,
                 &mut fleet.deduplication.borrow_mut(),
                 &mut out,
             );
-            if taken.is_err() {
+            if admission.is_err() {
                 incarnation.waiting.remove(&attempt_id);
             }
-            (taken, incarnation.node.overload())
+            (admission, incarnation.node.overload())
         });
-        let (taken, pushed) = taken.unwrap_or((Err(RejectionReason::Down), 0.0));
+        let (admission, overload) = admission.unwrap_or((Err(RejectionReason::Down), 0.0));
         got(
-            match taken {
-                Ok(()) => Taken::Held,
-                Err(RejectionReason::Down) => Taken::Swallowed,
-                Err(_) => Taken::TurnedAway,
+            match admission {
+                Ok(()) => Admission::Admitted,
+                Err(RejectionReason::Down) => Admission::Dropped,
+                Err(_) => Admission::Rejected,
             },
-            pushed,
+            overload,
         );
         self.tell(incarnation, out);
         self.moved.notify_one();
-        match taken {
+        match admission {
             Ok(()) => {}
             Err(RejectionReason::Down) => return Next::Reset,
             Err(_) => {
-                pick.how = Left::Replied;
+                pick.how = AttemptEnd::Replied;
                 let next = self
                     .answer(
                         peer,
@@ -734,30 +735,30 @@
 }
 
 /// Writes an answer as the fault will have it.
-async fn write_with(peer: &mut Peer, bytes: &[u8], fault: Option<Fault>) -> (Next, Left) {
+async fn write_with(peer: &mut Peer, bytes: &[u8], fault: Option<Fault>) -> (Next, AttemptEnd) {
     let whole = |written: io::Result<()>| match written {
-        Ok(()) => (Next::Read, Left::Replied),
-        Err(_) => (Next::Close, Left::Broken),
+        Ok(()) => (Next::Read, AttemptEnd::Replied),
+        Err(_) => (Next::Close, AttemptEnd::Broken),
     };
     match fault {
-        Some(Fault::Reset { .. }) => (Next::Reset, Left::Broken),
+        Some(Fault::Reset { .. }) => (Next::Reset, AttemptEnd::Broken),
         Some(Fault::Half { .. }) => {
             let _ = peer.write(&bytes[..bytes.len() - bytes.len() / 8]).await;
-            (Next::Close, Left::Broken)
+            (Next::Close, AttemptEnd::Broken)
         }
         Some(Fault::Garbage { .. }) => {
             let _ = peer.write(b"\x00\x01 what?\r\n\r\n").await;
-            (Next::Close, Left::Broken)
+            (Next::Close, AttemptEnd::Broken)
         }
         Some(Fault::Trickle { over, .. }) => {
             let pause = Duration::from_secs_f64(over / bytes.len() as f64);
             for byte in bytes {
                 if peer.write(std::slice::from_ref(byte)).await.is_err() {
-                    return (Next::Close, Left::Broken);
+                    return (Next::Close, AttemptEnd::Broken);
                 }
                 sleep(pause).await;
             }
-            (Next::Read, Left::Replied)
+            (Next::Read, AttemptEnd::Replied)
         }
         _ => whole(peer.write(bytes).await),
     }
--- a/crates/emulator/tests/stand_ins.rs
+++ b/crates/emulator/tests/stand_ins.rs
@@ -1,5 +1,5 @@
 //! Stand-ins over loopback sockets: each fault shows on the connection as a proxy would see it, and in the ledger.
-use birchhub_audit::event::{Left, Taken};
+use birchhub_audit::event::{Admission, AttemptEnd};
 use birchhub_audit::{Answer, Entry, Event, Group, Kind as Effect, State};
 use birchhub_backend_model::{Spec, Start, Work, work::Spread};
 use birchhub_emulator::fleet::request_id_of;
@@ -136,7 +136,7 @@
 }
 
 fn is_left(event: &Event) -> bool {
-    matches!(event, Event::Left { .. })
+    matches!(event, Event::AttemptEnded { .. })
 }
 
 #[test]
@@ -158,20 +158,20 @@
         );
         let events = events_so_far(&entries, |_| true);
         let got = events.iter().find_map(|e| match e {
-            Event::Got {
+            Event::AttemptReceived {
                 proxy,
                 request_id,
-                taken,
+                admission,
                 ..
-            } => Some((*proxy, *request_id, *taken)),
+            } => Some((*proxy, *request_id, *admission)),
             _ => None,
         });
-        assert_eq!(got, Some((1, 0x700, Taken::Held)));
+        assert_eq!(got, Some((1, 0x700, Admission::Admitted)));
         assert!(
             events.iter().any(|e| matches!(
                 e,
-                Event::Left {
-                    how: Left::Replied,
+                Event::AttemptEnded {
+                    how: AttemptEnd::Replied,
                     ..
                 }
             )),
@@ -261,14 +261,14 @@
         let node = warm_node(&notes, 60.0);
         let mut connection = Connection::open(&node, &notes, 0).await;
         connection.send(1).await;
-        await_event(&entries, |e| matches!(e, Event::Started { .. })).await;
+        await_event(&entries, |e| matches!(e, Event::ExecutionStarted { .. })).await;
         drop(connection);
         let left = await_event(&entries, is_left).await;
         assert!(
             matches!(
                 left,
-                Event::Left {
-                    how: Left::Withdrawn,
+                Event::AttemptEnded {
+                    how: AttemptEnd::Cancelled,
                     ..
                 }
             ) && node.is_idle()
@@ -286,7 +286,7 @@
             Connection::open(&node, &notes, 0).await,
         );
         busy.send(1).await;
-        await_event(&entries, |e| matches!(e, Event::Started { .. })).await;
+        await_event(&entries, |e| matches!(e, Event::ExecutionStarted { .. })).await;
         node.crash();
         assert_eq!(
             (busy.answer().await.err(), idle.answer().await.is_err()),
@@ -296,8 +296,8 @@
         assert!(
             matches!(
                 left,
-                Event::Left {
-                    how: Left::Broken,
+                Event::AttemptEnded {
+                    how: AttemptEnd::Broken,
                     ..
                 }
             ),
@@ -308,7 +308,7 @@
         }
         node.start(Start::Warm).expect("an incarnation");
         Connection::open(&node, &notes, 0).await.send(2).await;
-        await_event(&entries, |e| matches!(e, Event::Started { .. })).await;
+        await_event(&entries, |e| matches!(e, Event::ExecutionStarted { .. })).await;
     });
 }
 
@@ -347,7 +347,8 @@
                 sleep(Duration::from_millis(1)).await;
             }
             assert_eq!(
-                seen.iter().any(|e| matches!(e, Event::Started { .. })),
+                seen.iter()
+                    .any(|e| matches!(e, Event::ExecutionStarted { .. })),
                 runs,
                 "{fault:?}"
             );
@@ -365,8 +366,8 @@
         await_event(&entries, |e| {
             matches!(
                 e,
-                Event::Got {
-                    taken: Taken::Swallowed,
+                Event::AttemptReceived {
+                    admission: Admission::Dropped,
                     ..
                 }
             )
@@ -383,8 +384,8 @@
         let left = await_event(&entries, is_left).await;
         assert!(matches!(
             left,
-            Event::Left {
-                how: Left::Withdrawn,
+            Event::AttemptEnded {
+                how: AttemptEnd::Cancelled,
                 ..
             }
         ));
@@ -452,9 +453,9 @@
         let ended = notes.clock.now();
         node.end_stall(2);
         assert_eq!(connection.answer().await.expect("an answer").status, 200);
-        let got = await_event(&entries, |e| matches!(e, Event::Got { .. })).await;
+        let got = await_event(&entries, |e| matches!(e, Event::AttemptReceived { .. })).await;
         assert!(
-            matches!(got, Event::Got { begun, .. } if begun >= before && begun < ended),
+            matches!(got, Event::AttemptReceived { first_byte_at, .. } if first_byte_at >= before && first_byte_at < ended),
             "{got:?}"
         );
     });
@@ -496,12 +497,18 @@
             assert_eq!(connection.answer().await.expect("an answer").status, 200);
         }
         let runs = events_so_far(&entries, |e| {
-            matches!(e, Event::Started { .. } | Event::Repeated { .. })
+            matches!(
+                e,
+                Event::ExecutionStarted { .. } | Event::DuplicateDropped { .. }
+            )
         });
         assert!(
             matches!(
                 runs.as_slice(),
-                [Event::Started { .. }, Event::Repeated { .. }]
+                [
+                    Event::ExecutionStarted { .. },
+                    Event::DuplicateDropped { .. }
+                ]
             ),
             "{runs:?}"
         );
@@ -568,11 +575,13 @@
         list.change(0, line(State::Gone, 1));
         let whole = ask(&list, 1, "", &clock).await.expect("a list");
         assert_eq!(whole["targets"].as_array().map(Vec::len), Some(0));
-        let heard = events_so_far(&entries, |e| matches!(e, Event::Told { proxy: 1, .. }));
+        let heard = events_so_far(&entries, |e| {
+            matches!(e, Event::ProxyNotified { proxy: 1, .. })
+        });
         let states: Vec<_> = heard
             .iter()
             .map(|e| {
-                if let Event::Told { state, .. } = e {
+                if let Event::ProxyNotified { state, .. } = e {
                     Some(*state)
                 } else {
                     None
@@ -671,7 +680,7 @@
     });
 }
 
-fn call(request_id: u64, patience: f64) -> Call {
+fn call(request_id: u64, client_timeout: f64) -> Call {
     let (path, body) = ("/read/1".into(), 0);
     let (tenant, key, leaves_after) = (None, None, None);
     Call {
@@ -683,7 +692,7 @@
         tenant,
         key,
         retry: false,
-        patience,
+        client_timeout,
         leaves_after,
         body,
         pieces: None,
@@ -713,13 +722,13 @@
         let truncated = b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n".to_vec();
         let cases: Vec<(Vec<u8>, Answer)> = vec![
             (ok(1), Answer::Ok),
-            (ok(2), Answer::Garbled),
-            ([ok(1), ok(1)].concat(), Answer::Garbled),
+            (ok(2), Answer::Malformed),
+            ([ok(1), ok(1)].concat(), Answer::Malformed),
             (
                 wire::response(503, &retry_after, b""),
-                Answer::PushedBack(Some(0.5)),
+                Answer::Rejected(Some(0.5)),
             ),
-            (wire::response(429, &[], b""), Answer::PushedBack(None)),
+            (wire::response(429, &[], b""), Answer::Rejected(None)),
             (wire::response(502, &[], b""), Answer::Aborted(502)),
             (truncated, Answer::Lost),
             (vec![], Answer::Lost),
@@ -739,12 +748,12 @@
         let at = silent.local_addr().expect("an address");
         let caller = || Caller::new(notes.clone());
         let answer = caller().call(&call(1, 0.05), at).await;
-        assert_eq!(answer, Answer::Silence);
+        assert_eq!(answer, Answer::TimedOut);
         let leaving = Call {
             leaves_after: Some(0.01),
             ..call(1, 5.0)
         };
-        assert_eq!(caller().call(&leaving, at).await, Answer::HungUp);
+        assert_eq!(caller().call(&leaving, at).await, Answer::Cancelled);
         drop(silent);
         let answer = caller().call(&call(1, 5.0), at).await;
         assert_eq!(answer, Answer::Unreachable);
@@ -774,7 +783,7 @@
             sleep(Duration::from_millis(5)).await;
         }
         assert_eq!(
-            events_so_far(&entries, |e| matches!(e, Event::Sent { .. })).len(),
+            events_so_far(&entries, |e| matches!(e, Event::RequestSent { .. })).len(),
             3
         );
     });
--- a/crates/rehearsal/tests/plans.rs
+++ b/crates/rehearsal/tests/plans.rs
@@ -78,8 +78,8 @@
     let (none, one, two) = (none.unwrap(), one.unwrap(), two.unwrap());
     assert_eq!(none.arrivals, one.arrivals);
     assert_eq!(none.arrivals, two.arrivals);
-    assert_eq!(one.troubles[0].nodes, two.troubles[1].nodes);
-    assert_eq!(two.troubles[0].nodes.len(), 3);
+    assert_eq!(one.troubles[0].backends, two.troubles[1].backends);
+    assert_eq!(two.troubles[0].backends.len(), 3);
 }
 
 #[test]
@@ -101,7 +101,7 @@
     let plan = plan_of(&text, 1).expect("a plan");
     let names = |n: usize| {
         plan.troubles[n]
-            .nodes
+            .backends
             .iter()
             .map(|n| plan.nodes[*n as usize].name.as_str())
     };
@@ -148,13 +148,17 @@
     assert!((500..700).contains(&count(4.0, 6.0)), "{}", count(4.0, 6.0));
     assert_eq!(count(8.0, 10.0), 0);
     // Tenant one sends some 75 a second and has a quota of 40, and a burst of as many.
-    let within = plan
+    let within_quota = plan
         .arrivals
         .iter()
-        .filter(|a| a.tenant == 0 && a.due < 4.0 && a.within)
+        .filter(|a| a.tenant == 0 && a.due < 4.0 && a.within_quota)
         .count();
-    assert!((150..=200).contains(&within), "{within}");
-    assert!(plan.arrivals.iter().all(|a| a.tenant == 0 || a.within));
+    assert!((150..=200).contains(&within_quota), "{within_quota}");
+    assert!(
+        plan.arrivals
+            .iter()
+            .all(|a| a.tenant == 0 || a.within_quota)
+    );
 }
 
 /// Mistakes outside the faults of a scenario, and how each is reported: file, line, key, and what is wrong.
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -4,7 +4,7 @@
 use super::process::ProcessId;
 use super::{NETWORK_DELAY, World};
 use birchhub::interface::{AttemptOutcome, LoadReport};
-use birchhub_audit::event::{Left, Taken};
+use birchhub_audit::event::{Admission, AttemptEnd};
 use birchhub_audit::{Answer, Event, Kind};
 use birchhub_backend_model::{IdempotencyKey, IncomingWork, RejectionReason};
 use birchhub_rehearsal::plan::Trick;
@@ -34,23 +34,23 @@
     node: u32,
     incarnation: u32,
     /// When its connection was opened, s.
-    begun: f64,
+    first_byte_at: f64,
     /// s of a standard core.
     work: f64,
 }
 
 impl ReceivedAttempt {
-    /// The ledger's record of what the backend did with it; `pushed` is the load that the backend reports.
-    fn record(&self, taken: Taken, pushed: f64) -> Event {
-        Event::Got {
+    /// The ledger's record of what the backend did with it; `overload` is the load that the backend reports.
+    fn record(&self, admission: Admission, overload: f64) -> Event {
+        Event::AttemptReceived {
             incarnation: self.incarnation,
             attempt_id: self.attempt_id,
             request_id: self.request_id,
             proxy: self.proxy,
-            begun: self.begun,
+            first_byte_at: self.first_byte_at,
             work: self.work as f32,
-            pushed: pushed as f32,
-            taken,
+            overload: overload as f32,
+            admission,
         }
     }
 }
@@ -143,7 +143,7 @@
     }
 
     /// An attempt arrives at its machine: the backend there takes it in, unless a fault keeps it from doing so.
-    pub(super) fn offer_to_backend(&mut self, attempt_id: u64, begun: f64) {
+    pub(super) fn offer_to_backend(&mut self, attempt_id: u64, first_byte_at: f64) {
         let Some(entry) = self.proxy_attempts.get(&attempt_id) else {
             return;
         };
@@ -153,7 +153,10 @@
         }
         let machine = &mut self.machines[node as usize];
         if machine.is_stalled() {
-            let arrival = SimulationEvent::AttemptAtBackend { attempt_id, begun };
+            let arrival = SimulationEvent::AttemptAtBackend {
+                attempt_id,
+                first_byte_at,
+            };
             return machine.deferred_events.push(arrival);
         }
         let Some(incarnation) = machine.incarnation() else {
@@ -166,7 +169,7 @@
             proxy,
             node,
             incarnation,
-            begun,
+            first_byte_at,
             work: arrival.work * self.method_slowdown[arrival.method as usize],
         };
         match self.injected_fault(node, request_id) {
@@ -179,16 +182,16 @@
     /// The backend holds the attempt and never answers.
     fn swallow(&mut self, received: &ReceivedAttempt) {
         self.hold(received, None);
-        self.record(received.record(Taken::Swallowed, 0.0));
+        self.record(received.record(Admission::Dropped, 0.0));
     }
 
     /// The backend answers with an error at once.
     fn reply_error(&mut self, received: &ReceivedAttempt) {
         let attempt_id = received.attempt_id;
-        self.record(received.record(Taken::Error, 0.0));
-        self.record(Event::Left {
+        self.record(received.record(Admission::Failed, 0.0));
+        self.record(Event::AttemptEnded {
             attempt_id,
-            how: Left::Replied,
+            how: AttemptEnd::Replied,
         });
         self.send_outcome(attempt_id, AttemptOutcome::Failed, 0.0);
     }
@@ -207,20 +210,28 @@
             return;
         };
         let node = &mut backend.model;
-        let taken = node.receive(now, incoming, &mut self.deduplication, &mut events);
-        let pushed = node.overload();
-        match taken {
+        let admission = node.receive(now, incoming, &mut self.deduplication, &mut events);
+        let overload = node.overload();
+        match admission {
             Ok(()) => {
                 self.hold(received, fault);
-                self.record(received.record(Taken::Held, pushed));
+                self.record(received.record(Admission::Admitted, overload));
             }
             Err(RejectionReason::Down) => {
-                self.record(received.record(Taken::Swallowed, pushed));
-                self.refuse(received.attempt_id, Left::Broken, AttemptOutcome::Reset);
+                self.record(received.record(Admission::Dropped, overload));
+                self.refuse(
+                    received.attempt_id,
+                    AttemptEnd::Broken,
+                    AttemptOutcome::Reset,
+                );
             }
             Err(_) => {
-                self.record(received.record(Taken::TurnedAway, pushed));
-                self.refuse(received.attempt_id, Left::Replied, AttemptOutcome::Rejected);
+                self.record(received.record(Admission::Rejected, overload));
+                self.refuse(
+                    received.attempt_id,
+                    AttemptEnd::Replied,
+                    AttemptOutcome::Rejected,
+                );
             }
         }
         self.apply_backend_events(received.node, events);
@@ -249,8 +260,8 @@
         }
     }
 
-    fn refuse(&mut self, attempt_id: u64, how: Left, outcome: AttemptOutcome) {
-        self.record(Event::Left { attempt_id, how });
+    fn refuse(&mut self, attempt_id: u64, how: AttemptEnd, outcome: AttemptOutcome) {
+        self.record(Event::AttemptEnded { attempt_id, how });
         self.send_outcome(attempt_id, outcome, 0.0);
     }
 
@@ -265,12 +276,14 @@
         let entry = self.proxy_attempts.get(&attempt_id);
         let (outcome, how, delay) = match entry.and_then(|entry| entry.fault.as_ref()) {
             Some(Trick::Reset(_) | Trick::Half(_) | Trick::Garbage(_)) => {
-                (AttemptOutcome::Reset, Left::Broken, 0.0)
+                (AttemptOutcome::Reset, AttemptEnd::Broken, 0.0)
             }
-            Some(Trick::Trickle(_, over)) => (AttemptOutcome::Succeeded, Left::Replied, *over),
-            _ => (AttemptOutcome::Succeeded, Left::Replied, 0.0),
+            Some(Trick::Trickle(_, over)) => {
+                (AttemptOutcome::Succeeded, AttemptEnd::Replied, *over)
+            }
+            _ => (AttemptOutcome::Succeeded, AttemptEnd::Replied, 0.0),
         };
-        self.record(Event::Left { attempt_id, how });
+        self.record(Event::AttemptEnded { attempt_id, how });
         self.send_outcome(attempt_id, outcome, delay);
     }
 
@@ -288,9 +301,9 @@
             let node = &mut backend.model;
             node.cancel(self.now, attempt_id, &mut self.deduplication, &mut events);
         }
-        self.record(Event::Left {
+        self.record(Event::AttemptEnded {
             attempt_id,
-            how: Left::Withdrawn,
+            how: AttemptEnd::Cancelled,
         });
         self.apply_backend_events(entry.node, events);
     }
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -5,7 +5,7 @@
 use super::process::ProcessId;
 use super::{NETWORK_DELAY, POLL_INTERVAL, World};
 use birchhub::interface::{AttemptOutcome, LoadReport};
-use birchhub_audit::event::Left;
+use birchhub_audit::event::AttemptEnd;
 use birchhub_audit::{Event, State};
 use birchhub_backend_model::{Backend, BackendEvent, DeduplicationCache, Start};
 
@@ -34,15 +34,15 @@
         let factor = machine.capacity_factor;
         let mut model = Backend::new(machine.spec.clone(), now, how);
         model.scale(now, factor, &mut self.deduplication, &mut Vec::new());
-        let able = (machine.spec.cores as f64 * machine.spec.speed) as f32;
+        let warm_capacity = (machine.spec.cores as f64 * machine.spec.speed) as f32;
         machine.backend = Some(BackendProcess { incarnation, model });
         machine.cold_started_at = (how == Start::Cold).then_some(now);
         machine.stalls.clear();
         self.record(Event::BackendStarted {
             incarnation,
-            node,
+            backend: node,
             cold: how == Start::Cold,
-            able,
+            warm_capacity,
         });
         incarnation
     }
@@ -70,9 +70,9 @@
         machine.version += 1;
         self.record(Event::BackendEnded { incarnation });
         for attempt_id in held_attempts {
-            self.record(Event::Left {
+            self.record(Event::AttemptEnded {
                 attempt_id,
-                how: Left::Broken,
+                how: AttemptEnd::Broken,
             });
             self.send_outcome(attempt_id, AttemptOutcome::Reset, 0.0);
         }
@@ -148,13 +148,15 @@
     pub(super) fn apply_backend_events(&mut self, node: u32, events: Vec<BackendEvent>) {
         for event in events {
             match event {
-                BackendEvent::Started(attempt_id) => self.record(Event::Started { attempt_id }),
+                BackendEvent::Started(attempt_id) => {
+                    self.record(Event::ExecutionStarted { attempt_id })
+                }
                 BackendEvent::Finished(attempt_id) => {
-                    self.record(Event::Finished { attempt_id });
+                    self.record(Event::ExecutionFinished { attempt_id });
                     self.send_reply(node, attempt_id);
                 }
                 BackendEvent::DuplicateDropped(attempt_id) => {
-                    self.record(Event::Repeated { attempt_id });
+                    self.record(Event::DuplicateDropped { attempt_id });
                     self.send_reply(node, attempt_id);
                 }
                 BackendEvent::Collapsed => {
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -201,12 +201,15 @@
                 self.accept_client_request(request_id, proxy)
             }
             Due::ToProcess { process, event } => self.deliver_to_process(process, event),
-            Due::AttemptAtBackend { attempt_id, begun } => self.offer_to_backend(attempt_id, begun),
+            Due::AttemptAtBackend {
+                attempt_id,
+                first_byte_at,
+            } => self.offer_to_backend(attempt_id, first_byte_at),
             Due::BackendDue { node, version } => self.advance_backend(node, version),
             Due::ConnectionClosed { attempt_id } => self.close_connection(attempt_id),
             Due::HealthCheckAtBackend { process, node } => self.answer_health_check(process, node),
             Due::AnswerAtClient { request_id, answer } => self.answer_client(request_id, answer),
-            Due::ClientGivesUp { request_id } => self.answer_client(request_id, Answer::Silence),
+            Due::ClientGivesUp { request_id } => self.answer_client(request_id, Answer::TimedOut),
             Due::ClientDisconnects { request_id } => self.disconnect_client(request_id),
             Due::PublishEndpoint { node, list_entry } => self.publish_endpoint(node, list_entry),
             Due::ListCallArrives(process) => self.start_list_call(process),
--- a/crates/simulation/tests/simulated.rs
+++ b/crates/simulation/tests/simulated.rs
@@ -32,18 +32,18 @@
         assert_eq!(report.verdict, Verdict::Pass, "{}", report.text());
         let count =
             |fits: fn(&Event) -> bool| outcome.entries.iter().filter(|e| fits(&e.event)).count();
-        let sent = count(|e| matches!(e, Event::Sent { .. }));
+        let sent = count(|e| matches!(e, Event::RequestSent { .. }));
         assert_eq!(
             sent,
-            count(|e| matches!(e, Event::Answered { .. })),
+            count(|e| matches!(e, Event::RequestAnswered { .. })),
             "{}",
             shipped.name
         );
         assert_eq!(
             count(|e| matches!(
                 e,
-                Event::Answered {
-                    answer: Answer::Silence,
+                Event::RequestAnswered {
+                    answer: Answer::TimedOut,
                     ..
                 }
             )),
@@ -51,10 +51,10 @@
             "{}",
             shipped.name
         );
-        let got = count(|e| matches!(e, Event::Got { .. }));
+        let got = count(|e| matches!(e, Event::AttemptReceived { .. }));
         assert_eq!(
             got,
-            count(|e| matches!(e, Event::Left { .. })),
+            count(|e| matches!(e, Event::AttemptEnded { .. })),
             "{}",
             shipped.name
         );
@@ -110,7 +110,11 @@
     let outcome = play(LARGE, 1);
     let report = report(&outcome);
     assert_eq!(report.verdict, Verdict::Pass, "{}", report.text());
-    assert!(report.findings.cold.len() > 1000, "{}", report.text());
+    assert!(
+        report.findings.cold_starts.len() > 1000,
+        "{}",
+        report.text()
+    );
     assert!(
         report.findings.counts.ok * 10 > report.findings.counts.rpcs * 8,
         "{}",
