--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,4 +1,4 @@
-//! Bookkeeping of pending RPCs, attempts and the timer, around what the dispatcher decides.
+//! Bookkeeping of pending RPCs, attempts and the timer around the dispatcher's decisions.
 use crate::attempt::{AttemptState, BackendChoice};
 use crate::backend::Backend;
 use crate::estimates::AVERAGING_TIME;
@@ -9,16 +9,17 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Lets an RPC wait.
+    /// Lets an RPC wait for a backend, or for its key.
     pub(crate) fn enqueue_rpc(&mut self, rpc: &Rc<RpcState>, now: f64) {
-        let checks = self.health_checks.enabled;
-        let until = deadlines::pending_until(rpc, &self.keyed, checks, &self.fleet, now);
+        let health_checks_enabled = self.health_checks.enabled;
+        let until =
+            deadlines::pending_until(rpc, &self.keyed, health_checks_enabled, &self.fleet, now);
         self.pending.remove(rpc);
         rpc.pending_until.set(until);
         self.pending.insert(rpc.clone());
     }
 
-    /// Starts an attempt that was decided on and tells the mechanisms that count attempts.
+    /// Starts an attempt that was decided on, and tells the mechanisms that count attempts.
     pub(crate) fn start_attempt(
         &mut self,
         rpc: &Rc<RpcState>,
@@ -29,9 +30,9 @@
         let now = platform.now();
         self.admission.last_attempt_at = now;
         self.retry_budget.pay(rpc);
-        to.recent_attempts
-            .add(now, self.rules.slow_start.budget.window);
-        if let Some(violation) = self.rules.slow_start.violation(&to, &self.fleet, now) {
+        let slow_start = &self.rules.slow_start;
+        to.recent_attempts.add(now, slow_start.budget.window);
+        if let Some(violation) = slow_start.violation(&to, &self.fleet, now) {
             platform.report_violation(violation);
         }
         to.change_in_flight(1, now, AVERAGING_TIME);
@@ -43,36 +44,29 @@
         rpc.attempts.borrow_mut().push(attempt);
     }
 
-    /// Cancels the attempts in flight, where that is possible.
+    /// Cancels the attempts in flight where that is possible.
     pub(crate) fn cancel_attempts(&self, rpc: &RpcState, platform: &mut dyn Platform) {
         if self.rules.limits.can_cancel && !rpc.streaming.get() {
-            rpc.attempts_in_flight()
-                .into_iter()
-                .for_each(|n| platform.cancel_attempt(rpc.id, n));
+            for attempt in rpc.attempts_in_flight() {
+                platform.cancel_attempt(rpc.id, attempt);
+            }
         }
     }
 
-    /// Lets the next RPC of its key go once this one is finished.
+    /// Releases the key of an RPC that is finished, so that the next RPC with the key can run.
     pub(crate) fn release_key(&mut self, rpc: &RpcState) {
         if rpc.is_finished() {
             self.keyed.remove(rpc);
         }
     }
 
-    /// Asks for a timer at the next time at which something is due, unless an earlier one is set.
+    /// Schedules a timer for the next time at which something is due, unless an earlier one is set.
     pub(crate) fn schedule_timer(&mut self, platform: &mut dyn Platform) {
-        let (now, checks) = (platform.now(), &self.health_checks);
-        let idle = self.pending.is_empty();
-        let check_at = if idle {
-            checks.next_proactive_at(&self.fleet.estimates, now)
-        } else {
-            checks.next_round_at
-        };
-        let check_at = checks.enabled.then_some(check_at.max(now));
-        let first_end = self.pending.first_end().map(|(end, _)| end);
+        let now = platform.now();
+        let first_pending_end = self.pending.first_end().map(|(end, _)| end);
         let due = [
-            first_end,
-            check_at,
+            first_pending_end,
+            self.next_health_check_at(now),
             self.discovery.poll_at,
             self.keyed.next_due(),
         ];
@@ -82,4 +76,16 @@
             platform.schedule_timer((next - now).max(0.0));
         }
     }
+
+    /// Returns the time of the next health check: proactive while no RPC is pending, else of the next
+    /// round.
+    fn next_health_check_at(&self, now: f64) -> Option<f64> {
+        let health_checks = &self.health_checks;
+        let check_at = if self.pending.is_empty() {
+            health_checks.next_proactive_at(&self.fleet.estimates, now)
+        } else {
+            health_checks.next_round_at
+        };
+        health_checks.enabled.then_some(check_at.max(now))
+    }
 }
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and the subsets that each backend is in.
+//! Updates of the endpoint list, and the subsets that each backend is indexed in.
 use crate::backend::Backend;
 use crate::backend_index::Subset;
 use crate::interface::{Endpoint, EndpointUpdateKind};
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Takes over an update of the list.
+    /// Applies an update of the endpoint list.
     pub(super) fn apply_endpoint_list(
         &mut self,
         kind: EndpointUpdateKind,
@@ -16,9 +16,9 @@
     ) {
         self.rules.slow_start.budget.record_list(now);
         self.fleet.index.updates += 1;
-        entries
-            .iter()
-            .for_each(|entry| self.apply_entry(entry, now));
+        for entry in entries {
+            self.apply_entry(entry, now);
+        }
         if kind.is_snapshot() {
             self.remove_unlisted(now);
         }
@@ -37,52 +37,52 @@
             self.reindex(&backend, now);
         }
         if backend.started_at.replace(entry.started_at) != entry.started_at {
-            let before = self
-                .rules
-                .slow_start
-                .budget
-                .precedes_this_process(entry.started_at);
-            backend.record_restart(now, before);
+            let budget = &self.rules.slow_start.budget;
+            let before_this_process = budget.precedes_this_process(entry.started_at);
+            backend.record_restart(now, before_this_process);
             self.reindex(&backend, now);
         }
     }
 
-    /// What the last update does not name is no longer ready.
+    /// Marks backends as not ready that the last update does not name.
     fn remove_unlisted(&mut self, now: f64) {
         let index = &self.fleet.index;
-        let unlisted = |b: &&Rc<Backend>| b.last_update.get() != index.updates;
-        for backend in index
-            .subset(Subset::Ready)
-            .iter()
-            .filter(unlisted)
+        let ready = index.subset(Subset::Ready).iter();
+        let unlisted: Vec<_> = ready
+            .filter(|backend| backend.last_update.get() != index.updates)
             .cloned()
-            .collect::<Vec<_>>()
-        {
+            .collect();
+        for backend in unlisted {
             self.fleet.index.remove_from_subsets(&backend);
             backend.ready.set(false);
             self.reindex(&backend, now);
         }
     }
 
-    /// Without this, memory would grow with all backends there ever were. A slow start budget is remembered
-    /// for as long as it binds.
+    /// Removes backends that are not ready and not used any more; otherwise memory would grow with
+    /// every backend there ever was. A backend is kept while its slow-start window has attempts.
     fn forget_unused(&mut self, now: f64) {
         let window = self.rules.slow_start.budget.window;
-        let used =
-            |b: &Backend| b.in_flight.get() > 0 || b.recent_attempts.count(now, window) > 0.0;
+        let is_used = |backend: &Backend| {
+            backend.in_flight.get() > 0 || backend.recent_attempts.count(now, window) > 0.0
+        };
         let unready = self.fleet.index.subset(Subset::Unready).iter();
-        for backend in unready.filter(|b| !used(b)).cloned().collect::<Vec<_>>() {
+        let unused: Vec<_> = unready
+            .filter(|backend| !is_used(backend))
+            .cloned()
+            .collect();
+        for backend in unused {
             self.health_checks.tokens.finish(&backend);
             self.fleet.index.remove(&backend);
         }
     }
 
-    /// Enters a backend into the subsets that its description and its health put it in.
+    /// Indexes a backend in the subsets that follow from its description and its health.
     pub(crate) fn reindex(&mut self, backend: &Rc<Backend>, now: f64) {
         self.fleet.index.update(backend, is_available(backend, now));
     }
 
-    /// Does so for all backends about which something has ended by time alone.
+    /// Indexes all backends anew whose ejection or saturation has ended.
     pub(crate) fn reindex_expired(&mut self, now: f64) {
         while let Some(backend) = self.fleet.index.next_expired(now) {
             self.reindex(&backend, now);
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,18 +1,25 @@
-//! The balancer as its platform sees it: takes events, keeps the books and tells each mechanism what concerns
-//! it. It decides nothing; `crate::policy` does.
+//! The balancer as its platform sees it: takes events and passes them on to the mechanisms.
+//!
+//! It decides nothing; `crate::policy` does.
 mod attempts;
 mod endpoint_list;
+mod outcomes;
 mod rpc_handle;
 
-use crate::interface::*;
+use crate::estimates::CLOCK_TOLERANCE;
+use crate::fleet::Fleet;
+use crate::interface::{
+    AttemptOutcome, CarriedOver, Endpoint, EndpointUpdateKind, IncomingRpc, LoadReport, Platform,
+    Settings,
+};
+use crate::limits::Limits;
 use crate::policy::dispatch::Dispatcher;
 use crate::policy::fallback::CELLS_PER_KEY;
 use crate::policy::health_checks::CHECKS_PER_ROUND;
 use crate::policy::{fairness, throttle};
+use crate::rng::Rng;
+use crate::rpc_state::RpcState;
 use crate::tenant::QuotaClass;
-use crate::{
-    estimates::CLOCK_TOLERANCE, fleet::Fleet, limits::Limits, rng::Rng, rpc_state::RpcState,
-};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -22,7 +29,7 @@
 pub struct Balancer(Rc<RefCell<Dispatcher>>);
 
 impl Balancer {
-    /// A balancer that knows no backend yet.
+    /// Creates a balancer that knows no backend yet. The seed determines all random numbers.
     pub fn new(settings: &Settings, seed: u64) -> Self {
         let fleet = Fleet {
             rng: Rng::new(seed),
@@ -32,15 +39,16 @@
             fleet,
             ..Dispatcher::default()
         };
+        let first_round = CHECKS_PER_ROUND as f64;
         dispatcher
             .health_checks
             .tokens
-            .add(CHECKS_PER_ROUND as f64, CHECKS_PER_ROUND as f64);
+            .add(first_round, first_round);
         dispatcher.apply_settings(settings, &CarriedOver::default(), 0.0);
         Self(Rc::new(RefCell::new(dispatcher)))
     }
 
-    /// Puts other settings in force. RPCs that were accepted keep the terms of their method.
+    /// Applies new settings. RPCs that were accepted keep the settings of their method.
     pub fn apply_settings(
         &self,
         settings: &Settings,
@@ -52,17 +60,14 @@
         dispatcher.serve(platform);
     }
 
-    /// So many processes are this proxy, and keep to its part of a slow start budget together.
+    /// Sets the number of processes of this proxy, which share its part of the slow-start budget.
     pub fn set_process_count(&self, processes: usize) {
-        self.0
-            .borrow_mut()
-            .rules
-            .slow_start
-            .budget
-            .set_process_count(processes);
+        let mut dispatcher = self.0.borrow_mut();
+        let budget = &mut dispatcher.rules.slow_start.budget;
+        budget.set_process_count(processes);
     }
 
-    /// A poll of the endpoint list failed or the subscription ended; the old list stays.
+    /// Handles a failed poll of the endpoint list or the end of the subscription. The list is kept.
     pub fn on_discovery_failure(&self, platform: &mut dyn Platform) {
         let dispatcher = &mut *self.0.borrow_mut();
         dispatcher
@@ -71,14 +76,15 @@
         dispatcher.schedule_timer(platform);
     }
 
-    /// The endpoint list has changed.
+    /// Handles an update of the endpoint list.
     pub fn update_endpoints(
         &self,
         kind: EndpointUpdateKind,
         entries: &[Endpoint],
         platform: &mut dyn Platform,
     ) {
-        let (dispatcher, now) = (&mut *self.0.borrow_mut(), platform.now());
+        let dispatcher = &mut *self.0.borrow_mut();
+        let now = platform.now();
         dispatcher
             .discovery
             .record_update(kind, &dispatcher.fleet.rng, now);
@@ -86,7 +92,7 @@
         dispatcher.serve(platform);
     }
 
-    /// A health check has ended.
+    /// Handles the end of a health check.
     pub fn on_health_check(
         &self,
         backend: u32,
@@ -94,47 +100,49 @@
         report: Option<LoadReport>,
         platform: &mut dyn Platform,
     ) {
-        let (mut dispatcher, now) = (self.0.borrow_mut(), platform.now());
+        let mut dispatcher = self.0.borrow_mut();
+        let now = platform.now();
         let Some(backend) = dispatcher.fleet.index.get(backend).cloned() else {
             return;
         };
-        let duration = dispatcher
-            .health_checks
-            .tokens
-            .finish(&backend)
-            .map(|sent_at| now - sent_at);
+        let sent_at = dispatcher.health_checks.tokens.finish(&backend);
+        let duration = sent_at.map(|sent_at| now - sent_at);
         match outcome {
             AttemptOutcome::Succeeded => dispatcher.record_report(&backend, report, duration, now),
-            AttemptOutcome::NotSent => {} // no backend is to blame for what this proxy could not send
+            // No backend is to blame for what this proxy could not send.
+            AttemptOutcome::NotSent => {}
             _ => dispatcher.record_failed_check(&backend, outcome, duration, now),
         }
         dispatcher.reindex(&backend, now);
         dispatcher.serve(platform);
     }
 
-    /// The time asked for by [`Platform::schedule_timer`] has come.
+    /// Handles the timer set by [`Platform::schedule_timer`].
     pub fn on_timer(&self, platform: &mut dyn Platform) {
-        let (dispatcher, now) = (&mut *self.0.borrow_mut(), platform.now());
-        // Only the latest timer asks for the next one: otherwise their number would grow.
+        let dispatcher = &mut *self.0.borrow_mut();
+        let now = platform.now();
+        // Only the latest timer schedules the next one: otherwise the number of timers would grow.
         dispatcher
             .timer_at
             .take_if(|at| now + CLOCK_TOLERANCE >= *at);
-        if dispatcher
+        let poll_is_due = dispatcher
             .discovery
-            .take_due_poll(&dispatcher.fleet.rng, now)
-        {
+            .take_due_poll(&dispatcher.fleet.rng, now);
+        if poll_is_due {
             platform.watch_endpoints();
         }
-        let wanted = dispatcher.idle_queue.is_empty() && !dispatcher.rules.limits.key_affinity;
+        let is_wanted = dispatcher.idle_queue.is_empty() && !dispatcher.rules.limits.key_affinity;
         dispatcher
             .health_checks
-            .start_proactive(wanted, &dispatcher.fleet, platform);
+            .start_proactive(is_wanted, &dispatcher.fleet, platform);
         dispatcher.serve(platform);
     }
 
-    /// An RPC has come in. Unless it is throttled it waits, in the order of quota class and priority.
+    /// Accepts an RPC. It is rejected by the throttle, or waits in the order of its quota class and
+    /// priority until it is served.
     pub fn accept(&self, incoming: &IncomingRpc, platform: &mut dyn Platform) -> RpcHandle {
-        let (mut dispatcher, now) = (self.0.borrow_mut(), platform.now());
+        let mut dispatcher = self.0.borrow_mut();
+        let now = platform.now();
         let rpc = Rc::new(dispatcher.new_rpc(incoming, now));
         let idle_signal = dispatcher.load_reports.idle_signal(now);
         dispatcher.health_checks.record_arrival(idle_signal);
@@ -153,45 +161,46 @@
 }
 
 impl Dispatcher {
-    /// Hands settings to each mechanism; what was measured and is in flight goes on.
+    /// Passes new settings to each mechanism. Observations and RPCs in flight are kept.
     fn apply_settings(&mut self, settings: &Settings, carried: &CarriedOver, now: f64) {
         self.health_checks.apply_settings(settings);
-        let (enabled, affordable) = (self.health_checks.enabled, self.health_checks.affordable);
+        let enabled = self.health_checks.enabled;
+        let affordable = self.health_checks.affordable;
         self.load_reports
             .apply_settings(settings, enabled, affordable);
         self.admission.apply_settings(settings, carried, enabled);
         self.quotas.apply_settings(settings, carried, now);
         self.rules.limits = Limits::new(settings);
+        let checks_per_rpc = self.health_checks.per_rpc;
         self.rules
             .slow_start
-            .apply_settings(settings, self.health_checks.per_rpc);
+            .apply_settings(settings, checks_per_rpc);
         self.fallback.apply_settings(settings);
         self.discovery.apply_settings(settings);
         self.fleet.estimates.apply_settings(settings);
         self.fleet.index.own_zone = settings.own_zone;
     }
 
-    /// The state of an RPC that comes in; its arrival and the use of its tenant's quota are counted.
+    /// Creates the state of an RPC that arrives, and counts its arrival and its use of a quota.
     fn new_rpc(&self, incoming: &IncomingRpc, now: f64) -> RpcState {
         let method = self.admission.methods[incoming.method].clone();
         method.record_arrival(now);
         let tenant = self.quotas.tenant(incoming.tenant);
-        let quota_class =
-            |tenant| fairness::quota_class(&self.quotas, tenant, incoming.client_retry, now);
-        let quota_class = tenant.map_or(QuotaClass::Within, quota_class);
+        let quota_class = tenant.map_or(QuotaClass::Within, |tenant| {
+            fairness::quota_class(&self.quotas, tenant, incoming.client_retry, now)
+        });
         if let Some(tenant) = tenant {
             self.quotas.record(tenant, quota_class, now);
         }
-        // Cells that know its key, the same at every proxy: otherwise keys would go round the fleet.
+        // Every proxy chooses the same cells for a key: otherwise all cells would have to cache it.
         let key = incoming.key.filter(|_| self.rules.limits.key_affinity);
         let cells = key.map_or(Vec::new(), |key| {
             self.fleet.index.cells_of_key(key, CELLS_PER_KEY)
         });
-        let throttles = tenant
-            .iter()
-            .map(|t| &t.throttle)
-            .chain([&method.throttle])
-            .cloned()
+        let tenant_throttle = tenant.map(|tenant| tenant.throttle.clone());
+        let throttles = tenant_throttle
+            .into_iter()
+            .chain([method.throttle.clone()])
             .collect();
         RpcState::new(incoming, method, quota_class, cells, throttles, now)
     }
--- /dev/null
+++ b/src/balancer/outcomes.rs
@@ -0,0 +1,140 @@
+//! Outcomes of attempts and health checks, passed on to each mechanism that they concern.
+use crate::attempt::{BackendChoice, CompletedAttempt};
+use crate::backend::Backend;
+use crate::estimates::AVERAGING_TIME;
+use crate::interface::{AttemptOutcome, LoadReport};
+use crate::policy::dispatch::Dispatcher;
+use crate::policy::load_reports::{IdleSignal, ReportSource};
+use crate::policy::{outlier_detection, throttle};
+use crate::rpc_state::RpcState;
+use std::rc::Rc;
+
+impl Dispatcher {
+    /// Records what an attempt tells about its method, its tenant and the way in which its backend was
+    /// chosen.
+    pub(super) fn record_attempt(&mut self, rpc: &RpcState, attempt: &CompletedAttempt, now: f64) {
+        let duration = attempt.estimated_duration();
+        let is_sample = attempt.is_timed() || attempt.was_rejected();
+        if let Some(level) = attempt.load_level.filter(|_| is_sample) {
+            let objectives = duration / rpc.method.settings.latency_objective;
+            self.load_reports
+                .quality
+                .record_attempt(level, objectives, now);
+        }
+        // Of rejected attempts only the last one tells how long the RPC would have waited.
+        let is_last = attempt.number + 1 >= self.rules.limits.max_attempts;
+        if attempt.is_timed() || attempt.was_rejected() && is_last {
+            self.record_wait(rpc, attempt, now);
+        }
+        self.admission.record_attempt(rpc, attempt, now);
+        if attempt.is_timed() {
+            let response_time = &attempt.backend.response_time;
+            response_time.add(duration, now, AVERAGING_TIME);
+            let idle_signal = self.load_reports.idle_signal(now);
+            throttle::record_attempt(rpc, attempt, idle_signal, now);
+        }
+        if attempt.may_still_run() {
+            let cooldown = self.rules.limits.key_cooldown;
+            self.keyed.cool_down(rpc, now + cooldown);
+        }
+    }
+
+    /// Records how long an attempt took, with the way in which its backend was chosen.
+    fn record_wait(&self, rpc: &RpcState, attempt: &CompletedAttempt, now: f64) {
+        let estimates = &self.fleet.estimates;
+        match attempt.choice {
+            BackendChoice::Random { mean_load } => {
+                let duration = attempt.estimated_duration();
+                rpc.method.record_wait(duration, mean_load, estimates, now);
+            }
+            BackendChoice::IdleQueue => self.idle_queue.record_attempt(attempt, estimates, now),
+        }
+    }
+
+    /// Records what the outcome of an attempt tells about its backend.
+    pub(super) fn record_outcome(
+        &mut self,
+        attempt: &CompletedAttempt,
+        report: Option<LoadReport>,
+        now: f64,
+    ) {
+        let backend = &attempt.backend;
+        let outcome = attempt.outcome;
+        backend.record_outcome(outcome, now);
+        match outcome {
+            AttemptOutcome::Succeeded => self.record_success(attempt, report, now),
+            AttemptOutcome::Rejected => {
+                outlier_detection::record_rejection(backend, &mut self.fleet, now);
+            }
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
+            _ => self
+                .outlier_detection
+                .record_failure(backend, outcome, &mut self.fleet, now),
+        }
+    }
+
+    fn record_success(&mut self, attempt: &CompletedAttempt, report: Option<LoadReport>, now: f64) {
+        let backend = &attempt.backend;
+        self.outlier_detection.record_success(backend, now);
+        self.retry_budget.record_success();
+        self.fleet
+            .estimates
+            .record_completion(attempt.duration, now);
+        let ready_count = self.fleet.index.ready_count();
+        let budget = &self.rules.slow_start.budget;
+        budget.record_completion(backend, ready_count, now);
+        self.record_report(backend, report, None, now);
+        if report.is_none() && self.load_reports.idle_signal(now) == IdleSignal::Response {
+            self.enqueue_idle(backend, now);
+        }
+    }
+
+    /// Records the load of a backend by its report, or by the duration of a health check.
+    pub(super) fn record_report(
+        &mut self,
+        backend: &Rc<Backend>,
+        report: Option<LoadReport>,
+        check_duration: Option<f64>,
+        now: f64,
+    ) {
+        let fleet = &self.fleet;
+        let Some(load) = self.load_reports.load(report, check_duration, fleet) else {
+            return;
+        };
+        let source = if check_duration.is_some() {
+            ReportSource::HealthCheck
+        } else {
+            ReportSource::Response
+        };
+        let is_idle = self.load_reports.record(backend, load, source, fleet, now);
+        let budget = &self.rules.slow_start.budget;
+        budget.record_report(backend, source, &fleet.rng, now);
+        if is_idle {
+            self.enqueue_idle(backend, now);
+        }
+    }
+
+    /// Records a health check that did not succeed: its duration tells the load of the backend, and
+    /// unless it was rejected the backend fails.
+    pub(super) fn record_failed_check(
+        &mut self,
+        backend: &Backend,
+        outcome: AttemptOutcome,
+        duration: Option<f64>,
+        now: f64,
+    ) {
+        if let Some(duration) = duration.filter(|_| self.load_reports.checks_measure_queue) {
+            self.fleet.estimates.record_failed_check(duration, now);
+        }
+        if outcome != AttemptOutcome::Rejected {
+            self.outlier_detection
+                .record_failure(backend, outcome, &mut self.fleet, now);
+        }
+    }
+
+    fn enqueue_idle(&mut self, backend: &Rc<Backend>, now: f64) {
+        let idle_signal = self.load_reports.idle_signal(now);
+        self.idle_queue
+            .enqueue(backend, idle_signal, &self.fleet, now);
+    }
+}
