--- a/src/ewma.rs
+++ b/src/ewma.rs
@@ -1,5 +1,7 @@
-//! Exponentially weighted counters and averages. They are brought up to date when they are read, so an idle
-//! one costs nothing. Time constants are given with each call, in seconds.
+//! Exponentially weighted counters and averages.
+//!
+//! They are brought up to date when they are read, so that they cost nothing while idle. Time constants
+//! are given with each call, in seconds.
 use std::cell::Cell;
 
 /// A counter that decays with a time constant.
@@ -10,19 +12,25 @@
 }
 
 impl DecayingCounter {
-    /// Its value by now.
+    /// Returns the factor by which it has decayed since it was updated.
+    fn decay(&self, now: f64, time_constant: f64) -> f64 {
+        let elapsed = (now - self.updated_at.get()).max(0.0);
+        (-elapsed / time_constant).exp()
+    }
+
+    /// Returns its value now.
     pub(crate) fn read(&self, now: f64, time_constant: f64) -> f64 {
-        self.sum.get() * (-(now - self.updated_at.get()).max(0.0) / time_constant).exp()
+        self.sum.get() * self.decay(now, time_constant)
     }
 
-    /// Counts this amount at the present time.
+    /// Adds an amount now.
     pub(crate) fn add(&self, amount: f64, now: f64, time_constant: f64) {
         self.sum.set(self.read(now, time_constant) + amount);
         self.updated_at.set(now);
     }
 }
 
-/// Average of recent samples: two sums that decay alike. It keeps its value while no sample comes in.
+/// An average of recent samples, which keeps its value while no samples arrive.
 #[derive(Debug, Default)]
 pub(crate) struct Ewma {
     total: DecayingCounter,
@@ -36,7 +44,7 @@
         self.count.add(1.0, now, time_constant);
     }
 
-    /// The average, or `default` before the first sample.
+    /// Returns the average, or `default` before the first sample.
     pub(crate) fn value_or(&self, default: f64) -> f64 {
         let count = self.count.sum.get();
         if count > 0.0 {
@@ -46,8 +54,8 @@
         }
     }
 
-    /// The average of the recent samples and of `prior_count` samples of `prior` beside them, so that few
-    /// samples change little.
+    /// Returns the average of the recent samples together with `prior_count` samples of value `prior`,
+    /// so that few samples change little.
     pub(crate) fn with_prior(
         &self,
         now: f64,
@@ -56,11 +64,12 @@
         prior: f64,
     ) -> f64 {
         let total = self.total.read(now, time_constant) + prior_count * prior;
-        total / (self.count.read(now, time_constant) + prior_count)
+        let count = self.count.read(now, time_constant) + prior_count;
+        total / count
     }
 
-    /// The average, decaying towards 0 while no sample comes in.
+    /// Returns the average, which decays towards 0 while no samples arrive.
     pub(crate) fn decayed(&self, now: f64, time_constant: f64) -> f64 {
-        self.value_or(0.0) * (-(now - self.count.updated_at.get()).max(0.0) / time_constant).exp()
+        self.value_or(0.0) * self.count.decay(now, time_constant)
     }
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,14 +1,14 @@
-//! What all mechanisms share.
+//! State that all mechanisms share: the backends, averages over them and the random numbers.
 use crate::backend_index::BackendIndex;
 use crate::estimates::Estimates;
 use crate::rng::Rng;
 
-/// The backends, averages over them, and random numbers.
+/// The backends that this proxy knows, and what is known of them as a whole.
 #[derive(Default)]
 pub(crate) struct Fleet {
-    /// The backends this proxy knows.
+    /// The backends.
     pub index: BackendIndex,
-    /// Averages over them.
+    /// Averages over the backends.
     pub estimates: Estimates,
     /// The generator of all random numbers.
     pub rng: Rng,
--- a/src/keyed_queue/tests.rs
+++ b/src/keyed_queue/tests.rs
@@ -24,13 +24,15 @@
     ))
 }
 
-/// Memory must not grow with every key there ever was, also not with those that cooled down after their RPCs
-/// ended.
+/// Memory must not grow with every key there ever was, nor with keys that cooled down after their RPCs
+/// had ended.
 #[test]
-fn keys_that_nothing_holds_are_forgotten() {
-    let (mut queue, mut most) = (KeyedQueue::default(), 0);
+fn unused_keys_are_removed() {
+    let mut queue = KeyedQueue::default();
+    let mut most_entries = 0;
     for key in 0..1_000_000_u64 {
-        let (now, rpc) = (key as f64 * 1e-3, rpc());
+        let now = key as f64 * 1e-3;
+        let rpc = rpc();
         queue.push(&rpc, key);
         assert!(rpc.key_ready.get());
         if key % 2 == 0 {
@@ -38,20 +40,21 @@
         }
         queue.remove(&rpc);
         assert!(queue.next_ready(now).is_none());
-        most = most.max(queue.keys.len() + queue.due.len());
+        most_entries = most_entries.max(queue.keys.len() + queue.due.len());
     }
     assert!(
-        most < 60,
-        "{most} entries at a thousand keys a second that cool down for 0.05 s"
+        most_entries < 60,
+        "{most_entries} entries at a thousand keys a second with a cooldown of 0.05 s"
     );
     assert!(queue.next_ready(f64::INFINITY).is_none());
     assert_eq!((queue.keys.len(), queue.next_due()), (0, None));
 }
 
-/// An RPC that ends before it was ready makes no other one ready.
+/// An RPC that ends before it was ready makes no other RPC ready.
 #[test]
-fn an_rpc_is_ready_once_and_only_when_the_one_before_has_ended() {
-    let (mut queue, rpcs) = (KeyedQueue::default(), [rpc(), rpc(), rpc()]);
+fn rpc_becomes_ready_once_after_the_previous_rpc_with_its_key_has_finished() {
+    let mut queue = KeyedQueue::default();
+    let rpcs = [rpc(), rpc(), rpc()];
     rpcs.iter().for_each(|rpc| queue.push(rpc, 5));
     assert_eq!(queue.length(&rpcs[2]), 3);
     queue.remove(&rpcs[1]);
