--- a/crates/daemon/src/downstream/head_scan.rs
+++ b/crates/daemon/src/downstream/head_scan.rs
@@ -1,13 +1,13 @@
-//! Reads from the bytes of a message's head how its body is framed. hyper goes by one declaration and drops another
-//! unseen, and does not tell where a message ends.
+//! Scans the head of a message for the framing of its body. hyper follows one declaration and silently drops another, and
+//! doesn't tell where a message ends.
 use httparse::{EMPTY_HEADER, Request, Status};
 
-/// Bytes of a head at most.
+/// Longest head that is accepted, in bytes.
 pub(super) const HEAD_LIMIT: usize = 16 << 10;
-/// Fields of a head at most, as hyper has it.
+/// Largest number of header fields, the same as in hyper.
 const MAX_FIELDS: usize = 100;
 
-/// How often a head declares the framing of its body.
+/// The number of times that a head declares the framing of its body, by header field.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Framings {
     /// `Content-Length` fields.
@@ -17,66 +17,67 @@
 }
 
 impl Framings {
-    /// There is only one way to read where the body ends.
-    pub(crate) fn is_clear(self) -> bool {
+    /// Whether the framing is declared once at most, so that the end of the body is unambiguous.
+    pub(crate) fn is_unambiguous(self) -> bool {
         self.lengths + self.codings <= 1
     }
 }
 
-/// How a message's body is delimited.
+/// The framing of a message's body.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum BodyFraming {
-    /// So many bytes, or none.
+    /// A body of this number of bytes.
     Length(u64),
-    /// By the chunked coding.
+    /// The chunked transfer coding.
     Chunked,
-    /// In two ways, or in one that is not understood: such a message is rejected, and its connection closed.
-    Unclear,
+    /// Declared more than once, or in an unsupported way. Such a message is rejected and its connection closed.
+    Ambiguous,
 }
 
-/// A complete head.
+/// The framing that a complete head declares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ScannedHead {
-    /// What it declares.
+    /// The number of declarations.
     pub framings: Framings,
-    /// What follows from that.
+    /// The framing that follows from them.
     pub body: BodyFraming,
 }
 
-/// Collects a message's head, in pieces of any size.
+/// Collects the head of a message, received in pieces of any size.
 #[derive(Default)]
 pub(super) struct HeadScan {
     head: Vec<u8>,
-    /// Lines that are complete and not empty; the first is the request line.
-    lines: usize,
-    /// The line at hand has a byte besides its end.
+    /// Number of complete lines that are not empty. The first one is the request line.
+    complete_lines: usize,
+    /// Whether the current line has a byte other than its line ending.
     is_line_begun: bool,
 }
 
 impl HeadScan {
-    /// Whether a byte of the message was seen.
+    /// Whether a byte of the message was received.
     pub(super) fn is_begun(&self) -> bool {
         !self.head.is_empty()
     }
 
-    /// Takes bytes up to the head's end, removes them from `bytes`, and returns the head once it is complete.
+    /// Consumes bytes up to the end of the head, and returns its framing once it is complete.
     pub(super) fn feed(&mut self, bytes: &mut &[u8]) -> Option<ScannedHead> {
         let end = bytes.iter().position(|byte| self.ends_with(*byte));
         let (head, rest) = bytes.split_at(end.map_or(bytes.len(), |end| end + 1));
         *bytes = rest;
-        // hyper rejects a longer one; only its end is looked for.
-        let room = HEAD_LIMIT.saturating_sub(self.head.len());
-        self.head.extend_from_slice(&head[..head.len().min(room)]);
+        // hyper rejects a longer head. The scan only looks for its end.
+        let capacity_left = HEAD_LIMIT.saturating_sub(self.head.len());
+        self.head
+            .extend_from_slice(&head[..head.len().min(capacity_left)]);
         end.map(|_| parse(&self.head))
     }
 
-    /// Whether this byte is the last of the head. Empty lines ahead of a message do not end it.
+    /// Whether this byte is the last one of the head. Empty lines before the request line don't end it.
     fn ends_with(&mut self, byte: u8) -> bool {
         match byte {
             b'\r' => false,
             b'\n' => {
-                let is_end = self.lines > 0 && !self.is_line_begun;
-                self.lines += usize::from(self.is_line_begun);
+                let is_end = self.complete_lines > 0 && !self.is_line_begun;
+                self.complete_lines += usize::from(self.is_line_begun);
                 self.is_line_begun = false;
                 is_end
             }
@@ -88,34 +89,40 @@
     }
 }
 
+/// Parses a complete head.
 fn parse(head: &[u8]) -> ScannedHead {
     let mut fields = [EMPTY_HEADER; MAX_FIELDS];
     let mut request = Request::new(&mut fields);
-    let is_readable = matches!(request.parse(head), Ok(Status::Complete(_)));
-    let named = |name: &'static str| {
+    let is_well_formed = matches!(request.parse(head), Ok(Status::Complete(_)));
+    let fields_named = |name: &'static str| {
         let fields = request.headers.iter();
         fields.filter(move |field| field.name.eq_ignore_ascii_case(name))
     };
     let framings = Framings {
-        lengths: named("content-length").count(),
-        codings: named("transfer-encoding").count(),
+        lengths: fields_named("content-length").count(),
+        codings: fields_named("transfer-encoding").count(),
     };
-    let length = named("content-length").next().map(|field| field.value);
-    let coding = named("transfer-encoding").next().map(|field| field.value);
+    let length = fields_named("content-length")
+        .next()
+        .map(|field| field.value);
+    let coding = fields_named("transfer-encoding")
+        .next()
+        .map(|field| field.value);
     let body = match (length, coding) {
-        _ if !is_readable || !framings.is_clear() => BodyFraming::Unclear,
+        _ if !is_well_formed || !framings.is_unambiguous() => BodyFraming::Ambiguous,
         (None, None) => BodyFraming::Length(0),
         (_, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") => BodyFraming::Chunked,
-        (_, Some(_)) => BodyFraming::Unclear,
+        (_, Some(_)) => BodyFraming::Ambiguous,
         (Some(length), None) => parse_length(length),
     };
     ScannedHead { framings, body }
 }
 
+/// Parses the value of `Content-Length`.
 fn parse_length(value: &[u8]) -> BodyFraming {
     let length = str::from_utf8(value).ok();
     let length = length.and_then(|length| length.parse().ok());
-    length.map_or(BodyFraming::Unclear, BodyFraming::Length)
+    length.map_or(BodyFraming::Ambiguous, BodyFraming::Length)
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/downstream/head_scan/tests.rs
+++ b/crates/daemon/src/downstream/head_scan/tests.rs
@@ -20,7 +20,7 @@
                 lengths: 2,
                 codings: 1,
             },
-            body: BodyFraming::Unclear,
+            body: BodyFraming::Ambiguous,
         };
         assert_eq!(found, Some(expected), "pieces of {size}");
         assert_eq!(left, behind, "pieces of {size}");
@@ -46,6 +46,6 @@
         "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
         "no field\r\n",
     ] {
-        assert_eq!(body(fields), BodyFraming::Unclear, "{fields}");
+        assert_eq!(body(fields), BodyFraming::Ambiguous, "{fields}");
     }
 }
--- a/crates/daemon/src/downstream/message_scan.rs
+++ b/crates/daemon/src/downstream/message_scan.rs
@@ -1,121 +1,136 @@
-//! Finds in the bytes that a client sends where each message ends. hyper reads ahead of the message that it is at: the
-//! start of a further one may stand in its buffer, and nothing would tell that a client stopped in the middle of it.
+//! Finds the end of each message in the bytes that a client sends. hyper may have buffered a part of the next message, and
+//! doesn't tell that the client has stopped in the middle of it.
 use crate::downstream::head_scan::{BodyFraming, Framings, HeadScan, ScannedHead};
 use std::collections::VecDeque;
+use thiserror::Error;
 
-/// What the next byte belongs to.
-enum Part {
+/// The part of a message that the next byte belongs to.
+enum MessagePart {
+    /// The head.
     Head(HeadScan),
-    /// So many bytes of a body, or of a chunk's data, are still to come.
-    Body(u64),
-    ChunkSize(ChunkSize),
-    ChunkData(u64),
-    /// The line end behind a chunk's data.
+    /// A body with a declared length.
+    Body {
+        /// Bytes that were not received yet.
+        bytes_left: u64,
+    },
+    /// The line before a chunk's data.
+    ChunkSize(ChunkSizeLine),
+    /// A chunk's data.
+    ChunkData {
+        /// Bytes that were not received yet.
+        bytes_left: u64,
+    },
+    /// The line ending after a chunk's data.
     ChunkEnd,
-    /// Behind the last chunk; whether the line at hand has a byte besides its end.
+    /// The lines after the last chunk.
     Trailers {
+        /// Whether the current line has a byte other than its line ending.
         is_line_begun: bool,
     },
-    /// Not to be told: the message is rejected, and its connection closed.
-    Unclear,
+    /// The end of the message can't be found. The message is rejected and its connection closed.
+    Ambiguous,
 }
 
-impl Default for Part {
+impl Default for MessagePart {
     fn default() -> Self {
         Self::Head(HeadScan::default())
     }
 }
 
-/// The line ahead of a chunk's data.
+/// The line before a chunk's data, which holds its size.
 #[derive(Default)]
-struct ChunkSize {
+struct ChunkSizeLine {
     size: u64,
-    /// An extension, or space, follows the digits.
-    are_digits_over: bool,
+    /// Whether the digits have ended and an extension or space follows.
+    have_digits_ended: bool,
 }
 
-impl ChunkSize {
-    /// Takes the next byte; the size once the line is complete, an error if it is none.
-    fn push(&mut self, byte: u8) -> Result<Option<u64>, NoChunkSize> {
+impl ChunkSizeLine {
+    /// Consumes the next byte, and returns the size once the line is complete.
+    ///
+    /// # Errors
+    /// The size doesn't fit into 64 bits.
+    fn push(&mut self, byte: u8) -> Result<Option<u64>, ChunkSizeOverflow> {
         match (byte as char).to_digit(16) {
             _ if byte == b'\n' => return Ok(Some(self.size)),
-            Some(digit) if !self.are_digits_over => {
-                let shifted = self.size.checked_mul(16).ok_or(NoChunkSize)?;
+            Some(digit) if !self.have_digits_ended => {
+                let shifted = self.size.checked_mul(16).ok_or(ChunkSizeOverflow)?;
                 self.size = shifted + u64::from(digit);
             }
-            _ => self.are_digits_over = true,
+            _ => self.have_digits_ended = true,
         }
         Ok(None)
     }
 }
 
-/// A chunk's size is beyond all limits.
-struct NoChunkSize;
+/// The size of a chunk doesn't fit into 64 bits.
+#[derive(Debug, Error)]
+#[error("chunk size overflow")]
+struct ChunkSizeOverflow;
 
 /// Follows the messages on a client's connection.
 #[derive(Default)]
 pub(super) struct MessageScan {
-    part: Part,
-    /// Of the heads that are complete and were not asked for yet, the earliest first.
+    part: MessagePart,
+    /// The framings of complete heads that were not taken yet, the earliest first.
     framings: VecDeque<Framings>,
 }
 
 impl MessageScan {
-    /// Takes the next bytes of the connection.
+    /// Scans the next bytes of the connection.
     pub(super) fn feed(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             self.advance(&mut bytes);
         }
     }
 
-    /// What the earliest complete head that was not asked for declares.
+    /// Takes the framings of the earliest complete head that were not taken yet.
     pub(super) fn take_framings(&mut self) -> Option<Framings> {
         self.framings.pop_front()
     }
 
-    /// Whether a message has begun whose end was not seen.
+    /// Whether a message has begun and is not complete.
     pub(super) fn is_inside_message(&self) -> bool {
         match &self.part {
-            Part::Head(head) => head.is_begun(),
+            MessagePart::Head(head) => head.is_begun(),
             _ => true,
         }
     }
 
-    /// Takes one byte or more.
+    /// Consumes one byte or more.
     fn advance(&mut self, bytes: &mut &[u8]) {
         let next = match &mut self.part {
-            Part::Head(scan) => {
+            MessagePart::Head(scan) => {
                 let head = scan.feed(bytes);
                 head.map(|head| self.begin_body(head))
             }
-            Part::Body(left) => {
-                skip(bytes, left);
-                (*left == 0).then(Part::default)
+            MessagePart::Body { bytes_left } => {
+                skip(bytes, bytes_left);
+                (*bytes_left == 0).then(MessagePart::default)
             }
-            Part::ChunkSize(line) => match line.push(take_byte(bytes)) {
+            MessagePart::ChunkSize(line) => match line.push(take_byte(bytes)) {
                 Ok(None) => None,
-                Ok(Some(0)) => Some(Part::Trailers {
+                Ok(Some(0)) => Some(MessagePart::Trailers {
                     is_line_begun: false,
                 }),
-                Ok(Some(size)) => Some(Part::ChunkData(size)),
-                Err(NoChunkSize) => Some(Part::Unclear),
+                Ok(Some(size)) => Some(MessagePart::ChunkData { bytes_left: size }),
+                Err(ChunkSizeOverflow) => Some(MessagePart::Ambiguous),
             },
-            Part::ChunkData(left) => {
-                skip(bytes, left);
-                (*left == 0).then_some(Part::ChunkEnd)
-            }
-            Part::ChunkEnd => {
-                (take_byte(bytes) == b'\n').then(|| Part::ChunkSize(ChunkSize::default()))
+            MessagePart::ChunkData { bytes_left } => {
+                skip(bytes, bytes_left);
+                (*bytes_left == 0).then_some(MessagePart::ChunkEnd)
             }
-            Part::Trailers { is_line_begun } => match take_byte(bytes) {
+            MessagePart::ChunkEnd => (take_byte(bytes) == b'\n')
+                .then(|| MessagePart::ChunkSize(ChunkSizeLine::default())),
+            MessagePart::Trailers { is_line_begun } => match take_byte(bytes) {
                 b'\r' => None,
-                b'\n' if !*is_line_begun => Some(Part::default()),
+                b'\n' if !*is_line_begun => Some(MessagePart::default()),
                 byte => {
                     *is_line_begun = byte != b'\n';
                     None
                 }
             },
-            Part::Unclear => {
+            MessagePart::Ambiguous => {
                 *bytes = &[];
                 None
             }
@@ -125,31 +140,35 @@
         }
     }
 
-    /// The part behind a complete head.
-    fn begin_body(&mut self, head: ScannedHead) -> Part {
+    /// Returns the part that follows a complete head.
+    fn begin_body(&mut self, head: ScannedHead) -> MessagePart {
         self.framings.push_back(head.framings);
         match head.body {
-            BodyFraming::Length(0) => Part::default(),
-            BodyFraming::Length(length) => Part::Body(length),
-            BodyFraming::Chunked => Part::ChunkSize(ChunkSize::default()),
-            BodyFraming::Unclear => Part::Unclear,
+            BodyFraming::Length(0) => MessagePart::default(),
+            BodyFraming::Length(length) => MessagePart::Body { bytes_left: length },
+            BodyFraming::Chunked => MessagePart::ChunkSize(ChunkSizeLine::default()),
+            BodyFraming::Ambiguous => MessagePart::Ambiguous,
         }
     }
 }
 
+/// Consumes one byte.
+///
+/// # Panics
+/// There is none.
 fn take_byte(bytes: &mut &[u8]) -> u8 {
-    let (first, rest) = bytes.split_first().expect("a byte to take");
+    let (first, rest) = bytes.split_first().expect("at least one byte");
     *bytes = rest;
     *first
 }
 
-/// Passes over as many of `left` bytes as there are.
-fn skip(bytes: &mut &[u8], left: &mut u64) {
+/// Consumes up to `bytes_left` bytes, as far as they are available.
+fn skip(bytes: &mut &[u8], bytes_left: &mut u64) {
     let length = bytes
         .len()
-        .min(usize::try_from(*left).unwrap_or(usize::MAX));
+        .min(usize::try_from(*bytes_left).unwrap_or(usize::MAX));
     *bytes = &bytes[length..];
-    *left -= length as u64;
+    *bytes_left -= length as u64;
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/downstream/message_scan/tests.rs
+++ b/crates/daemon/src/downstream/message_scan/tests.rs
@@ -51,7 +51,10 @@
 fn the_framing_of_a_message_behind_another_is_counted() {
     let (is_inside, framings) = scan(&[GET, TWICE].concat());
     assert!(is_inside, "nothing behind it can be told apart");
-    let clear: Vec<_> = framings.iter().map(|found| found.is_clear()).collect();
+    let clear: Vec<_> = framings
+        .iter()
+        .map(|found| found.is_unambiguous())
+        .collect();
     assert_eq!(clear, [true, false]);
 }
 
--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: the listener, their connections, requests and responses.
+//! Clients: the listener, connections, requests and responses.
 
 pub(crate) mod body_deadline;
 mod client_protocol;
@@ -18,4 +18,5 @@
 mod rpc_deadline;
 pub(crate) mod rpc_guard;
 mod rpc_log;
+mod rpc_outcome;
 pub(crate) mod rpc_service;
--- a/crates/daemon/src/downstream/request_error.rs
+++ b/crates/daemon/src/downstream/request_error.rs
@@ -1,32 +1,33 @@
-//! Why a client's message is no RPC, and the response to it.
+//! The errors in a client's message, and the responses to them.
 use crate::config::name_table::MethodError;
 use crate::downstream::response::ProxyResponse;
 use hyper::StatusCode;
 
-/// Why a client's message is no RPC.
+/// A client's message is not a valid RPC.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RequestError {
-    /// The framing of its body is declared twice, or in an unsupported way.
+    /// The framing of the body is declared twice, or in an unsupported way.
     AmbiguousFraming,
-    /// A header field that has one value is there more than once.
+    /// A header field that must have a single value is repeated.
     DuplicateHeader,
     /// `Request-Id` is missing or malformed.
     InvalidRequestId,
     /// `Request-Timeout-Ms` is missing or malformed.
     InvalidTimeout,
-    /// Its body can't be read.
+    /// The body is malformed or was truncated.
     MalformedBody,
-    /// A GET has a body.
+    /// A `GET` request has a body.
     UnexpectedBody,
-    /// Its body is longer than the protocol allows.
+    /// The body is longer than the protocol permits.
     BodyTooLarge,
-    /// Its body was not received in time.
+    /// The body was not received in time.
     BodyTimeout,
     /// An RPC with the same `Request-Id` is in flight.
     DuplicateRequestId,
 }
 
 impl RequestError {
+    /// The status of the response.
     fn status(self) -> StatusCode {
         match self {
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// The response's body.
+    /// The body of the response. These texts are on the wire and stay as they are.
     fn message(self) -> &'static str {
         match self {
             Self::AmbiguousFraming => "its length is told twice, or in a way that is not taken\n",
--- a/crates/daemon/src/downstream/request_parser.rs
+++ b/crates/daemon/src/downstream/request_parser.rs
@@ -75,7 +75,7 @@
     let coding = client_protocol::single_value(headers, &TRANSFER_ENCODING)?;
     let is_supported =
         coding.is_none_or(|coding| coding.as_bytes().eq_ignore_ascii_case(b"chunked"));
-    if framings.is_some_and(Framings::is_clear) && is_supported {
+    if framings.is_some_and(Framings::is_unambiguous) && is_supported {
         return Ok(());
     }
     Err(RequestError::AmbiguousFraming)
--- a/crates/daemon/src/downstream/response.rs
+++ b/crates/daemon/src/downstream/response.rs
@@ -1,4 +1,4 @@
-//! Responses to clients, each encoded once.
+//! Responses to clients and their encoding.
 use crate::downstream::client_protocol::{FAILED_BODY, NOT_READY_BODY, READY_BODY, REJECTED_BODY};
 use crate::net::body::{ResponseBody, StreamedBody};
 use bytes::Bytes;
@@ -6,27 +6,27 @@
 use hyper::{Response, StatusCode};
 use std::fmt;
 
-/// The end of an RPC as the client is to see it.
+/// A response to a client.
 pub(crate) enum ProxyResponse {
-    /// A backend's body, unchanged.
+    /// The body of a backend's response.
     Ok(Bytes),
-    /// The same, streamed.
+    /// The body of a backend's response, streamed.
     Streamed(StreamedBody),
-    /// Nothing ran: a retry is safe.
+    /// The RPC was rejected: a retry is safe.
     Rejected {
-        /// When to retry, in seconds from now; no `Retry-After` is sent if 0.
+        /// The `Retry-After` in seconds; 0 for none.
         retry_after: f64,
     },
-    /// Failed, with no promise about what ran.
+    /// The RPC failed, and may have had an effect.
     Failed,
-    /// What the client sent cannot be an RPC.
+    /// The client's message is not a valid RPC.
     ClientError {
-        /// A status of the 400s.
+        /// The status, a 4xx code.
         status: StatusCode,
-        /// The body, a line of text.
+        /// The body, one line of text.
         message: &'static str,
     },
-    /// Whether this proxy is ready for clients.
+    /// The result of a readiness check.
     Health(bool),
 }
 
@@ -44,13 +44,13 @@
 }
 
 impl ProxyResponse {
-    /// A rejection without `Retry-After`.
+    /// Creates a rejection without `Retry-After`.
     pub(crate) fn rejected() -> Self {
         Self::Rejected { retry_after: 0.0 }
     }
 
-    /// The HTTP message; with `closes` it announces that the connection is closed after it.
-    pub(crate) fn encode(self, closes: bool) -> Response<ResponseBody> {
+    /// Encodes the HTTP message, with `Connection: close` if the connection is closed after it.
+    pub(crate) fn encode(self, is_closing: bool) -> Response<ResponseBody> {
         let retry_after = self.retry_after();
         let (status, body) = self.into_status_and_body();
         let mut response = Response::new(body);
@@ -58,7 +58,7 @@
         if let Some(value) = retry_after {
             response.headers_mut().insert(RETRY_AFTER, value);
         }
-        if closes {
+        if is_closing {
             response
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -66,7 +66,7 @@
         response
     }
 
-    /// The value of `Retry-After`, in seconds.
+    /// Returns the value of `Retry-After`, in seconds.
     fn retry_after(&self) -> Option<HeaderValue> {
         match self {
             Self::Rejected { retry_after } if *retry_after > 0.0 => {
--- a/crates/daemon/src/downstream/rpc_deadline.rs
+++ b/crates/daemon/src/downstream/rpc_deadline.rs
@@ -2,6 +2,7 @@
 use crate::downstream::request::ReceivedRpc;
 use crate::downstream::request_error::RequestError;
 use crate::downstream::response::ProxyResponse;
+use crate::downstream::rpc_outcome::RpcOutcome;
 use crate::end_reason::EndReason;
 use crate::net::body::{RequestUpload, UploadError};
 use crate::time_limits::RESPONSE_GRACE_PERIOD;
@@ -30,26 +31,23 @@
     sleep_until(received_at + timeout).await;
 }
 
-/// Waits until a streamed request has failed before its last byte, and returns the response. Pending for ever if the
-/// request is buffered or completes.
-pub(super) async fn incomplete_upload(
-    upload: Option<&RequestUpload>,
-) -> (ProxyResponse, EndReason) {
+/// Waits until a streamed request has failed before its last byte, and returns the outcome of its RPC. Pending for ever if
+/// the request is buffered or completes.
+pub(super) async fn incomplete_upload(upload: Option<&RequestUpload>) -> RpcOutcome {
     let Some(upload) = upload else {
         return pending().await;
     };
     match upload.failed().await {
         UploadError::LimitExceeded => {
-            (RequestError::BodyTooLarge.into(), EndReason::InvalidRequest)
+            RpcOutcome::new(RequestError::BodyTooLarge, EndReason::InvalidRequest)
+        }
+        UploadError::Truncated => {
+            RpcOutcome::new(RequestError::MalformedBody, EndReason::InvalidRequest)
         }
-        UploadError::Truncated => (
-            RequestError::MalformedBody.into(),
-            EndReason::InvalidRequest,
-        ),
         UploadError::Stalled if upload.is_waiting_for_client() => {
-            (RequestError::BodyTimeout.into(), EndReason::BodyStalled)
+            RpcOutcome::new(RequestError::BodyTimeout, EndReason::BodyStalled)
         }
         // No backend has received the complete request, so none has started it.
-        UploadError::Stalled => (ProxyResponse::rejected(), EndReason::BodyStalled),
+        UploadError::Stalled => RpcOutcome::new(ProxyResponse::rejected(), EndReason::BodyStalled),
     }
 }
--- a/crates/daemon/src/downstream/rpc_guard.rs
+++ b/crates/daemon/src/downstream/rpc_guard.rs
@@ -1,16 +1,17 @@
-//! Reports to the decision actor when an RPC is dropped before its response.
+//! Reports a client's disconnect to the decision actor.
 use crate::messages::Event;
 use tokio::sync::mpsc::OwnedPermit;
 
-/// An RPC that the decision actor works on. Dropped before its response, as when the client disconnects, it sends
-/// [`Event::ClientDisconnected`]; the room for that event in the actor's mailbox is reserved from the start.
+/// Guards an RPC that the decision actor has received. If it is dropped before the response, because the client has
+/// disconnected, it sends [`Event::ClientDisconnected`]. The place for that event in the actor's mailbox is reserved from
+/// the start.
 pub(crate) struct RpcGuard {
     rpc: u64,
     permit: Option<OwnedPermit<Event>>,
 }
 
 impl RpcGuard {
-    /// Guards this RPC.
+    /// Creates the guard of this RPC.
     pub(crate) fn new(rpc: u64, permit: OwnedPermit<Event>) -> Self {
         Self {
             rpc,
@@ -18,7 +19,7 @@
         }
     }
 
-    /// The RPC has its response: nothing is sent, and the reserved room is given back.
+    /// Releases the reserved place without an event, once the RPC has its response.
     pub(crate) fn disarm(mut self) {
         self.permit = None;
     }
--- /dev/null
+++ b/crates/daemon/src/downstream/rpc_outcome.rs
@@ -0,0 +1,34 @@
+//! The outcome of an RPC: its response and the reason that is logged.
+use crate::downstream::response::ProxyResponse;
+use crate::end_reason::EndReason;
+
+/// The outcome of an RPC.
+pub(super) struct RpcOutcome {
+    /// The response to the client.
+    pub response: ProxyResponse,
+    /// The reason of the end.
+    pub reason: EndReason,
+}
+
+impl RpcOutcome {
+    /// Creates an outcome with this response and reason.
+    pub(super) fn new(response: impl Into<ProxyResponse>, reason: EndReason) -> Self {
+        Self {
+            response: response.into(),
+            reason,
+        }
+    }
+
+    /// Creates the outcome of an RPC with this response of the decision actor.
+    pub(super) fn decided(response: ProxyResponse) -> Self {
+        let reason = match response {
+            ProxyResponse::Ok(_) | ProxyResponse::Streamed(_) | ProxyResponse::Health(_) => {
+                EndReason::Served
+            }
+            ProxyResponse::Rejected { .. } => EndReason::RejectedByDecision,
+            ProxyResponse::Failed => EndReason::FailedByDecision,
+            ProxyResponse::ClientError { .. } => EndReason::InvalidRequest,
+        };
+        Self { response, reason }
+    }
+}
--- a/crates/daemon/src/downstream/rpc_service.rs
+++ b/crates/daemon/src/downstream/rpc_service.rs
@@ -11,6 +11,7 @@
 use crate::downstream::rpc_deadline::{client_timeout, incomplete_upload, response_deadline};
 use crate::downstream::rpc_guard::RpcGuard;
 use crate::downstream::rpc_log::RpcLog;
+use crate::downstream::rpc_outcome::RpcOutcome;
 use crate::end_reason::EndReason;
 use crate::invariants::Invariants;
 use crate::lifecycle::state::ProxyState;
@@ -66,17 +67,26 @@
             return ProxyResponse::Health(self.state.borrow().is_healthy());
         }
         let parsed = self.parser.parse(message, framings, body_deadline);
-        let rpc = match parsed.await {
-            Ok(rpc) => rpc,
+        match parsed.await {
+            Ok(rpc) => self.serve(rpc, connection, client).await,
             Err(response) => {
                 let reason = EndReason::InvalidRequest;
                 log::log!(
                     reason.level(), connection = connection.id(), reason:%;
                     "message is no valid RPC, responding {response}"
                 );
-                return response;
+                response
             }
-        };
+        }
+    }
+
+    /// Serves one RPC: logs it, waits for its outcome and checks that it is not late.
+    async fn serve(
+        &self,
+        rpc: ReceivedRpc,
+        connection: &ClientConnection,
+        client: ClientLiveness,
+    ) -> ProxyResponse {
         connection.enter(ConnectionPhase::RpcInFlight {
             response_deadline: response_deadline(&rpc),
         });
@@ -84,7 +94,7 @@
         let log = RpcLog::begin(&rpc, connection.id(), self.invariants.clone());
         let timeout = rpc.timeout;
         let buffered_at = rpc.received_at;
-        let (response, reason) = self.decide(rpc, client, log.request_id()).await;
+        let outcome = self.decide(rpc, client, log.request_id()).await;
         // The timeout of a streamed request starts with its last byte: without it there is no deadline.
         let received_at = match &upload {
             Some(upload) => upload.completed_at(),
@@ -94,30 +104,29 @@
             self.invariants
                 .check_answer(log.request_id(), received_at + timeout);
         }
-        log.end(reason);
+        log.end(outcome.reason);
         // The rest of a streamed request is not read any more, so the next message can't be found.
         connection.set_closing(upload.is_some_and(|upload| !upload.is_complete()));
-        response
+        outcome.response
     }
 
-    /// Returns the decision actor's response to an RPC, or a failure if there is none by the RPC's deadline.
+    /// Waits for the outcome of an RPC: the decision actor's response, or a failure if there is none by its deadline.
     async fn decide(
         &self,
         mut rpc: ReceivedRpc,
         client: ClientLiveness,
         log_id: &str,
-    ) -> (ProxyResponse, EndReason) {
+    ) -> RpcOutcome {
         rpc.timeout = self.timeout_before_shutdown(&rpc);
         if rpc.timeout.is_zero() {
-            return (ProxyResponse::rejected(), EndReason::ShuttingDown);
+            return RpcOutcome::new(ProxyResponse::rejected(), EndReason::ShuttingDown);
         }
         // Reserves a place in the mailbox for the client's disconnect. Without one nothing is sent, and a retry is safe.
         let Ok(permit) = self.events.clone().try_reserve_owned() else {
-            return (ProxyResponse::rejected(), EndReason::Overloaded);
+            return RpcOutcome::new(ProxyResponse::rejected(), EndReason::Overloaded);
         };
         let Some(request_id) = self.active_request_ids.try_insert(rpc.request.id()) else {
-            let response = RequestError::DuplicateRequestId.into();
-            return (response, EndReason::InvalidRequest);
+            return RpcOutcome::new(RequestError::DuplicateRequestId, EndReason::InvalidRequest);
         };
         let id = self.next_rpc.replace(self.next_rpc.get() + 1);
         let guard = RpcGuard::new(id, permit);
@@ -125,18 +134,19 @@
         let timeout = client_timeout(upload.as_deref(), rpc.received_at, rpc.timeout);
         select! {
             biased;
-            end = incomplete_upload(upload.as_deref()) => end,
+            outcome = incomplete_upload(upload.as_deref()) => outcome,
             Some(response) = self.submit(id, rpc, request_id, client) => {
                 guard.disarm();
-                let reason = decision_reason(&response);
-                (response, reason)
+                RpcOutcome::decided(response)
             }
             () = timeout => {
                 log::error!("RPC {log_id} exceeded its deadline without a response");
-                (ProxyResponse::Failed, EndReason::DeadlineExceeded)
+                RpcOutcome::new(ProxyResponse::Failed, EndReason::DeadlineExceeded)
             }
-            () = self.shutdown_deadline() => (ProxyResponse::Failed, EndReason::ShuttingDown),
-            else => (ProxyResponse::Failed, EndReason::LostByDecisions),
+            () = self.shutdown_deadline() => {
+                RpcOutcome::new(ProxyResponse::Failed, EndReason::ShuttingDown)
+            }
+            else => RpcOutcome::new(ProxyResponse::Failed, EndReason::LostByDecisions),
         }
     }
 
@@ -181,15 +191,3 @@
         until(deadline.ok().flatten()).await;
     }
 }
-
-/// Returns the end reason of an RPC with this response of the decision actor.
-fn decision_reason(response: &ProxyResponse) -> EndReason {
-    match response {
-        ProxyResponse::Ok(_) | ProxyResponse::Streamed(_) | ProxyResponse::Health(_) => {
-            EndReason::Served
-        }
-        ProxyResponse::Rejected { .. } => EndReason::RejectedByDecision,
-        ProxyResponse::Failed => EndReason::FailedByDecision,
-        ProxyResponse::ClientError { .. } => EndReason::InvalidRequest,
-    }
-}
