--- a/crates/audit/src/audit.rs
+++ b/crates/audit/src/audit.rs
@@ -5,9 +5,9 @@
 //!    pushed back only where that is harmless.
 //! 3. Nothing new to a draining or gone node later than the grace after its proxy was told.
 //! 4. No cold node pushed over by what informed proxies sent, all together.
-use crate::event::{Admission, Answer, AttemptEnd, End, Entry, Event, State};
+use crate::event::{Admission, Answer, AttemptEnd, End, EndpointState, Entry, Event};
 use crate::findings::{ColdStart, Counts, Findings, LatenessSummary, Rule, Violation};
-use crate::head::{Head, Kind};
+use crate::head::{Head, Idempotency};
 use crate::service::Totals;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -149,7 +149,7 @@
             .map_or("?", |n| &n.name)
     }
 
-    fn kind(&self, rpc: u32) -> Option<Kind> {
+    fn kind(&self, rpc: u32) -> Option<Idempotency> {
         let asked = self.rpcs.get(&rpc)?;
         self.head.methods.get(asked.method).map(|m| m.kind)
     }
@@ -250,14 +250,14 @@
                 incarnation,
                 state,
             } => {
-                let off = (state != State::Ready).then_some(at);
+                let off = (state != EndpointState::Ready).then_some(at);
                 let slot = self
                     .told
                     .entry((proxy, backend))
                     .or_insert((incarnation, off));
                 let still = slot
                     .1
-                    .filter(|_| slot.0 == incarnation && state != State::Ready);
+                    .filter(|_| slot.0 == incarnation && state != EndpointState::Ready);
                 *slot = (incarnation, still.or(off));
             }
             Event::ProxyStarted { proxy } => {
@@ -395,7 +395,13 @@
                 late * 1e3,
                 self.proxy_name(proxy)
             );
-            self.report(Rule::Drains, first_byte_at, Self::rpc_name(rpc), what, true);
+            self.report(
+                Rule::Draining,
+                first_byte_at,
+                Self::rpc_name(rpc),
+                what,
+                true,
+            );
         }
     }
 
@@ -448,7 +454,7 @@
             "pushed over {age:.1} s after its start, {:.0}% of it by proxies that knew of the start",
             informed / all.max(f64::MIN_POSITIVE) * 100.0
         );
-        self.report(Rule::ColdNodes, at, name, what, false);
+        self.report(Rule::SlowStart, at, name, what, false);
     }
 
     /// An effect happened.
@@ -470,11 +476,17 @@
         let effects = asked.effects;
         match kind {
             _ if effects < 2 => {}
-            Some(Kind::Idempotent) => self.counts.repeated_executions += 1,
+            Some(Idempotency::Idempotent) => self.counts.repeated_executions += 1,
             Some(_) => {
                 self.counts.double_executions += 1;
                 let what = format!("ran {effects} times");
-                self.report(Rule::NoEffectTwice, at, Self::rpc_name(rpc), what, false);
+                self.report(
+                    Rule::NoDuplicateEffect,
+                    at,
+                    Self::rpc_name(rpc),
+                    what,
+                    false,
+                );
             }
             None => {}
         }
@@ -533,7 +545,7 @@
             }
             if n >= rules.max_attempts {
                 let what = format!("{} picks, {} are allowed", n + 1, rules.max_attempts);
-                found.push((Rule::NoEffectTwice, pick.first_byte_at, what, false));
+                found.push((Rule::NoDuplicateEffect, pick.first_byte_at, what, false));
             }
             let before = &entry.picks[..n];
             let out = before
@@ -541,7 +553,7 @@
                 .any(|p| ran(&p) && p.over.is_none_or(|over| over > pick.first_byte_at + slack));
             if out && !rules.hedging_allowed {
                 let what = "a second copy while one was out".to_owned();
-                found.push((Rule::NoEffectTwice, pick.first_byte_at, what, true));
+                found.push((Rule::NoDuplicateEffect, pick.first_byte_at, what, true));
             }
             for first in before.iter().filter(ran) {
                 let backend = |incarnation| {
@@ -551,18 +563,24 @@
                 };
                 let (one, other) = (backend(first.incarnation), backend(pick.incarnation));
                 let (what, timed) = match kind {
-                    Kind::Idempotent => continue,
-                    Kind::NonIdempotent => ("sent again after it may have run".to_owned(), false),
-                    Kind::Deduplicated { group, .. } if !self.head.together(group, one, other) => (
-                        "sent again outside the group that drops repeats".to_owned(),
-                        false,
-                    ),
-                    Kind::Deduplicated { window, .. }
+                    Idempotency::Idempotent => continue,
+                    Idempotency::NonIdempotent => {
+                        ("sent again after it may have run".to_owned(), false)
+                    }
+                    Idempotency::Deduplicated { group, .. }
+                        if !self.head.shares_deduplication(group, one, other) =>
+                    {
+                        (
+                            "sent again outside the group that drops repeats".to_owned(),
+                            false,
+                        )
+                    }
+                    Idempotency::Deduplicated { window, .. }
                         if pick.first_byte_at > first.first_byte_at + window + slack =>
                     {
                         ("sent again after repeats are forgotten".to_owned(), true)
                     }
-                    Kind::Deduplicated { .. } => continue,
+                    Idempotency::Deduplicated { .. } => continue,
                 };
                 let what = format!(
                     "{what}: {} at {:.3}, {} at {:.3}",
@@ -571,15 +589,15 @@
                     self.backend_name(other),
                     pick.first_byte_at
                 );
-                found.push((Rule::NoEffectTwice, pick.first_byte_at, what, timed));
+                found.push((Rule::NoDuplicateEffect, pick.first_byte_at, what, timed));
             }
         }
         if let Some((at, Answer::Rejected(_))) = entry.answer
-            && !kind.repeats_anywhere()
+            && !kind.retry_is_harmless()
             && entry.picks.iter().any(|p| ran(&p) && p.first_byte_at <= at)
         {
             found.push((
-                Rule::NoEffectTwice,
+                Rule::NoDuplicateEffect,
                 at,
                 "pushed back although it may have run".to_owned(),
                 false,
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -51,7 +51,7 @@
 
 /// What the list says of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
+pub enum EndpointState {
     Ready,
     Draining,
     Gone,
@@ -226,7 +226,7 @@
         backend: u32,
         #[serde(rename = "life")]
         incarnation: u32,
-        state: State,
+        state: EndpointState,
     },
     /// The list service wrote it to a proxy, or the proxy started with it.
     #[serde(rename = "Told")]
@@ -236,7 +236,7 @@
         backend: u32,
         #[serde(rename = "life")]
         incarnation: u32,
-        state: State,
+        state: EndpointState,
     },
     /// A proxy's process began, ended, and answered that it is ready.
     ProxyStarted {
--- a/crates/audit/src/findings.rs
+++ b/crates/audit/src/findings.rs
@@ -6,10 +6,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
+    /// Every accepted RPC gets exactly one answer before its deadline.
     OneAnswer = 1,
-    NoEffectTwice = 2,
-    Drains = 3,
-    ColdNodes = 4,
+    /// No effect of an RPC happens twice where its method forbids it.
+    #[serde(rename = "no-effect-twice")]
+    NoDuplicateEffect = 2,
+    /// A draining or removed backend gets no new work.
+    #[serde(rename = "drains")]
+    Draining = 3,
+    /// No backend in slow start is overloaded.
+    #[serde(rename = "cold-nodes")]
+    SlowStart = 4,
 }
 
 /// One breach, told once for its rule and subject.
--- a/crates/audit/src/head.rs
+++ b/crates/audit/src/head.rs
@@ -4,13 +4,13 @@
 /// Which nodes drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Group {
+pub enum DeduplicationScope {
     All,
     Zone,
     Rack,
 }
 
-impl Group {
+impl DeduplicationScope {
     /// Numbers the group that a node of this zone and rack belongs to: no two groups share a number.
     pub fn number(self, zone: u32, rack: u32) -> u64 {
         match self {
@@ -24,24 +24,24 @@
 /// Whether an RPC may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum Idempotency {
     Idempotent,
     NonIdempotent,
     /// Within the group and so many seconds of the first pick that may have run.
     Deduplicated {
-        group: Group,
+        group: DeduplicationScope,
         window: f64,
     },
 }
 
-impl Kind {
+impl Idempotency {
     /// Whether pushing back what may have run is harmless.
-    pub fn repeats_anywhere(self) -> bool {
+    pub fn retry_is_harmless(self) -> bool {
         matches!(
             self,
             Self::Idempotent
                 | Self::Deduplicated {
-                    group: Group::All,
+                    group: DeduplicationScope::All,
                     ..
                 }
         )
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Method {
     pub name: String,
-    pub kind: Kind,
+    pub kind: Idempotency,
     pub target: f64,
     pub deadline: f64,
     pub utility: f64,
@@ -133,12 +133,12 @@
 
 impl Head {
     /// Whether repeats of this method at one node are dropped at the other.
-    pub fn together(&self, group: Group, one: u32, other: u32) -> bool {
+    pub fn shares_deduplication(&self, group: DeduplicationScope, one: u32, other: u32) -> bool {
         let of = |n: u32| self.backends.get(n as usize);
         match (group, of(one), of(other)) {
-            (Group::All, ..) => true,
-            (Group::Zone, Some(a), Some(b)) => a.zone == b.zone,
-            (Group::Rack, Some(a), Some(b)) => (a.zone, a.rack) == (b.zone, b.rack),
+            (DeduplicationScope::All, ..) => true,
+            (DeduplicationScope::Zone, Some(a), Some(b)) => a.zone == b.zone,
+            (DeduplicationScope::Rack, Some(a), Some(b)) => (a.zone, a.rack) == (b.zone, b.rack),
             _ => one == other,
         }
     }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod timeline;
 
 pub use audit::Audit;
-pub use event::{Answer, Entry, Event, State};
+pub use event::{Answer, EndpointState, Entry, Event};
 pub use findings::{Findings, Rule, Violation};
-pub use head::{Group, Head, Kind, Method, Rules};
+pub use head::{DeduplicationScope, Head, Idempotency, Method, Rules};
 pub use service::Service;
--- a/crates/audit/tests/audit.rs
+++ b/crates/audit/tests/audit.rs
@@ -3,7 +3,8 @@
 use birchhub_audit::event::{Admission, AttemptEnd};
 use birchhub_audit::head::{Backend, ServiceTargets};
 use birchhub_audit::{
-    Answer, Audit, Entry, Event, Findings, Group, Head, Kind, Method, Rule, Rules, State, ledger,
+    Answer, Audit, DeduplicationScope, EndpointState, Entry, Event, Findings, Head, Idempotency,
+    Method, Rule, Rules, ledger,
 };
 use birchhub_audit::{event::End, timeline::Timeline};
 
@@ -41,12 +42,12 @@
         },
         targets: ServiceTargets::default(),
         methods: vec![
-            method("read", Kind::Idempotent),
-            method("book", Kind::NonIdempotent),
+            method("read", Idempotency::Idempotent),
+            method("book", Idempotency::NonIdempotent),
             method(
                 "log",
-                Kind::Deduplicated {
-                    group: Group::Rack,
+                Idempotency::Deduplicated {
+                    group: DeduplicationScope::Rack,
                     window: 1.0,
                 },
             ),
@@ -341,14 +342,18 @@
     twice(BOOK, Admission::Rejected, 1.1, 2).clean();
     for first in [Admission::Admitted, Admission::Dropped, Admission::Failed] {
         twice(BOOK, first, 1.1, 0).only(
-            Rule::NoEffectTwice,
+            Rule::NoDuplicateEffect,
             "rpc 7",
             "may have run: n0 at 1.001, n0 at 1.100",
         );
     }
     twice(LOG, Admission::Admitted, 1.1, 1).clean();
     twice(LOG, Admission::Rejected, 1.1, 2).clean();
-    twice(LOG, Admission::Admitted, 1.1, 2).only(Rule::NoEffectTwice, "rpc 7", "outside the group");
+    twice(LOG, Admission::Admitted, 1.1, 2).only(
+        Rule::NoDuplicateEffect,
+        "rpc 7",
+        "outside the group",
+    );
 }
 
 #[test]
@@ -385,7 +390,7 @@
         builder
     };
     of(2.0).clean();
-    of(2.1).only(Rule::NoEffectTwice, "rpc 7", "repeats are forgotten");
+    of(2.1).only(Rule::NoDuplicateEffect, "rpc 7", "repeats are forgotten");
 }
 
 #[test]
@@ -404,7 +409,7 @@
         .runs(1.21, 101)
         .left(1.3, 101, AttemptEnd::Replied);
     builder.answered(1.31, 70, Answer::Ok);
-    builder.only(Rule::NoEffectTwice, "rpc 7", "ran 2 times");
+    builder.only(Rule::NoDuplicateEffect, "rpc 7", "ran 2 times");
 }
 
 #[test]
@@ -418,14 +423,14 @@
         .left(1.2, 100, AttemptEnd::Cancelled)
         .left(1.2, 101, AttemptEnd::Replied)
         .answered(1.2, 7, Answer::Ok);
-    copies.only(Rule::NoEffectTwice, "rpc 7", "second copy");
+    copies.only(Rule::NoDuplicateEffect, "rpc 7", "second copy");
     let mut many = LedgerBuilder::new();
     many.asked(1.0, 7, BOOK);
     for n in 0..4 {
         many.got(1.01 + 0.01 * n as f64, 7, 100 + n, 0, Admission::Rejected);
     }
     many.answered(1.1, 7, Answer::Rejected(None)).only(
-        Rule::NoEffectTwice,
+        Rule::NoDuplicateEffect,
         "rpc 7",
         "4 picks, 3 are allowed",
     );
@@ -446,7 +451,7 @@
             .left(1.2, 100, AttemptEnd::Cancelled);
         builder.answered(1.2, 7, Answer::Rejected(Some(0.1)));
         match harmful {
-            true => builder.only(Rule::NoEffectTwice, "rpc 7", "pushed back although"),
+            true => builder.only(Rule::NoDuplicateEffect, "rpc 7", "pushed back although"),
             false => drop(builder.clean()),
         }
     }
@@ -460,7 +465,7 @@
         incarnation,
         state,
     };
-    for state in [State::Draining, State::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Gone] {
         let mut builder = LedgerBuilder::new();
         // A notification without a change: the grace runs from the first one.
         builder
@@ -472,25 +477,25 @@
         builder.0.pop();
         builder
             .good(2.1, 8, READ)
-            .only(Rule::Drains, "rpc 8", "sent to n0 1101 ms after p0");
+            .only(Rule::Draining, "rpc 8", "sent to n0 1101 ms after p0");
     }
     // Another proxy was notified; or this one, of an earlier incarnation; or it has restarted since.
     LedgerBuilder::new()
-        .at(1.0, told(State::Gone, 0, 1))
+        .at(1.0, told(EndpointState::Gone, 0, 1))
         .good(3.0, 7, READ)
         .clean();
     LedgerBuilder::new()
-        .at(1.0, told(State::Gone, 5, 0))
+        .at(1.0, told(EndpointState::Gone, 5, 0))
         .good(3.0, 7, READ)
         .clean();
     LedgerBuilder::new()
-        .at(1.0, told(State::Gone, 0, 0))
-        .at(1.1, told(State::Ready, 0, 0))
+        .at(1.0, told(EndpointState::Gone, 0, 0))
+        .at(1.1, told(EndpointState::Ready, 0, 0))
         .good(3.0, 7, READ)
         .clean();
     let mut restarted = LedgerBuilder::new();
     restarted
-        .at(1.0, told(State::Gone, 0, 0))
+        .at(1.0, told(EndpointState::Gone, 0, 0))
         .at(1.1, Event::ProxyStarted { proxy: 0 })
         .good(3.0, 7, READ)
         .clean();
@@ -510,7 +515,7 @@
         proxy: 0,
         backend: 2,
         incarnation: LIFE,
-        state: State::Ready,
+        state: EndpointState::Ready,
     };
     ledger.at(1.0, started_at).at(1.0, notified);
     for rpc in 0..3 {
@@ -550,7 +555,7 @@
     for (from_notified_proxy, is_breach) in [(3, true), (2, true), (1, false)] {
         let mut ledger = overloaded_in_slow_start(from_notified_proxy);
         if is_breach {
-            ledger.only(Rule::ColdNodes, "n2", "pushed over 0.5 s after its start");
+            ledger.only(Rule::SlowStart, "n2", "pushed over 0.5 s after its start");
         } else {
             assert_eq!(ledger.clean().counts.collapsed_uninformed, 1);
         }
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -4,7 +4,8 @@
 use birchhub_audit::head::{Backend, Fault, ServiceTargets};
 use birchhub_audit::timeline::Timeline;
 use birchhub_audit::{
-    Answer, Audit, Entry, Event, Group, Head, Kind, Method, Rules, State, ledger,
+    Answer, Audit, DeduplicationScope, EndpointState, Entry, Event, Head, Idempotency, Method,
+    Rules, ledger,
 };
 
 const LEDGER: &[u8] = include_bytes!("fixtures/ledger-1");
@@ -16,7 +17,7 @@
 const ANSWER_KINDS: u8 = 8;
 const ANSWERED: u8 = 2; // number of the kind of record that holds an answer
 
-fn method(name: &str, kind: Kind) -> Method {
+fn method(name: &str, kind: Idempotency) -> Method {
     Method {
         name: name.into(),
         kind,
@@ -39,8 +40,8 @@
     }
 }
 
-fn deduplicated(group: Group) -> Kind {
-    Kind::Deduplicated { group, window: 4.0 }
+fn deduplicated(group: DeduplicationScope) -> Idempotency {
+    Idempotency::Deduplicated { group, window: 4.0 }
 }
 
 fn head() -> Head {
@@ -57,11 +58,11 @@
             worst_tenant: None,
         },
         methods: vec![
-            method("read", Kind::Idempotent),
-            method("book", Kind::NonIdempotent),
-            method("log", deduplicated(Group::All)),
-            method("note", deduplicated(Group::Zone)),
-            method("mark", deduplicated(Group::Rack)),
+            method("read", Idempotency::Idempotent),
+            method("book", Idempotency::NonIdempotent),
+            method("log", deduplicated(DeduplicationScope::All)),
+            method("note", deduplicated(DeduplicationScope::Zone)),
+            method("mark", deduplicated(DeduplicationScope::Rack)),
         ],
         tenants: vec!["acme".into()],
         proxies: vec!["p0".into(), "p1".into()],
@@ -131,7 +132,11 @@
 }
 
 fn endpoint_list_events() -> Vec<Event> {
-    let states = [State::Ready, State::Draining, State::Gone];
+    let states = [
+        EndpointState::Ready,
+        EndpointState::Draining,
+        EndpointState::Gone,
+    ];
     let changed = states.map(|state| Event::EndpointChanged {
         backend: 2,
         incarnation: 3,
--- a/crates/cli/tests/exit_codes.rs
+++ b/crates/cli/tests/exit_codes.rs
@@ -1,7 +1,7 @@
 //! The exit codes of `birchhub`: 0 PASS, 1 FAIL, 2 VOID, 64 bad input, 70 anything else that went wrong. Scripts and CI
 //! of those who use it go by these numbers.
 use birchhub_audit::head::ServiceTargets;
-use birchhub_audit::{Answer, Entry, Event, Head, Kind, Method, Rules, ledger};
+use birchhub_audit::{Answer, Entry, Event, Head, Idempotency, Method, Rules, ledger};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
@@ -61,7 +61,7 @@
         targets: ServiceTargets::default(),
         methods: vec![Method {
             name: "read".into(),
-            kind: Kind::Idempotent,
+            kind: Idempotency::Idempotent,
             target: 0.2,
             deadline: 0.5,
             utility: 1.0,
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,6 +1,6 @@
 //! What the nodes of a fleet share: what RPCs cost, which keys have run, and numbers for picks and incarnations.
 use crate::notes::Notes;
-use birchhub_audit::Kind;
+use birchhub_audit::Idempotency;
 use birchhub_backend_model::{DeduplicationCache, IdempotencyKey, Work, work};
 use rand::Rng;
 use std::cell::{Cell, RefCell};
@@ -10,7 +10,7 @@
 pub struct Cost {
     pub name: String,
     pub work: Work,
-    pub kind: Kind,
+    pub kind: Idempotency,
 }
 
 /// The RPC behind a client's try: its tries have ids that differ in the last byte.
@@ -86,7 +86,7 @@
         let cost = &self.costs[method];
         let drawn = cost.work.draw(self.seed, u64::from(rpc_of(request_id)));
         let idempotency_key = match (cost.kind, key) {
-            (Kind::Deduplicated { group, window }, Some(key)) => {
+            (Idempotency::Deduplicated { group, window }, Some(key)) => {
                 // FNV-1a: keys are texts of the client's own.
                 let fold =
                     |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -2,7 +2,7 @@
 //! own, so that it knows to whom it has told what.
 use crate::notes::Notes;
 use crate::wire::{Kind, Message, Peer, listen, response};
-use birchhub_audit::{Event, State};
+use birchhub_audit::{EndpointState, Event};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -30,7 +30,7 @@
     pub capacity: f64,
     /// Its address for each proxy.
     pub doors: Vec<SocketAddr>,
-    pub state: State,
+    pub state: EndpointState,
     pub incarnation: u32,
     /// When it last started, Unix time in ms; 0 for long ago.
     pub boot_ms: f64,
@@ -40,9 +40,9 @@
     /// As it is told to a proxy.
     pub fn told(&self, proxy: u16) -> Value {
         let state = match self.state {
-            State::Ready => "Ready",
-            State::Draining => "Terminating",
-            State::Gone => "Gone",
+            EndpointState::Ready => "Ready",
+            EndpointState::Draining => "Terminating",
+            EndpointState::Gone => "Gone",
         };
         let endpoint = self
             .doors
@@ -96,7 +96,7 @@
     now: RefCell<Copy>,
     weather: RefCell<Weather>,
     /// What each proxy was told last of each node.
-    told: RefCell<HashMap<(u16, u32), (u32, State)>>,
+    told: RefCell<HashMap<(u16, u32), (u32, EndpointState)>>,
     changed: watch::Sender<u64>,
     calls: Cell<u64>,
     refused: Cell<u64>,
@@ -217,10 +217,10 @@
     }
 
     /// What an answer to a proxy says: all of it, or what has changed since a version.
-    fn body(&self, proxy: u16, from: Option<u64>) -> (Value, Vec<(u32, u32, State)>) {
+    fn body(&self, proxy: u16, from: Option<u64>) -> (Value, Vec<(u32, u32, EndpointState)>) {
         self.copy(proxy, |copy| {
             let wanted = |(_, (version, line)): &(&u32, &(u64, Line))| match from {
-                None => line.state != State::Gone,
+                None => line.state != EndpointState::Gone,
                 Some(from) => *version > from,
             };
             let lines: Vec<_> = copy.lines.iter().filter(wanted).collect();
@@ -240,13 +240,13 @@
     }
 
     /// The proxy has been told this; what a whole list leaves out is gone.
-    fn note(&self, proxy: u16, whole: bool, told: Vec<(u32, u32, State)>) {
+    fn note(&self, proxy: u16, whole: bool, told: Vec<(u32, u32, EndpointState)>) {
         let mut known = self.told.borrow_mut();
         let mut news = told;
         if whole {
-            let left_out = |((p, node), (incarnation, _)): (&(u16, u32), &(u32, State))| {
+            let left_out = |((p, node), (incarnation, _)): (&(u16, u32), &(u32, EndpointState))| {
                 let missing = *p == proxy && news.iter().all(|(n, ..)| n != node);
-                missing.then_some((*node, *incarnation, State::Gone))
+                missing.then_some((*node, *incarnation, EndpointState::Gone))
             };
             let gone: Vec<_> = known.iter().filter_map(left_out).collect();
             news.extend(gone);
--- a/crates/emulator/tests/stand_ins.rs
+++ b/crates/emulator/tests/stand_ins.rs
@@ -1,6 +1,6 @@
 //! Stand-ins over loopback sockets: each fault shows on the connection as a proxy would see it, and in the ledger.
 use birchhub_audit::event::{Admission, AttemptEnd};
-use birchhub_audit::{Answer, Entry, Event, Group, Kind as Effect, State};
+use birchhub_audit::{Answer, DeduplicationScope, EndpointState, Entry, Event, Idempotency};
 use birchhub_backend_model::{Spec, Start, Work, work::Spread};
 use birchhub_emulator::fleet::request_id_of;
 use birchhub_emulator::list::{Capacity, Line};
@@ -43,11 +43,14 @@
         },
         kind,
     };
-    let log = Effect::Deduplicated {
-        group: Group::All,
+    let log = Idempotency::Deduplicated {
+        group: DeduplicationScope::All,
         window: 60.0,
     };
-    let costs = vec![constant("read", Effect::Idempotent), constant("log", log)];
+    let costs = vec![
+        constant("read", Idempotency::Idempotent),
+        constant("log", log),
+    ];
     let fleet = Rc::new(Fleet::new(notes.clone(), 1, costs));
     let spec = Spec {
         cores: 1,
@@ -515,7 +518,7 @@
     });
 }
 
-fn line(state: State, incarnation: u32) -> Line {
+fn line(state: EndpointState, incarnation: u32) -> Line {
     let (name, zone, machine) = ("n0".to_owned(), "a".to_owned(), "m".to_owned());
     let doors = vec![
         "127.0.0.1:1".parse().unwrap(),
@@ -551,7 +554,7 @@
     on_one_thread(|notes, entries| async move {
         let clock = notes.clock;
         let list = ListService::start(notes, &[HOME, HOME]).expect("a list service");
-        list.change(0, line(State::Ready, 1));
+        list.change(0, line(EndpointState::Ready, 1));
         let whole = ask(&list, 1, "", &clock).await.expect("a list");
         assert_eq!((&whole["rev"], &whole["all"]), (&1.into(), &true.into()));
         assert_eq!(whole["targets"][0]["endpoint"], "127.0.0.1:2");
@@ -567,12 +570,12 @@
             spawn_local(async move { ask(&watching, 1, "?from=1&hold_ms=20000", &clock).await });
         while !watch.is_finished() {
             // However late the watch begins, the change is newer than what it has.
-            list.change(0, line(State::Draining, 1));
+            list.change(0, line(EndpointState::Draining, 1));
             sleep(Duration::from_millis(5)).await;
         }
         let changes = watch.await.expect("a task").expect("changes");
         assert_eq!(changes["targets"][0]["state"], "Terminating");
-        list.change(0, line(State::Gone, 1));
+        list.change(0, line(EndpointState::Gone, 1));
         let whole = ask(&list, 1, "", &clock).await.expect("a list");
         assert_eq!(whole["targets"].as_array().map(Vec::len), Some(0));
         let heard = events_so_far(&entries, |e| {
@@ -590,7 +593,11 @@
             .collect();
         assert_eq!(
             states,
-            [Some(State::Ready), Some(State::Draining), Some(State::Gone)]
+            [
+                Some(EndpointState::Ready),
+                Some(EndpointState::Draining),
+                Some(EndpointState::Gone)
+            ]
         );
     });
 }
@@ -601,7 +608,7 @@
     on_one_thread(|notes, _entries| async move {
         let clock = notes.clock;
         let list = ListService::start(notes, &[HOME, HOME]).expect("a list service");
-        list.change(0, line(State::Ready, 1));
+        list.change(0, line(EndpointState::Ready, 1));
         list.limit(Capacity::new(1, Duration::from_millis(300), Duration::ZERO));
         let watching = list.clone();
         let watch = spawn_local(async move {
@@ -634,7 +641,7 @@
         // Until two have met; each alone is answered.
         while !matches!(tokio::join!(call(), call()), (200, 503) | (503, 200)) {}
         assert!(list.refused() > 0 && !watch.is_finished());
-        list.change(0, line(State::Draining, 1));
+        list.change(0, line(EndpointState::Draining, 1));
         assert_eq!(
             watch.await.expect("a task")["targets"][0]["state"],
             "Terminating"
@@ -647,7 +654,7 @@
     on_one_thread(|notes, _entries| async move {
         let clock = notes.clock;
         let list = ListService::start(notes, &[HOME, HOME]).expect("a list service");
-        list.change(0, line(State::Ready, 1));
+        list.change(0, line(EndpointState::Ready, 1));
         let watching = list.clone();
         let watch =
             spawn_local(async move { ask(&watching, 0, "?from=1&hold_ms=20000", &clock).await });
@@ -656,7 +663,7 @@
         assert!(watch.await.expect("a task").is_err() && ask(&list, 0, "", &clock).await.is_err());
         list.set_down(false);
         list.set_stale(0, true);
-        list.change(0, line(State::Gone, 1));
+        list.change(0, line(EndpointState::Gone, 1));
         let count = |list: Value| list["targets"].as_array().map(Vec::len);
         assert_eq!(
             count(ask(&list, 0, "", &clock).await.expect("a list")),
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -3,7 +3,7 @@
 use crate::plan::{Arrival, Plan};
 use crate::proxies::Front;
 use crate::scenario::{Clients, Method, MethodKind, Scenario};
-use birchhub_audit::{Answer, Event, Group, Kind as Effect};
+use birchhub_audit::{Answer, DeduplicationScope, Event, Idempotency};
 use birchhub_emulator::fleet::request_id_of;
 use birchhub_emulator::{Call, Caller, Notes};
 use std::rc::Rc;
@@ -182,12 +182,14 @@
 /// Clients repeat what is harmless: after a push-back or where no proxy had it, anything; else only what may run again
 /// anywhere, within its window. `since` is the time from when the RPC was due, s.
 pub fn tries_again(answer: Answer, method: &Method, since: f64) -> bool {
-    match (answer, method.effect()) {
+    match (answer, method.idempotency()) {
         (Answer::Ok | Answer::Cancelled, _) => false,
         (Answer::Rejected(_) | Answer::Unreachable, _) => true,
-        (_, Effect::Idempotent) => true,
-        (_, Effect::NonIdempotent) => false,
-        (_, Effect::Deduplicated { group, window }) => group == Group::All && since < window,
+        (_, Idempotency::Idempotent) => true,
+        (_, Idempotency::NonIdempotent) => false,
+        (_, Idempotency::Deduplicated { group, window }) => {
+            group == DeduplicationScope::All && since < window
+        }
     }
 }
 
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -2,7 +2,7 @@
 //! line and key.
 use crate::span::Span;
 use birchhub_audit::head::ServiceTargets;
-use birchhub_audit::{Group, Kind};
+use birchhub_audit::{DeduplicationScope, Idempotency};
 use birchhub_backend_model::work::Spread;
 use serde::Deserialize;
 use std::collections::HashSet;
@@ -209,7 +209,7 @@
     pub name: String,
     pub kind: MethodKind,
     /// Which nodes drop each other's repeats, and for how long: of a deduplicated method.
-    pub group: Option<Group>,
+    pub group: Option<DeduplicationScope>,
     pub window: Option<Span>,
     /// Mean work on a standard core.
     pub work: Span,
@@ -230,14 +230,14 @@
 }
 
 impl Method {
-    pub fn effect(&self) -> Kind {
+    pub fn idempotency(&self) -> Idempotency {
         match (self.kind, self.group, self.window) {
-            (MethodKind::Deduplicated, Some(group), Some(window)) => Kind::Deduplicated {
+            (MethodKind::Deduplicated, Some(group), Some(window)) => Idempotency::Deduplicated {
                 group,
                 window: window.0,
             },
-            (MethodKind::NonIdempotent, ..) => Kind::NonIdempotent,
-            _ => Kind::Idempotent,
+            (MethodKind::NonIdempotent, ..) => Idempotency::NonIdempotent,
+            _ => Idempotency::Idempotent,
         }
     }
 }
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -1,7 +1,7 @@
 //! What proxies are told of the deployment: the platform's settings object, from the scenario.
 use crate::plan::proxy_name;
 use crate::scenario::{MethodKind, Reports, Scenario};
-use birchhub_audit::{Group, Head, Method, Rules, head};
+use birchhub_audit::{DeduplicationScope, Head, Method, Rules, head};
 use birchhub_backend_model::Spec;
 use serde_json::{Value, json};
 
@@ -23,9 +23,9 @@
                 MethodKind::Deduplicated => "idempotency_key",
             };
             let scope = match m.group {
-                None | Some(Group::All) => "all",
-                Some(Group::Zone) => "zone",
-                Some(Group::Rack) => "cell",
+                None | Some(DeduplicationScope::All) => "all",
+                Some(DeduplicationScope::Zone) => "zone",
+                Some(DeduplicationScope::Rack) => "cell",
             };
             json!({"name": m.name, "idempotency": idempotency, "dedup-scope": scope,
                 "window-ns": ns(m.window.map_or(0.0, |w| w.0)), "latency-target-ns": ns(m.target.0),
@@ -89,7 +89,7 @@
     let rules = &scenario.rules;
     let method = |m: &crate::scenario::Method| Method {
         name: m.name.clone(),
-        kind: m.effect(),
+        kind: m.idempotency(),
         target: m.target.0,
         deadline: m.deadline.0,
         utility: m.utility,
--- a/crates/rehearsal/src/stage.rs
+++ b/crates/rehearsal/src/stage.rs
@@ -7,7 +7,7 @@
 use crate::scenario::{Reports, Scenario};
 use crate::settings;
 use crate::span::Span;
-use birchhub_audit::{Event, State};
+use birchhub_audit::{EndpointState, Event};
 use birchhub_backend_model::{Start, Work};
 use birchhub_emulator::list::{Capacity, Line};
 use birchhub_emulator::relay::{Relay, Window};
@@ -160,7 +160,7 @@
                 mean: m.work.0,
                 spread: m.spread,
             },
-            kind: m.effect(),
+            kind: m.idempotency(),
         });
         let mut fleet = Fleet::new(notes.clone(), plan.seed, costs.collect());
         fleet.probe_work = scenario.fleet.probe_work.0;
@@ -190,7 +190,7 @@
                 machine: machine.name.clone(),
                 capacity: 1.0,
                 doors: doors(&host, &ips, extras.links.get(&index), notes.clock)?,
-                state: State::Ready,
+                state: EndpointState::Ready,
                 incarnation: 0,
                 boot_ms: 0.0,
             });
@@ -259,14 +259,14 @@
     }
 
     /// The list service knows it after so long, unless something newer of the same node came first.
-    fn tell(self: &Rc<Self>, node: u32, incarnation: u32, state: State, after: f64) {
+    fn tell(self: &Rc<Self>, node: u32, incarnation: u32, state: EndpointState, after: f64) {
         let stage = self.clone();
         let now = self.notes.clock.now();
         let (at, line) = (
             now + after + self.late.get().max(0.0),
             &self.lines[node as usize],
         );
-        let boot_ms = if state == State::Ready {
+        let boot_ms = if state == EndpointState::Ready {
             self.notes.clock.unix_ms(now)
         } else {
             0.0
@@ -288,7 +288,7 @@
             return;
         };
         match host.start(Start::Cold) {
-            Ok(incarnation) => self.tell(node, incarnation, State::Ready, self.lag),
+            Ok(incarnation) => self.tell(node, incarnation, EndpointState::Ready, self.lag),
             Err(fault) => log::error!("{} can't start: {fault}", host.place.name),
         }
     }
@@ -322,13 +322,13 @@
                     host(node).and_then(|h| Some((h, h.incarnation()?)))
                 {
                     host.crash();
-                    self.tell(node, incarnation, State::Gone, self.notices);
+                    self.tell(node, incarnation, EndpointState::Gone, self.notices);
                 }
             }
             Act::Return { node } => self.begin(node),
             Act::Announce { node } => {
                 if let Some(incarnation) = host(node).and_then(|h| h.incarnation()) {
-                    self.tell(node, incarnation, State::Draining, self.lag);
+                    self.tell(node, incarnation, EndpointState::Draining, self.lag);
                 }
             }
             Act::Drain { node } => host(node).into_iter().for_each(|h| h.drain()),
@@ -379,7 +379,7 @@
             }
             if let Some(incarnation) = host.incarnation() {
                 host.stop();
-                self.tell(node, incarnation, State::Gone, self.lag);
+                self.tell(node, incarnation, EndpointState::Gone, self.lag);
             }
         }
         clock.sleep_until(clock.now() + after).await;
--- a/crates/rehearsal/tests/scenario_file.rs
+++ b/crates/rehearsal/tests/scenario_file.rs
@@ -1,7 +1,7 @@
 //! The form of a scenario's file. `fixtures/every-key.toml` was written on 2026-12-02 and has each key of each table
 //! and each kind of fault; every key keeps its name and its meaning, and plans stay the plans that they were.
 use birchhub_audit::head::ServiceTargets;
-use birchhub_audit::{Group, Kind};
+use birchhub_audit::{DeduplicationScope, Idempotency};
 use birchhub_backend_model::work::Spread;
 use birchhub_rehearsal::scenario::{
     Clients, List, Machine, Method, Phase, ProxySelector, Reports, Rules, Selector, Tenant,
@@ -129,14 +129,14 @@
 #[test]
 fn the_method_table_keeps_its_keys() {
     let methods = every_key().method;
-    let effects: Vec<_> = methods.iter().map(Method::effect).collect();
-    let (group, window) = (Group::Rack, 4.0);
+    let effects: Vec<_> = methods.iter().map(Method::idempotency).collect();
+    let (group, window) = (DeduplicationScope::Rack, 4.0);
     assert_eq!(
         effects,
         [
-            Kind::Deduplicated { group, window },
-            Kind::NonIdempotent,
-            Kind::Idempotent
+            Idempotency::Deduplicated { group, window },
+            Idempotency::NonIdempotent,
+            Idempotency::Idempotent
         ]
     );
     let spreads: Vec<_> = methods.iter().map(|method| method.spread).collect();
--- a/crates/rehearsal/tests/wrong.rs
+++ b/crates/rehearsal/tests/wrong.rs
@@ -114,15 +114,15 @@
 
 #[test]
 fn a_proxy_that_retries_what_may_have_run_fails_by_rule_2() {
-    check_failure("resends", Rule::NoEffectTwice, "ran 2 times");
+    check_failure("resends", Rule::NoDuplicateEffect, "ran 2 times");
 }
 
 #[test]
 fn a_proxy_that_ignores_drains_fails_by_rule_3() {
-    check_failure("ignores-drains", Rule::Drains, "sent to z-0-0");
+    check_failure("ignores-drains", Rule::Draining, "sent to z-0-0");
 }
 
 #[test]
 fn a_proxy_that_overloads_nodes_in_slow_start_fails_by_rule_4() {
-    check_failure("floods-cold", Rule::ColdNodes, "z-0-1: pushed over");
+    check_failure("floods-cold", Rule::SlowStart, "z-0-1: pushed over");
 }
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -5,7 +5,7 @@
 use super::{NETWORK_DELAY, World};
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::event::{Admission, AttemptEnd};
-use birchhub_audit::{Answer, Event, Kind};
+use birchhub_audit::{Answer, Event, Idempotency};
 use birchhub_backend_model::{IdempotencyKey, IncomingWork, RejectionReason};
 use birchhub_rehearsal::plan::Trick;
 use birchhub_rehearsal::scenario::Reports;
@@ -242,8 +242,8 @@
         let rpc = rpc_of_request(received.request_id);
         let method = self.plan.arrivals[rpc as usize].method;
         let machine = &self.machines[received.node as usize];
-        match self.scenario.method[method as usize].effect() {
-            Kind::Deduplicated { group, window } => Some(IdempotencyKey {
+        match self.scenario.method[method as usize].idempotency() {
+            Idempotency::Deduplicated { group, window } => Some(IdempotencyKey {
                 group: group.number(machine.zone, machine.rack),
                 key: u64::from(rpc),
                 window,
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -6,7 +6,7 @@
 use super::{NETWORK_DELAY, POLL_INTERVAL, World};
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::event::AttemptEnd;
-use birchhub_audit::{Event, State};
+use birchhub_audit::{EndpointState, Event};
 use birchhub_backend_model::{Backend, BackendEvent, DeduplicationCache, Start};
 
 /// s until a health check without an answer has timed out, by the proxy's own clock.
@@ -54,7 +54,7 @@
         }
         let list_entry = ListEntry {
             incarnation: self.start_backend(node, Start::Cold),
-            state: State::Ready,
+            state: EndpointState::Ready,
             started: Some(self.now),
         };
         self.schedule_publication(node, list_entry, self.scenario.list.lag.0);
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -4,7 +4,7 @@
 use super::process::ProcessId;
 use super::{NETWORK_DELAY, World};
 use birchhub::interface::{Endpoint, Readiness};
-use birchhub_audit::{Event, State};
+use birchhub_audit::{EndpointState, Event};
 
 /// s between the list calls of a proxy.
 const LIST_CALL_GAP: f64 = 0.02;
@@ -105,9 +105,9 @@
     fn endpoint(&self, node: u32, list_entry: &ListEntry, clock_lag: f64) -> Endpoint {
         let machine = &self.machines[node as usize];
         let readiness = match list_entry.state {
-            State::Ready => Readiness::Ready,
-            State::Draining => Readiness::Draining,
-            State::Gone => Readiness::Removed,
+            EndpointState::Ready => Readiness::Ready,
+            EndpointState::Draining => Readiness::Draining,
+            EndpointState::Gone => Readiness::Removed,
         };
         Endpoint {
             backend: node,
--- a/crates/simulation/src/world/endpoint_list.rs
+++ b/crates/simulation/src/world/endpoint_list.rs
@@ -1,5 +1,5 @@
 //! The endpoint list service: the current entries, what each proxy has received, and what it may receive now.
-use birchhub_audit::State;
+use birchhub_audit::EndpointState;
 use std::collections::BTreeMap;
 
 /// What the list says of a machine.
@@ -8,7 +8,7 @@
     /// The backend process that it speaks of.
     pub incarnation: u32,
     /// Whether the backend takes work.
-    pub state: State,
+    pub state: EndpointState,
     /// When it started, s; `None` for long ago.
     pub started: Option<f64>,
 }
@@ -18,7 +18,7 @@
     pub(crate) fn gone(incarnation: u32) -> Self {
         Self {
             incarnation,
-            state: State::Gone,
+            state: EndpointState::Gone,
             started: None,
         }
     }
@@ -134,7 +134,7 @@
     pub(crate) fn snapshot(&mut self, proxy: u16) -> Vec<(u32, ListEntry)> {
         self.reset_reader(proxy);
         let mut entries = self.take_update(proxy);
-        entries.retain(|(_, entry)| entry.state != State::Gone);
+        entries.retain(|(_, entry)| entry.state != EndpointState::Gone);
         entries
     }
 
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -6,7 +6,7 @@
 use super::{NETWORK_DELAY, World};
 use birchhub::interface::AttemptOutcome;
 use birchhub_audit::event::End;
-use birchhub_audit::{Event, State};
+use birchhub_audit::{EndpointState, Event};
 use birchhub_backend_model::work::generator;
 use birchhub_rehearsal::plan::{Act, Trick};
 use rand::Rng;
@@ -74,7 +74,7 @@
         if let Some(incarnation) = machine.incarnation() {
             let list_entry = ListEntry {
                 incarnation,
-                state: State::Draining,
+                state: EndpointState::Draining,
                 started: machine.cold_started_at,
             };
             self.schedule_publication(node, list_entry, self.scenario.list.lag.0);
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -17,7 +17,7 @@
 use attempts::ProxyAttempt;
 use birchhub::interface::Settings;
 use birchhub_audit::event::End;
-use birchhub_audit::{Answer, Entry, Event, Head, State};
+use birchhub_audit::{Answer, EndpointState, Entry, Event, Head};
 use birchhub_backend_model::{DeduplicationCache, Start};
 use birchhub_rehearsal::plan::Plan;
 use birchhub_rehearsal::scenario::Scenario;
@@ -154,7 +154,7 @@
         for node in 0..self.plan.first_nodes() as u32 {
             let list_entry = ListEntry {
                 incarnation: self.start_backend(node, Start::Warm),
-                state: State::Ready,
+                state: EndpointState::Ready,
                 started: None,
             };
             self.publish_endpoint(node, list_entry);
