--- a/crates/emulator/tests/stand_ins.rs
+++ b/crates/emulator/tests/stand_ins.rs
@@ -578,30 +578,30 @@
         list.change(0, line(EndpointState::Gone, 1));
         let whole = ask(&list, 1, "", &clock).await.expect("a list");
         assert_eq!(whole["targets"].as_array().map(Vec::len), Some(0));
-        let heard = events_so_far(&entries, |e| {
-            matches!(e, Event::ProxyNotified { proxy: 1, .. })
-        });
-        let states: Vec<_> = heard
-            .iter()
-            .map(|e| {
-                if let Event::ProxyNotified { state, .. } = e {
-                    Some(*state)
-                } else {
-                    None
-                }
-            })
-            .collect();
+        let states = notified_states(&entries, 1);
         assert_eq!(
             states,
             [
-                Some(EndpointState::Ready),
-                Some(EndpointState::Draining),
-                Some(EndpointState::Gone)
+                EndpointState::Ready,
+                EndpointState::Draining,
+                EndpointState::Gone
             ]
         );
     });
 }
 
+/// The states of endpoints that a proxy was notified of, in order.
+fn notified_states(entries: &Receiver<Entry>, to: u16) -> Vec<EndpointState> {
+    let is_notification =
+        |event: &Event| matches!(event, Event::ProxyNotified { proxy, .. } if *proxy == to);
+    let events = events_so_far(entries, is_notification);
+    let states = events.iter().filter_map(|event| match event {
+        Event::ProxyNotified { state, .. } => Some(*state),
+        _ => None,
+    });
+    states.collect()
+}
+
 /// It serves one call at a time and refuses the others; a watch that waits uses no capacity.
 #[test]
 fn a_list_service_of_small_capacity_refuses_further_calls() {
