--- /dev/null
+++ b/tests/slow_start/single_proxy.rs
@@ -0,0 +1,142 @@
+//! How one proxy uses its share of the slow-start budget.
+use crate::common::{FinalAnswer, Proxy, endpoint, settings};
+use birchhub::balancer::Balancer;
+use birchhub::interface::*;
+use std::collections::BTreeSet;
+
+/// A process that starts knows nothing of what was sent before, with or without a cached list.
+#[test]
+fn new_process_assumes_that_its_predecessor_used_the_budget() {
+    for kind in [
+        EndpointUpdateKind::StaleSnapshot,
+        EndpointUpdateKind::Snapshot,
+    ] {
+        let conf = Settings {
+            can_health_check: false,
+            proxy_count: 2,
+            ..settings(&[Idempotency::Idempotent])
+        };
+        let mut proxy = Proxy::new(conf, 7, &[]);
+        proxy.advance(1.0);
+        let started = proxy.platform.now - 0.5;
+        proxy.balancer = Balancer::new(&proxy.platform.settings, 8);
+        proxy.update_endpoints(
+            kind,
+            &[Endpoint {
+                started_at: Some(started),
+                ..endpoint(0)
+            }],
+        );
+        let (from, mut first) = (proxy.platform.now, None);
+        while first.is_none() && proxy.platform.now < from + 4.0 {
+            proxy.accept(0, 0.5);
+            first = proxy
+                .attempts_in_flight()
+                .first()
+                .map(|_| proxy.platform.now - from);
+            proxy.advance(0.01);
+        }
+        assert!(
+            first.is_some_and(|after| (1.0..2.0).contains(&after)),
+            "{kind:?}: the first RPC was sent after {first:?}"
+        );
+    }
+}
+
+/// After most of a fleet was removed, its responses do not count as completed by the backends that stay.
+#[test]
+fn completions_before_a_removal_do_not_raise_the_share_of_the_remaining_backends() {
+    let conf = Settings {
+        can_health_check: false,
+        ..settings(&[Idempotency::Idempotent])
+    };
+    let listed: Vec<_> = (0..30).map(endpoint).collect();
+    let mut proxy = Proxy::new(conf, 7, &listed);
+    let drive = |proxy: &mut Proxy, rounds| {
+        for _ in 0..rounds {
+            for _ in 0..20 {
+                proxy.accept(0, 0.5);
+            }
+            proxy.advance(0.05);
+            // Each backend does one in that time.
+            let mut done = BTreeSet::new();
+            for (rpc, n, backend) in proxy.attempts_in_flight() {
+                if done.insert(backend) {
+                    proxy.end_attempt(rpc, n, AttemptOutcome::Succeeded, Some(0.0));
+                }
+            }
+        }
+    };
+    drive(&mut proxy, 120);
+    let now = proxy.platform.now;
+    proxy.update_endpoints(
+        EndpointUpdateKind::Snapshot,
+        &[
+            endpoint(0),
+            Endpoint {
+                started_at: Some(now),
+                ..endpoint(30)
+            },
+        ],
+    );
+    drive(&mut proxy, 20);
+    // Each of the thirty served 13 RPCs a second, two thirds of what a core does.
+    let n: f64 = 3.0 * (0.3 + 0.7 / 8.0) / 0.05;
+    let sent = proxy
+        .platform
+        .rpcs
+        .values()
+        .flat_map(|r| &r.attempts)
+        .filter(|s| s.backend == 30 && s.started_at < now + 1.0)
+        .count();
+    assert!(
+        sent > 2 && sent as f64 <= n + 2.0 * n.sqrt() + 2.0,
+        "{sent} in the first window, of {n:.0}"
+    );
+}
+
+/// One attempt from each of few proxies fits at any time beside what the backend completes; otherwise it
+/// would stay idle until it is warm. Hundreds of proxies would overload it.
+#[test]
+fn few_proxies_use_a_backend_in_slow_start_one_rpc_at_a_time() {
+    let served = |balancers: usize| {
+        let conf = Settings {
+            proxy_count: balancers,
+            ..settings(&[Idempotency::Idempotent])
+        };
+        let mut proxy = Proxy::new(conf, 7, &[endpoint(0)]);
+        let mut served = 0;
+        for n in 0..120 {
+            if n == 60 {
+                let now = proxy.platform.now;
+                proxy.update_endpoints(
+                    EndpointUpdateKind::Snapshot,
+                    &[Endpoint {
+                        started_at: Some(now),
+                        ..endpoint(0)
+                    }],
+                );
+            }
+            let rpc = proxy.accept(0, 0.5);
+            proxy.complete_health_checks(AttemptOutcome::Succeeded, |_| 0.0);
+            assert!(
+                proxy.attempts_in_flight().len() <= 1,
+                "more than one at a time"
+            );
+            proxy.advance(0.02);
+            proxy.complete_health_checks(AttemptOutcome::Succeeded, |_| 0.0);
+            proxy.end_all_attempts(AttemptOutcome::Succeeded, Some(0.0));
+            served += usize::from(
+                n >= 60 && proxy.platform.rpcs[&rpc].answers == [FinalAnswer::Succeeded],
+            );
+            proxy.advance(0.005);
+        }
+        served
+    };
+    assert!(served(2) > 50, "{} of 60", served(2));
+    assert!(
+        served(200) < 10,
+        "{} of 60: hundreds would overload it",
+        served(200)
+    );
+}
