--- /dev/null
+++ b/crates/audit/src/audit/draining.rs
@@ -0,0 +1,61 @@
+//! Rule 3: a draining or removed backend gets no new work later than the grace period after its proxy was notified.
+use super::tracker::Tracker;
+use super::violations::{Violations, rpc_subject};
+use crate::event::{Entry, Event};
+use crate::findings::{Rule, Violation};
+
+/// State of rule 3.
+#[derive(Debug, Default)]
+pub(super) struct Draining {
+    /// Longest time from a notification to new work for that backend, in seconds.
+    pub(super) latest_after_notification: f64,
+}
+
+impl Draining {
+    /// Checks an event that the tracker has recorded.
+    pub(super) fn observe(
+        &mut self,
+        entry: &Entry,
+        tracker: &Tracker<'_>,
+        violations: &mut Violations,
+    ) {
+        let Event::AttemptReceived {
+            incarnation,
+            request_id,
+            proxy,
+            first_byte_at,
+            ..
+        } = entry.event
+        else {
+            return;
+        };
+        let Some(known) = tracker.incarnations.get(&incarnation) else {
+            return;
+        };
+        let Some(since) = tracker.no_new_work_since(proxy, known.backend, incarnation) else {
+            return;
+        };
+        let late = first_byte_at - since;
+        self.latest_after_notification = self.latest_after_notification.max(late);
+        let rules = &tracker.head.rules;
+        if late > rules.drain_grace + rules.slack {
+            let rpc = tracker
+                .requests
+                .get(&request_id)
+                .map_or(u32::MAX, |request| request.rpc);
+            let description = format!(
+                "sent to {} {:.0} ms after {} was told that it takes nothing new",
+                tracker.head.backend_name(known.backend),
+                late * 1e3,
+                tracker.head.proxy_name(proxy)
+            );
+            violations.add(Violation {
+                rule: Rule::Draining,
+                at: first_byte_at,
+                subject: rpc_subject(rpc),
+                description,
+                timing_dependent: true,
+            });
+        }
+    }
+}
--- /dev/null
+++ b/crates/audit/src/audit/mod.rs
@@ -0,0 +1,155 @@
+//! The audit: folds the entries of a ledger, in the order of time, into the findings of the four rules.
+//!
+//! [`Tracker`] keeps the state that several rules need. Each rule has a module with a fold of its own, which sees each
+//! event after the tracker has recorded it.
+mod draining;
+mod no_duplicate_effect;
+mod one_answer;
+mod slow_start;
+mod tracker;
+mod violations;
+
+use crate::event::{Admission, Answer, AttemptEnd, Entry, Event};
+use crate::findings::{Counts, Findings, LatenessSummary};
+use crate::head::Head;
+use crate::service::Totals;
+use draining::Draining;
+use no_duplicate_effect::NoDuplicateEffect;
+use one_answer::OneAnswer;
+use slow_start::SlowStart;
+use tracker::Tracker;
+use violations::Violations;
+
+/// An audit in progress: [`feed`](Self::feed) it the entries in the order of time, then [`finish`](Self::finish) it.
+pub struct Audit<'a> {
+    tracker: Tracker<'a>,
+    one_answer: OneAnswer,
+    no_duplicate_effect: NoDuplicateEffect,
+    draining: Draining,
+    slow_start: SlowStart,
+    violations: Violations,
+    counts: Counts,
+    totals: Totals<'a>,
+    /// Lateness of the clients, in seconds.
+    client_lateness: Vec<f64>,
+    /// Lateness of the emulated backends, in seconds.
+    emulator_lateness: Vec<f64>,
+}
+
+impl<'a> Audit<'a> {
+    /// Returns an audit that has seen no entry.
+    pub fn new(head: &'a Head) -> Self {
+        Self {
+            tracker: Tracker::new(head),
+            one_answer: OneAnswer::default(),
+            no_duplicate_effect: NoDuplicateEffect::default(),
+            draining: Draining::default(),
+            slow_start: SlowStart::default(),
+            violations: Violations::default(),
+            counts: Counts::default(),
+            totals: Totals::new(head),
+            client_lateness: Vec::new(),
+            emulator_lateness: Vec::new(),
+        }
+    }
+
+    /// Audits a complete ledger, whose entries are in the order of time.
+    pub fn of(head: &'a Head, entries: &[Entry]) -> Findings {
+        let mut audit = Self::new(head);
+        for entry in entries {
+            audit.feed(entry);
+        }
+        audit.finish()
+    }
+
+    /// Adds an entry, which must not be earlier than the last one.
+    pub fn feed(&mut self, entry: &Entry) {
+        self.tracker.record(entry);
+        self.count(entry);
+        let (tracker, violations) = (&self.tracker, &mut self.violations);
+        self.one_answer.observe(entry, tracker, violations);
+        self.no_duplicate_effect.observe(entry, tracker, violations);
+        self.draining.observe(entry, tracker, violations);
+        self.slow_start.observe(entry, tracker, violations);
+    }
+
+    /// Updates the counts and the service totals.
+    fn count(&mut self, entry: &Entry) {
+        let counts = &mut self.counts;
+        match entry.event {
+            Event::Arrival {
+                rpc,
+                method,
+                tenant,
+                within_quota,
+            } => {
+                counts.rpcs += 1;
+                let method = method as usize;
+                let tenant = tenant as usize;
+                self.totals
+                    .record_arrival(entry.at, rpc, method, tenant, within_quota);
+            }
+            Event::RequestSent { .. } => counts.client_requests += 1,
+            Event::RequestAnswered { request_id, answer } => {
+                self.count_answer(entry.at, request_id, answer)
+            }
+            Event::AttemptReceived { admission, .. } => {
+                counts.attempts += 1;
+                counts.attempts_rejected += usize::from(admission == Admission::Rejected);
+            }
+            Event::ExecutionStarted { .. } => counts.executions += 1,
+            Event::DuplicateDropped { .. } => counts.duplicates_dropped += 1,
+            Event::AttemptEnded { how, .. } => {
+                counts.attempts_cancelled += usize::from(how == AttemptEnd::Cancelled);
+            }
+            Event::BackendCollapsed { .. } => counts.collapsed += 1,
+            Event::ClientLate { by } => self.client_lateness.push(f64::from(by)),
+            Event::EmulatorLate { by } => self.emulator_lateness.push(f64::from(by)),
+            _ => {}
+        }
+    }
+
+    /// Counts the first answer of a request.
+    fn count_answer(&mut self, at: f64, request_id: u64, answer: Answer) {
+        let Some(request) = self.tracker.requests.get(&request_id) else {
+            return;
+        };
+        if request.answer_count > 1 {
+            return;
+        }
+        match answer {
+            Answer::Ok => {
+                self.counts.ok += 1;
+                self.totals.record_success(at, request.rpc);
+            }
+            Answer::Rejected(_) => self.counts.rejected += 1,
+            Answer::Aborted(_) => self.counts.aborted += 1,
+            Answer::Unreachable => self.counts.unreachable += 1,
+            Answer::Cancelled => self.counts.cancelled += 1,
+            Answer::Lost | Answer::TimedOut | Answer::Malformed => {}
+        }
+    }
+
+    /// Checks what needs the complete ledger, and returns the findings.
+    pub fn finish(mut self) -> Findings {
+        let (tracker, violations) = (&self.tracker, &mut self.violations);
+        self.one_answer.finish(tracker, violations);
+        NoDuplicateEffect::finish(tracker, violations);
+        let counts = Counts {
+            lost_with_proxy: self.one_answer.lost_with_proxy,
+            repeated_executions: self.no_duplicate_effect.repeated_executions,
+            double_executions: self.no_duplicate_effect.double_executions,
+            collapsed_uninformed: self.slow_start.collapsed_uninformed,
+            ..self.counts
+        };
+        Findings {
+            cold_starts: self.slow_start.cold_starts(&self.tracker),
+            violations: self.violations.into_sorted(),
+            counts,
+            service: self.totals.finish(),
+            latest_after_notification: self.draining.latest_after_notification,
+            client_lateness: LatenessSummary::of(&mut self.client_lateness),
+            emulator_lateness: LatenessSummary::of(&mut self.emulator_lateness),
+        }
+    }
+}
--- /dev/null
+++ b/crates/audit/src/audit/one_answer.rs
@@ -0,0 +1,209 @@
+//! Rule 1: each RPC that a running proxy accepted gets one final answer before its deadline, and no attempt is made
+//! after that.
+use super::tracker::{Attempt, ClientRequest, Tracker};
+use super::violations::{Violations, rpc_subject};
+use crate::event::{Answer, End, Entry, Event};
+use crate::findings::{Rule, Violation};
+use std::collections::HashMap;
+
+/// Time that a proxy has to stop making attempts after its client disconnected, in seconds.
+const DISCONNECT_GRACE_SECONDS: f64 = 0.1;
+
+/// Amount by which the timeout forwarded to a backend may exceed the time left to the client, in seconds.
+const FORWARDED_TIMEOUT_TOLERANCE_SECONDS: f64 = 0.15;
+
+/// State of rule 1.
+#[derive(Debug, Default)]
+pub(super) struct OneAnswer {
+    /// When and how the processes of each proxy ended.
+    process_ends: HashMap<u16, Vec<(f64, End)>>,
+    /// Requests that got no answer because their proxy was killed.
+    pub(super) lost_with_proxy: usize,
+}
+
+impl OneAnswer {
+    /// Checks an event that the tracker has recorded.
+    pub(super) fn observe(
+        &mut self,
+        entry: &Entry,
+        tracker: &Tracker<'_>,
+        violations: &mut Violations,
+    ) {
+        match entry.event {
+            Event::RequestAnswered { request_id, answer } => {
+                if let Some(request) = tracker.requests.get(&request_id) {
+                    check_answer(entry.at, answer, request, tracker, violations);
+                }
+            }
+            Event::ProxyEnded { proxy, how } => {
+                if how == End::Crashed {
+                    let name = tracker.head.proxy_name(proxy);
+                    violations.add(Violation {
+                        rule: Rule::OneAnswer,
+                        at: entry.at,
+                        subject: format!("proxy {name}"),
+                        description: "ended by itself, unasked".into(),
+                        timing_dependent: false,
+                    });
+                }
+                let ends = self.process_ends.entry(proxy).or_default();
+                ends.push((entry.at, how));
+            }
+            _ => {}
+        }
+    }
+
+    /// Checks the attempts of all requests, and the requests without an answer.
+    pub(super) fn finish(&mut self, tracker: &Tracker<'_>, violations: &mut Violations) {
+        for (request_id, request) in &tracker.requests {
+            if tracker.idempotency(request.rpc).is_none() {
+                check_unknown_request(*request_id, request, violations);
+                continue;
+            }
+            for attempt in &request.attempts {
+                check_attempt(attempt, request, tracker, violations);
+            }
+            self.check_unanswered(request, tracker, violations);
+        }
+    }
+
+    /// Checks a request that got no answer although its time is over.
+    fn check_unanswered(
+        &mut self,
+        request: &ClientRequest,
+        tracker: &Tracker<'_>,
+        violations: &mut Violations,
+    ) {
+        let slack = tracker.head.rules.slack;
+        let answer = request.answer.map(|(_, answer)| answer);
+        let unanswered = match answer {
+            Some(Answer::Lost | Answer::TimedOut) => true,
+            Some(_) => false,
+            // A request that is open when the ledger ends needs an answer only if its deadline has passed.
+            None => tracker.now > request.deadline() + slack,
+        };
+        if !unanswered {
+            return;
+        }
+        let until = request
+            .answer
+            .map_or(tracker.now.min(request.deadline()), |(at, _)| at);
+        // A client retries what a killed proxy had accepted.
+        if self.was_killed(request, until, slack) {
+            self.lost_with_proxy += 1;
+            return;
+        }
+        let how = match answer {
+            Some(Answer::Lost) => "its connection ended without an answer",
+            _ => "no answer by its deadline",
+        };
+        let proxy = tracker.head.proxy_name(request.proxy);
+        violations.add(Violation {
+            rule: Rule::OneAnswer,
+            at: until,
+            subject: rpc_subject(request.rpc),
+            description: format!("{how}; {proxy} had taken it"),
+            timing_dependent: answer != Some(Answer::Lost),
+        });
+    }
+
+    /// Whether the proxy's process was killed between the request and `until`, in seconds.
+    fn was_killed(&self, request: &ClientRequest, until: f64, slack: f64) -> bool {
+        let ends = self.process_ends.get(&request.proxy);
+        ends.into_iter().flatten().any(|(at, how)| {
+            matches!(how, End::Killed | End::Forced | End::Over)
+                && *at >= request.sent_at - slack
+                && *at <= until + slack
+        })
+    }
+}
+
+/// Checks that an answer is the first one of its request, is well-formed, and arrived before the deadline.
+fn check_answer(
+    at: f64,
+    answer: Answer,
+    request: &ClientRequest,
+    tracker: &Tracker<'_>,
+    violations: &mut Violations,
+) {
+    let mut report = |description: String, timing_dependent: bool| {
+        violations.add(Violation {
+            rule: Rule::OneAnswer,
+            at,
+            subject: rpc_subject(request.rpc),
+            description,
+            timing_dependent,
+        });
+    };
+    if let Some((_, first)) = request.answer.filter(|_| request.answer_count > 1) {
+        let description = format!("answered twice: Some({first}), then {answer}");
+        return report(description, false);
+    }
+    if answer == Answer::Malformed {
+        let description = "the answer was none, or bytes came behind it".to_owned();
+        report(description, false);
+    }
+    let deadline = request.deadline();
+    if answer.is_final() && at > deadline + tracker.head.rules.slack {
+        let late_ms = (at - deadline) * 1e3;
+        let description = format!("answered {late_ms:.0} ms after its deadline");
+        report(description, true);
+    }
+}
+
+/// Reports an attempt for a request that no client sent.
+fn check_unknown_request(request_id: u64, request: &ClientRequest, violations: &mut Violations) {
+    if let Some(attempt) = request.attempts.first() {
+        violations.add(Violation {
+            rule: Rule::OneAnswer,
+            at: attempt.first_byte_at,
+            subject: format!("try {request_id:016x}"),
+            description: "sent to a node, and no client had asked for it".to_owned(),
+            timing_dependent: false,
+        });
+    }
+}
+
+/// Checks that an attempt began while its client waited, and that it forwarded the time left.
+fn check_attempt(
+    attempt: &Attempt,
+    request: &ClientRequest,
+    tracker: &Tracker<'_>,
+    violations: &mut Violations,
+) {
+    let slack = tracker.head.rules.slack;
+    let begun = attempt.first_byte_at;
+    let mut report = |description: String| {
+        violations.add(Violation {
+            rule: Rule::OneAnswer,
+            at: begun,
+            subject: rpc_subject(request.rpc),
+            description,
+            timing_dependent: true,
+        });
+    };
+    let follows_final_answer = request
+        .answer
+        .is_some_and(|(at, answer)| answer.is_final() && begun > at + slack);
+    if follows_final_answer {
+        report("sent on after its final answer".to_owned());
+    } else if begun > request.deadline() + slack {
+        report("sent on after its deadline".to_owned());
+    }
+    let follows_disconnect = request.answer.is_some_and(|(at, answer)| {
+        answer == Answer::Cancelled && begun > at + DISCONNECT_GRACE_SECONDS + slack
+    });
+    if follows_disconnect {
+        report("sent on after its client had hung up".to_owned());
+    }
+    let left = request.deadline() - begun;
+    let allowed = left + FORWARDED_TIMEOUT_TOLERANCE_SECONDS + slack;
+    if let Some(timeout) = attempt
+        .forwarded_timeout
+        .filter(|timeout| *timeout > allowed)
+    {
+        report(format!(
+            "told its node {timeout:.3} s where {left:.3} s are left"
+        ));
+    }
+}
--- /dev/null
+++ b/crates/audit/src/audit/slow_start.rs
@@ -0,0 +1,159 @@
+//! Rule 4: proxies that know of a backend's cold start do not overload it, all together, until it collapses.
+use super::tracker::{Incarnation, Tracker};
+use super::violations::Violations;
+use crate::event::{Entry, Event};
+use crate::findings::{ColdStart, Rule, Violation};
+use std::collections::{HashMap, VecDeque};
+
+/// Share of the recent work from which informed proxies are responsible for a collapse.
+const RESPONSIBLE_SHARE: f64 = 2.0 / 3.0;
+
+/// Work that a cold backend received.
+#[derive(Clone, Copy, Debug)]
+struct ReceivedWork {
+    /// When it was received, in seconds.
+    at: f64,
+    /// In seconds of a standard core.
+    work: f64,
+    /// Whether the proxy knew of the backend's start.
+    informed: bool,
+}
+
+/// Load of one run of a backend's process.
+#[derive(Debug, Default)]
+struct Load {
+    /// Largest overload reported; 1 is a collapse.
+    peak_overload: f64,
+    /// Work received within the overload window.
+    recent: VecDeque<ReceivedWork>,
+}
+
+impl Load {
+    fn work(&self, counts: impl Fn(&&ReceivedWork) -> bool) -> f64 {
+        self.recent
+            .iter()
+            .filter(counts)
+            .map(|received| received.work)
+            .sum()
+    }
+}
+
+/// State of rule 4.
+#[derive(Debug, Default)]
+pub(super) struct SlowStart {
+    /// By incarnation.
+    loads: HashMap<u32, Load>,
+    /// Collapses for which informed proxies are not responsible.
+    pub(super) collapsed_uninformed: usize,
+}
+
+impl SlowStart {
+    /// Checks an event that the tracker has recorded.
+    pub(super) fn observe(
+        &mut self,
+        entry: &Entry,
+        tracker: &Tracker<'_>,
+        violations: &mut Violations,
+    ) {
+        match entry.event {
+            Event::BackendStarted { incarnation, .. } => {
+                self.loads.insert(incarnation, Load::default());
+            }
+            Event::AttemptReceived {
+                incarnation,
+                proxy,
+                work,
+                overload,
+                ..
+            } => {
+                if let Some(known) = tracker.incarnations.get(&incarnation) {
+                    let received = ReceivedWork {
+                        at: entry.at,
+                        work: f64::from(work),
+                        informed: tracker.knows_incarnation(proxy, known.backend, incarnation),
+                    };
+                    let window = tracker.head.rules.overload_window;
+                    self.record_work(incarnation, *known, received, f64::from(overload), window);
+                }
+            }
+            Event::BackendCollapsed { incarnation } => {
+                if let Some(known) = tracker.incarnations.get(&incarnation) {
+                    self.check_collapse(entry.at, incarnation, *known, tracker, violations);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Adds work for a cold backend, and drops what is older than `window` seconds.
+    fn record_work(
+        &mut self,
+        incarnation: u32,
+        known: Incarnation,
+        received: ReceivedWork,
+        overload: f64,
+        window: f64,
+    ) {
+        if !known.cold {
+            return;
+        }
+        let load = self.loads.entry(incarnation).or_default();
+        load.peak_overload = load.peak_overload.max(overload);
+        load.recent.push_back(received);
+        let oldest = received.at - window;
+        while load.recent.front().is_some_and(|first| first.at < oldest) {
+            load.recent.pop_front();
+        }
+    }
+
+    /// Reports a collapse, unless most of the recent work came from proxies that did not know of the start.
+    fn check_collapse(
+        &mut self,
+        at: f64,
+        incarnation: u32,
+        known: Incarnation,
+        tracker: &Tracker<'_>,
+        violations: &mut Violations,
+    ) {
+        let load = self.loads.entry(incarnation).or_default();
+        load.peak_overload = load.peak_overload.max(1.0);
+        let all = load.work(|_| true);
+        let informed = load.work(|received| received.informed);
+        if informed < RESPONSIBLE_SHARE * all {
+            self.collapsed_uninformed += 1;
+            return;
+        }
+        let age = at - known.started_at;
+        let informed_percent = informed / all.max(f64::MIN_POSITIVE) * 100.0;
+        violations.add(Violation {
+            rule: Rule::SlowStart,
+            at,
+            subject: tracker.head.backend_name(known.backend).to_owned(),
+            description: format!(
+                "pushed over {age:.1} s after its start, {informed_percent:.0}% of it by proxies that knew of the start"
+            ),
+            timing_dependent: false,
+        });
+    }
+
+    /// Returns the cold starts by time, and by name within one time.
+    pub(super) fn cold_starts(&self, tracker: &Tracker<'_>) -> Vec<ColdStart> {
+        let cold = tracker.incarnations.iter().filter(|(_, known)| known.cold);
+        let mut cold_starts: Vec<_> = cold
+            .map(|(incarnation, known)| ColdStart {
+                backend: tracker.head.backend_name(known.backend).to_owned(),
+                started_at: known.started_at,
+                peak_overload: self
+                    .loads
+                    .get(incarnation)
+                    .map_or(0.0, |load| load.peak_overload),
+            })
+            .collect();
+        cold_starts.sort_by(|a, b| {
+            a.started_at
+                .total_cmp(&b.started_at)
+                .then_with(|| a.backend.cmp(&b.backend))
+        });
+        cold_starts
+    }
+}
--- /dev/null
+++ b/crates/audit/src/audit/tracker.rs
@@ -0,0 +1,304 @@
+//! Shared state of the rules: RPCs, client requests and their attempts, backends, and what proxies know of them.
+use crate::event::{Admission, Answer, EndpointState, Entry, Event};
+use crate::head::{Head, Idempotency};
+use std::collections::{BTreeMap, HashMap};
+
+/// An attempt of a proxy at a backend.
+#[derive(Clone, Debug)]
+pub(super) struct Attempt {
+    pub(super) attempt_id: u64,
+    /// The incarnation of the backend that received it.
+    pub(super) incarnation: u32,
+    /// When the backend read its first byte, in seconds.
+    pub(super) first_byte_at: f64,
+    pub(super) admission: Admission,
+    /// When it ended, in seconds; a rejected attempt ends when it is received.
+    pub(super) ended_at: Option<f64>,
+    /// The timeout that the proxy forwarded to the backend, in seconds.
+    pub(super) forwarded_timeout: Option<f64>,
+}
+
+impl Attempt {
+    /// Whether the backend may have executed the RPC.
+    pub(super) fn may_have_run(&self) -> bool {
+        self.admission != Admission::Rejected
+    }
+}
+
+/// One request of a client for an RPC: its first one or a retry.
+#[derive(Debug)]
+pub(super) struct ClientRequest {
+    pub(super) rpc: u32,
+    pub(super) proxy: u16,
+    /// When the client sent the last byte, in seconds.
+    pub(super) sent_at: f64,
+    /// How long the client waits for the answer, in seconds.
+    client_timeout: f64,
+    /// When the first answer arrived, in seconds, and the answer.
+    pub(super) answer: Option<(f64, Answer)>,
+    /// Number of answers received.
+    pub(super) answer_count: usize,
+    /// Attempts of the proxy, in the order in which backends received them.
+    pub(super) attempts: Vec<Attempt>,
+}
+
+impl ClientRequest {
+    /// Returns the time until which the client waits, in seconds.
+    pub(super) fn deadline(&self) -> f64 {
+        self.sent_at + self.client_timeout
+    }
+}
+
+/// One run of a backend's process.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Incarnation {
+    /// Index of the backend in the ledger's head.
+    pub(super) backend: u32,
+    /// When the process started, in seconds.
+    pub(super) started_at: f64,
+    /// Whether it started without its full capacity.
+    pub(super) cold: bool,
+}
+
+/// What a proxy knows of a backend.
+#[derive(Clone, Copy, Debug)]
+struct Notification {
+    incarnation: u32,
+    /// Since when the proxy knows that the incarnation accepts no new work, in seconds.
+    no_new_work_since: Option<f64>,
+}
+
+/// The state that the events of a ledger describe, up to the last one recorded.
+pub(super) struct Tracker<'a> {
+    pub(super) head: &'a Head,
+    /// Time of the latest event, in seconds.
+    pub(super) now: f64,
+    /// Client requests by id.
+    pub(super) requests: BTreeMap<u64, ClientRequest>,
+    /// Method of each RPC.
+    methods: HashMap<u32, usize>,
+    /// Client request of each attempt.
+    request_ids: HashMap<u64, u64>,
+    pub(super) incarnations: HashMap<u32, Incarnation>,
+    /// The last notification of each proxy about each backend.
+    notifications: HashMap<(u16, u32), Notification>,
+}
+
+impl<'a> Tracker<'a> {
+    pub(super) fn new(head: &'a Head) -> Self {
+        Self {
+            head,
+            now: 0.0,
+            requests: BTreeMap::new(),
+            methods: HashMap::new(),
+            request_ids: HashMap::new(),
+            incarnations: HashMap::new(),
+            notifications: HashMap::new(),
+        }
+    }
+
+    /// Returns whether the RPC may run again; `None` if the RPC or its method is unknown.
+    pub(super) fn idempotency(&self, rpc: u32) -> Option<Idempotency> {
+        let method = self.methods.get(&rpc)?;
+        self.head.methods.get(*method).map(|method| method.kind)
+    }
+
+    /// Returns the client request that an attempt serves.
+    pub(super) fn request_of_attempt(&self, attempt_id: u64) -> Option<&ClientRequest> {
+        self.requests.get(self.request_ids.get(&attempt_id)?)
+    }
+
+    /// Returns the index of an incarnation's backend; `u32::MAX` if the incarnation is unknown.
+    pub(super) fn backend_of(&self, incarnation: u32) -> u32 {
+        self.incarnations
+            .get(&incarnation)
+            .map_or(u32::MAX, |known| known.backend)
+    }
+
+    /// Whether the proxy was notified of this incarnation of the backend, and of no other one since.
+    pub(super) fn knows_incarnation(&self, proxy: u16, backend: u32, incarnation: u32) -> bool {
+        self.notification(proxy, backend, incarnation).is_some()
+    }
+
+    /// Returns since when the proxy knows that this incarnation accepts no new work, in seconds.
+    pub(super) fn no_new_work_since(
+        &self,
+        proxy: u16,
+        backend: u32,
+        incarnation: u32,
+    ) -> Option<f64> {
+        self.notification(proxy, backend, incarnation)?
+            .no_new_work_since
+    }
+
+    /// Returns what the proxy knows of this incarnation. A notification of an earlier one does not count.
+    fn notification(&self, proxy: u16, backend: u32, incarnation: u32) -> Option<Notification> {
+        self.notifications
+            .get(&(proxy, backend))
+            .filter(|notification| notification.incarnation == incarnation)
+            .copied()
+    }
+
+    /// Applies an event.
+    pub(super) fn record(&mut self, entry: &Entry) {
+        let at = entry.at;
+        self.now = self.now.max(at);
+        match entry.event {
+            Event::Arrival { rpc, method, .. } => {
+                self.methods.insert(rpc, method as usize);
+            }
+            Event::RequestSent {
+                request_id,
+                rpc,
+                proxy,
+                client_timeout,
+            } => self.record_request(at, request_id, rpc, proxy, client_timeout),
+            Event::RequestAnswered { request_id, answer } => {
+                if let Some(request) = self.requests.get_mut(&request_id) {
+                    request.answer.get_or_insert((at, answer));
+                    request.answer_count += 1;
+                }
+            }
+            Event::BackendStarted {
+                incarnation,
+                backend,
+                cold,
+                ..
+            } => self.record_start(at, incarnation, backend, cold),
+            Event::AttemptReceived { .. }
+            | Event::AttemptEnded { .. }
+            | Event::TimeoutForwarded { .. } => self.record_attempt_event(entry),
+            Event::ProxyNotified {
+                proxy,
+                backend,
+                incarnation,
+                state,
+            } => self.record_notification(at, proxy, backend, incarnation, state),
+            Event::ProxyStarted { proxy } => {
+                // A new process knows only what it is notified of from now on.
+                self.notifications
+                    .retain(|(notified, _), _| *notified != proxy);
+            }
+            _ => {}
+        }
+    }
+
+    fn record_request(
+        &mut self,
+        at: f64,
+        request_id: u64,
+        rpc: u32,
+        proxy: u16,
+        client_timeout: f32,
+    ) {
+        // The record of the first attempt may precede that of the request.
+        let attempts = self
+            .requests
+            .remove(&request_id)
+            .map_or(Vec::new(), |request| request.attempts);
+        let request = ClientRequest {
+            rpc,
+            proxy,
+            sent_at: at,
+            client_timeout: f64::from(client_timeout),
+            answer: None,
+            answer_count: 0,
+            attempts,
+        };
+        self.requests.insert(request_id, request);
+    }
+
+    fn record_start(&mut self, started_at: f64, incarnation: u32, backend: u32, cold: bool) {
+        let started = Incarnation {
+            backend,
+            started_at,
+            cold,
+        };
+        self.incarnations.insert(incarnation, started);
+    }
+
+    fn record_attempt_event(&mut self, entry: &Entry) {
+        match entry.event {
+            Event::AttemptReceived {
+                incarnation,
+                attempt_id,
+                request_id,
+                first_byte_at,
+                admission,
+                ..
+            } => {
+                let ended_at = (admission == Admission::Rejected).then_some(first_byte_at);
+                let attempt = Attempt {
+                    attempt_id,
+                    incarnation,
+                    first_byte_at,
+                    admission,
+                    ended_at,
+                    forwarded_timeout: None,
+                };
+                self.record_attempt(request_id, attempt);
+            }
+            Event::AttemptEnded { attempt_id, .. } => {
+                if let Some(attempt) = self.attempt_mut(attempt_id) {
+                    attempt.ended_at.get_or_insert(entry.at);
+                }
+            }
+            Event::TimeoutForwarded {
+                attempt_id,
+                seconds,
+            } => {
+                if let Some(attempt) = self.attempt_mut(attempt_id) {
+                    attempt.forwarded_timeout = Some(f64::from(seconds));
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Adds an attempt to its request, or to a placeholder for a request that is not recorded yet.
+    fn record_attempt(&mut self, request_id: u64, attempt: Attempt) {
+        self.request_ids.insert(attempt.attempt_id, request_id);
+        let request = self
+            .requests
+            .entry(request_id)
+            .or_insert_with(|| ClientRequest {
+                rpc: u32::MAX,
+                proxy: u16::MAX,
+                sent_at: attempt.first_byte_at,
+                client_timeout: f64::INFINITY,
+                answer: None,
+                answer_count: 0,
+                attempts: Vec::new(),
+            });
+        request.attempts.push(attempt);
+    }
+
+    fn attempt_mut(&mut self, attempt_id: u64) -> Option<&mut Attempt> {
+        let request_id = self.request_ids.get(&attempt_id)?;
+        self.requests
+            .get_mut(request_id)?
+            .attempts
+            .iter_mut()
+            .find(|attempt| attempt.attempt_id == attempt_id)
+    }
+
+    fn record_notification(
+        &mut self,
+        at: f64,
+        proxy: u16,
+        backend: u32,
+        incarnation: u32,
+        state: EndpointState,
+    ) {
+        let no_new_work_since = (state != EndpointState::Ready).then(|| {
+            // A repeated notification does not extend the grace period.
+            self.no_new_work_since(proxy, backend, incarnation)
+                .unwrap_or(at)
+        });
+        let notification = Notification {
+            incarnation,
+            no_new_work_since,
+        };
+        self.notifications.insert((proxy, backend), notification);
+    }
+}
--- a/crates/audit/src/head.rs
+++ b/crates/audit/src/head.rs
@@ -1,17 +1,27 @@
-//! Among whom a rehearsal was played and by which figures it is judged.
+//! The head of a ledger: the deployment, the methods, the planned faults, and the figures that the audit judges by.
 use serde::{Deserialize, Serialize};
 
-/// Which nodes drop each other's repeats.
+/// Shown in place of a name that the head does not have.
+const UNKNOWN_NAME: &str = "?";
+
+/// Shown in place of the tenant of an RPC without one.
+const NO_TENANT: &str = "-";
+
+/// Which backends drop duplicates of each other's RPCs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DeduplicationScope {
+    /// All backends.
     All,
+    /// The backends of a zone.
     Zone,
+    /// The backends of a rack.
     Rack,
 }
 
 impl DeduplicationScope {
-    /// Numbers the group that a node of this zone and rack belongs to: no two groups share a number.
+    /// Returns the number of the group that a backend in this zone and rack belongs to. Groups of different scopes
+    /// have different numbers.
     pub fn number(self, zone: u32, rack: u32) -> u64 {
         match self {
             Self::All => 0,
@@ -21,21 +31,25 @@
     }
 }
 
-/// Whether an RPC may run again.
+/// Whether the RPCs of a method may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Idempotency {
+    /// Any number of times.
     Idempotent,
+    /// Never.
     NonIdempotent,
-    /// Within the group and so many seconds of the first pick that may have run.
+    /// Only where backends drop duplicates.
     Deduplicated {
+        /// The backends that drop duplicates of each other's RPCs.
         group: DeduplicationScope,
+        /// For how long they drop duplicates, in seconds from the first attempt that may have run.
         window: f64,
     },
 }
 
 impl Idempotency {
-    /// Whether pushing back what may have run is harmless.
+    /// Whether a retry by the client is harmless at any backend, so that an RPC may be rejected after it may have run.
     pub fn retry_is_harmless(self) -> bool {
         matches!(
             self,
@@ -48,98 +62,158 @@
     }
 }
 
-/// A method. Times in s.
+/// A method of the service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Method {
+    /// Name of the method.
     pub name: String,
+    /// Whether its RPCs may run again.
     pub kind: Idempotency,
+    /// Latency objective, in seconds: an answer within it has the full utility.
     pub target: f64,
+    /// Time after which an answer has no utility, in seconds.
     pub deadline: f64,
+    /// Utility of an answer within the latency objective.
     pub utility: f64,
-    /// Part of the utility of an answer after the target and before the deadline.
+    /// Share of the utility of an answer after the latency objective and before the deadline.
     pub late_utility: f64,
 }
 
-/// Figures of the rules, s where not said otherwise.
+/// Figures that the rules are judged by.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// New work may still go to a node so long after its proxy was told that it drains or is gone.
+    /// For how long new work may still reach a backend after its proxy learnt that it drains or is gone, in seconds.
     pub drain_grace: f64,
-    /// For the way over sockets and the kit's own delay: each time limit is so much longer.
+    /// Tolerance of each time limit for delays of sockets and of the rehearsal itself, in seconds.
     pub slack: f64,
-    /// Work sent to a cold node is summed over this window.
+    /// Window over which the work sent to a cold backend is summed, in seconds.
     #[serde(rename = "fall_window")]
     pub overload_window: f64,
+    /// Largest number of attempts for one client request.
     #[serde(rename = "most_picks")]
     pub max_attempts: usize,
+    /// Whether a proxy may make an attempt while an earlier one is open.
     #[serde(rename = "second_copies")]
     pub hedging_allowed: bool,
-    /// Part of the utility of what lies beyond a tenant's quota.
+    /// Share of the utility of an RPC beyond its tenant's quota.
     pub over_quota_utility: f64,
-    /// The kit's own lateness, 99th percentile, beyond which time limits can't be judged.
+    /// Largest 99th percentile of the rehearsal's own lateness with which time limits can be judged, in seconds.
     #[serde(rename = "kit_late")]
     pub max_lateness: f64,
 }
 
-/// A node, as far as rules and reports want to know it.
+/// A backend of the deployment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Backend {
+    /// Name of the backend.
     pub name: String,
+    /// Number of its zone.
     pub zone: u32,
+    /// Number of its rack within the zone.
     pub rack: u32,
 }
 
-/// A trouble as the plan drew it: from, until, and the nodes or proxies that it befell.
+/// A planned fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
+    /// Name of the fault in the scenario.
     pub name: String,
+    /// Kind of the fault in the scenario.
     pub kind: String,
+    /// When it begins, in seconds.
     pub from: f64,
+    /// When it ends, in seconds.
     pub until: f64,
+    /// Indices of the affected backends.
     #[serde(rename = "nodes")]
     pub backends: Vec<u32>,
+    /// Indices of the affected proxies.
     pub proxies: Vec<u16>,
 }
 
-/// What service must reach, parts of 1; `None` is not judged.
+/// Service that a scenario expects, as shares between 0 and 1; `None` is not judged.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct ServiceTargets {
+    /// Over the whole rehearsal.
     pub service: Option<f64>,
+    /// In the worst window of 10 s.
     pub worst_10s: Option<f64>,
+    /// Of the method with the lowest share.
     pub worst_method: Option<f64>,
+    /// Of the tenant with the lowest share.
     pub worst_tenant: Option<f64>,
 }
 
-/// The head of a ledger.
+/// The head of a ledger. Events refer to methods, tenants, proxies, backends and faults by their index in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Head {
+    /// Name of the scenario.
     pub scenario: String,
+    /// Seed from which the plan was generated.
     pub seed: u64,
+    /// Hash of the plan.
     pub plan: String,
-    /// s, until the last arrival.
+    /// Time of the last arrival, in seconds.
     pub length: f64,
+    /// Figures that the rules are judged by.
     pub rules: Rules,
+    /// Service that the scenario expects.
     #[serde(rename = "bars")]
     pub targets: ServiceTargets,
+    /// Methods of the service.
     pub methods: Vec<Method>,
+    /// Names of the tenants.
     pub tenants: Vec<String>,
+    /// Names of the proxies.
     pub proxies: Vec<String>,
+    /// Backends of the deployment.
     #[serde(rename = "nodes")]
     pub backends: Vec<Backend>,
+    /// Planned faults.
     #[serde(rename = "troubles")]
     pub faults: Vec<Fault>,
 }
 
 impl Head {
-    /// Whether repeats of this method at one node are dropped at the other.
-    pub fn shares_deduplication(&self, group: DeduplicationScope, one: u32, other: u32) -> bool {
-        let of = |n: u32| self.backends.get(n as usize);
-        match (group, of(one), of(other)) {
+    /// Whether duplicates of an RPC that one backend received are dropped at the other; both are given by index.
+    pub fn shares_deduplication(&self, scope: DeduplicationScope, one: u32, other: u32) -> bool {
+        let backend = |index: u32| self.backends.get(index as usize);
+        match (scope, backend(one), backend(other)) {
             (DeduplicationScope::All, ..) => true,
             (DeduplicationScope::Zone, Some(a), Some(b)) => a.zone == b.zone,
             (DeduplicationScope::Rack, Some(a), Some(b)) => (a.zone, a.rack) == (b.zone, b.rack),
             _ => one == other,
         }
     }
+
+    /// Returns the name of a proxy, or `?`.
+    pub fn proxy_name(&self, proxy: u16) -> &str {
+        let name = self.proxies.get(proxy as usize);
+        name.map_or(UNKNOWN_NAME, String::as_str)
+    }
+
+    /// Returns the name of a backend, or `?`.
+    pub fn backend_name(&self, backend: u32) -> &str {
+        let backend = self.backends.get(backend as usize);
+        backend.map_or(UNKNOWN_NAME, |backend| &backend.name)
+    }
+
+    /// Returns the name of a method, or `?`.
+    pub fn method_name(&self, method: u8) -> &str {
+        let method = self.methods.get(method as usize);
+        method.map_or(UNKNOWN_NAME, |method| &method.name)
+    }
+
+    /// Returns the name of a tenant, or `-`.
+    pub fn tenant_name(&self, tenant: u8) -> &str {
+        let name = self.tenants.get(tenant as usize);
+        name.map_or(NO_TENANT, String::as_str)
+    }
+
+    /// Returns the name of a fault, or `?`.
+    pub fn fault_name(&self, fault: u16) -> &str {
+        let fault = self.faults.get(fault as usize);
+        fault.map_or(UNKNOWN_NAME, |fault| &fault.name)
+    }
 }
