--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,5 +1,8 @@
-//! A small logger behind the `log` crate, the same for all programs: lines go to a thread of their own, and are dropped (and counted) rather than waited for.
-//! The fields of a record follow its text as ` name=value`, so that all lines about one request are found by its id.
+//! The logger of all programs, behind the `log` crate.
+//!
+//! A record becomes one line: seconds since 1970, level, module, text, and its fields as ` name=value`. A thread of its
+//! own writes the lines to standard error, so that logging never blocks: lines that come faster than they can be
+//! written are dropped and counted.
 #[cfg(test)]
 mod tests;
 
@@ -12,17 +15,23 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const LINES: usize = 1024; // lines that wait to be written; beyond, they are dropped
-const FLUSH_TIME: Duration = Duration::from_millis(200); // for all that waits to be written: a reader may have gone
-const FLUSH_EVERY: Duration = Duration::from_millis(1); // between tries to have that asked for
+/// Lines that may wait to be written.
+const QUEUE_CAPACITY: usize = 1024;
+/// Time that a flush waits for the writing thread: the reader of standard error may be gone.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time between two attempts of a flush to queue its marker.
+const FLUSH_RETRY_INTERVAL: Duration = Duration::from_millis(1);
+/// Stack of the writing thread, in bytes.
+const WRITER_STACK_BYTES: usize = 64 << 10;
+/// Environment variable with the level.
+const LEVEL_VARIABLE: &str = "BIRCHHUB_LOG";
 
-/// What goes to the writing thread.
+/// A message to the writing thread.
 enum Entry {
+    /// A line to be written.
     Line(String),
-    /// Dropped once all before it is written, which its other end hears.
-    Mark {
-        _done: SyncSender<()>,
-    },
+    /// A marker of a flush. The thread drops it after all lines before it, which closes the channel.
+    FlushMarker { _written: SyncSender<()> },
 }
 
 /// Appends the fields of a record to its line.
@@ -34,14 +43,16 @@
     }
 }
 
+/// Formats records and queues their lines.
 struct Logger {
     lines: SyncSender<Entry>,
+    /// Lines dropped since the last one that was written.
     dropped: &'static AtomicUsize,
 }
 
 impl Log for Logger {
-    fn enabled(&self, about: &Metadata) -> bool {
-        about.level() <= log::max_level() && about.target().starts_with("birchhub")
+    fn enabled(&self, metadata: &Metadata) -> bool {
+        metadata.level() <= log::max_level() && metadata.target().starts_with("birchhub")
     }
 
     fn log(&self, record: &Record) {
@@ -51,14 +62,14 @@
         let at = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let part = record.target().rsplit("::").next().unwrap_or_default();
+        let module = record.target().rsplit("::").next().unwrap_or_default();
         let mut line = format!(
-            "{:.3} {:5} {part}: {}",
+            "{:.3} {:5} {module}: {}",
             at.as_secs_f64(),
             record.level(),
             record.args()
         );
-        // Neither a field nor the text can fail: they are written to memory.
+        // Formatting into a string can't fail.
         let _ = record.key_values().visit(&mut Fields(&mut line));
         line.push('\n');
         if self.lines.try_send(Entry::Line(line)).is_err() {
@@ -66,45 +77,49 @@
         }
     }
 
-    /// Waits until what was logged is written, but not for long. Guards against last lines that go with the process.
+    /// Waits until the queued lines are written, at most for [`FLUSH_TIMEOUT`]. Otherwise the last lines would be lost when
+    /// the process exits.
     fn flush(&self) {
-        let until = Instant::now() + FLUSH_TIME;
-        let (_done, written) = sync_channel(0);
-        let mut entry = Entry::Mark { _done };
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        let (_written, closed) = sync_channel(0);
+        let mut entry = Entry::FlushMarker { _written };
         while let Err(TrySendError::Full(back)) = self.lines.try_send(entry) {
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return;
             }
             entry = back;
-            sleep(FLUSH_EVERY);
+            sleep(FLUSH_RETRY_INTERVAL);
         }
-        let _ = written.recv_timeout(until.saturating_duration_since(Instant::now()));
+        let _ = closed.recv_timeout(deadline.saturating_duration_since(Instant::now()));
     }
 }
 
+/// Writes the lines that are queued, until the logger is gone.
 fn write(lines: Receiver<Entry>, dropped: &AtomicUsize) {
-    let mut out = std::io::stderr();
+    let mut stderr = std::io::stderr();
     for entry in lines {
         let Entry::Line(line) = entry else { continue };
-        // Nobody is left to tell when standard error fails.
-        let _ = out.write_all(line.as_bytes());
+        // There is no other place to report that standard error failed.
+        let _ = stderr.write_all(line.as_bytes());
         match dropped.swap(0, Ordering::Relaxed) {
             0 => {}
-            some => drop(writeln!(out, "logger: {some} lines dropped")),
+            count => drop(writeln!(stderr, "logger: {count} lines dropped")),
         }
     }
 }
 
-/// Starts logging at the level that `BIRCHHUB_LOG` names, `info` if it names none.
+/// Starts logging at the level in `BIRCHHUB_LOG`, or at `info` if there is none or it is unknown.
+///
+/// Without a thread for it, or if another logger was started before, nothing is logged.
 pub fn start() {
-    let level = std::env::var("BIRCHHUB_LOG")
+    let level = std::env::var(LEVEL_VARIABLE)
         .ok()
         .and_then(|level| level.parse().ok());
-    let (sender, lines) = sync_channel(LINES);
+    let (sender, lines) = sync_channel(QUEUE_CAPACITY);
     let dropped: &'static AtomicUsize = Box::leak(Box::default());
     let writer = std::thread::Builder::new()
         .name("log".into())
-        .stack_size(64 << 10);
+        .stack_size(WRITER_STACK_BYTES);
     if writer.spawn(move || write(lines, dropped)).is_ok()
         && log::set_boxed_logger(Box::new(Logger {
             lines: sender,
--- a/crates/simulator-adapter/src/endpoints.rs
+++ b/crates/simulator-adapter/src/endpoints.rs
@@ -1,33 +1,34 @@
-//! Endpoint lists as the wire carries them.
+//! Endpoint lists as the simulator sends them.
 
 use crate::error::LineError;
 use crate::fields::Fields;
-use birchhub::interface::{Endpoint, EndpointUpdateKind, Readiness};
+use crate::protocol::{self, field, message};
+use birchhub::interface::Endpoint;
 
-/// An entry of a list; zone and start are resolved once the instance is known.
+/// An entry of an endpoint list. Zone and start are resolved by each proxy, which has its own settings and clock.
 pub(crate) struct ListEntry {
     /// Name of the zone.
     pub(crate) zone: String,
-    /// Clock of the latest start, ns; `None` for long ago.
+    /// Simulated time of the latest start in ns; `None` if it was long ago.
     pub(crate) started_at: Option<u64>,
-    /// All else.
+    /// The other facts.
     pub(crate) endpoint: Endpoint,
 }
 
 impl ListEntry {
-    /// Reads one line of a list.
+    /// Parses one line of a list.
     pub(crate) fn parse(line: &str) -> Result<Self, LineError> {
         let mut fields = Fields::new(line);
-        if fields.text("M")? != "M" {
+        if fields.text(message::ENDPOINT_LIST_ENTRY)? != message::ENDPOINT_LIST_ENTRY {
             return Err(LineError::IncompleteList);
         }
-        fields.text("sku")?;
+        fields.text(field::MACHINE_TYPE)?;
         let relative_size = relative_size(&mut fields)?;
-        let backend = fields.number("backend")?;
-        let started_at = fields.optional_number::<u64>("online-since-ns")?;
-        let cell = fields.optional_number("block")?.unwrap_or(u64::MAX);
-        let zone = fields.text("campus")?.to_owned();
-        let readiness = readiness(&mut fields)?;
+        let backend = fields.number(field::BACKEND)?;
+        let started_at = fields.optional_number::<u64>(field::STARTED_AT)?;
+        let cell = fields.optional_number(field::CELL)?.unwrap_or(u64::MAX);
+        let zone = fields.text(field::ZONE)?.to_owned();
+        let readiness = fields.name(field::READINESS, protocol::readiness)?;
         Ok(Self {
             zone,
             started_at: started_at.filter(|clock| *clock > 0),
@@ -44,7 +45,7 @@
 }
 
 fn relative_size(fields: &mut Fields) -> Result<f64, LineError> {
-    let field = "scale";
+    let field = field::RELATIVE_SIZE;
     let size = fields.optional_number::<f64>(field)?.unwrap_or(1.0);
     if size.is_finite() && size >= 0.0 {
         Ok(size)
@@ -53,41 +54,3 @@
         Err(LineError::OutOfRange { field, value })
     }
 }
-
-fn readiness(fields: &mut Fields) -> Result<Readiness, LineError> {
-    let field = "readiness";
-    match fields.text(field)? {
-        "IN" => Ok(Readiness::Ready),
-        "LAME" => Ok(Readiness::Draining),
-        "OUT" => Ok(Readiness::Removed),
-        other => Err(LineError::Unknown {
-            field,
-            value: other.to_owned(),
-        }),
-    }
-}
-
-/// What an update brings.
-pub(crate) enum UpdateKind {
-    /// A list of this kind.
-    List(EndpointUpdateKind),
-    /// Nothing: the call to discovery failed.
-    Failed,
-}
-
-impl UpdateKind {
-    /// Reads the kind of an update.
-    pub(crate) fn parse(fields: &mut Fields) -> Result<Self, LineError> {
-        let field = "kind";
-        Ok(match fields.text(field)? {
-            "patch" => Self::List(EndpointUpdateKind::Incremental),
-            "whole" => Self::List(EndpointUpdateKind::Snapshot),
-            "stale_copy" => Self::List(EndpointUpdateKind::StaleSnapshot),
-            "broken" => Self::Failed,
-            other => {
-                let value = other.to_owned();
-                return Err(LineError::Unknown { field, value });
-            }
-        })
-    }
-}
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,12 +1,13 @@
-//! What is wrong with an input line.
+//! Errors of the input.
 
+use birchhub_settings::{LoadReportError, SettingsError};
 use thiserror::Error;
 
-/// An error with the number of the line, counted from 1.
+/// An error in one input line.
 #[derive(Debug, Error)]
 #[error("line {line}: {error}")]
-pub(crate) struct WireError {
-    /// Number of the input line.
+pub(crate) struct InputError {
+    /// Number of the line, counted from 1.
     pub(crate) line: u64,
     /// What is wrong with it.
     pub(crate) error: LineError,
@@ -15,15 +16,15 @@
 /// What is wrong with one line.
 #[derive(Debug, Error)]
 pub(crate) enum LineError {
-    /// A field, or all fields from it on, is not there.
+    /// A field is missing, and with it all that follow.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A field is no number, or none of the type that is wanted.
+    /// A field is not a number, or out of the range of its type.
     #[error("{field} is not a number in range: {text}")]
     NotANumber {
         /// Name of the field.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         text: String,
     },
     /// A number is outside the range of its field.
@@ -31,47 +32,47 @@
     OutOfRange {
         /// Name of the field.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         value: String,
     },
-    /// A word or code that the wire does not have, or a name that the settings do not have.
+    /// A name or code is unknown to the protocol, or a name to the settings.
     #[error("{field} is not known: {value}")]
     Unknown {
         /// Name of the field.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         value: String,
     },
-    /// A flag that is neither 0 nor 1.
+    /// A flag is neither 0 nor 1.
     #[error("{field} is not 0 or 1: {text}")]
     NotAFlag {
         /// Name of the field.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         text: String,
     },
-    /// The settings of an instance can't be read.
+    /// The settings of a proxy are invalid.
     #[error("conf: {0}")]
-    Settings(String),
-    /// A load report can't be read.
+    Settings(SettingsError),
+    /// A load report is malformed.
     #[error("metrics {0}")]
-    LoadReport(String),
-    /// An update names a list that never came.
+    LoadReport(LoadReportError),
+    /// An endpoint update refers to a list that was not sent.
     #[error("bank has no list: {0}")]
-    NoSuchBank(u64),
-    /// Another message came before the last entry of a list.
+    NoSuchList(u64),
+    /// Another message arrived before the last entry of a list.
     #[error("nodes-list has fewer entries than it says")]
     IncompleteList,
     /// A batch began within another.
     #[error("BATCH before the last one's FLUSH")]
     NestedBatch,
-    /// A message came outside a batch.
+    /// A message arrived outside a batch.
     #[error("BATCH expected, not {0}")]
     BatchExpected(String),
     /// The input ended within a batch.
     #[error("input ends before FLUSH")]
     UnfinishedBatch,
-    /// The line has no end.
+    /// The input ended within the line.
     #[error("the line is cut off")]
     Truncated,
     /// The line is not UTF-8.
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,24 +1,23 @@
-//! The fields of one line: separated by tabs, taken in order, `-` for one that is absent.
+//! Reader of the fields of one line, which are separated by tabs.
 
 use crate::error::LineError;
+use crate::protocol::{self, ABSENT, field};
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_settings as settings;
 use std::str::FromStr;
 
-const ABSENT: &str = "-";
-
-/// What is left of a line.
+/// The fields of a line that have not been read yet.
 pub(crate) struct Fields<'a> {
     rest: Option<&'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of a line without its end.
+    /// Creates a reader of a line without its line end.
     pub(crate) fn new(line: &'a str) -> Self {
         Self { rest: Some(line) }
     }
 
-    /// The next field as it stands.
+    /// Reads the next field as text.
     pub(crate) fn text(&mut self, field: &'static str) -> Result<&'a str, LineError> {
         let rest = self.rest.ok_or(LineError::Missing(field))?;
         let (text, rest) = match rest.split_once('\t') {
@@ -29,7 +28,7 @@
         Ok(text)
     }
 
-    /// The next field, if it is not absent.
+    /// Reads the next field as text, unless it is absent.
     pub(crate) fn optional_text(
         &mut self,
         field: &'static str,
@@ -38,13 +37,13 @@
         Ok((text != ABSENT).then_some(text))
     }
 
-    /// The next field as a number.
+    /// Reads the next field as a number.
     pub(crate) fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, LineError> {
         let text = self.text(field)?;
         parse(field, text)
     }
 
-    /// The next field as a number, if it is not absent.
+    /// Reads the next field as a number, unless it is absent.
     pub(crate) fn optional_number<T: FromStr>(
         &mut self,
         field: &'static str,
@@ -53,7 +52,7 @@
         text.map(|text| parse(field, text)).transpose()
     }
 
-    /// The next field as a number of at most so many bits.
+    /// Reads the next field as a number of at most `bits` bits.
     pub(crate) fn number_of_bits(
         &mut self,
         field: &'static str,
@@ -68,7 +67,7 @@
         }
     }
 
-    /// The next field as 0 or 1.
+    /// Reads the next field as a flag, which is 0 or 1.
     pub(crate) fn flag(&mut self, field: &'static str) -> Result<bool, LineError> {
         match self.text(field)? {
             "0" => Ok(false),
@@ -80,39 +79,42 @@
         }
     }
 
-    /// All that is left, tabs too.
+    /// Reads the rest of the line, tabs included.
     pub(crate) fn remainder(&mut self, field: &'static str) -> Result<&'a str, LineError> {
         self.rest.take().ok_or(LineError::Missing(field))
     }
 
-    /// The next field as the code of an outcome.
+    /// Reads the next field as the code of an outcome.
     pub(crate) fn outcome(&mut self) -> Result<AttemptOutcome, LineError> {
-        let field = "state-code";
-        Ok(match self.number::<u32>(field)? {
-            0 => AttemptOutcome::Succeeded,
-            255 => AttemptOutcome::Failed,
-            254 => AttemptOutcome::Rejected,
-            253 => AttemptOutcome::TimedOut,
-            252 => AttemptOutcome::ConnectFailed,
-            251 => AttemptOutcome::Reset,
-            250 => AttemptOutcome::Cancelled,
-            249 => AttemptOutcome::NotSent,
-            other => {
-                let value = other.to_string();
-                return Err(LineError::Unknown { field, value });
-            }
+        let code: u32 = self.number(field::OUTCOME)?;
+        protocol::outcome(code).ok_or_else(|| LineError::Unknown {
+            field: field::OUTCOME,
+            value: code.to_string(),
+        })
+    }
+
+    /// Reads the next field as a name of the protocol, which `lookup` knows.
+    pub(crate) fn name<T>(
+        &mut self,
+        field: &'static str,
+        lookup: impl Fn(&str) -> Option<T>,
+    ) -> Result<T, LineError> {
+        let name = self.text(field)?;
+        lookup(name).ok_or_else(|| LineError::Unknown {
+            field,
+            value: name.to_owned(),
         })
     }
 
-    /// The next field as a load report, if it carries one.
+    /// Reads the next field as a load report, unless it is absent or empty.
     pub(crate) fn load_report(&mut self) -> Result<Option<LoadReport>, LineError> {
-        let text = self.optional_text("metrics")?;
+        let text = self.optional_text(field::LOAD_REPORT)?;
         let Some(text) = text.filter(|text| !text.is_empty()) else {
             return Ok(None);
         };
         settings::parse_load_report(text, ':')
             .map(Some)
-            .map_err(|error| LineError::LoadReport(error.to_string()))
+            .map_err(LineError::LoadReport)
     }
 }
 
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,36 +1,40 @@
-//! One proxy instance: its balancer, and the names and numbers that the wire uses for it.
+//! One simulated proxy: its balancer, and the names of its settings.
 
 use crate::endpoints::ListEntry;
 use crate::error::LineError;
+use crate::protocol::{NANOSECONDS_PER_SECOND, field};
 use birchhub::balancer::{Balancer, RpcHandle};
 use birchhub::interface::Endpoint;
 use birchhub_settings::{self as settings, ParsedSettings};
 use std::collections::HashMap;
 
-/// One proxy instance.
+/// One simulated proxy.
 pub(crate) struct Instance {
+    /// Its decisions.
     pub(crate) balancer: Balancer,
     /// RPCs that are not finished.
     pub(crate) rpcs: HashMap<u64, RpcHandle>,
     names: Names,
-    /// Clock at `INIT`, ns; times of the decisions count from here, so that fractions keep their precision.
-    start_clock: u64,
+    /// Simulated time of its start in ns. Times of the decisions count from here, so that fractions keep their precision.
+    started_at: u64,
 }
 
-/// Names that the settings give, by index.
+/// Names in the settings, by index.
 struct Names {
     methods: Vec<String>,
     tenants: Vec<String>,
     zones: Vec<String>,
-    /// The list tells sizes of backends.
+    /// Whether endpoint lists tell the sizes of backends.
     has_sizes: bool,
 }
 
 impl Instance {
-    /// An instance with these settings, as text, that starts at this clock.
+    /// Creates a proxy that starts at this simulated time in ns.
+    ///
+    /// # Errors
+    /// The settings are invalid.
     pub(crate) fn new(settings: &str, seed: u64, clock: u64) -> Result<Self, LineError> {
-        let parsed =
-            settings::parse(settings).map_err(|error| LineError::Settings(error.to_string()))?;
+        let parsed = settings::parse(settings).map_err(LineError::Settings)?;
         let ParsedSettings {
             settings,
             methods,
@@ -48,31 +52,31 @@
                 zones,
                 has_sizes: lists_endpoint_sizes,
             },
-            start_clock: clock,
+            started_at: clock,
         })
     }
 
-    /// A clock of the wire as a time of the decisions, s.
+    /// Converts a simulated time in ns into a time of the decisions in seconds.
     pub(crate) fn seconds(&self, clock: u64) -> f64 {
-        (i128::from(clock) - i128::from(self.start_clock)) as f64 / 1e9
+        (i128::from(clock) - i128::from(self.started_at)) as f64 / NANOSECONDS_PER_SECOND
     }
 
-    /// Index of a method.
+    /// Returns the index of a method.
     pub(crate) fn method(&self, name: &str) -> Result<usize, LineError> {
         let methods = &self.names.methods;
         let index = methods.iter().position(|method| method == name);
         index.ok_or_else(|| LineError::Unknown {
-            field: "profile",
+            field: field::METHOD,
             value: name.to_owned(),
         })
     }
 
-    /// Index of a tenant, if the settings have it.
+    /// Returns the index of a tenant, if the settings have it.
     pub(crate) fn tenant(&self, name: &str) -> Option<usize> {
         self.names.tenants.iter().position(|tenant| tenant == name)
     }
 
-    /// An entry of a list, with its names and clock resolved.
+    /// Resolves the zone and the start of a list's entry.
     pub(crate) fn resolve(&self, entry: &ListEntry) -> Endpoint {
         let zones = &self.names.zones;
         let zone = zones.iter().position(|zone| *zone == entry.zone);
@@ -89,7 +93,7 @@
         }
     }
 
-    /// Forgets an RPC that is finished.
+    /// Forgets an RPC if it is finished.
     pub(crate) fn forget_if_finished(&mut self, rpc: u64) {
         if self.rpcs.get(&rpc).is_some_and(RpcHandle::is_finished) {
             self.rpcs.remove(&rpc);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs the decisions on the operators' simulator: reads its wire on standard input and writes the answers to standard
-//! output. Malformed input ends the program with exit code 2 and one line that names the input line and the field.
+//! Adapter that runs the decisions on the operators' simulator: reads its protocol on standard input and writes the answers
+//! to standard output. Malformed input ends the program with exit code 2 and one line that names the input line and the field.
 
 mod endpoints;
 mod error;
@@ -7,11 +7,12 @@
 mod instance;
 mod platform;
 mod process;
+mod protocol;
 mod session;
 
 use std::process::ExitCode;
 
-/// Exit code for input that can't be read.
+/// Exit code for malformed input.
 const MALFORMED_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/simulator-adapter/src/process.rs
+++ b/crates/simulator-adapter/src/process.rs
@@ -1,10 +1,14 @@
-//! The simulated process: several instances, the lists that were sent, and the messages to them.
+//! The proxies of a run, the endpoint lists that were sent, and the messages to the proxies.
 
-use crate::endpoints::{ListEntry, UpdateKind};
+use crate::endpoints::ListEntry;
 use crate::error::LineError;
 use crate::fields::Fields;
 use crate::instance::Instance;
-use crate::platform::WirePlatform;
+use crate::platform::SimulatorPlatform;
+use crate::protocol::{
+    self, EndpointUpdate, HAS_EXPECTED_WORK, IS_CLIENT_RETRY, NANOSECONDS_PER_SECOND, NO_TENANT,
+    RPC_BITS, TIMER_BITS, command, field, message,
+};
 use birchhub::balancer::RpcHandle;
 use birchhub::interface::{IncomingRpc, PacedBy};
 use birchhub_settings as settings;
@@ -13,78 +17,73 @@
 use std::fmt::Write as _;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Bits of an RPC's number.
-const RPC_BITS: u32 = 52;
-/// Bits of a timer's number.
-const TIMER_BITS: u32 = 63;
-/// In `opts`: the client gave the cost of the RPC.
-const HAS_COST: u64 = 1;
-/// In `opts`: the client has sent the RPC before.
-const IS_RETRY: u64 = 2;
-
-/// All instances of a run.
+/// All proxies of a run.
 #[derive(Default)]
 pub(crate) struct Process {
-    /// Clock of the present batch, ns.
+    /// Simulated time of the current batch in ns.
     pub(crate) clock: u64,
-    /// What the present batch has been answered so far.
+    /// The answer to the current batch so far.
     pub(crate) output: String,
     /// Endpoint lists, by number.
     pub(crate) lists: HashMap<u64, Vec<ListEntry>>,
+    /// Running proxies, by id.
     instances: BTreeMap<u64, Instance>,
 }
 
 impl Process {
-    /// Handles one message.
-    pub(crate) fn handle(&mut self, message: &str, fields: &mut Fields) -> Result<(), LineError> {
-        match message {
-            "INIT" => self.start_instance(fields),
-            "KILLED" => self.end_instance(fields),
-            "TOPOLOGY" => self.update_endpoints(fields),
-            "ORDER" => self.accept_rpc(fields),
-            "REPORT_BACK" => self.end_attempt(fields),
-            "BEGUN" => self.start_response(fields),
-            "HANGUP" => self.disconnect_client(fields),
-            "TIMEOUT_FIRED" => self.fire_timer(fields),
-            "HEALTH_RESULT" => self.end_health_check(fields),
-            "HEARD" => fields.number::<u64>("proxy-id").map(drop),
+    /// Handles the message with this name.
+    ///
+    /// # Errors
+    /// The message is unknown or malformed.
+    pub(crate) fn handle(&mut self, name: &str, fields: &mut Fields) -> Result<(), LineError> {
+        match name {
+            message::PROXY_START => self.start_instance(fields),
+            message::PROXY_END => self.end_instance(fields),
+            message::ENDPOINT_UPDATE => self.update_endpoints(fields),
+            message::RPC => self.accept_rpc(fields),
+            message::ATTEMPT_END => self.end_attempt(fields),
+            message::RESPONSE_START => self.start_response(fields),
+            message::CLIENT_DISCONNECT => self.disconnect_client(fields),
+            message::TIMER => self.fire_timer(fields),
+            message::HEALTH_CHECK_END => self.end_health_check(fields),
+            message::OVERHEARD => fields.number::<u64>(field::PROXY).map(drop),
             other => Err(LineError::Unknown {
-                field: "the message name",
+                field: field::MESSAGE_NAME,
                 value: other.to_owned(),
             }),
         }
     }
 
     fn start_instance(&mut self, fields: &mut Fields) -> Result<(), LineError> {
-        let proxy = fields.number("proxy-id")?;
-        let seed = fields.number("entropy")?;
-        let instance = Instance::new(fields.remainder("conf")?, seed, self.clock)?;
+        let proxy = fields.number(field::PROXY)?;
+        let seed = fields.number(field::SEED)?;
+        let instance = Instance::new(fields.remainder(field::SETTINGS)?, seed, self.clock)?;
         self.instances.insert(proxy, instance);
         Ok(())
     }
 
     fn end_instance(&mut self, fields: &mut Fields) -> Result<(), LineError> {
-        let proxy: u64 = fields.number("proxy-id")?;
+        let proxy: u64 = fields.number(field::PROXY)?;
         self.instances.remove(&proxy);
         Ok(())
     }
 
     fn update_endpoints(&mut self, fields: &mut Fields) -> Result<(), LineError> {
-        let proxy = fields.number("proxy-id")?;
-        let _generation: Option<u64> = fields.optional_number("generation")?;
-        let list: Option<u64> = fields.optional_number("bank")?;
-        let kind = match UpdateKind::parse(fields)? {
-            UpdateKind::List(kind) => kind,
-            UpdateKind::Failed => {
+        let proxy = fields.number(field::PROXY)?;
+        let _generation: Option<u64> = fields.optional_number(field::GENERATION)?;
+        let list: Option<u64> = fields.optional_number(field::LIST_NUMBER)?;
+        let kind = match fields.name(field::UPDATE_KIND, protocol::update_kind)? {
+            EndpointUpdate::List(kind) => kind,
+            EndpointUpdate::Failed => {
                 self.call(proxy, |instance, platform| {
                     instance.balancer.on_discovery_failure(platform);
                 });
                 return Ok(());
             }
         };
-        let number = list.ok_or(LineError::Missing("bank"))?;
+        let number = list.ok_or(LineError::Missing(field::LIST_NUMBER))?;
         let list = self.lists.get(&number);
-        let list = list.ok_or(LineError::NoSuchBank(number))?;
+        let list = list.ok_or(LineError::NoSuchList(number))?;
         let Some(instance) = self.instances.get(&proxy) else {
             return Ok(());
         };
@@ -97,26 +96,26 @@
     }
 
     fn accept_rpc(&mut self, fields: &mut Fields) -> Result<(), LineError> {
-        let proxy: u64 = fields.number("proxy-id")?;
-        let id = fields.number_of_bits("tid", RPC_BITS)?;
-        let method = fields.text("profile")?;
-        let tenant = fields.optional_text("user-group")?;
-        let key = fields.optional_text("entity")?.map(settings::hash_key);
-        let deadline: u64 = fields.number("expires-ns")?;
-        let cost: Option<u64> = fields.optional_number("cost-guess-ns")?;
-        let options = fields.optional_number::<u64>("opts")?.unwrap_or(0);
+        let proxy: u64 = fields.number(field::PROXY)?;
+        let id = fields.number_of_bits(field::RPC, RPC_BITS)?;
+        let method = fields.text(field::METHOD)?;
+        let tenant = fields.optional_text(field::TENANT)?;
+        let key = fields.optional_text(field::KEY)?.map(settings::hash_key);
+        let deadline: u64 = fields.number(field::DEADLINE)?;
+        let expected_work: Option<u64> = fields.optional_number(field::EXPECTED_WORK)?;
+        let options = fields.optional_number::<u64>(field::OPTIONS)?.unwrap_or(0);
         let Some(instance) = self.instances.get(&proxy) else {
             return Ok(());
         };
-        let tenant = tenant.filter(|name| *name != "0" && !name.is_empty());
-        let cost = cost.filter(|_| options & HAS_COST != 0);
+        let tenant = tenant.filter(|name| *name != NO_TENANT && !name.is_empty());
+        let expected_work = expected_work.filter(|_| options & HAS_EXPECTED_WORK != 0);
         let rpc = IncomingRpc {
             id,
             method: instance.method(method)?,
             tenant: tenant.and_then(|name| instance.tenant(name)),
             deadline: instance.seconds(deadline),
-            expected_work: cost.map(|nanoseconds| nanoseconds as f64 / 1e9),
-            client_retry: options & IS_RETRY != 0,
+            expected_work: expected_work.map(|work| work as f64 / NANOSECONDS_PER_SECOND),
+            client_retry: options & IS_CLIENT_RETRY != 0,
             streams_request: false,
             key,
         };
@@ -130,13 +129,13 @@
     }
 
     fn end_attempt(&mut self, fields: &mut Fields) -> Result<(), LineError> {
-        let proxy = fields.number("proxy-id")?;
-        let id = fields.number_of_bits("tid", RPC_BITS)?;
-        let attempt = fields.number("n")?;
-        fields.number::<u32>("backend")?;
+        let proxy = fields.number(field::PROXY)?;
+        let id = fields.number_of_bits(field::RPC, RPC_BITS)?;
+        let attempt = fields.number(field::ATTEMPT)?;
+        fields.number::<u32>(field::BACKEND)?;
         let outcome = fields.outcome()?;
-        fields.number::<u64>("elapsed-ns")?;
-        let answered = fields.flag("over")?;
+        fields.number::<u64>(field::DURATION)?;
+        let answered = fields.flag(field::IS_ANSWERED)?;
         let report = fields.load_report()?;
         self.on_rpc(proxy, id, |rpc, platform| {
             rpc.on_attempt_ended(attempt, outcome, answered, report, platform);
@@ -145,9 +144,9 @@
     }
 
     fn start_response(&mut self, fields: &mut Fields) -> Result<(), LineError> {
-        let proxy = fields.number("proxy-id")?;
-        let id = fields.number_of_bits("tid", RPC_BITS)?;
-        let attempt = fields.number("n")?;
+        let proxy = fields.number(field::PROXY)?;
+        let id = fields.number_of_bits(field::RPC, RPC_BITS)?;
+        let attempt = fields.number(field::ATTEMPT)?;
         self.on_rpc(proxy, id, |rpc, platform| {
             rpc.on_response_started(attempt, PacedBy::Backend, platform);
         });
@@ -155,8 +154,8 @@
     }
 
     fn disconnect_client(&mut self, fields: &mut Fields) -> Result<(), LineError> {
-        let proxy = fields.number("proxy-id")?;
-        let id = fields.number_of_bits("tid", RPC_BITS)?;
+        let proxy = fields.number(field::PROXY)?;
+        let id = fields.number_of_bits(field::RPC, RPC_BITS)?;
         self.on_rpc(proxy, id, |rpc, platform| {
             rpc.on_client_disconnected(platform);
         });
@@ -164,8 +163,8 @@
     }
 
     fn fire_timer(&mut self, fields: &mut Fields) -> Result<(), LineError> {
-        let proxy = fields.number("proxy-id")?;
-        fields.number_of_bits("token", TIMER_BITS)?;
+        let proxy = fields.number(field::PROXY)?;
+        fields.number_of_bits(field::TIMER, TIMER_BITS)?;
         self.call(proxy, |instance, platform| {
             instance.balancer.on_timer(platform);
         });
@@ -173,10 +172,10 @@
     }
 
     fn end_health_check(&mut self, fields: &mut Fields) -> Result<(), LineError> {
-        let proxy = fields.number("proxy-id")?;
+        let proxy = fields.number(field::PROXY)?;
         let outcome = fields.outcome()?;
-        let backend = fields.number("backend")?;
-        fields.number::<u64>("elapsed-ns")?;
+        let backend = fields.number(field::BACKEND)?;
+        fields.number::<u64>(field::DURATION)?;
         let report = fields.load_report()?;
         self.call(proxy, |instance, platform| {
             let balancer = &instance.balancer;
@@ -185,28 +184,34 @@
         Ok(())
     }
 
-    /// Calls the decisions of one instance; a panic in there ends the instance with `DIE`. Nothing if it has ended.
-    fn call(&mut self, proxy: u64, act: impl FnOnce(&mut Instance, &mut WirePlatform)) {
+    /// Calls the decisions of one proxy, if it runs. A panic in them ends the proxy.
+    fn call(&mut self, proxy: u64, act: impl FnOnce(&mut Instance, &mut SimulatorPlatform)) {
         let Some(instance) = self.instances.get_mut(&proxy) else {
             return;
         };
         let now = instance.seconds(self.clock);
-        let mut platform = WirePlatform::new(&mut self.output, proxy, now);
+        let mut platform = SimulatorPlatform::new(&mut self.output, proxy, now);
         let result = catch_unwind(AssertUnwindSafe(|| act(instance, &mut platform)));
         if let Err(panic) = result {
             let text = panic_text(&*panic);
-            writeln!(self.output, "DIE\t{proxy}\t{text}").expect("writing to a string");
+            let panicked = command::PROXY_PANICKED;
+            writeln!(self.output, "{panicked}\t{proxy}\t{text}").expect("writing to a string");
             self.instances.remove(&proxy);
             return;
         }
-        // RPCs that waited are answered in calls about others. Prevents their handles from being kept for good.
+        // An RPC that was pending may be answered in a call about another one: its handle must not leak.
         for rpc in platform.into_answered() {
             instance.forget_if_finished(rpc);
         }
     }
 
-    /// Hands a later event to an RPC; nothing if it is finished.
-    fn on_rpc(&mut self, proxy: u64, id: u64, act: impl FnOnce(&RpcHandle, &mut WirePlatform)) {
+    /// Reports an event to an RPC, unless it is finished.
+    fn on_rpc(
+        &mut self,
+        proxy: u64,
+        id: u64,
+        act: impl FnOnce(&RpcHandle, &mut SimulatorPlatform),
+    ) {
         self.call(proxy, |instance, platform| {
             let Some(rpc) = instance.rpcs.get(&id) else {
                 return;
@@ -217,7 +222,7 @@
     }
 }
 
-/// The text of a panic on one line.
+/// Returns the message of a panic on one line.
 fn panic_text(panic: &(dyn Any + Send)) -> String {
     let text = match panic.downcast_ref::<String>() {
         Some(text) => text.as_str(),
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,23 +1,24 @@
-//! The conversation with the simulator: batches of messages, each answered as a whole at its end.
+//! The session with the simulator: batches of messages, each answered as a whole at its end.
 
 use crate::endpoints::ListEntry;
-use crate::error::{LineError, WireError};
+use crate::error::{InputError, LineError};
 use crate::fields::Fields;
 use crate::process::Process;
+use crate::protocol::{LIST_NUMBER_BITS, command, field, message};
 use std::fmt::Write as _;
 use std::io::{BufRead, Write};
 
-/// Bits of a list's number.
-const LIST_BITS: u32 = 4;
-
-/// Reads messages until the end of the input.
-pub(crate) fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
+/// Handles messages until the end of the input.
+///
+/// # Errors
+/// The input is malformed, or reading or writing failed.
+pub(crate) fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), InputError> {
     let mut session = Session::default();
     let mut buffer = Vec::new();
     let mut line = 0;
     loop {
         line += 1;
-        let at_line = |error| WireError { line, error };
+        let at_line = |error| InputError { line, error };
         let Some(text) = read_line(&mut input, &mut buffer).map_err(at_line)? else {
             return session.end().map_err(at_line);
         };
@@ -25,7 +26,7 @@
     }
 }
 
-/// The next line without its end; `None` at the end of the input.
+/// Reads the next line without its line end; `None` at the end of the input.
 fn read_line<'a>(
     input: &mut impl BufRead,
     buffer: &'a mut Vec<u8>,
@@ -39,26 +40,26 @@
     Ok(Some(text))
 }
 
-/// A list of which some entries are still to come.
+/// An endpoint list of which some entries are still missing.
 struct PartialList {
     number: u64,
-    missing: usize,
+    missing_entries: usize,
     entries: Vec<ListEntry>,
 }
 
-/// Where the conversation stands.
+/// The state of the session.
 #[derive(Default)]
 struct Session {
     process: Process,
-    /// Serial number of the batch that is open.
-    batch: Option<u64>,
+    /// Serial number of the open batch.
+    open_batch: Option<u64>,
     partial_list: Option<PartialList>,
 }
 
 impl Session {
-    /// The input has ended.
+    /// Checks that the input does not end within a batch.
     fn end(&self) -> Result<(), LineError> {
-        match self.batch {
+        match self.open_batch {
             None => Ok(()),
             Some(_) => Err(LineError::UnfinishedBatch),
         }
@@ -69,28 +70,28 @@
             return self.add_entry(list, text);
         }
         let mut fields = Fields::new(text);
-        let message = fields.text("the message name")?;
-        match (message, self.batch) {
-            ("BATCH", None) => self.open_batch(&mut fields),
-            ("BATCH", Some(_)) => Err(LineError::NestedBatch),
+        let name = fields.text(field::MESSAGE_NAME)?;
+        match (name, self.open_batch) {
+            (message::BATCH_START, None) => self.open_batch(&mut fields),
+            (message::BATCH_START, Some(_)) => Err(LineError::NestedBatch),
             (_, None) if text.is_empty() => Ok(()),
-            (_, None) => Err(LineError::BatchExpected(message.to_owned())),
-            ("FLUSH", Some(serial)) => self.answer_batch(serial, output),
-            ("TABLE", Some(_)) => self.open_list(&mut fields),
-            (_, Some(_)) => self.process.handle(message, &mut fields),
+            (_, None) => Err(LineError::BatchExpected(name.to_owned())),
+            (message::BATCH_END, Some(serial)) => self.answer_batch(serial, output),
+            (message::ENDPOINT_LIST, Some(_)) => self.open_list(&mut fields),
+            (_, Some(_)) => self.process.handle(name, &mut fields),
         }
     }
 
     fn open_batch(&mut self, fields: &mut Fields) -> Result<(), LineError> {
-        self.process.clock = fields.number("at-time-ns")?;
-        self.batch = Some(fields.number("serial")?);
+        self.process.clock = fields.number(field::CLOCK)?;
+        self.open_batch = Some(fields.number(field::BATCH_SERIAL)?);
         Ok(())
     }
 
     fn answer_batch(&mut self, serial: u64, output: &mut impl Write) -> Result<(), LineError> {
-        self.batch = None;
+        self.open_batch = None;
         let answer = &mut self.process.output;
-        writeln!(answer, "YIELD\t{serial}").expect("writing to a string");
+        writeln!(answer, "{}\t{serial}", command::BATCH_ANSWERED).expect("writing to a string");
         output.write_all(answer.as_bytes())?;
         output.flush()?;
         answer.clear();
@@ -98,11 +99,11 @@
     }
 
     fn open_list(&mut self, fields: &mut Fields) -> Result<(), LineError> {
-        let number = fields.number_of_bits("bank", LIST_BITS)?;
-        let missing = fields.number("nodes-list")?;
-        self.keep_list(PartialList {
+        let number = fields.number_of_bits(field::LIST_NUMBER, LIST_NUMBER_BITS)?;
+        let missing_entries = fields.number(field::LIST_LENGTH)?;
+        self.store_list(PartialList {
             number,
-            missing,
+            missing_entries,
             entries: Vec::new(),
         });
         Ok(())
@@ -110,14 +111,14 @@
 
     fn add_entry(&mut self, mut list: PartialList, text: &str) -> Result<(), LineError> {
         list.entries.push(ListEntry::parse(text)?);
-        list.missing -= 1;
-        self.keep_list(list);
+        list.missing_entries -= 1;
+        self.store_list(list);
         Ok(())
     }
 
-    /// Puts a list in force once it is complete.
-    fn keep_list(&mut self, list: PartialList) {
-        if list.missing == 0 {
+    /// Stores a complete list for the process, and an incomplete one for its next entry.
+    fn store_list(&mut self, list: PartialList) {
+        if list.missing_entries == 0 {
             self.process.lists.insert(list.number, list.entries);
         } else {
             self.partial_list = Some(list);
