--- a/crates/daemon/tests/deploy.rs
+++ b/crates/daemon/tests/deploy.rs
@@ -1,5 +1,5 @@
-//! The platform's requirements on `build` and `run` in the deploy file: checked on the text of both, and on the process
-//! that `run` starts.
+//! The platform's requirements on `build` and `run` in the deploy file, checked on their text and on the process that `run`
+//! starts.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{Daemon, Log, echo, rpc};
@@ -8,7 +8,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// The keys of the deploy file whose values are strings.
+/// Returns the values of the deploy file that are strings, by key.
 fn deploy_file() -> BTreeMap<String, String> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
     let text = std::fs::read_to_string(path).expect("the deploy file");
@@ -19,20 +19,23 @@
     text.lines().filter_map(pair).collect()
 }
 
-/// Whether an ELF program names a dynamic loader. A library that the platform loads into the process has no effect on one
-/// that is linked statically.
+/// Whether an ELF program names a dynamic loader. The platform loads a library into the process, which has no effect on a
+/// statically linked program.
 fn names_dynamic_loader(program: &[u8]) -> bool {
-    const INTERPRETER: usize = 3; // PT_INTERP
+    /// Type `PT_INTERP` of a program header.
+    const INTERPRETER: usize = 3;
     let number = |at: usize, bytes: usize| {
         let bytes = program[at..at + bytes].iter().rev();
         bytes.fold(0, |sum, byte| sum << 8 | u64::from(*byte)) as usize
     };
     // Offset, entry size and length of the program header table, by the ELF header.
-    let (table, entry_size, entries) = (number(32, 8), number(54, 2), number(56, 2));
+    let table = number(32, 8);
+    let entry_size = number(54, 2);
+    let entries = number(56, 2);
     (0..entries).any(|entry| number(table + entry * entry_size, 4) == INTERPRETER)
 }
 
-/// No shell may remain between the platform and the proxy, and `run` must name the program that `build` makes.
+/// No shell may remain between the platform and the proxy, and `run` must name the program that `build` produces.
 #[test]
 fn run_is_one_exec_of_the_built_program() {
     let deploy = deploy_file();
@@ -50,7 +53,7 @@
 fn assert_no_children(process: &Path) {
     for thread in std::fs::read_dir(process.join("task")).expect("its threads") {
         let children = thread.expect("a thread").path().join("children");
-        // Not every kernel has the file; the calls of a whole run are counted on the operators' bench.
+        // Not every kernel has the file.
         let children = std::fs::read_to_string(children).unwrap_or_default();
         assert_eq!(children, "", "it has started another program");
     }
@@ -66,7 +69,6 @@
     }
 }
 
-/// The platform's own library is loaded by the dynamic loader.
 #[test]
 fn the_proxy_is_one_dynamically_linked_process() {
     assert!(names_dynamic_loader(
--- a/crates/daemon/tests/ending.rs
+++ b/crates/daemon/tests/ending.rs
@@ -1,9 +1,11 @@
-//! Graceful shutdown, standby and eviction crossing with RPCs. A stopped process finds at once what came while it was
-//! stopped: bytes, connections and deadlines that have passed.
+//! Graceful shutdown, standby and eviction that coincide with RPCs.
+//!
+//! The tests stop the process for a while: it then finds bytes, connections and expired deadlines all at once.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
-    Act, Client, Daemon, HEALTH, Log, PATIENCE, backend, blind, echo, eventually, gated, reply, rpc,
+    Act, Client, Daemon, HEALTH, Log, PATIENCE, backend, blind, echo, eventually, gated, reply,
+    rpc, send_signal,
 };
 use serde_json::Value;
 use std::net::{SocketAddr, TcpListener};
@@ -12,10 +14,12 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
-const CLIENTS: usize = 16; // each of them meets the crossing
-const READER: &str = "BIRCHHUB_TEST_READER"; // where the reader of the test of interrupted reads connects to
+/// Number of clients, each of which meets the coincidence.
+const CLIENTS: usize = 16;
+/// Variable with the address to which the reader of the test of interrupted reads connects.
+const READER: &str = "BIRCHHUB_TEST_READER";
 
-/// Opens connections, each of which has had an answer.
+/// Opens connections, on each of which a response was received.
 fn idle_clients(daemon: &Daemon) -> Vec<Client> {
     let open = |_| {
         let mut client = daemon.client();
@@ -25,7 +29,7 @@
     (0..CLIENTS).map(open).collect()
 }
 
-/// What was answered on each, in order.
+/// Returns the status of the response on each connection.
 fn statuses(clients: &mut [Client]) -> Vec<Option<u16>> {
     clients
         .iter_mut()
@@ -33,9 +37,9 @@
         .collect()
 }
 
-/// A signal interrupts the reader of a connection, in a process of its own, and then the connection is closed.
+/// Signals interrupt the reader of a connection, which is a process of its own, before the connection is closed.
 #[test]
-fn a_close_is_seen_though_signals_interrupt_the_read() {
+fn test_client_sees_a_close_after_interrupted_reads() {
     if let Ok(at) = std::env::var(READER) {
         let mut client = Client::open(at.parse().expect("an address")).expect("a connection");
         return assert!(client.is_closed());
@@ -45,7 +49,7 @@
     let mut reader = Command::new(std::env::current_exe().expect("this program"))
         .args([
             "--exact",
-            "a_close_is_seen_though_signals_interrupt_the_read",
+            "test_client_sees_a_close_after_interrupted_reads",
         ])
         .env(READER, at)
         .stdout(Stdio::null())
@@ -55,18 +59,16 @@
     let (connection, _) = listener.accept().expect("the reader's connection");
     for name in ["STOP", "CONT"].repeat(3) {
         sleep(Duration::from_millis(50));
-        let kill = format!("kill -{name} {}", reader.id());
-        let killed = Command::new("sh").args(["-c", &kill]).status();
-        assert!(killed.expect("a shell").success());
+        send_signal(&reader, name);
     }
     sleep(Duration::from_millis(50));
     drop(connection);
     assert!(reader.wait().expect("its end").success());
 }
 
-/// SIGTERM: the deadline of idle connections passes while complete RPCs wait on them unread.
+/// The deadline of idle connections expires during a graceful shutdown while complete RPCs on them are unread.
 #[test]
-fn an_rpc_that_crosses_with_the_end_of_its_idle_connection_is_answered() {
+fn rpc_on_an_idle_connection_is_answered_after_the_idle_deadline() {
     let log = Log::new(vec![]);
     let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], blind);
     let mut clients = idle_clients(&daemon);
@@ -76,26 +78,26 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&rpc("POST", "/book", &format!("n{n}"), ""));
     }
-    sleep(Duration::from_millis(700)); // past the half second for which idle ones are kept
+    sleep(Duration::from_millis(700)); // past the idle deadline, half a second after SIGTERM
     daemon.signal("CONT");
     assert_eq!(statuses(&mut clients), vec![Some(200); CLIENTS]);
     assert!(clients.iter_mut().all(Client::is_closed));
     assert!(daemon.await_end().success());
 }
 
-/// The same after `/standby`, whose grace of a second passes.
+/// The deadline of idle connections expires during a standby while complete RPCs on them are unread.
 #[test]
-fn an_rpc_that_crosses_with_a_standby_is_answered() {
+fn rpc_on_an_idle_connection_is_answered_on_standby() {
     let log = Log::new(vec![]);
-    let second = common::sockets::free();
+    let management = common::sockets::free();
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], |config| {
-        config["management"] = second.to_string().into();
+        config["management"] = management.to_string().into();
         blind(config);
     });
     let mut clients = idle_clients(&daemon);
-    let mut staff = Client::open(second).expect("a connection");
+    let mut operator = Client::open(management).expect("a connection");
     let call = "POST /standby HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(staff.call(call).unwrap().status(), 200);
+    assert_eq!(operator.call(call).unwrap().status(), 200);
     daemon.signal("STOP");
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&rpc("POST", "/book", &format!("n{n}"), ""));
@@ -105,9 +107,9 @@
     assert_eq!(statuses(&mut clients), vec![Some(200); CLIENTS]);
 }
 
-/// New connections need sockets in the turn of the event loop in which the idle ones to be evicted bring RPCs.
+/// New connections need sockets in the same turn of the event loop in which RPCs arrive on idle connections.
 #[test]
-fn an_rpc_that_crosses_with_the_eviction_of_its_connection_is_answered() {
+fn rpc_that_was_read_from_an_evicted_connection_is_answered() {
     let log = Log::new(vec![]);
     let few = |config: &mut Value| {
         config["limits"]["sockets"] = 74.into(); // room for ten clients
@@ -126,28 +128,28 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&rpc("POST", "/book", &format!("n{n}"), ""));
     }
-    let mut fresh: Vec<_> = (0..5).map(|_| daemon.client()).collect();
-    for (n, client) in fresh.iter_mut().enumerate() {
-        client.send(&rpc("GET", "/read", &format!("fresh{n}"), ""));
+    let mut new_clients: Vec<_> = (0..5).map(|_| daemon.client()).collect();
+    for (n, client) in new_clients.iter_mut().enumerate() {
+        client.send(&rpc("GET", "/read", &format!("new{n}"), ""));
     }
     daemon.signal("CONT");
-    // One that was closed with its RPC unread may send it once more; one that was read has to be answered.
-    let read = |n: usize| log.count(&format!(" n{n}")) > 0;
-    let told = statuses(&mut clients);
-    let lost: Vec<_> = (0..told.len())
-        .filter(|n| read(*n) && told[*n] != Some(200))
+    // A client whose connection was closed with its RPC unread may send it again. An RPC that was read must be answered.
+    let was_read = |n: usize| log.count(&format!(" n{n}")) > 0;
+    let answers = statuses(&mut clients);
+    let lost: Vec<_> = (0..answers.len())
+        .filter(|n| was_read(*n) && answers[*n] != Some(200))
         .collect();
-    assert_eq!(lost, Vec::<usize>::new(), "{told:?}");
+    assert_eq!(lost, Vec::<usize>::new(), "{answers:?}");
     assert!(
-        statuses(&mut fresh)
+        statuses(&mut new_clients)
             .iter()
             .all(|answer| matches!(answer, Some(200 | 503)))
     );
 }
 
-/// Connections that the machine has accepted, and this process has not, as its time to accept ends.
+/// Connections are in the listen backlog when the accept deadline of a graceful shutdown expires.
 #[test]
-fn connections_that_wait_to_be_accepted_at_the_end_are_served() {
+fn connections_in_the_backlog_are_served_after_the_accept_deadline() {
     let log = Log::new(vec![]);
     let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], blind);
     daemon.signal("TERM");
@@ -163,9 +165,9 @@
     assert!(daemon.await_end().success());
 }
 
-/// A message that is half there at SIGTERM is served when it is whole, if that is in time.
+/// A message that is incomplete at SIGTERM is served once it is complete, if the response deadline allows.
 #[test]
-fn a_message_that_is_half_there_at_the_end_is_served() {
+fn message_that_is_incomplete_at_sigterm_is_served() {
     let log = Log::new(vec![]);
     let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], blind);
     let mut clients = idle_clients(&daemon);
@@ -183,7 +185,7 @@
     }
     daemon.signal("TERM");
     daemon.await_ready(503);
-    sleep(Duration::from_millis(800)); // past the half second for which idle ones are kept
+    sleep(Duration::from_millis(800)); // past the idle deadline, half a second after SIGTERM
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&message(n)[part(n)..]);
     }
@@ -191,13 +193,14 @@
     assert!(daemon.await_end().success());
 }
 
-/// A backend that answers nothing.
+/// Starts a backend that never responds.
 fn backend_that_never_answers(log: &Log) -> SocketAddr {
     backend("b1", log, |_| Act::Hang)
 }
 
-/// SIGKILL comes 0.7 s after the longest deadline, as if that were 3 s at the most: what is out by then is answered.
-fn all_answered_before_the_kill(hard_limit: Value, kill: Duration) {
+/// All RPCs are answered, and the process exits, before SIGKILL, which follows 0.7 s after the longest deadline or after
+/// 3 s, if the deadline is longer.
+fn assert_answered_before_the_kill(hard_limit: Value, kill: Duration) {
     let log = Log::new(vec![]);
     let mut daemon = Daemon::start_with(
         PROGRAM,
@@ -214,7 +217,9 @@
         },
     );
     let long = |id: &str| rpc("POST", "/book", id, "").replace("3000", "60000");
-    let (mut before, mut after, mut half) = (daemon.client(), daemon.client(), daemon.client());
+    let mut before = daemon.client();
+    let mut after = daemon.client();
+    let mut half = daemon.client();
     before.send(&long("before"));
     log.await_event("b1 got POST /book HTTP/1.1 before");
     half.send(&long("half")[..50]);
@@ -223,11 +228,11 @@
     daemon.signal("TERM");
     daemon.await_ready(503);
     after.send(&long("after"));
-    let told = (
+    let answers = (
         before.answer().map(|a| a.status()),
         after.answer().map(|a| a.status()),
     );
-    assert_eq!(told, (Some(502), Some(502)), "both may have run");
+    assert_eq!(answers, (Some(502), Some(502)), "both may have run");
     assert!(term.elapsed() < kill, "answered after {:?}", term.elapsed());
     assert!(half.is_closed());
     assert!(daemon.await_end().success());
@@ -236,16 +241,16 @@
 
 #[test]
 fn a_long_deadline_does_not_outlast_the_kill() {
-    all_answered_before_the_kill(10e9.into(), Duration::from_millis(3700));
+    assert_answered_before_the_kill(10e9.into(), Duration::from_millis(3700));
 }
 
 #[test]
-fn clients_that_wait_for_longer_than_settings_say_are_answered_before_the_kill() {
-    all_answered_before_the_kill(500e6.into(), Duration::from_millis(1200));
+fn rpcs_with_a_longer_timeout_than_the_longest_deadline_are_answered_before_the_kill() {
+    assert_answered_before_the_kill(500e6.into(), Duration::from_millis(1200));
 }
 
 #[test]
-fn a_deadline_that_is_not_told_ends_nothing_at_once() {
+fn missing_deadline_does_not_end_rpcs_at_sigterm() {
     let log = Log::new(vec![]);
     let (at, gate) = gated("b1", &log, "");
     let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], |config| {
@@ -261,7 +266,7 @@
     held.send(&rpc("POST", "/book", "held", ""));
     log.await_event("b1 got POST /book HTTP/1.1 held");
     daemon.signal("TERM");
-    // Idle ones are closed after half a second: the time that this guards against has passed by then.
+    // Idle connections are closed half a second after SIGTERM: an early response deadline has expired by then.
     assert!(daemon.client().is_closed());
     sleep(Duration::from_millis(200));
     gate.change(|open| *open = true);
@@ -269,9 +274,9 @@
     assert!(daemon.await_end().success());
 }
 
-/// Signals that cross: SIGTERM twice, SIGHUP during the end, and many at once.
+/// Repeated SIGTERM, and SIGHUP before and after it, cause one graceful shutdown.
 #[test]
-fn signals_that_cross_end_it_once() {
+fn repeated_signals_cause_one_graceful_shutdown() {
     let log = Log::new(vec![]);
     let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], blind);
     let mut clients = idle_clients(&daemon);
@@ -291,14 +296,14 @@
         .matches("exiting with 0 client connections")
         .count();
     assert_eq!(ended, 1);
-    eventually(PATIENCE, "somebody still listens", || {
+    eventually(PATIENCE, "the process still listens", || {
         Client::open(daemon.at).is_none()
     });
 }
 
-/// While a quarter of what is out hangs and every connection holds an RPC, each is answered.
+/// Every connection carries an RPC at SIGTERM, and the backend does not respond to a quarter of them.
 #[test]
-fn every_connection_holds_an_rpc_at_the_end() {
+fn rpcs_on_all_connections_are_answered_during_a_graceful_shutdown() {
     let log = Log::new(vec![]);
     let at = backend("b1", &log, |m| {
         match m.header("request-id").ends_with('0') {
@@ -316,12 +321,15 @@
     }
     daemon.signal("TERM");
     daemon.signal("CONT");
-    let told = statuses(&mut clients);
-    let hung = told.iter().filter(|answer| **answer == Some(502)).count();
+    let answers = statuses(&mut clients);
+    let hung = answers
+        .iter()
+        .filter(|answer| **answer == Some(502))
+        .count();
     assert_eq!(
-        (told.iter().flatten().count(), hung),
+        (answers.iter().flatten().count(), hung),
         (CLIENTS, CLIENTS / 4),
-        "{told:?}"
+        "{answers:?}"
     );
     assert!(daemon.await_end().success());
 }
--- a/crates/daemon/tests/in_force/load.rs
+++ b/crates/daemon/tests/in_force/load.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Sets the flag when it is dropped, so that clients end also where an assertion has failed.
+/// Sets the flag when it is dropped, so that clients end even if an assertion fails.
 pub(crate) struct SetOnDrop(pub Shared<bool>);
 
 impl Drop for SetOnDrop {
@@ -15,7 +15,7 @@
     }
 }
 
-/// A client that sends RPCs on one connection until the flag is set, and counts the responses.
+/// Sends RPCs on one connection until the flag is set, and counts the responses.
 fn send_rpcs(client_number: usize, at: SocketAddr, over: &Shared<bool>, responses: &AtomicUsize) {
     let mut client = Client::open(at).expect("a connection");
     for n in 0.. {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Changes the order of the methods, one of them, the quotas and the attempts.
+/// Changes the order of the methods, one method, the quotas and the limit of attempts.
 fn change_settings(settings: &mut Value, n: usize) {
     let all = methods(settings);
     all.retain(|m| ["read", "book", "log"].contains(&m["name"].as_str().expect("a name")));
@@ -47,21 +47,21 @@
     settings["ceilings"]["most-picks"] = (2 + n % 3).into();
 }
 
-/// Reloads these settings, and waits for the next RPC, so that RPCs are under way at each change.
+/// Reloads changed settings, and waits for the next response, so that RPCs are in flight at each change.
 fn reload_between_rpcs(proxy: &mut Proxy, n: usize, responses: &AtomicUsize) {
     change_settings(&mut proxy.config["settings"], n);
     let before = responses.load(Ordering::SeqCst);
     proxy.reload();
-    eventually(PATIENCE, "no RPC ends", || {
+    eventually(PATIENCE, "no RPC completes", || {
         responses.load(Ordering::SeqCst) > before
     });
 }
 
-/// Waits for the log line of the last change. Not by RPCs: those refused would fill the proxy's sockets, and idle
-/// clients are evicted for them.
+/// Waits for the log line of the last change. RPCs would not do: rejected ones would use up the proxy's sockets, and idle
+/// clients would be evicted.
 fn await_last_change(proxy: &Proxy) {
     let digest = format!("digest {}", proxy.expected_digest());
-    eventually(PATIENCE, "the last change never was active", || {
+    eventually(PATIENCE, "the last change never became active", || {
         std::thread::sleep(Duration::from_millis(10));
         let logged = proxy.daemon.logged();
         let mut lines = logged.lines();
@@ -78,18 +78,20 @@
         ("s-2", echo("b2", &log)),
         ("s-3", echo("b3", &log)),
     ];
-    // Long enough for a machine that stops for some seconds.
+    // Long enough for a machine that stalls for some seconds.
     let mut proxy = Proxy::start(&backends, |config| {
         methods(&mut config["settings"])
             .iter_mut()
             .for_each(|m| m["latency-target-ns"] = 15e9.into());
     });
-    let (over, responses) = (Shared::new(false), AtomicUsize::new(0));
+    let over = Shared::new(false);
+    let responses = AtomicUsize::new(0);
     let at = proxy.daemon.at;
     std::thread::scope(|threads| {
         let _guard = SetOnDrop(over.clone());
         for number in 0..4 {
-            let (over, responses) = (&over, &responses);
+            let over = &over;
+            let responses = &responses;
             threads.spawn(move || send_rpcs(number, at, over, responses));
         }
         for n in 1..=300 {
--- a/crates/daemon/tests/in_force/planned_size.rs
+++ b/crates/daemon/tests/in_force/planned_size.rs
@@ -1,4 +1,4 @@
-//! What a reload costs at the planned size. Measured by hand: the figures are printed.
+//! The cost of a reload at the planned size of the fleet, printed by an ignored test.
 use crate::common::sockets::{Client, Daemon, Log, PATIENCE, Shared, echo, eventually};
 use crate::load::SetOnDrop;
 use crate::proxy::{Proxy, call, method, methods};
@@ -9,27 +9,29 @@
 const METHODS: usize = 2_200;
 const TENANTS: usize = 54_000;
 const RELOADS: usize = 200;
-const LONGEST: Duration = Duration::from_secs(8);
+/// Longest time until a change must be active.
+const MAX_RELOAD_TIME: Duration = Duration::from_secs(8);
 
-/// Processor time that a process has used, s.
+/// Returns the processor time that a process has used, in seconds.
 fn processor_time(daemon: &Daemon) -> f64 {
-    const TICKS: f64 = 100.0; // a second
+    const TICKS_PER_SECOND: f64 = 100.0;
     let path = format!("/proc/{}/stat", daemon.child.id());
     let text = std::fs::read_to_string(path).expect("its figures");
     let fields = text.rsplit(") ").next().expect("fields");
     let fields: Vec<_> = fields.split(' ').collect();
     let ticks = |n: usize| fields[n].parse::<f64>().expect("ticks");
-    (ticks(11) + ticks(12)) / TICKS
+    (ticks(11) + ticks(12)) / TICKS_PER_SECOND
 }
 
-/// Processor time that a process uses by itself, s a second.
+/// Returns the processor time that an idle process uses, in seconds per second.
 fn idle_load(daemon: &Daemon) -> f64 {
-    let (before, started) = (processor_time(daemon), Instant::now());
+    let before = processor_time(daemon);
+    let started = Instant::now();
     std::thread::sleep(Duration::from_secs(5));
     (processor_time(daemon) - before) / started.elapsed().as_secs_f64()
 }
 
-/// Calls a method until the flag is set: how long each call took.
+/// Calls a method until the flag is set, and returns the duration of each call.
 fn call_until(at: SocketAddr, over: &Shared<bool>) -> Vec<Duration> {
     let mut client = Client::open(at).expect("a connection");
     let mut times = Vec::new();
@@ -43,7 +45,7 @@
     times
 }
 
-/// Changes a quota and replaces a method: how long until that is active.
+/// Changes a quota and replaces a method, and returns the time until the change is active.
 fn reload(proxy: &mut Proxy, n: usize) -> Duration {
     let settings = &mut proxy.config["settings"];
     settings["accounts"][n * 7]["quota-per-s"] = (1_000 + n).into();
@@ -65,11 +67,12 @@
     time
 }
 
-/// Prints the processor time of a reload, and returns how long each took.
+/// Prints the processor time of a reload, and returns the duration of each reload.
 fn reload_often(proxy: &mut Proxy) -> Vec<Duration> {
     let idle = idle_load(&proxy.daemon);
     println!("{:.1} ms of a core a second without changes", idle * 1e3);
-    let (before, started) = (processor_time(&proxy.daemon), Instant::now());
+    let before = processor_time(&proxy.daemon);
+    let started = Instant::now();
     let times = (1..=RELOADS).map(|n| reload(proxy, n)).collect();
     let used = processor_time(&proxy.daemon) - before;
     let for_reloads = used - idle * started.elapsed().as_secs_f64();
@@ -98,10 +101,11 @@
 
 #[test]
 #[ignore = "measures, with --nocapture, and takes a minute"]
-fn a_reload_at_the_planned_size() {
+fn reload_at_the_planned_size() {
     let log = Log::new(vec![]);
     let mut proxy = start(&log);
-    let (over, at) = (Shared::new(false), proxy.daemon.at);
+    let over = Shared::new(false);
+    let at = proxy.daemon.at;
     let (mut reloads, mut calls) = std::thread::scope(|threads| {
         let calls = threads.spawn(|| call_until(at, &over));
         let guard = SetOnDrop(over.clone());
@@ -111,7 +115,8 @@
     });
     reloads.sort();
     calls.sort();
-    let (median, longest) = (reloads[RELOADS / 2], reloads[RELOADS - 1]);
+    let median = reloads[RELOADS / 2];
+    let longest = reloads[RELOADS - 1];
     println!("in force {median:.1?} after SIGHUP, at the most {longest:.1?}");
     let quantile = |part: f64| calls[((calls.len() - 1) as f64 * part) as usize];
     println!(
@@ -125,5 +130,5 @@
     let mut lines = logged.lines();
     let last = lines.rfind(|line| line.contains("in force after"));
     println!("{}", last.expect("a line"));
-    assert!(longest < LONGEST);
+    assert!(longest < MAX_RELOAD_TIME);
 }
--- a/crates/daemon/tests/in_force/proxy.rs
+++ b/crates/daemon/tests/in_force/proxy.rs
@@ -1,71 +1,76 @@
-//! A birchhubd whose configuration changes while it runs.
+//! A birchhubd process whose configuration changes while it runs.
 use crate::common::sockets::{Client, Daemon, PATIENCE, blind, eventually, free, rpc};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// A proxy with a management address, and the configuration that it was given last.
+/// A proxy with an admin API.
 pub(crate) struct Proxy {
     pub daemon: Daemon,
+    /// Address of the admin API.
     management: SocketAddr,
+    /// Configuration that the next reload writes.
     pub config: Value,
 }
 
 impl Proxy {
     pub(crate) fn start(backends: &[(&str, SocketAddr)], change: impl FnOnce(&mut Value)) -> Self {
-        let (management, mut given) = (free(), Value::Null);
+        let management = free();
+        let mut initial_config = Value::Null;
         let daemon = Daemon::start_with(PROGRAM, backends, |config| {
             config["management"] = management.to_string().into();
             blind(config);
             change(config);
-            given = config.clone();
+            initial_config = config.clone();
         });
         Self {
             daemon,
             management,
-            config: given,
+            config: initial_config,
         }
     }
 
-    /// The text of `GET /settings`.
-    pub(crate) fn active(&self) -> String {
+    /// Returns the text of `GET /settings`.
+    pub(crate) fn active_settings(&self) -> String {
         let mut client = Client::open(self.management).expect("a connection");
         let response = client.call("GET /settings HTTP/1.1\r\nHost: m\r\n\r\n");
         response.expect("a response").text()
     }
 
+    /// Whether this version of the settings is active.
     pub(crate) fn is_at(&self, version: usize) -> bool {
-        self.active().starts_with(&format!("version {version}, "))
+        self.active_settings()
+            .starts_with(&format!("version {version}, "))
     }
 
-    /// The digest of the settings that it was given last, as it is shown.
+    /// Returns the digest of the settings in [`Self::config`] as `GET /settings` shows it.
     pub(crate) fn expected_digest(&self) -> String {
         let parsed = birchhub_settings::parse_value(&self.config["settings"]);
         format!("{:016x}", parsed.expect("settings").digest)
     }
 
-    /// Reloads its configuration as it stands here.
+    /// Reloads [`Self::config`].
     pub(crate) fn reload(&self) {
         self.daemon.reload(&self.config.to_string());
     }
 
-    /// Reloads changed settings, and waits until they are active as this version.
+    /// Changes the settings, reloads them, and waits until they are active as this version.
     pub(crate) fn change(&mut self, version: usize, change: impl FnOnce(&mut Value)) {
         change(&mut self.config["settings"]);
         self.reload();
-        let complaint = format!("version {version} never was active");
+        let complaint = format!("version {version} never became active");
         eventually(PATIENCE, &complaint, || self.is_at(version));
     }
 
-    /// Waits until the log, which is written with a delay, contains this.
+    /// Waits until the log contains this text.
     pub(crate) fn await_log(&self, text: &str) {
         eventually(PATIENCE, &format!("never logged: {text}"), || {
             self.daemon.logged().contains(text)
         });
     }
 
-    /// Sends SIGHUP, and waits until the file was read.
+    /// Sends SIGHUP without changing the file, and waits until the file was read.
     pub(crate) fn reload_unchanged(&self) {
         let reloads = || self.daemon.logged().matches("SIGHUP: ").count();
         let before = reloads();
@@ -73,7 +78,7 @@
         eventually(PATIENCE, "the file was never read", || reloads() > before);
     }
 
-    /// Calls a method on a connection of its own.
+    /// Calls a method on a new connection, and returns the status of the response.
     pub(crate) fn call(&self, verb: &str, method: &str, id: &str) -> u16 {
         call(&mut self.daemon.client(), verb, method, id)
     }
@@ -84,17 +89,18 @@
     }
 }
 
-/// A method as the settings have it.
+/// Returns a method of the settings object.
 pub(crate) fn method(name: &str, idempotency: &str) -> Value {
     json!({"name": name, "idempotency": idempotency, "dedup-scope": "cell", "window-ns": 4e9, "utility": 1.0,
         "latency-target-ns": 3e9, "hard-limit-ns": 3e9})
 }
 
+/// Returns the methods of a settings object.
 pub(crate) fn methods(settings: &mut Value) -> &mut Vec<Value> {
     settings["methods"].as_array_mut().expect("methods")
 }
 
-/// Calls a method: the status of the response.
+/// Calls a method, and returns the status of the response.
 pub(crate) fn call(client: &mut Client, verb: &str, method: &str, id: &str) -> u16 {
     let response = client.call(&rpc(verb, &format!("/{method}"), id, ""));
     response.expect("a response").status()
--- a/crates/daemon/tests/in_force/restart.rs
+++ b/crates/daemon/tests/in_force/restart.rs
@@ -1,4 +1,4 @@
-//! Keys that take effect at the next start only, and the lines that say so.
+//! Keys that take effect at the next start only, and the texts that name them.
 use crate::common::sockets::{Log, PATIENCE, echo, eventually, free, line};
 use crate::proxy::{Proxy, method, methods};
 use serde_json::{Value, json};
@@ -21,7 +21,7 @@
     config["watch"] = config["settings"].clone();
 }
 
-/// Each reload names them, and none is applied before the restart.
+/// Each reload names the keys, and none is applied before a restart.
 #[test]
 fn keys_that_need_a_restart_are_named_and_not_applied() {
     let log = Log::new(vec![]);
@@ -36,30 +36,30 @@
         });
         let waiting = format!("at the next start: {RESTART_KEYS}\n");
         eventually(PATIENCE, "never shown", || {
-            proxy.active().ends_with(&waiting)
+            proxy.active_settings().ends_with(&waiting)
         });
-        assert!(proxy.is_at(0), "{}", proxy.active());
+        assert!(proxy.is_at(0), "{}", proxy.active_settings());
     }
     assert_eq!(proxy.call("POST", "book", "as-before"), 200);
-    // Keys that can change are applied beside them.
+    // Other keys are applied beside them.
     proxy.config["watch"] = Value::Null;
     proxy.change(1, |settings| {
         methods(settings).push(method("extra", "non_idempotent"))
     });
     assert_eq!(proxy.call("POST", "extra", "new"), 200);
-    // The endpoint list is followed in the mode and with the zones of the start.
+    // The endpoint list is read in the mode and with the zones of the start.
     proxy.daemon.list.tell_heard(&[line("s-1", at, "Ready")]);
     assert_eq!(proxy.call("POST", "extra", "listed"), 200);
 }
 
 /// Scripts of the operators read these lines.
 #[test]
-fn the_texts_of_a_reload_are_the_same_in_every_version() {
+fn texts_of_a_reload_are_the_same_in_every_version() {
     let log = Log::new(vec![]);
     let mut proxy = Proxy::start(&[("s-1", echo("b1", &log))], |_| {});
     let digest = proxy.expected_digest();
     let expected = format!("version 0, digest {digest}, 3 methods, 0 tenants\n");
-    assert_eq!(proxy.active(), expected);
+    assert_eq!(proxy.active_settings(), expected);
     proxy.config["name"] = "n9".into();
     proxy.change(1, |settings| {
         settings["my-zone"] = "elsewhere".into();
@@ -71,7 +71,7 @@
     let active = format!(
         "version 1, digest {digest}, 4 methods, 1 tenants; at the next start: name, settings.my-zone"
     );
-    assert_eq!(proxy.active(), format!("{active}\n"));
+    assert_eq!(proxy.active_settings(), format!("{active}\n"));
     proxy.await_log(&format!(
         " of the loop: {active}; methods 1 added, 0 changed, 0 removed, 4 in all; \
          tenants 1 added, 0 changed, 0 removed, 1 in all; other keys: ceilings.most-picks\n"
--- a/crates/daemon/tests/in_force/rpcs.rs
+++ b/crates/daemon/tests/in_force/rpcs.rs
@@ -1,4 +1,4 @@
-//! RPCs that are under way or come in while settings change.
+//! RPCs that are in flight or arrive while settings change.
 use crate::common::sockets::{
     Act, Client, Log, PATIENCE, Shared, backend, echo, eventually, gated, reply, rpc,
 };
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Sends an RPC of each of the three methods, and waits until the backend has them.
+/// Sends an RPC of each of the three methods, and waits until the backend has received them.
 fn start_rpcs(proxy: &Proxy, log: &Log) -> Vec<(&'static str, Client)> {
     let start = |name: &'static str| {
         let mut client = proxy.daemon.client();
@@ -19,13 +19,13 @@
     ["read", "book", "log"].map(start).into()
 }
 
-/// Methods are added, removed, moved and changed; RPCs under way end by the old settings, on the connections they have.
+/// Methods are added, removed, reordered and changed: RPCs in flight complete under the old settings, on their connections.
 #[test]
-fn methods_change_while_their_rpcs_are_under_way() {
+fn rpcs_in_flight_complete_under_the_old_methods() {
     let log = Log::new(vec![]);
     let (at, gate) = gated("b1", &log, "done");
     let mut proxy = Proxy::start(&[("s-1", at)], |_| {});
-    let mut under_way = start_rpcs(&proxy, &log);
+    let mut in_flight = start_rpcs(&proxy, &log);
     proxy.change(1, |settings| {
         let all = methods(settings);
         all.retain(|m| m["name"] != "log");
@@ -33,21 +33,21 @@
         all.insert(0, method("extra", "idempotency_key"));
         all.swap(1, 2);
     });
-    // On connections of their own, which a refused request ends.
+    // On new connections, as a rejected request ends its connection.
     assert_eq!(proxy.call("POST", "log", "gone"), 404);
     assert_eq!(proxy.call("GET", "read", "wrong"), 400);
     gate.change(|open| *open = true);
-    for (name, client) in &mut under_way {
+    for (name, client) in &mut in_flight {
         let response = client.answer().expect("a response");
-        let (status, body) = (response.status(), response.text());
-        assert_eq!((status, body.as_str()), (200, "done"), "{name}");
+        assert_eq!(response.status(), 200, "{name}");
+        assert_eq!(response.text(), "done", "{name}");
     }
     let mut client = proxy.daemon.client();
     for name in ["read", "book", "extra"] {
         let status = call(&mut client, "POST", name, &format!("new-{name}"));
         assert_eq!(status, 200, "{name}");
     }
-    for (name, client) in &mut under_way {
+    for (name, client) in &mut in_flight {
         let expected = if *name == "log" { 404 } else { 200 };
         let status = call(client, "POST", name, &format!("again-{name}"));
         assert_eq!(status, expected, "{name}");
@@ -59,11 +59,12 @@
     assert_eq!(call(&mut client, "POST", "log", "back"), 200);
 }
 
-/// Two backends that break off the first attempt of each RPC whose id starts with `cut`, once the gate is open.
+/// Starts two backends that abort the first attempt of each RPC whose id starts with `cut`, once the gate is open.
 fn cutting_backends(log: &Log, gate: &Shared<bool>) -> [(&'static str, SocketAddr); 2] {
     let seen = Shared::new(Vec::<String>::new());
     [("s-1", "b1"), ("s-2", "b2")].map(|(uid, name)| {
-        let (gate, seen) = (gate.clone(), seen.clone());
+        let gate = gate.clone();
+        let seen = seen.clone();
         let at = backend(name, log, move |message| {
             let id = message.header("request-id").to_owned();
             let is_first = id.starts_with("cut")
@@ -82,9 +83,9 @@
     })
 }
 
-/// Whether an RPC may be retried is decided by its method as it was when the RPC was accepted.
+/// The idempotency of a method when an RPC is accepted decides whether the RPC may be retried.
 #[test]
-fn a_changed_idempotency_binds_from_the_next_rpc_on() {
+fn changed_idempotency_applies_from_the_next_rpc_on() {
     let log = Log::new(vec![]);
     let gate = Shared::new(false);
     let mut proxy = Proxy::start(&cutting_backends(&log, &gate), |_| {});
@@ -111,7 +112,7 @@
         client
     };
     let clients = messages.iter().map(send).collect();
-    // The heads have been read once whole messages that came behind them were answered, and some time has passed.
+    // The heads have been read once complete messages that were sent later are answered, and some time has passed.
     for n in 0..20 {
         assert_eq!(proxy.call("POST", "book", &format!("first{n}")), 200);
         std::thread::sleep(Duration::from_millis(5));
@@ -119,9 +120,9 @@
     clients
 }
 
-/// A request that is incomplete when settings change is checked by the new ones: none is accepted as what it no longer is.
+/// A request that is incomplete when settings change is checked by the new settings.
 #[test]
-fn an_incomplete_request_is_checked_by_the_new_settings() {
+fn incomplete_request_is_checked_by_the_new_settings() {
     let log = Log::new(vec![]);
     let mut proxy = Proxy::start(&[("s-1", echo("b1", &log))], |config| {
         methods(&mut config["settings"]).push(method("plain", "non_idempotent"));
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn a_quota_binds_from_its_change_on() {
+fn changed_quota_applies_from_the_next_rpc_on() {
     let log = Log::new(vec![]);
     let at = backend("b1", &log, |_| {
         std::thread::sleep(Duration::from_millis(20));
@@ -188,9 +189,9 @@
     );
 }
 
-/// The shadow evaluation follows the settings and RPCs of the actual one, and ends where it is no longer configured.
+/// The shadow evaluation follows reloads and RPCs of the active instance, and ends when it is no longer configured.
 #[test]
-fn a_shadow_evaluation_follows_reloads() {
+fn shadow_evaluation_follows_reloads() {
     let log = Log::new(vec![]);
     let mut proxy = Proxy::start(&[("s-1", echo("b1", &log))], |config| {
         config["watch"] = config["settings"].clone();
--- a/crates/daemon/tests/in_force/refused.rs
+++ b/crates/daemon/tests/in_force/unchanged.rs
@@ -1,4 +1,4 @@
-//! Reloads that change nothing: of a configuration that cannot be used, and of the active one.
+//! Reloads that change nothing: of an invalid configuration, and of the active one.
 use crate::common::sockets::{Log, PATIENCE, echo, eventually, free};
 use crate::proxy::{Proxy, method, methods};
 use serde_json::{Value, json};
@@ -9,8 +9,8 @@
     })
 }
 
-/// Each with its place in the configuration, and part of the error.
-fn unusable_values() -> [(&'static str, &'static str, Value, &'static str); 6] {
+/// Returns invalid values with their place in the configuration and a part of the error.
+fn invalid_values() -> [(&'static str, &'static str, Value, &'static str); 6] {
     [
         (
             "/settings/methods/1",
@@ -36,15 +36,15 @@
     ]
 }
 
-/// Nothing of such a configuration is applied, also of what is new and valid in it.
+/// Valid changes in an invalid configuration are not applied either.
 #[test]
-fn a_configuration_that_cannot_be_used_changes_nothing() {
+fn invalid_configuration_changes_nothing() {
     let log = Log::new(vec![]);
     let proxy = start(&log);
-    let first = proxy.active();
+    let first = proxy.active_settings();
     assert!(first.starts_with("version 0, digest "), "{first}");
     assert!(first.ends_with(", 3 methods, 1 tenants\n"), "{first}");
-    for (place, key, value, error) in unusable_values() {
+    for (place, key, value, error) in invalid_values() {
         let mut config = proxy.config.clone();
         methods(&mut config["settings"]).push(method("extra", "read_like"));
         config["discovery"] = free().to_string().into();
@@ -58,43 +58,43 @@
                     && line.contains(error)
             })
         });
-        assert_eq!(proxy.active(), first, "{error}");
+        assert_eq!(proxy.active_settings(), first, "{error}");
         let id = error.split(' ').next().expect("a word");
         assert_eq!(proxy.call("GET", "extra", id), 404);
     }
     assert!(!proxy.daemon.logged().contains("SIGHUP: discovery is at"));
-    // Nothing is left of them for the next reload either.
+    // They have no effect on the next reload either.
     proxy.reload();
     proxy.await_log("SIGHUP: discovery is at");
-    assert_eq!(proxy.active(), first);
+    assert_eq!(proxy.active_settings(), first);
     assert!(!proxy.daemon.logged().contains("in force"));
 }
 
 #[test]
-fn the_active_configuration_changes_nothing() {
+fn reload_of_the_active_configuration_changes_nothing() {
     let log = Log::new(vec![]);
     let proxy = start(&log);
-    let first = proxy.active();
+    let first = proxy.active_settings();
     proxy.reload();
     proxy.await_log("SIGHUP: discovery is at");
     proxy.reload_unchanged();
-    assert_eq!(proxy.active(), first);
+    assert_eq!(proxy.active_settings(), first);
     let logged = proxy.daemon.logged();
     assert!(!logged.contains("in force"), "{logged}");
 }
 
 #[test]
-fn the_digest_is_that_of_the_active_settings() {
+fn digest_follows_the_active_settings() {
     let log = Log::new(vec![]);
     let mut proxy = start(&log);
     let without_version = |text: String| text["version N".len()..].to_owned();
-    let first = without_version(proxy.active());
+    let first = without_version(proxy.active_settings());
     proxy.change(1, |settings| {
         settings["accounts"][0]["quota-per-s"] = 200.into()
     });
-    assert_ne!(without_version(proxy.active()), first);
+    assert_ne!(without_version(proxy.active_settings()), first);
     proxy.change(2, |settings| {
         settings["accounts"][0]["quota-per-s"] = 100.into()
     });
-    assert_eq!(without_version(proxy.active()), first);
+    assert_eq!(without_version(proxy.active_settings()), first);
 }
--- a/crates/daemon/tests/operations.rs
+++ b/crates/daemon/tests/operations.rs
@@ -1,9 +1,9 @@
-//! Daily operation of birchhubd over loopback sockets: calls at the management address and what they change.
+//! The admin API of birchhubd: its calls, and what they change.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
-    Act, Client, Daemon, HEALTH, Log, Message, PATIENCE, backend, blind, echo, eventually, free,
-    line, reply, rpc,
+    Act, Client, Daemon, FailedStart, HEALTH, Log, Message, PATIENCE, TestFolder, backend, blind,
+    echo, eventually, free, line, reply, rpc,
 };
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
@@ -13,8 +13,8 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// A proxy with a management address.
-fn managed(
+/// Starts a proxy with an admin API, and returns it with the address of that.
+fn start_with_admin_api(
     backends: &[(&str, SocketAddr)],
     change: impl FnOnce(&mut Value),
 ) -> (Daemon, SocketAddr) {
@@ -27,7 +27,7 @@
     (daemon, at)
 }
 
-/// The status and text of the answer to one call.
+/// Makes one admin call and returns the status and text of the response.
 fn call(at: SocketAddr, call: &str) -> (u16, String) {
     let mut client = Client::open(at).expect("a connection");
     let answer = client
@@ -55,20 +55,20 @@
     call(at, "GET /status").1
 }
 
-const NOBODY_BANNED: &str = "takes clients; 0 members banned, 0 other processes\n";
-const ONE_BANNED: &str = "takes clients; 1 members banned, 0 other processes\n";
+const NONE_IN_MAINTENANCE: &str = "takes clients; 0 members banned, 0 other processes\n";
+const ONE_IN_MAINTENANCE: &str = "takes clients; 1 members banned, 0 other processes\n";
 
 #[test]
-fn repeated_calls_are_answered_with_the_state_in_force() {
+fn repeated_admin_calls_change_nothing_and_return_the_current_state() {
     let log = Log::new(vec![]);
-    let (_daemon, at) = managed(&[("s 1", echo("b1", &log))], |_| {});
-    assert_eq!(call(at, "GET /status"), (200, NOBODY_BANNED.into()));
+    let (_daemon, at) = start_with_admin_api(&[("s 1", echo("b1", &log))], |_| {});
+    assert_eq!(call(at, "GET /status"), (200, NONE_IN_MAINTENANCE.into()));
     for _ in 0..2 {
         assert_eq!(
             call(at, "POST /maintenance/enter?member=s%201"),
             (200, "s 1 is banned\n".into())
         );
-        assert_eq!(status(at), ONE_BANNED);
+        assert_eq!(status(at), ONE_IN_MAINTENANCE);
     }
     for _ in 0..2 {
         assert_eq!(
@@ -76,7 +76,7 @@
             (200, "s 1 is not banned\n".into())
         );
     }
-    // Any legal framing: a body that nobody needs, in chunks and in pieces.
+    // Any valid framing is accepted: a chunked body, sent in pieces, which no call needs.
     let mut client = Client::open(at).expect("a connection");
     for piece in [
         "POST /standby HTTP/1.1\r\nHost: m\r\nTransfer-",
@@ -93,9 +93,9 @@
 }
 
 #[test]
-fn bad_calls_are_refused_and_change_nothing() {
+fn invalid_admin_calls_are_rejected_and_change_nothing() {
     let log = Log::new(vec![]);
-    let (_daemon, at) = managed(&[("s 1", echo("b1", &log))], |_| {});
+    let (_daemon, at) = start_with_admin_api(&[("s 1", echo("b1", &log))], |_| {});
     for query in [
         "",
         "?member",
@@ -125,11 +125,12 @@
     let long = format!("POST /maintenance/enter?member={long} HTTP/1.1\r\nHost: m\r\n\r\n");
     let answer = Client::open(at).expect("a connection").call(&long);
     assert!(answer.is_none_or(|answer| answer.status() >= 400));
-    assert_eq!(status(at), NOBODY_BANNED);
+    assert_eq!(status(at), NONE_IN_MAINTENANCE);
 }
 
-/// Clients that send RPCs until then without a pause, each on new connections; how many were answered.
-fn load(at: SocketAddr, until: Instant) -> Vec<JoinHandle<usize>> {
+/// Starts clients that send RPCs without a pause until a time, each RPC on a new connection. They return the number of
+/// responses.
+fn start_load(at: SocketAddr, until: Instant) -> Vec<JoinHandle<usize>> {
     let client = |c: usize| {
         let rpc = move |n: usize| rpc("POST", "/book", &format!("load{c}-{n}"), "");
         let ask = move |n| Client::open(at)?.call(&rpc(n));
@@ -141,11 +142,11 @@
     (0..8).map(client).collect()
 }
 
-/// Unfinished calls, clients on every socket and a full load delay no other call.
+/// Admin calls are answered within a second beside incomplete calls, clients on every socket, and load.
 #[test]
-fn calls_are_answered_under_a_spent_socket_budget() {
+fn admin_calls_are_answered_while_the_socket_budget_is_exhausted() {
     let log = Log::new(vec![]);
-    let (daemon, at) = managed(&[("s-1", echo("b1", &log))], |config| {
+    let (daemon, at) = start_with_admin_api(&[("s-1", echo("b1", &log))], |config| {
         config["limits"]["sockets"] = 96.into()
     });
     let clients: Vec<_> = (0..200)
@@ -157,17 +158,17 @@
     for client in &mut unfinished {
         assert!(client.send("POST /standby HTTP/1.1\r\n"));
     }
-    let load = load(daemon.at, Instant::now() + Duration::from_secs(2));
+    let load = start_load(daemon.at, Instant::now() + Duration::from_secs(2));
     let mut slowest = Duration::ZERO;
     for _ in 0..5 {
         for (change, expected) in [
-            (enter as fn(_, &str) -> _, ONE_BANNED),
-            (exit, NOBODY_BANNED),
+            (enter as fn(_, &str) -> _, ONE_IN_MAINTENANCE),
+            (exit, NONE_IN_MAINTENANCE),
         ] {
-            let begun = Instant::now();
+            let started = Instant::now();
             assert_eq!(change(at, "s-1"), 200);
             assert_eq!(status(at), expected);
-            slowest = slowest.max(begun.elapsed() / 2);
+            slowest = slowest.max(started.elapsed() / 2);
             sleep(Duration::from_millis(100));
         }
     }
@@ -182,7 +183,7 @@
     assert_eq!(clients.len(), 200);
 }
 
-/// A backend that takes some time: what one in slow start may be sent counts in work.
+/// Starts a backend that takes 20 ms for each RPC: the slow-start budget counts service time.
 fn slow_backend(name: &'static str, log: &Log) -> SocketAddr {
     backend(name, log, |_| {
         sleep(Duration::from_millis(20));
@@ -190,7 +191,7 @@
     })
 }
 
-/// How many of twenty RPCs go to the backend `b1`.
+/// Sends twenty RPCs, and returns how many of them went to the backend `b1`.
 fn sent_to_b1(client: &mut Client, log: &Log, round: &str) -> usize {
     let before = log.count("b1 got");
     for n in 0..20 {
@@ -199,18 +200,19 @@
     log.count("b1 got") - before
 }
 
-/// Maintenance: a banned backend gets nothing whatever the endpoint list says, until one exit; then it is used again.
+/// A backend in maintenance gets no RPC, whatever the endpoint list contains, until one exit call. Then it is used again.
 #[test]
-fn a_banned_backend_gets_nothing_until_one_exit() {
+fn backend_in_maintenance_gets_no_rpc_until_one_exit_call() {
     let log = Log::new(vec![]);
-    let (one, two) = (slow_backend("b1", &log), slow_backend("b2", &log));
-    let (daemon, at) = managed(&[("s-1", one), ("s-2", two)], |_| {});
+    let one = slow_backend("b1", &log);
+    let two = slow_backend("b2", &log);
+    let (daemon, at) = start_with_admin_api(&[("s-1", one), ("s-2", two)], |_| {});
     let mut client = daemon.client();
     assert!(sent_to_b1(&mut client, &log, "before") > 0);
     for _ in 0..2 {
         assert_eq!(enter(at, "s-1"), 200);
     }
-    assert_eq!(sent_to_b1(&mut client, &log, "banned"), 0);
+    assert_eq!(sent_to_b1(&mut client, &log, "maintenance"), 0);
     let other = line("s-2", two, "Ready");
     daemon.list.tell_heard(std::slice::from_ref(&other));
     assert_eq!(enter(at, "s-1"), 200, "a removed backend is known");
@@ -218,11 +220,11 @@
     restarted["boot_ms"] = 1_700_000_000_000_u64.into();
     daemon.list.tell_heard(&[restarted, other]);
     assert_eq!(sent_to_b1(&mut client, &log, "restarted"), 0);
-    // All banned: rejected at once, and the ban holds.
+    // With all backends in maintenance RPCs are rejected at once.
     assert_eq!(enter(at, "s-2"), 200);
-    let begun = Instant::now();
+    let started = Instant::now();
     assert_eq!(ask(&mut client, "none").status(), 503);
-    assert!(begun.elapsed() < Duration::from_secs(1));
+    assert!(started.elapsed() < Duration::from_secs(1));
     assert_eq!(exit(at, "s-1"), 200);
     eventually(Duration::from_secs(5), "never used again", || {
         let _ = ask(&mut client, &format!("again{}", log.count("")));
@@ -231,7 +233,7 @@
     check_slow_start(&daemon);
 }
 
-/// In slow start since the exit, though the list has a start long ago: the backend does not get all RPCs.
+/// The backend is in slow start since the exit, although the list gives an earlier start: it does not get all RPCs.
 fn check_slow_start(daemon: &Daemon) {
     let mut clients: Vec<_> = (0..40).map(|_| daemon.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -242,50 +244,63 @@
     assert!(statuses.contains(&503), "{statuses:?}");
 }
 
+/// On standby the proxy is not ready, and each response is the last on its connection.
+fn assert_standby_serves_rpcs(daemon: &Daemon, at: SocketAddr, used: &mut Client) {
+    let answer = daemon.client().call(HEALTH).expect("an answer");
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (503, "close")
+    );
+    assert_eq!(call(at, "GET /status").0, 200, "standby accepts new RPCs");
+    let answer = ask(used, "after");
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, "close")
+    );
+}
+
+/// Ends the standby: the proxy is ready, and connections stay open after a response.
+fn assert_active(daemon: &Daemon, at: SocketAddr) {
+    assert_eq!(call(at, "POST /active").1, "active, health says yes\n");
+    let mut again = daemon.client();
+    assert_eq!(again.status_of(HEALTH), 200);
+    assert_eq!(ask(&mut again, "active").header("connection"), "");
+}
+
 #[test]
-fn standby_closes_client_connections_and_ends_with_active() {
+fn standby_closes_client_connections_until_the_proxy_is_activated() {
     let log = Log::new(vec![]);
-    let (mut daemon, at) = managed(&[("s-1", echo("b1", &log))], |_| {});
+    let (mut daemon, at) = start_with_admin_api(&[("s-1", echo("b1", &log))], |_| {});
     assert_eq!(
         call(at, "POST /active"),
         (200, "active, health says yes\n".into())
     );
-    let (mut used, mut idle, mut half) = (daemon.client(), daemon.client(), daemon.client());
+    let mut used = daemon.client();
+    let mut idle = daemon.client();
+    let mut half = daemon.client();
     assert_eq!(ask(&mut used, "before").header("connection"), "");
     half.send("POST /book HTTP/1.1\r\n");
-    let (mut body, message) = (daemon.client(), rpc("POST", "/book", "body", "slow"));
+    let mut body = daemon.client();
+    let message = rpc("POST", "/book", "body", "slow");
     body.send(&message[..message.len() - 2]);
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..2 {
         assert_eq!(
             call(at, "POST /standby"),
             (200, "on standby, health says no\n".into())
         );
     }
-    let answer = daemon.client().call(HEALTH).expect("an answer");
-    assert_eq!(
-        (answer.status(), answer.header("connection")),
-        (503, "close")
-    );
-    assert_eq!(call(at, "GET /status").0, 200, "it serves new RPCs");
-    let answer = ask(&mut used, "after");
-    assert_eq!(
-        (answer.status(), answer.header("connection")),
-        (200, "close")
-    );
+    assert_standby_serves_rpcs(&daemon, at, &mut used);
     // A request that is being sent when idle connections close has more time, until incomplete ones are closed.
     assert!(used.is_closed() && idle.is_closed());
     body.send(&message[message.len() - 2..]);
     assert_eq!(body.answer().map(|answer| answer.status()), Some(200));
     assert!(body.is_closed() && half.is_closed());
     assert!(
-        begun.elapsed() < Duration::from_secs(4),
+        started.elapsed() < Duration::from_secs(4),
         "a connection is open 4 s after the call"
     );
-    assert_eq!(call(at, "POST /active").1, "active, health says yes\n");
-    let mut again = daemon.client();
-    assert_eq!(again.status_of(HEALTH), 200);
-    assert_eq!(ask(&mut again, "active").header("connection"), "");
+    assert_active(&daemon, at);
     // SIGTERM during a standby ends the proxy as at any time.
     assert_eq!(call(at, "POST /standby").0, 200);
     daemon.signal("TERM");
@@ -293,61 +308,48 @@
 }
 
 #[test]
-fn a_proxy_without_an_endpoint_list_is_not_ready_after_active() {
-    let (mut child, folder, at, management) = {
-        let folder = std::env::temp_dir().join(format!("birchhubd-nolist-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let (at, management) = (free(), free());
-        let mut config = common::sockets::config(at, free(), &[]);
-        config["management"] = management.to_string().into();
-        std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
-        let mut start = Command::new(PROGRAM);
-        start
-            .env("LB_CONFIG", folder.join("config.json"))
-            .stderr(Stdio::null());
-        (start.spawn().expect("birchhubd"), folder, at, management)
-    };
+fn activated_proxy_without_an_endpoint_list_is_not_ready() {
+    let folder = TestFolder::new("nolist");
+    let at = free();
+    let management = free();
+    let mut config = common::sockets::config(at, free(), &[]);
+    config["management"] = management.to_string().into();
+    let mut child = Command::new(PROGRAM)
+        .env("LB_CONFIG", folder.write_config(&config.to_string()))
+        .stderr(Stdio::null())
+        .spawn()
+        .expect("birchhubd");
     eventually(PATIENCE, "never there", || {
         TcpStream::connect(management).is_ok()
     });
-    let order = ["POST /standby", "POST /active"].map(|order| call(management, order).1);
+    let commands = ["POST /standby", "POST /active"].map(|command| call(management, command).1);
     let health = Client::open(at)
         .and_then(|mut c| c.call(HEALTH))
         .map(|answer| answer.status());
     let status = call(management, "GET /status").0;
     let _ = child.kill().and_then(|()| child.wait());
-    let _ = std::fs::remove_dir_all(folder);
-    assert_eq!(order[1], "active, health says no\n");
+    assert_eq!(commands[1], "active, health says no\n");
     assert_eq!((health, status), (Some(503), 503));
 }
 
+/// Starts birchhubd, which must fail, with an admin address in the configuration or in the environment.
+fn failed_start(folder: &TestFolder, in_file: Option<&str>, variable: Option<&str>) -> FailedStart {
+    let mut config = common::sockets::config(free(), free(), &[]);
+    if let Some(text) = in_file {
+        config["management"] = text.into();
+    }
+    let mut start = Command::new(PROGRAM);
+    start
+        .env("LB_CONFIG", folder.write_config(&config.to_string()))
+        .env_remove("LB_MANAGEMENT")
+        .envs(variable.map(|text| ("LB_MANAGEMENT", text)));
+    FailedStart::of(&mut start)
+}
+
 #[test]
-fn a_bad_management_address_ends_the_start() {
-    let folder = std::env::temp_dir().join(format!("birchhubd-second-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let start = |management: Option<&str>, variable: Option<&str>| {
-        let mut config = common::sockets::config(free(), free(), &[]);
-        management
-            .into_iter()
-            .for_each(|text| config["management"] = text.into());
-        std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
-        let mut start = Command::new(PROGRAM);
-        start
-            .env("LB_CONFIG", folder.join("config.json"))
-            .env_remove("LB_MANAGEMENT");
-        start.envs(variable.map(|text| ("LB_MANAGEMENT", text)));
-        let output = start.output().expect("birchhubd");
-        (
-            output.status.code(),
-            String::from_utf8_lossy(&output.stderr).lines().count(),
-        )
-    };
-    let ended = [
-        (Some("here"), None),
-        (Some("192.0.2.1:1"), None),
-        (None, Some("there")),
-    ]
-    .map(|(management, variable)| start(management, variable));
-    let _ = std::fs::remove_dir_all(&folder);
-    assert_eq!(ended, [(Some(2), 1); 3]);
+fn invalid_admin_address_ends_the_start() {
+    let folder = TestFolder::new("second");
+    failed_start(&folder, Some("here"), None).assert_one_line();
+    failed_start(&folder, Some("192.0.2.1:1"), None).assert_one_line();
+    failed_start(&folder, None, Some("there")).assert_one_line();
 }
--- a/crates/daemon/tests/process.rs
+++ b/crates/daemon/tests/process.rs
@@ -1,19 +1,19 @@
-//! The process: its start, its signals, and times at which it is stopped.
+//! The birchhubd process: failed starts, signals, and intervals in which it is stopped.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
-    Act, Daemon, HEALTH, List, Log, PATIENCE, Shared, backend, blind, config, echo, eventually,
-    free, gated, line, reply, rpc,
+    Act, Daemon, FailedStart, HEALTH, List, Log, PATIENCE, Shared, TestFolder, backend, blind,
+    config, echo, eventually, free, gated, line, reply, rpc,
 };
 use serde_json::{Value, json};
 use std::net::TcpListener;
-use std::process::{Command, Stdio};
+use std::process::Command;
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
 #[test]
-fn a_killed_proxy_starts_again_at_its_address() {
+fn killed_proxy_restarts_at_its_address() {
     let log = Log::new(vec![]);
     let mut daemon = Daemon::start(PROGRAM, &[("s-1", echo("b1", &log))]);
     let mut client = daemon.client();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn sigterm_serves_rpcs_in_flight_and_those_that_still_arrive() {
+fn graceful_shutdown_serves_rpcs_in_flight_and_new_ones() {
     let log = Log::new(vec![]);
     let gate = Shared::new(false);
     let open = gate.clone();
@@ -38,12 +38,14 @@
         Act::Write(reply("200 OK", "done"))
     });
     let mut daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
-    let (mut held, mut half, mut idle) = (daemon.client(), daemon.client(), daemon.client());
+    let mut held = daemon.client();
+    let mut half = daemon.client();
+    let mut idle = daemon.client();
     held.send(&rpc("POST", "/book", "held", ""));
     log.await_event("b1 got POST /book HTTP/1.1 held");
     let message = rpc("POST", "/book", "half", "body");
     half.send(&message[..message.len() - 2]);
-    // A connection that is answered after the other two were opened: the half RPC is known by then.
+    // This response shows that the proxy has accepted the other connections and read the incomplete RPC.
     assert_eq!(daemon.client().status_of(HEALTH), 200);
     daemon.signal("TERM");
     daemon.await_ready(503); // on a new connection
@@ -60,7 +62,7 @@
     assert!(daemon.await_end().success());
 }
 
-/// SIGHUP: the proxy watches the other service from its first version on, and no RPC in flight is lost.
+/// After SIGHUP the proxy polls the new service from its first version on, and no RPC in flight is lost.
 #[test]
 fn sighup_switches_to_another_discovery_service() {
     let log = Log::new(vec![]);
@@ -71,7 +73,7 @@
     log.await_event("b1 got POST /book HTTP/1.1 held");
     let mut client = daemon.client();
     let mut ask = |n: &str| client.text_of(&rpc("GET", "/read", n, ""));
-    // Each service has the version that the one before had: only a call for the full list is answered.
+    // Each service starts with the version that its predecessor had: only a call for the full list is answered.
     let mut now = line("s-1", old, "Ready");
     for name in ["b2", "b3"] {
         let version = daemon.list.tell_heard(std::slice::from_ref(&now));
@@ -98,9 +100,9 @@
     assert!(daemon.await_end().success());
 }
 
-/// Time for which the process was stopped does not count as response time of its backends.
+/// An interval in which the process was stopped does not count as response time of its backends.
 #[test]
-fn a_stopped_process_is_not_blamed_on_backends() {
+fn stop_of_the_process_does_not_count_against_backends() {
     let log = Log::new(vec![]);
     let at = backend("b1", &log, |_| {
         std::thread::sleep(Duration::from_millis(30));
@@ -122,10 +124,9 @@
     assert_eq!(client.status_of(&rpc("GET", "/read", "after", "")), 200);
 }
 
-/// A timer that falls due while the process is stopped still fires: queued RPCs are answered, not left until their
-/// deadline.
+/// A timer that expires while the process is stopped fires later: queued RPCs are answered before their deadline.
 #[test]
-fn a_stopped_process_loses_no_timer() {
+fn timers_that_expire_while_the_process_is_stopped_fire_later() {
     let tight =
         |config: &mut Value| config["settings"]["methods"][0]["latency-target-ns"] = 200e6.into();
     let daemon = Daemon::start_with(PROGRAM, &[], tight);
@@ -140,7 +141,7 @@
     }
 }
 
-/// Bad configurations made of a good one, and what the message has to name.
+/// Returns invalid variants of a valid configuration, and what the error must name.
 fn bad_configurations(good: &Value) -> Vec<(Option<String>, &'static str)> {
     let without = |key: &str| {
         let mut file = good.clone();
@@ -165,7 +166,7 @@
     ]
 }
 
-/// Bad settings for the shadow in a good configuration, and what the message has to name.
+/// Returns configurations with invalid shadow settings, and what the error must name.
 fn bad_shadow_settings(good: &Value) -> Vec<(Option<String>, &'static str)> {
     let watching = |change: fn(&mut Value)| {
         let mut file = good.clone();
@@ -202,25 +203,17 @@
 }
 
 #[test]
-fn a_start_with_a_bad_configuration_names_the_fault() {
-    let folder = std::env::temp_dir().join(format!("birchhubd-bad-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+fn startup_error_names_the_invalid_configuration_value() {
+    let folder = TestFolder::new("bad");
     let taken = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let taken = (taken.local_addr().expect("an address"), taken);
-    let good = config(taken.0, free(), &[]);
+    let good = config(taken.local_addr().expect("an address"), free(), &[]);
     for (file, named) in [bad_configurations(&good), bad_shadow_settings(&good)].concat() {
-        let path = folder.join("config.json");
         let mut start = Command::new(PROGRAM);
         if let Some(text) = file {
-            std::fs::write(&path, text).expect("a file");
-            start.env("LB_CONFIG", &path);
+            start.env("LB_CONFIG", folder.write_config(&text));
         }
-        let end = start.stderr(Stdio::piped()).output().expect("birchhubd");
-        let said = String::from_utf8_lossy(&end.stderr);
-        assert!(
-            end.status.code() == Some(2) && said.contains(named) && said.lines().count() == 1,
-            "{named}: {said}"
-        );
+        let end = FailedStart::of(&mut start);
+        end.assert_one_line();
+        assert!(end.error.contains(named), "{named}: {end:?}");
     }
-    std::fs::remove_dir_all(&folder).expect("the folder");
 }
--- a/crates/daemon/tests/replacing.rs
+++ b/crates/daemon/tests/replacing.rs
@@ -1,27 +1,29 @@
-//! One process of birchhubd replaces another on a socket that was passed to both.
+//! Replacement of a birchhubd process by another on a listening socket that both inherit.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
-    Client, HEALTH, List, Log, PATIENCE, blind, config, echo, eventually, free, line, rpc,
+    Client, FailedStart, HEALTH, List, Log, PATIENCE, TestFolder, blind, config, echo, eventually,
+    free, line, open_descriptors, rpc, send_signal,
 };
 use serde_json::Value;
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
-use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// The platform: it holds the clients' socket, and a folder that is common to all processes of a proxy.
+/// The platform, which owns the listening socket for clients and the folder that all processes of a proxy share.
 struct Platform {
     socket: TcpListener,
     list: List,
     backends: Vec<(&'static str, SocketAddr)>,
-    folder: PathBuf,
-    sockets: u64,
+    folder: TestFolder,
+    /// Socket limit of each process.
+    max_sockets: u64,
 }
 
+/// A process of the proxy, killed when dropped.
 struct Process {
     child: Child,
     management: SocketAddr,
@@ -33,16 +35,9 @@
     }
 }
 
-impl Drop for Platform {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
-    }
-}
-
 impl Platform {
     fn new(test: &str, backends: &[(&'static str, SocketAddr)]) -> Self {
-        let folder = std::env::temp_dir().join(format!("birchhubd-{test}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        let folder = TestFolder::new(test);
         let list = List::start();
         list.tell(
             &backends
@@ -56,7 +51,7 @@
             list,
             backends: backends.to_vec(),
             folder,
-            sockets: 1024,
+            max_sockets: 1024,
         }
     }
 
@@ -64,7 +59,7 @@
         self.socket.local_addr().expect("an address")
     }
 
-    /// Starts one more process, which finds the socket at descriptor 7, and waits until it takes clients.
+    /// Starts a process and waits until it accepts clients.
     fn start(&self) -> Process {
         let process = self.spawn(|_| {});
         eventually(PATIENCE, "never yes", || {
@@ -75,6 +70,7 @@
         process
     }
 
+    /// Starts a process, which inherits the listening socket as descriptor 7.
     fn spawn(&self, change: impl FnOnce(&mut Value)) -> Process {
         let management = free();
         let known: Vec<_> = self
@@ -85,17 +81,18 @@
         let mut config = config(self.at(), self.list.at, &known);
         blind(&mut config);
         config["management"] = management.to_string().into();
-        config["limits"]["sockets"] = self.sockets.into();
+        config["limits"]["sockets"] = self.max_sockets.into();
         change(&mut config);
-        let file = self.folder.join(format!("{management}.json"));
+        let folder = self.folder.path();
+        let file = folder.join(format!("{management}.json"));
         std::fs::write(&file, config.to_string()).expect("a file");
-        let log =
-            std::fs::File::create(self.folder.join(format!("{management}.log"))).expect("a file");
+        let log = folder.join(format!("{management}.log"));
+        let log = std::fs::File::create(log).expect("a file");
         let mut start = Command::new("sh");
         start.args(["-c", &format!("exec 7<&0 </dev/null; exec {PROGRAM}")]);
         start
             .env("LB_CONFIG", file)
-            .env("TMPDIR", &self.folder)
+            .env("TMPDIR", folder)
             .env("LB_PASSED_SOCKET", "7");
         start
             .stdin(OwnedFd::from(
@@ -112,7 +109,7 @@
         Client::open(self.at()).expect("a connection")
     }
 
-    /// The status of one RPC on a new connection.
+    /// Sends an RPC on a new connection, and returns the status of the response.
     fn ask(&self, id: &str) -> u16 {
         self.client()
             .call(&rpc("POST", "/book", id, ""))
@@ -121,41 +118,30 @@
 }
 
 impl Process {
+    /// Makes an admin call, and returns the status and text of the response.
     fn call(&self, call: &str) -> Option<(u16, String)> {
         let answer =
             Client::open(self.management)?.call(&format!("{call} HTTP/1.1\r\nHost: m\r\n\r\n"))?;
         Some((answer.status(), answer.text()))
     }
 
-    fn says(&self, call: &str) -> String {
+    /// Makes an admin call, and returns the text of the response.
+    fn text_of(&self, call: &str) -> String {
         self.call(call).expect("an answer").1
     }
 
-    fn term(&self) {
-        self.signal("TERM");
-    }
-
     fn signal(&self, name: &str) {
-        let kill = format!("kill -{name} {}", self.child.id());
-        assert!(
-            Command::new("sh")
-                .args(["-c", &kill])
-                .status()
-                .expect("a shell")
-                .success()
-        );
+        send_signal(&self.child, name);
     }
 
     fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
-            .expect("its descriptors")
-            .count()
+        open_descriptors(&self.child)
     }
 }
 
-/// No RPC is turned back, on new or open connections, while one process takes over from the other.
+/// No RPC is rejected, on new or open connections, while one process replaces the other.
 #[test]
-fn a_replacement_turns_nothing_back() {
+fn replacement_rejects_no_rpc() {
     let log = Log::new(vec![]);
     let platform = Platform::new("nothing", &[("s-1", echo("b1", &log))]);
     let mut old = platform.start();
@@ -170,22 +156,23 @@
     }
     let mut new = platform.start();
     assert!((0..50).all(|n| platform.ask(&format!("both{n}")) == 200));
-    old.term();
+    old.signal("TERM");
     eventually(PATIENCE, "SIGTERM was never heard", || {
-        old.call("GET /status").is_none_or(|told| told.0 == 503)
+        old.call("GET /status")
+            .is_none_or(|response| response.0 == 503)
     });
     assert_eq!(
         platform.client().call(HEALTH).expect("an answer").status(),
         200
     );
-    let mut last = 0;
+    let mut closing = 0;
     for (n, client) in open.iter_mut().enumerate() {
-        // Those that the old process holds end with their answer; those of the new one stay.
+        // Connections to the old process end with their response, those to the new one stay open.
         let answer = call(client, format!("after{n}"));
         assert_eq!(answer.status(), 200);
-        last += usize::from(answer.header("connection") == "close");
+        closing += usize::from(answer.header("connection") == "close");
     }
-    assert!(last > 0, "the old process held none");
+    assert!(closing > 0, "the old process held none");
     assert!((0..50).all(|n| platform.ask(&format!("new{n}")) == 200));
     assert!(old.child.wait().expect("its end").success());
     assert!(new.child.try_wait().expect("its state").is_none());
@@ -196,22 +183,24 @@
     );
 }
 
-/// SIGTERM reaches the old process right after the new one began to accept, sooner than it looks at the others by
-/// itself. The new one is stopped meanwhile: who is answered before it goes on was answered by the old one.
+/// SIGTERM reaches the old process right after the new one began to accept, before the old one polls its siblings. The new
+/// one is stopped meanwhile, so that the old one answers.
 #[test]
 fn health_stays_ready_when_sigterm_follows_the_takeover_at_once() {
     let log = Log::new(vec![]);
     for round in 0..3 {
         let platform = Platform::new(&format!("at-once{round}"), &[("s-1", echo("b1", &log))]);
-        let (mut old, new) = (platform.start(), platform.start());
+        let mut old = platform.start();
+        let new = platform.start();
         new.signal("STOP");
-        old.term();
+        old.signal("TERM");
         eventually(PATIENCE, "SIGTERM was never heard", || {
-            old.call("GET /status").is_none_or(|told| told.0 == 503)
+            old.call("GET /status")
+                .is_none_or(|response| response.0 == 503)
         });
         let mut clients: Vec<_> = (0..16).map(|_| platform.client()).collect();
         assert!(clients.iter_mut().all(|client| client.send(HEALTH)));
-        std::thread::sleep(Duration::from_millis(100)); // the old one has looked at the new one since
+        std::thread::sleep(Duration::from_millis(100)); // the old one has polled its siblings since
         new.signal("CONT");
         for client in &mut clients {
             assert_eq!(client.answer().map(|answer| answer.status()), Some(200));
@@ -220,55 +209,62 @@
     }
 }
 
-/// SIGTERM to the old process while the new one still starts, whether that comes up, dies or is ended too: for half a second
-/// clients come to somebody.
+/// SIGTERM reaches the old process while the new one still starts and then shuts down too: the old one accepts clients for
+/// another half second.
 #[test]
-fn one_that_still_starts_takes_nothing_over() {
+fn starting_process_is_no_successor() {
     let log = Log::new(vec![]);
     let platform = Platform::new("starts", &[("s-1", echo("b1", &log))]);
     let mut old = platform.start();
     let mut new = platform.spawn(|config| {
-        // No list, and nobody who tells one.
+        // No cached endpoint list and no discovery service.
         (config["known"], config["discovery"]) = (Value::Null, free().to_string().into());
     });
-    let lives = |what: &str| eventually(PATIENCE, what, || old.says("GET /status").contains(what));
-    lives("1 other");
-    new.term();
-    old.term();
+    eventually(PATIENCE, "the new process was never noticed", || {
+        old.text_of("GET /status").contains("1 other")
+    });
+    new.signal("TERM");
+    old.signal("TERM");
     assert!((0..5).all(|n| platform.ask(&format!("n{n}")) == 200));
     assert!(old.child.wait().expect("its end").success());
     assert!(new.child.wait().expect("its end").success());
 }
 
-/// Both are ended together: neither leaves clients to the other.
+/// Neither of two processes that shut down at the same time takes the other for its successor.
 #[test]
-fn two_that_end_together_go_on_both() {
+fn processes_that_shut_down_together_both_accept_clients() {
     let log = Log::new(vec![]);
     let platform = Platform::new("together", &[("s-1", echo("b1", &log))]);
-    let (mut old, mut new) = (platform.start(), platform.start());
-    old.term();
-    new.term();
-    let ends = |process: &Process| process.call("GET /status").is_none_or(|told| told.0 == 503);
+    let mut old = platform.start();
+    let mut new = platform.start();
+    old.signal("TERM");
+    new.signal("TERM");
+    let is_shutting_down = |process: &Process| {
+        process
+            .call("GET /status")
+            .is_none_or(|response| response.0 == 503)
+    };
     eventually(PATIENCE, "SIGTERM was never heard", || {
-        ends(&old) && ends(&new)
+        is_shutting_down(&old) && is_shutting_down(&new)
     });
-    std::thread::sleep(Duration::from_millis(150)); // both have looked at each other since
+    std::thread::sleep(Duration::from_millis(150)); // both have polled their siblings since
     assert!((0..5).all(|n| platform.ask(&format!("n{n}")) == 200));
     assert!(old.child.wait().expect("its end").success());
     assert!(new.child.wait().expect("its end").success());
 }
 
-/// The same once each knows that the other accepts: SIGTERM comes to both before either has looked at the other again.
+/// SIGTERM reaches both processes before either polls its siblings again, and each knows that the other accepted.
 #[test]
-fn two_that_end_together_and_know_each_other_go_on() {
+fn processes_that_shut_down_between_polls_both_accept_clients() {
     let log = Log::new(vec![]);
     let platform = Platform::new("acquainted", &[("s-1", echo("b1", &log))]);
-    let (mut old, mut new) = (platform.start(), platform.start());
-    std::thread::sleep(Duration::from_millis(150)); // both have looked at each other since
+    let mut old = platform.start();
+    let mut new = platform.start();
+    std::thread::sleep(Duration::from_millis(150)); // both have polled their siblings since
     old.signal("STOP");
     new.signal("STOP");
-    old.term();
-    new.term();
+    old.signal("TERM");
+    new.signal("TERM");
     old.signal("CONT");
     new.signal("CONT");
     assert!((0..5).all(|n| platform.ask(&format!("n{n}")) == 200));
@@ -276,16 +272,16 @@
     assert!(new.child.wait().expect("its end").success());
 }
 
-/// A process hears of what was called at its sibling.
+/// Waits until the status of a process contains a text, which the call at a sibling changes.
 fn await_status(process: &Process, text: &str) {
     eventually(Duration::from_secs(1), text, || {
-        process.says("GET /status").contains(text)
+        process.text_of("GET /status").contains(text)
     });
 }
 
-/// Maintenance and standby hold in both processes, whichever was called, and end in both.
+/// Maintenance and standby are in force in both processes, whichever was called, and end in both.
 #[test]
-fn admin_state_passes_to_the_other_process() {
+fn admin_state_is_shared_by_both_processes() {
     let log = Log::new(vec![]);
     let platform = Platform::new(
         "admin",
@@ -293,58 +289,63 @@
     );
     let old = platform.start();
     assert_eq!(
-        old.says("POST /maintenance/enter?member=s-1"),
+        old.text_of("POST /maintenance/enter?member=s-1"),
         "s-1 is banned\n"
     );
     let new = platform.start();
     assert!(
-        new.says("GET /status").contains("1 members banned"),
-        "it holds from the start"
+        new.text_of("GET /status").contains("1 members banned"),
+        "it is in force from the start"
     );
     assert!((0..40).all(|n| platform.ask(&format!("maintenance{n}")) == 200));
     assert_eq!(log.count("b1 got"), 0);
-    new.says("POST /maintenance/enter?member=s-2");
+    new.text_of("POST /maintenance/enter?member=s-2");
     await_status(&old, "2 members");
     assert_eq!(platform.ask("none"), 503);
-    old.says("POST /maintenance/exit?member=s-1");
+    old.text_of("POST /maintenance/exit?member=s-1");
     await_status(&new, "1 members");
-    new.says("POST /standby");
+    new.text_of("POST /standby");
     await_status(&old, "on standby");
     assert_eq!(
         platform.client().call(HEALTH).expect("an answer").status(),
         503
     );
-    old.term();
+    old.signal("TERM");
     await_status(&new, "0 other");
-    assert_eq!(new.says("POST /active"), "active, health says yes\n");
+    assert_eq!(new.text_of("POST /active"), "active, health says yes\n");
     drop((old, new));
     assert_admin_state_outlives_its_processes(&platform);
 }
 
-/// A process that follows a dead one finds the admin state, maintenance of `s-2`; a damaged file is ignored.
+/// A process that starts after all others were killed finds the maintenance of `s-2`. A damaged file is ignored.
 fn assert_admin_state_outlives_its_processes(platform: &Platform) {
     let third = platform.start();
-    assert!(third.says("GET /status").contains("1 members"));
+    assert!(third.text_of("GET /status").contains("1 members"));
     drop(third);
-    let file = platform.folder.join("birchhub-n0/birchhub.standing");
+    let file = platform.folder.path().join("birchhub-n0/birchhub.standing");
     std::fs::write(file, "{").expect("written");
     let fourth = platform.start();
-    assert!(fourth.says("GET /status").contains("0 members"));
-    fourth.says("POST /maintenance/enter?member=s-2");
+    assert!(fourth.text_of("GET /status").contains("0 members"));
+    fourth.text_of("POST /maintenance/enter?member=s-2");
     drop(fourth);
-    assert!(platform.start().says("GET /status").contains("1 members"));
+    assert!(
+        platform
+            .start()
+            .text_of("GET /status")
+            .contains("1 members")
+    );
 }
 
-/// Two processes hold no more descriptors together than one may, and the one that is left has all of them.
+/// Two processes together hold no more descriptors than one may, and a process that is left alone may use all of them.
 #[test]
-fn two_processes_keep_to_the_limit_of_one() {
+fn processes_share_the_socket_limit_of_one() {
     let log = Log::new(vec![]);
     let mut platform = Platform::new("limit", &[("s-1", echo("b1", &log))]);
-    platform.sockets = 200;
+    platform.max_sockets = 200;
     let old = platform.start();
     let crowd = |_| Some(platform.client());
     let mut clients: Vec<_> = (0..300).filter_map(crowd).collect();
-    eventually(PATIENCE, "the crowd never came in", || {
+    eventually(PATIENCE, "the crowd was never accepted", || {
         old.descriptors() > 70
     });
     let new = platform.start();
@@ -354,9 +355,9 @@
         assert!(old.descriptors() + new.descriptors() <= 200);
     }
     let shared = new.descriptors();
-    old.term();
+    old.signal("TERM");
     drop(old);
-    eventually(PATIENCE, "the room never came back", || {
+    eventually(PATIENCE, "the socket budget was never restored", || {
         clients.extend((0..50).filter_map(crowd));
         new.descriptors() > shared + 30
     });
@@ -364,10 +365,10 @@
 }
 
 #[test]
-fn a_bad_passed_socket_ends_the_start() {
+fn invalid_inherited_socket_ends_the_start() {
     let platform = Platform::new("bad", &[]);
-    let file = platform.folder.join("config.json");
-    std::fs::write(&file, config(free(), free(), &[]).to_string()).expect("a file");
+    let config = config(free(), free(), &[]).to_string();
+    let file = platform.folder.write_config(&config);
     let plain = || Stdio::from(std::fs::File::open(&file).expect("a file"));
     let udp = std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket");
     let stream = std::net::TcpStream::connect(platform.at()).expect("a connection");
@@ -386,13 +387,8 @@
             .env("LB_CONFIG", &file)
             .env("LB_PASSED_SOCKET", name)
             .stdin(stdin);
-        let output = start.output().expect("birchhubd");
-        let fault = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(
-            (output.status.code(), fault.lines().count()),
-            (Some(2), 1),
-            "{name}: {fault}"
-        );
-        assert!(fault.contains("LB_PASSED_SOCKET"), "{fault}");
+        let end = FailedStart::of(&mut start);
+        end.assert_one_line();
+        assert!(end.error.contains("LB_PASSED_SOCKET"), "{name}: {end:?}");
     }
 }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,15 +1,18 @@
-//! Settings at the start of birchhubd. Values that are missing, null, zero or huge do not end a proxy that could serve;
-//! what cannot be parsed ends the start with one line that names it, and exit code 2.
+//! Settings at the start of birchhubd.
+//!
+//! Optional values that are missing, null, zero or huge do not prevent a start. A value that cannot be parsed ends the start
+//! with exit code 2 and one line that names the value.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
-use common::sockets::{Daemon, Log, blind, config, echo, free, line, rpc};
+use common::sockets::{Daemon, FailedStart, Log, TestFolder, blind, config, echo, free, line, rpc};
 use serde_json::{Value, json};
+use std::path::Path;
 use std::process::Command;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// An unusual value and its place in the settings.
-type Unusual = (&'static str, &'static str, Value);
+/// A place in the settings, a key of it, and an unusual value.
+type UnusualSetting = (&'static str, &'static str, Value);
 
 fn missing() -> Value {
     Value::Null
@@ -19,7 +22,7 @@
     json!(u64::MAX)
 }
 
-fn unusual_ceilings() -> Vec<Unusual> {
+fn unusual_ceilings() -> Vec<UnusualSetting> {
     vec![
         ("/ceilings", "connect-timeout-ns", missing()),
         ("/ceilings", "connect-timeout-ns", json!(0)),
@@ -32,7 +35,7 @@
     ]
 }
 
-fn unusual_contracts() -> Vec<Unusual> {
+fn unusual_contracts() -> Vec<UnusualSetting> {
     vec![
         ("/contract", "ask-within-ns", missing()),
         ("/contract", "ask-within-ns", json!(0)),
@@ -45,7 +48,7 @@
     ]
 }
 
-fn unusual_methods() -> Vec<Unusual> {
+fn unusual_methods() -> Vec<UnusualSetting> {
     vec![
         ("/methods/1", "hard-limit-ns", missing()),
         ("/methods/1", "hard-limit-ns", json!(0)),
@@ -58,7 +61,7 @@
     ]
 }
 
-fn unusual_rest() -> Vec<Unusual> {
+fn unusual_rest() -> Vec<UnusualSetting> {
     let unknown_fields = json!({"how": "answers", "fields": ["err_ps", "of_their_own"]});
     let account = |quota: f64| json!([{"name": "acme", "quota-per-s": quota}]);
     vec![
@@ -75,8 +78,8 @@
     ]
 }
 
-/// Starts a proxy with this value and calls each method.
-fn assert_serves((place, key, value): Unusual, backend: std::net::SocketAddr) {
+/// Starts a proxy with this value and checks that it serves an RPC of each method.
+fn assert_serves((place, key, value): UnusualSetting, backend: std::net::SocketAddr) {
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", backend)], |config| {
         blind(config);
         config["settings"].pointer_mut(place).expect("a place")[key] = value.clone();
@@ -101,7 +104,7 @@
 }
 
 #[test]
-fn a_proxy_with_unusual_settings_serves() {
+fn proxy_with_unusual_settings_serves_rpcs() {
     let log = Log::new(vec![]);
     let backend = echo("b1", &log);
     let groups = [
@@ -116,15 +119,14 @@
 }
 
 #[test]
-fn settings_that_cannot_be_parsed_are_named() {
-    let folder = Folder::new("settings");
+fn startup_error_names_the_setting_that_cannot_be_parsed() {
+    let folder = TestFolder::new("settings");
     let assert_named = |place: &str, key: &str, value: Value, path: &str| {
         let mut config = config(free(), free(), &[line("s-1", free(), "Ready")]);
         config["settings"].pointer_mut(place).expect("a place")[key] = value;
-        let file = folder.file(&config.to_string());
-        let (code, error) = refused_start(&[("LB_CONFIG", &file)]);
-        assert_eq!((code, error.lines().count()), (Some(2), 1), "{error}");
-        assert!(error.contains(path), "{path}: {error}");
+        let end = failed_start_with(&folder.write_config(&config.to_string()));
+        end.assert_one_line();
+        assert!(end.error.contains(path), "{path}: {end:?}");
     };
     let path = "ceilings.connect-timeout-ns";
     assert_named("/ceilings", "connect-timeout-ns", json!("250ms"), path);
@@ -144,55 +146,35 @@
     assert_named("/methods/2", "dedup-scope", json!("planet"), path);
 }
 
-/// What birchhubd writes and exits with when it is started with these variables alone.
-fn refused_start(variables: &[(&str, &str)]) -> (Option<i32>, String) {
-    let output = Command::new(PROGRAM)
-        .env_clear()
-        .envs(variables.iter().copied())
-        .output()
-        .expect("birchhubd");
-    let line = String::from_utf8(output.stderr).expect("a text");
-    (output.status.code(), line)
+/// Starts birchhubd, which must fail, with only these environment variables.
+fn failed_start(variables: &[(&str, &str)]) -> FailedStart {
+    let mut start = Command::new(PROGRAM);
+    FailedStart::of(start.env_clear().envs(variables.iter().copied()))
 }
 
-fn assert_refused(variables: &[(&str, &str)], error: &str) {
-    let expected = (Some(2), format!("birchhubd: {error}\n"));
-    assert_eq!(refused_start(variables), expected);
+/// Starts birchhubd, which must fail, with this configuration file.
+fn failed_start_with(config: &Path) -> FailedStart {
+    failed_start(&[("LB_CONFIG", config.to_str().expect("a path"))])
 }
 
-/// A folder of this test, removed at its end.
-struct Folder(std::path::PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Self {
-        let folder = std::env::temp_dir().join(format!("birchhubd-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        Self(folder)
-    }
-
-    /// The path of a file in it with this text.
-    fn file(&self, text: &str) -> String {
-        let file = self.0.join("config.json");
-        std::fs::write(&file, text).expect("a file");
-        file.to_str().expect("a path").to_owned()
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
+/// The end of a start that fails with this error.
+fn failure(error: &str) -> FailedStart {
+    FailedStart {
+        exit_code: Some(2),
+        error: format!("birchhubd: {error}\n"),
     }
 }
 
 #[test]
-fn a_configuration_file_that_cannot_be_read_is_named_to_the_byte() {
-    let folder = Folder::new("unreadable");
-    assert_refused(&[], "LB_CONFIG is not set");
-    let absent = folder.0.join("absent").to_str().expect("a path").to_owned();
-    assert_refused(
-        &[("LB_CONFIG", &absent)],
-        &format!("LB_CONFIG cannot be read: {absent}: No such file or directory (os error 2)"),
+fn error_text_of_an_unreadable_configuration_file() {
+    let folder = TestFolder::new("unreadable");
+    assert_eq!(failed_start(&[]), failure("LB_CONFIG is not set"));
+    let absent = folder.path().join("absent");
+    let error = format!(
+        "LB_CONFIG cannot be read: {}: No such file or directory (os error 2)",
+        absent.display()
     );
+    assert_eq!(failed_start_with(&absent), failure(&error));
     for (text, error) in [
         ("", "EOF while parsing a value at line 1 column 0"),
         (
@@ -200,14 +182,14 @@
             "invalid type: sequence, expected a map at line 1 column 0",
         ),
     ] {
-        let file = folder.file(text);
-        let error = format!("LB_CONFIG is not JSON: {file}: {error}");
-        assert_refused(&[("LB_CONFIG", &file)], &error);
+        let file = folder.write_config(text);
+        let error = format!("LB_CONFIG is not JSON: {}: {error}", file.display());
+        assert_eq!(failed_start_with(&file), failure(&error));
     }
 }
 
-/// Each is a change of a valid configuration, and the whole text of the error.
-fn wrong_configurations() -> Vec<(&'static str, &'static str, Value, &'static str)> {
+/// Returns changes of a valid configuration, each with the complete text of the error.
+fn invalid_configurations() -> Vec<(&'static str, &'static str, Value, &'static str)> {
     let mut other = config(free(), free(), &[])["settings"].clone();
     other["accounts"] = json!([{"name": "x", "quota-per-s": 1}]);
     vec![
@@ -252,46 +234,45 @@
 }
 
 #[test]
-fn wrong_configurations_are_named_to_the_byte() {
-    let folder = Folder::new("wrong");
+fn error_texts_of_invalid_configurations() {
+    let folder = TestFolder::new("wrong");
     let good = config(free(), free(), &[]);
-    for (place, key, value, error) in wrong_configurations() {
+    for (place, key, value, error) in invalid_configurations() {
         let mut config = good.clone();
         config.pointer_mut(place).expect("a place")[key] = value;
-        let file = folder.file(&config.to_string());
-        assert_refused(&[("LB_CONFIG", &file)], error);
+        let file = folder.write_config(&config.to_string());
+        assert_eq!(failed_start_with(&file), failure(error));
     }
     let mut config = good;
     config
         .as_object_mut()
         .expect("an object")
         .remove("settings");
-    let file = folder.file(&config.to_string());
-    assert_refused(&[("LB_CONFIG", &file)], "settings is missing in LB_CONFIG");
+    let file = folder.write_config(&config.to_string());
+    let error = "settings is missing in LB_CONFIG";
+    assert_eq!(failed_start_with(&file), failure(error));
 }
 
 #[test]
-fn a_passed_descriptor_that_is_no_listener_is_named_to_the_byte() {
+fn error_texts_of_invalid_inherited_descriptors() {
     for (passed, error) in [
         ("-1", "is not a number: -1"),
         ("4294967295", "is not a number: 4294967295"),
         ("99", "is not open: 99"),
         ("1", "is not a socket: 1"),
     ] {
-        let variables = [("LB_PASSED_SOCKET", passed)];
-        assert_refused(&variables, &format!("LB_PASSED_SOCKET {error}"));
+        let end = failed_start(&[("LB_PASSED_SOCKET", passed)]);
+        assert_eq!(end, failure(&format!("LB_PASSED_SOCKET {error}")));
     }
 }
 
 #[test]
-fn a_passed_socket_that_does_not_listen_is_named_to_the_byte() {
+fn error_text_of_an_inherited_socket_that_does_not_listen() {
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    let output = Command::new(PROGRAM)
+    let mut start = Command::new(PROGRAM);
+    start
         .env("LB_PASSED_SOCKET", "0")
-        .stdin(std::os::fd::OwnedFd::from(socket))
-        .output()
-        .expect("birchhubd");
-    let line = String::from_utf8(output.stderr).expect("a text");
-    let expected = "birchhubd: LB_PASSED_SOCKET is not a listening TCP socket: 0\n";
-    assert_eq!((output.status.code(), line.as_str()), (Some(2), expected));
+        .stdin(std::os::fd::OwnedFd::from(socket));
+    let error = "LB_PASSED_SOCKET is not a listening TCP socket: 0";
+    assert_eq!(FailedStart::of(&mut start), failure(error));
 }
--- a/crates/daemon/tests/starting.rs
+++ b/crates/daemon/tests/starting.rs
@@ -1,4 +1,4 @@
-//! Many processes start at once: nine in ten are ready in time, although all of them call the discovery service.
+//! Simultaneous start of many processes: nine in ten are ready in time, although all call the discovery service.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{Act, Daemon, Log, Message, backend, blind, line, reply};
@@ -12,9 +12,9 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 const PROCESSES: usize = 10;
 const ENDPOINTS: u32 = 8700;
-/// By when nine in ten are ready.
+/// Time within which nine in ten must be ready.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Time that the service needs for a whole list.
+/// Time that the service needs for a complete list.
 const LIST_TIME: Duration = Duration::from_millis(300);
 
 fn endpoints() -> Vec<Value> {
@@ -24,10 +24,11 @@
         .collect()
 }
 
-/// A discovery service that works on one call at a time and refuses the others; polls that wait for a change do not count.
+/// Starts a discovery service that serves one call at a time and rejects the others. Polls that wait for a change do not
+/// count.
 fn busy_service(log: &Log) -> SocketAddr {
     let busy = AtomicUsize::new(0);
-    let whole = json!({"rev": 2, "all": true, "targets": endpoints()}).to_string();
+    let complete_list = json!({"rev": 2, "all": true, "targets": endpoints()}).to_string();
     backend("list", log, move |call: &Message| {
         if call.first.contains("from=2&hold_ms=3") {
             sleep(Duration::from_millis(3400));
@@ -42,17 +43,19 @@
         }
         sleep(LIST_TIME);
         busy.fetch_sub(1, Ordering::SeqCst);
-        Act::Write(reply("200 OK", &whole))
+        Act::Write(reply("200 OK", &complete_list))
     })
 }
 
-/// Starts all at the same moment, with a cached list or without: how long until each was ready.
+/// Starts all processes at the same moment, with or without a cached list, and returns the time until each was ready.
 fn start(cached: bool) -> Vec<Duration> {
     let log = Log::new(vec![]);
-    let (service, cached) = (busy_service(&log), Arc::new(cached.then(endpoints)));
+    let service = busy_service(&log);
+    let cached = Arc::new(cached.then(endpoints));
     let together = Arc::new(Barrier::new(PROCESSES));
     let one = |n: usize| {
-        let (cached, together) = (cached.clone(), together.clone());
+        let cached = cached.clone();
+        let together = together.clone();
         spawn(move || {
             let mut started_at = Instant::now();
             let daemon = Daemon::start_with(PROGRAM, &[], |config| {
@@ -71,7 +74,7 @@
         })
     };
     let starts: Vec<_> = (0..PROCESSES).map(one).collect();
-    // No process ends before the last is ready.
+    // The processes are kept until the last one is ready.
     let started: Vec<_> = starts
         .into_iter()
         .map(|start| start.join().expect("a start"))
@@ -101,10 +104,10 @@
     assert_ready_in_time(true);
 }
 
-/// A service may serve its callers one after the other: a process without a list waits for it, as a call that is given up
-/// and repeated would only delay the others.
+/// A process without a list does not repeat a call to a slow service: the service may serve its callers one after the other,
+/// and a repeated call would delay the others.
 #[test]
-fn a_process_without_a_list_waits_for_a_slow_service() {
+fn process_without_a_list_waits_for_a_slow_discovery_service() {
     let log = Log::new(vec![]);
     let service = backend("list", &log, |_| {
         sleep(Duration::from_secs(5));
--- a/tests/common/sockets/daemon.rs
+++ b/tests/common/sockets/daemon.rs
@@ -2,6 +2,7 @@
 use super::client::{Client, rpc};
 use super::discovery::{List, line};
 use super::http::HEALTH;
+use super::process::{open_descriptors, send_signal};
 use super::shared::{PATIENCE, eventually};
 use serde_json::{Value, json};
 use std::io::ErrorKind;
@@ -148,9 +149,7 @@
 
     /// How many descriptors it has open.
     pub(crate) fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
-            .expect("its descriptors")
-            .count()
+        open_descriptors(&self.child)
     }
 
     /// Its resident memory, bytes.
@@ -170,14 +169,7 @@
     }
 
     pub(crate) fn signal(&self, name: &str) {
-        let kill = format!("kill -{name} {}", self.child.id());
-        assert!(
-            Command::new("sh")
-                .args(["-c", &kill])
-                .status()
-                .expect("a shell")
-                .success()
-        );
+        send_signal(&self.child, name);
     }
 
     /// Replaces its configuration and sends SIGHUP.
--- a/tests/common/sockets/mod.rs
+++ b/tests/common/sockets/mod.rs
@@ -5,6 +5,7 @@
 mod discovery;
 mod faults;
 mod http;
+mod process;
 mod shared;
 mod slow_accept;
 
@@ -14,5 +15,6 @@
 pub(crate) use discovery::*;
 pub(crate) use faults::*;
 pub(crate) use http::*;
+pub(crate) use process::*;
 pub(crate) use shared::*;
 pub(crate) use slow_accept::*;
