--- a/crates/logging/src/tests.rs
+++ b/crates/logging/src/tests.rs
@@ -1,9 +1,9 @@
-//! The flush at the end of a process.
+//! Tests of the flush at the end of a process.
 use super::*;
 
-/// Prevents the loss of the last lines at the end of a process, and an end that waits for a reader that has gone.
+/// A flush waits for the writing thread, and gives up if nobody reads.
 #[test]
-fn a_flush_writes_all_lines_or_gives_up_in_time() {
+fn flush_writes_all_lines_or_times_out() {
     let (lines, entries) = sync_channel(2);
     let logger = Logger {
         lines,
@@ -11,11 +11,11 @@
     };
     let begun = Instant::now();
     logger.flush();
-    assert!(begun.elapsed() >= FLUSH_TIME, "nobody writes");
+    assert!(begun.elapsed() >= FLUSH_TIMEOUT, "nobody writes");
     logger.flush();
     logger.flush();
     assert!(
-        begun.elapsed() >= FLUSH_TIME * 3,
+        begun.elapsed() >= FLUSH_TIMEOUT * 3,
         "nobody writes, and the queue is full"
     );
     let writer = std::thread::spawn(move || write(entries, &AtomicUsize::new(0)));
