--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,19 +1,24 @@
-//! What a decision costs, by the size of the fleet: `cargo bench`. Half load, answers that carry reports.
+//! Cost of a decision by the size of the fleet, at half load: `cargo bench`.
 #![expect(
     missing_docs,
     reason = "criterion_group writes a public function without one"
 )]
 
+#[path = "../tests/common/fixtures.rs"]
+mod fixtures;
+
 use birchhub::balancer::{Balancer, RpcHandle};
 use birchhub::interface::*;
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use std::collections::VecDeque;
 use std::hint::black_box;
 
+/// Numbers of backends.
 const SIZES: [u32; 5] = [10, 100, 1_000, 10_000, 100_000];
-const SERVICE_TIME: f64 = 0.05; // s of each attempt
+/// Duration of each attempt in seconds.
+const SERVICE_TIME_SECONDS: f64 = 0.05;
 
-/// A platform that only records what is asked of it.
+/// A platform that records the attempts and health checks that it is asked for.
 #[derive(Default)]
 struct RecordingPlatform {
     now: f64,
@@ -38,54 +43,41 @@
     fn schedule_timer(&mut self, _delay: f64) {}
 }
 
+/// Returns settings with two methods of different priority, where load reports come from `reports`.
 fn settings(reports: LoadReportSource) -> Settings {
-    let method = |idempotency, priority_weight| MethodSettings {
-        idempotency,
-        latency_objective: 0.25,
-        objective_stretch: 0.0,
-        priority_weight,
-        late_weight_fraction: 0.0,
-        ordered_by_key: false,
-    };
+    let mut settings = fixtures::settings(&[Idempotency::Idempotent, Idempotency::NonIdempotent]);
+    for (method, priority_weight) in settings.methods.iter_mut().zip([1.0, 4.0]) {
+        method.latency_objective = 0.25;
+        method.priority_weight = priority_weight;
+    }
     Settings {
-        proxy_count: 1,
-        methods: vec![
-            method(Idempotency::Idempotent, 1.0),
-            method(Idempotency::NonIdempotent, 4.0),
-        ],
-        max_attempts: 3,
-        can_cancel: true,
-        can_health_check: true,
-        health_check_cost: 0.002,
         load_report_source: reports,
-        reports_include_queue: true,
-        max_poll_interval: 10.0,
+        polls_endpoint_list: false,
         drain_grace: 0.3,
-        slow_start_initial_fraction: 0.3,
-        slow_start_duration: 8.0,
-        overload_multiple: 3.0,
-        overload_window: 1.0,
-        ..Settings::default()
+        ..settings
     }
 }
 
-fn entry(backend: u32) -> Endpoint {
-    let (cell, zone) = (u64::from(backend / 8), 0);
+/// Returns an endpoint in a cell of eight, all in one zone.
+fn endpoint(backend: u32) -> Endpoint {
     Endpoint {
-        backend,
-        relative_size: 1.0,
-        started_at: None,
-        cell,
-        zone,
-        readiness: Readiness::Ready,
+        cell: u64::from(backend / 8),
+        zone: 0,
+        ..fixtures::endpoint(backend)
     }
 }
 
-/// A proxy alone before so many backends, each of which holds what it was sent.
+/// An RPC whose first attempt is in flight.
+struct RpcInFlight {
+    handle: RpcHandle,
+    backend: u32,
+}
+
+/// A single proxy with backends that report the number of attempts in flight.
 struct Bench {
     balancer: Balancer,
     platform: RecordingPlatform,
-    in_flight: VecDeque<(RpcHandle, u32)>,
+    in_flight: VecDeque<RpcInFlight>,
     loads: Vec<u32>,
     next_id: u64,
 }
@@ -94,7 +86,7 @@
     fn new(backends: u32, reports: LoadReportSource) -> Self {
         let mut platform = RecordingPlatform::default();
         let balancer = Balancer::new(&settings(reports), 1);
-        let listed: Vec<_> = (0..backends).map(entry).collect();
+        let listed: Vec<_> = (0..backends).map(endpoint).collect();
         balancer.update_endpoints(EndpointUpdateKind::Snapshot, &listed, &mut platform);
         let loads = vec![0; backends as usize];
         let mut bench = Self {
@@ -108,6 +100,7 @@
         bench
     }
 
+    /// Returns the load report of a backend.
     fn report(&self, backend: u32) -> Option<LoadReport> {
         let in_flight = Some(f64::from(self.loads[backend as usize]));
         Some(LoadReport {
@@ -116,17 +109,16 @@
         })
     }
 
+    /// Accepts an RPC and answers its health checks until it is sent.
     fn accept(&mut self) {
-        let (id, method) = (self.next_id, (self.next_id % 2) as usize);
-        self.next_id += 1;
-        let deadline = self.platform.now + 1.0;
         let incoming = IncomingRpc {
-            id,
-            method,
-            deadline,
+            id: self.next_id,
+            method: (self.next_id % 2) as usize,
+            deadline: self.platform.now + 1.0,
             ..IncomingRpc::default()
         };
-        let rpc = self.balancer.accept(&incoming, &mut self.platform);
+        self.next_id += 1;
+        let handle = self.balancer.accept(&incoming, &mut self.platform);
         while self.platform.attempted.is_none() && !self.platform.checked.is_empty() {
             for backend in std::mem::take(&mut self.platform.checked) {
                 let report = self.report(backend);
@@ -141,31 +133,32 @@
         self.platform.checked.clear();
         if let Some(backend) = self.platform.attempted.take() {
             self.loads[backend as usize] += 1;
-            self.in_flight.push_back((rpc, backend));
+            self.in_flight.push_back(RpcInFlight { handle, backend });
         }
     }
 
-    /// One RPC comes and, at half load, one ends.
+    /// Accepts an RPC and, above half load, ends the oldest attempt.
     fn rpc(&mut self) {
-        self.platform.now += SERVICE_TIME * 2.0 / self.loads.len() as f64;
+        self.platform.now += SERVICE_TIME_SECONDS * 2.0 / self.loads.len() as f64;
         self.accept();
         if self.in_flight.len() * 2 > self.loads.len()
-            && let Some((rpc, backend)) = self.in_flight.pop_front()
+            && let Some(RpcInFlight { handle, backend }) = self.in_flight.pop_front()
         {
             self.loads[backend as usize] -= 1;
             let report = self.report(backend);
-            rpc.on_attempt_ended(
+            handle.on_attempt_ended(
                 0,
                 AttemptOutcome::Succeeded,
                 true,
                 report,
                 &mut self.platform,
             );
-            black_box(rpc.is_finished());
+            black_box(handle.is_finished());
         }
     }
 }
 
+/// Measures an RPC from its arrival to its end.
 fn rpcs(c: &mut Criterion) {
     for (name, reports) in [
         ("rpc, reports in answers", LoadReportSource::Responses),
@@ -182,7 +175,7 @@
     }
 }
 
-/// With RPCs that wait for a probe, each event has to serve them.
+/// Measures a health check that ends while RPCs are pending: each event has to serve them.
 fn waiting(c: &mut Criterion) {
     let mut group = c.benchmark_group("probe answered while RPCs wait");
     for waiting in [1, 100, 1_000] {
@@ -219,6 +212,7 @@
     group.finish();
 }
 
+/// Measures an update of one endpoint.
 fn list_change(c: &mut Criterion) {
     let mut group = c.benchmark_group("one list change");
     for size in SIZES {
@@ -236,7 +230,7 @@
                     EndpointUpdateKind::Incremental,
                     &[Endpoint {
                         readiness,
-                        ..entry(3)
+                        ..endpoint(3)
                     }],
                     &mut bench.platform,
                 );
@@ -246,12 +240,13 @@
     group.finish();
 }
 
+/// Measures the first snapshot of the endpoint list.
 fn whole_list(c: &mut Criterion) {
     let mut group = c.benchmark_group("whole list, by line");
     for size in SIZES {
-        let listed: Vec<_> = (0..size).map(entry).collect();
+        let listed: Vec<_> = (0..size).map(endpoint).collect();
         group.throughput(Throughput::Elements(u64::from(size)));
-        let fresh = || {
+        let new_balancer = || {
             (
                 Balancer::new(&settings(LoadReportSource::Responses), 1),
                 RecordingPlatform::default(),
@@ -259,7 +254,7 @@
         };
         group.bench_function(BenchmarkId::from_parameter(size), |b| {
             b.iter_batched(
-                fresh,
+                new_balancer,
                 |(balancer, mut platform)| {
                     balancer.update_endpoints(EndpointUpdateKind::Snapshot, &listed, &mut platform);
                     balancer
--- a/src/keyed_queue/tests.rs
+++ b/src/keyed_queue/tests.rs
@@ -1,27 +1,9 @@
 use super::*;
-use crate::interface::{Idempotency, IncomingRpc, MethodSettings};
-use crate::method::Method;
 use crate::tenant::QuotaClass;
+use crate::test_fixtures::rpc_state;
 
 fn rpc() -> Rc<RpcState> {
-    let settings = MethodSettings {
-        idempotency: Idempotency::Idempotent,
-        latency_objective: 1.0,
-        objective_stretch: 0.0,
-        priority_weight: 1.0,
-        late_weight_fraction: 0.0,
-        ordered_by_key: true,
-    };
-    let method = Rc::new(Method::new(&settings, 1.0, None));
-    let incoming = IncomingRpc::default();
-    Rc::new(RpcState::new(
-        &incoming,
-        method,
-        QuotaClass::Within,
-        Vec::new(),
-        Vec::new(),
-        0.0,
-    ))
+    Rc::new(rpc_state(0, 1.0, QuotaClass::Within))
 }
 
 /// Memory must not grow with every key there ever was, nor with keys that cooled down after their RPCs
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -23,3 +23,5 @@
 mod rpc_state;
 mod slow_start_budget;
 mod tenant;
+#[cfg(test)]
+mod test_fixtures;
--- a/src/pending_queue/tests.rs
+++ b/src/pending_queue/tests.rs
@@ -1,24 +1,9 @@
 use super::*;
-use crate::interface::{Idempotency, IncomingRpc, MethodSettings};
-use crate::method::Method;
+use crate::test_fixtures::rpc_state;
 use quickcheck::{Gen, QuickCheck};
 
 fn rpc(id: u64, priority_weight: f64, class: QuotaClass, pending_until: f64) -> Rc<RpcState> {
-    let settings = MethodSettings {
-        idempotency: Idempotency::Idempotent,
-        latency_objective: 1.0,
-        objective_stretch: 0.0,
-        priority_weight,
-        late_weight_fraction: 0.0,
-        ordered_by_key: false,
-    };
-    let method = Rc::new(Method::new(&settings, 1.0, None));
-    let incoming = IncomingRpc {
-        id,
-        deadline: 9.0,
-        ..IncomingRpc::default()
-    };
-    let rpc = RpcState::new(&incoming, method, class, Vec::new(), Vec::new(), 0.0);
+    let rpc = rpc_state(id, priority_weight, class);
     rpc.pending_until.set(pending_until);
     Rc::new(rpc)
 }
