--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,7 +1,7 @@
 //! Admission control: latency objectives, tenants' quotas, throttles and load shedding by priority weight.
 mod common;
 use birchhub::interface::*;
-use common::{FinalAnswer, InFlight, Proxy, proxy_of, settings, with_two_priority_weights};
+use common::{AttemptInFlight, FinalAnswer, Proxy, proxy_of, settings, with_two_priority_weights};
 
 #[test]
 fn rpcs_without_any_backend_are_rejected_within_the_latency_objective() {
@@ -146,9 +146,9 @@
             assert!(!record.attempts.is_empty() || record.answers == [FinalAnswer::Rejected]);
             sent += usize::from(!record.attempts.is_empty());
             proxy.advance(0.02);
-            for (rpc, n, _) in proxy.attempts_in_flight() {
-                if !is_slow || rpc % 2 == 0 {
-                    proxy.end_attempt(rpc, n, AttemptOutcome::Succeeded, Some(1.0));
+            for attempt in proxy.attempts_in_flight() {
+                if !is_slow || attempt.rpc % 2 == 0 {
+                    proxy.end_in_flight(attempt, AttemptOutcome::Succeeded, Some(1.0));
                 }
             }
             served += usize::from(proxy.platform.rpcs[&other].answers == [FinalAnswer::Succeeded]);
@@ -180,9 +180,9 @@
         let rpc = proxy.accept_as(0, 0.5, Some(tenant), false);
         sent[tenant] += usize::from(round >= 400 && !proxy.platform.rpcs[&rpc].attempts.is_empty());
         proxy.advance(0.01);
-        let quick = |(rpc, ..): &InFlight| rpc % 4 != 3 || round < 200;
-        for (rpc, n, _) in proxy.attempts_in_flight().into_iter().filter(quick) {
-            proxy.end_attempt(rpc, n, AttemptOutcome::Succeeded, Some(1.0));
+        let quick = |attempt: &AttemptInFlight| attempt.rpc % 4 != 3 || round < 200;
+        for attempt in proxy.attempts_in_flight().into_iter().filter(quick) {
+            proxy.end_in_flight(attempt, AttemptOutcome::Succeeded, Some(1.0));
         }
     }
     assert!(
@@ -204,9 +204,9 @@
         let rpc = proxy.accept(0, 2.0);
         rejected += usize::from(proxy.platform.rpcs[&rpc].attempts.is_empty());
         proxy.advance(0.02);
-        let quick = |(rpc, ..): &InFlight| rpc % 5 != 4 || round < 100;
-        for (rpc, n, _) in proxy.attempts_in_flight().into_iter().filter(quick) {
-            proxy.end_attempt(rpc, n, AttemptOutcome::Succeeded, Some(4.0));
+        let quick = |attempt: &AttemptInFlight| attempt.rpc % 5 != 4 || round < 100;
+        for attempt in proxy.attempts_in_flight().into_iter().filter(quick) {
+            proxy.end_in_flight(attempt, AttemptOutcome::Succeeded, Some(4.0));
         }
     }
     assert!(rejected < 20, "{rejected} of 1000 rejected");
@@ -260,8 +260,8 @@
         } else {
             AttemptOutcome::Rejected
         };
-        for (rpc, n, _) in proxy.attempts_in_flight() {
-            proxy.end_attempt(rpc, n, outcome, None);
+        for attempt in proxy.attempts_in_flight() {
+            proxy.end_in_flight(attempt, outcome, None);
         }
         proxy.advance(0.03);
     }
--- a/tests/common/proxy.rs
+++ b/tests/common/proxy.rs
@@ -9,8 +9,14 @@
 /// Number of times that `drive` answers health checks meanwhile.
 const HEALTH_CHECK_ROUNDS: usize = 5;
 
-/// An attempt in flight: its RPC, its number among the RPC's attempts, and its backend.
-pub(crate) type InFlight = (u64, usize, u32);
+/// An attempt in flight.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct AttemptInFlight {
+    pub rpc: u64,
+    /// Its number among the RPC's attempts.
+    pub number: usize,
+    pub backend: u32,
+}
 
 /// Returns a report that carries only the number of RPCs in flight.
 pub(crate) fn load_report(in_flight: f64) -> LoadReport {
@@ -139,17 +145,32 @@
         self.handles[&rpc].on_client_disconnected(&mut self.platform);
     }
 
-    pub(crate) fn attempts_in_flight(&self) -> Vec<InFlight> {
+    pub(crate) fn attempts_in_flight(&self) -> Vec<AttemptInFlight> {
         let in_flight = |(id, rpc): (&u64, &RpcRecord)| {
             let attempts = rpc.attempts.iter().enumerate();
             attempts
                 .filter(|(_, attempt)| attempt.is_in_flight())
-                .map(|(n, attempt)| (*id, n, attempt.backend))
+                .map(|(number, attempt)| AttemptInFlight {
+                    rpc: *id,
+                    number,
+                    backend: attempt.backend,
+                })
                 .collect::<Vec<_>>()
         };
         self.platform.rpcs.iter().flat_map(in_flight).collect()
     }
 
+    /// Ends an attempt in flight; `in_flight` is the load that its backend reports.
+    pub(crate) fn end_in_flight(
+        &mut self,
+        attempt: AttemptInFlight,
+        outcome: AttemptOutcome,
+        in_flight: Option<f64>,
+    ) {
+        self.end_attempt(attempt.rpc, attempt.number, outcome, in_flight);
+    }
+
+    /// Ends an attempt by its RPC and its number.
     pub(crate) fn end_attempt(
         &mut self,
         rpc: u64,
@@ -190,9 +211,10 @@
                 self.complete_health_checks(AttemptOutcome::Succeeded, &in_flight);
             }
             self.advance(gap - health_check_time);
-            for (rpc, attempt, backend) in self.attempts_in_flight() {
+            for attempt in self.attempts_in_flight() {
+                let backend = attempt.backend;
                 if let Some(outcome) = outcome(backend) {
-                    self.end_attempt(rpc, attempt, outcome, Some(in_flight(backend)));
+                    self.end_in_flight(attempt, outcome, Some(in_flight(backend)));
                 }
             }
         }
@@ -202,8 +224,8 @@
     }
 
     pub(crate) fn end_all_attempts(&mut self, outcome: AttemptOutcome, in_flight: Option<f64>) {
-        for (rpc, attempt, _) in self.attempts_in_flight() {
-            self.end_attempt(rpc, attempt, outcome, in_flight);
+        for attempt in self.attempts_in_flight() {
+            self.end_in_flight(attempt, outcome, in_flight);
         }
     }
 
@@ -221,12 +243,11 @@
     }
 
     /// Returns the attempt that times out first, and when. Streamed responses have no timeout.
-    fn next_timeout(&self) -> (f64, Option<InFlight>) {
+    fn next_timeout(&self) -> (f64, Option<AttemptInFlight>) {
         let mut next = (f64::INFINITY, None);
         for in_flight in self.attempts_in_flight() {
-            let (rpc, attempt, _) = in_flight;
-            let record = &self.platform.rpcs[&rpc];
-            let timeout_at = record.attempts[attempt].timeout_at;
+            let record = &self.platform.rpcs[&in_flight.rpc];
+            let timeout_at = record.attempts[in_flight.number].timeout_at;
             if !record.is_streaming && timeout_at < next.0 {
                 next = (timeout_at, Some(in_flight));
             }
@@ -257,8 +278,8 @@
             }
             self.platform.now = self.platform.now.max(next);
             if timeout_at <= timer_at {
-                let (rpc, attempt, _) = attempt.expect("an attempt that is due");
-                self.end_attempt(rpc, attempt, AttemptOutcome::TimedOut, None);
+                let attempt = attempt.expect("an attempt that is due");
+                self.end_in_flight(attempt, AttemptOutcome::TimedOut, None);
             } else {
                 let timer = timer.expect("a timer that is due");
                 self.platform.timers.swap_remove(timer);
--- a/tests/endpoint_choice.rs
+++ b/tests/endpoint_choice.rs
@@ -68,7 +68,7 @@
     let known: Vec<_> = proxy
         .attempts_in_flight()
         .iter()
-        .map(|(.., backend)| *backend)
+        .map(|attempt| attempt.backend)
         .collect();
     proxy.end_all_attempts(AttemptOutcome::Succeeded, None);
     let mut sent = Vec::new();
@@ -127,26 +127,17 @@
             .map(|_| proxy.accept(0, 0.5))
             .collect();
         let mut attempts = proxy.attempts_in_flight();
-        attempts.sort_by_key(|(.., backend)| reports_falsely_idle(*backend));
+        attempts.sort_by_key(|attempt| reports_falsely_idle(attempt.backend));
         let started_at = proxy.platform.now;
-        for (rpc, n, backend) in attempts {
-            let duration = if reports_falsely_idle(backend) {
-                0.15
+        for attempt in attempts {
+            let (duration, load) = if reports_falsely_idle(attempt.backend) {
+                (0.15, 0.0)
             } else {
-                0.03
+                (0.03, 3.0)
             };
             proxy.advance((started_at + duration - proxy.platform.now).max(0.0));
-            proxy.end_attempt(
-                rpc,
-                n,
-                AttemptOutcome::Succeeded,
-                Some(if reports_falsely_idle(backend) {
-                    0.0
-                } else {
-                    3.0
-                }),
-            );
-            later.extend((round >= 50 && round % 2 == 1).then_some(backend));
+            proxy.end_in_flight(attempt, AttemptOutcome::Succeeded, Some(load));
+            later.extend((round >= 50 && round % 2 == 1).then_some(attempt.backend));
         }
         assert!(
             rpcs.iter()
@@ -209,16 +200,16 @@
         );
         for _ in 0..500 {
             proxy.accept(0, 0.5);
-            while let Some((rpc, n, _)) = proxy
+            while let Some(attempt) = proxy
                 .attempts_in_flight()
                 .into_iter()
-                .find(|(.., backend)| *backend == 0)
+                .find(|attempt| attempt.backend == 0)
             {
-                proxy.end_attempt(rpc, n, AttemptOutcome::Rejected, None);
+                proxy.end_in_flight(attempt, AttemptOutcome::Rejected, None);
             }
             proxy.advance(0.002);
-            for (rpc, n, _) in proxy.attempts_in_flight().into_iter().take(1) {
-                proxy.end_attempt(rpc, n, AttemptOutcome::Succeeded, Some(1.0));
+            for attempt in proxy.attempts_in_flight().into_iter().take(1) {
+                proxy.end_in_flight(attempt, AttemptOutcome::Succeeded, Some(1.0));
             }
         }
         let sent = proxy.platform.rpcs.values().flat_map(|r| &r.attempts);
@@ -287,12 +278,12 @@
             proxy.platform.rpcs[&rpc].attempts[0].backend, slow,
             "it is the idle one"
         );
-        for (id, n, _) in proxy
+        for attempt in proxy
             .attempts_in_flight()
             .into_iter()
-            .filter(|(id, ..)| *id != long)
+            .filter(|attempt| attempt.rpc != long)
         {
-            proxy.end_attempt(id, n, AttemptOutcome::Succeeded, Some(0.0));
+            proxy.end_in_flight(attempt, AttemptOutcome::Succeeded, Some(0.0));
         }
     }
 }
--- a/tests/keyed_order.rs
+++ b/tests/keyed_order.rs
@@ -56,18 +56,18 @@
     proxy
         .attempts_in_flight()
         .iter()
-        .map(|(rpc, ..)| *rpc)
+        .map(|attempt| attempt.rpc)
         .filter(|rpc| of.contains(rpc))
         .collect()
 }
 
 fn end_attempt(proxy: &mut Proxy, rpc: u64, outcome: AttemptOutcome) {
-    let (_, n, _) = *proxy
+    let attempt = proxy
         .attempts_in_flight()
-        .iter()
-        .find(|(id, ..)| *id == rpc)
+        .into_iter()
+        .find(|attempt| attempt.rpc == rpc)
         .expect("an attempt in flight");
-    proxy.end_attempt(rpc, n, outcome, None);
+    proxy.end_in_flight(attempt, outcome, None);
 }
 
 #[test]
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -54,18 +54,15 @@
     let mut lost_rpcs = 0;
     for _ in 0..60 {
         let rpc = proxy.accept(0, 0.5);
-        while let Some((rpc, n, backend)) = proxy.attempts_in_flight().pop() {
-            failed_attempts += usize::from(backend < 30);
-            proxy.end_attempt(
-                rpc,
-                n,
-                if backend < 30 {
-                    outcome
-                } else {
-                    AttemptOutcome::Succeeded
-                },
-                Some(1.0),
-            );
+        while let Some(attempt) = proxy.attempts_in_flight().pop() {
+            let fails = attempt.backend < 30;
+            failed_attempts += usize::from(fails);
+            let outcome = if fails {
+                outcome
+            } else {
+                AttemptOutcome::Succeeded
+            };
+            proxy.end_in_flight(attempt, outcome, Some(1.0));
         }
         lost_rpcs += usize::from(proxy.platform.rpcs[&rpc].answers != [FinalAnswer::Succeeded]);
         proxy.advance(0.05);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -50,10 +50,10 @@
 
 fn end_an_attempt(proxy: &mut Proxy, which: usize, size: f64) {
     let in_flight = proxy.attempts_in_flight();
-    if let Some((rpc, attempt, _)) = in_flight.get(which % in_flight.len().max(1)) {
+    if let Some(attempt) = in_flight.get(which % in_flight.len().max(1)) {
         let outcome = OUTCOMES[(size * 8.99) as usize];
         let load = (size * 40.0).round() % 4.0;
-        proxy.end_attempt(*rpc, *attempt, outcome, Some(load));
+        proxy.end_in_flight(*attempt, outcome, Some(load));
     }
 }
 
@@ -208,11 +208,12 @@
         proxy.advance(0.002);
         proxy.complete_health_checks(AttemptOutcome::Succeeded, reported_load);
     }
-    for (rpc, attempt, backend) in proxy.attempts_in_flight() {
-        let started_at = proxy.platform.rpcs[&rpc].attempts[attempt].started_at;
+    for attempt in proxy.attempts_in_flight() {
+        let record = &proxy.platform.rpcs[&attempt.rpc];
+        let started_at = record.attempts[attempt.number].started_at;
         if proxy.platform.now - started_at >= WORK_SECONDS {
-            let load = Some(reported_load(backend));
-            proxy.end_attempt(rpc, attempt, AttemptOutcome::Succeeded, load);
+            let load = Some(reported_load(attempt.backend));
+            proxy.end_in_flight(attempt, AttemptOutcome::Succeeded, load);
         }
     }
     proxy.advance(0.006);
--- a/tests/slow_start/single_proxy.rs
+++ b/tests/slow_start/single_proxy.rs
@@ -61,9 +61,9 @@
             proxy.advance(0.05);
             // Each backend completes one RPC in that time.
             let mut done = BTreeSet::new();
-            for (rpc, n, backend) in proxy.attempts_in_flight() {
-                if done.insert(backend) {
-                    proxy.end_attempt(rpc, n, AttemptOutcome::Succeeded, Some(0.0));
+            for attempt in proxy.attempts_in_flight() {
+                if done.insert(attempt.backend) {
+                    proxy.end_in_flight(attempt, AttemptOutcome::Succeeded, Some(0.0));
                 }
             }
         }
