--- a/crates/settings/tests/change.rs
+++ b/crates/settings/tests/change.rs
@@ -1,71 +1,138 @@
-//! The comparison of settings, against a plain model of it on generated pairs.
+//! Comparison of settings, checked against a linear search on generated pairs.
 use birchhub::interface::CarriedOver;
 use birchhub_settings::{Change, ListDifference, ParsedSettings, parse_value};
-use quickcheck::{Gen, QuickCheck};
+use quickcheck::{Arbitrary, Gen, QuickCheck};
 use serde_json::{Value, json};
 
-/// Settings with these methods and tenants: each is the number of a name, and a value.
-fn settings(methods: &[(u8, u8)], tenants: &[(u8, u8)]) -> Value {
-    let method = |(name, value): &(u8, u8)| {
-        json!({"name": format!("m{}", name % 12), "idempotency": "read_like", "utility": value % 3,
+/// Number of different names in generated lists.
+const NAMES: u8 = 12;
+/// Number of different values in generated lists.
+const VALUES: u8 = 3;
+
+/// A generated method or tenant.
+#[derive(Clone, Copy, Debug)]
+struct Entry {
+    name: u8,
+    value: u8,
+}
+
+impl Entry {
+    fn new(name: u8, value: u8) -> Self {
+        Self {
+            name: name % NAMES,
+            value: value % VALUES,
+        }
+    }
+
+    fn method(&self) -> Value {
+        json!({"name": format!("m{}", self.name), "idempotency": "read_like", "utility": self.value,
             "latency-target-ns": 1e8})
-    };
-    let tenant = |(name, value): &(u8, u8)| json!({"name": format!("t{}", name % 12), "quota-per-s": value % 3});
-    json!({"balancers": 2, "ceilings": {"most-picks": 3}, "failure-domains": ["a", "b"], "my-zone": "a",
-        "methods": methods.iter().map(method).collect::<Vec<_>>(),
-        "accounts": tenants.iter().map(tenant).collect::<Vec<_>>(),
-        "contract": {"drain-grace-ns": 5e8, "cold-from": 0.2, "cold-ns": 5e9, "fall-multiple": 3.0,
-            "tip-after-ns": 1e9}})
+    }
+
+    fn tenant(&self) -> Value {
+        json!({"name": format!("t{}", self.name), "quota-per-s": self.value})
+    }
 }
 
-fn parsed(value: &Value) -> ParsedSettings {
-    parse_value(value).expect("settings")
+impl Arbitrary for Entry {
+    fn arbitrary(generator: &mut Gen) -> Self {
+        let name = u8::arbitrary(generator);
+        let value = u8::arbitrary(generator);
+        Self::new(name, value)
+    }
 }
 
-/// The first of each name, so that a linear search finds all there is to find.
-fn without_duplicates(mut list: List) -> List {
-    let mut seen = [false; 12];
-    list.retain(|(name, _)| !std::mem::replace(&mut seen[usize::from(*name % 12)], true));
-    list
+/// Generated methods and tenants.
+#[derive(Clone, Debug)]
+struct Lists {
+    methods: Vec<Entry>,
+    tenants: Vec<Entry>,
 }
 
-type List = Vec<(u8, u8)>;
+impl Arbitrary for Lists {
+    fn arbitrary(generator: &mut Gen) -> Self {
+        Self {
+            methods: Vec::arbitrary(generator),
+            tenants: Vec::arbitrary(generator),
+        }
+    }
 
-/// Methods and tenants.
-type Lists = (List, List);
+    fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
+        let lists = (self.methods.clone(), self.tenants.clone());
+        let shrunk = lists.shrink();
+        Box::new(shrunk.map(|(methods, tenants)| Self { methods, tenants }))
+    }
+}
 
-/// The index before of each name, by linear search.
+impl Lists {
+    /// One method and one tenant.
+    fn minimal() -> Self {
+        Self {
+            methods: vec![Entry::new(0, 1)],
+            tenants: vec![Entry::new(0, 1)],
+        }
+    }
+
+    fn without_duplicates(&self) -> Self {
+        Self {
+            methods: without_duplicates(&self.methods),
+            tenants: without_duplicates(&self.tenants),
+        }
+    }
+
+    /// Returns a settings object with these methods and tenants.
+    fn settings(&self) -> Value {
+        json!({"balancers": 2, "ceilings": {"most-picks": 3}, "failure-domains": ["a", "b"], "my-zone": "a",
+            "methods": self.methods.iter().map(Entry::method).collect::<Vec<_>>(),
+            "accounts": self.tenants.iter().map(Entry::tenant).collect::<Vec<_>>(),
+            "contract": {"drain-grace-ns": 5e8, "cold-from": 0.2, "cold-ns": 5e9, "fall-multiple": 3.0,
+                "tip-after-ns": 1e9}})
+    }
+}
+
+fn parsed(value: &Value) -> ParsedSettings {
+    parse_value(value).expect("settings")
+}
+
+/// Returns the first entry of each name.
+fn without_duplicates(list: &[Entry]) -> Vec<Entry> {
+    let mut seen = [false; NAMES as usize];
+    let is_first = |entry: &&Entry| !std::mem::replace(&mut seen[usize::from(entry.name)], true);
+    list.iter().filter(is_first).copied().collect()
+}
+
+/// Returns the former index of each name, by linear search.
 fn expected_indexes(before: &[String], now: &[String]) -> Vec<Option<usize>> {
     let index = |name: &String| before.iter().position(|other| other == name);
     now.iter().map(index).collect()
 }
 
-/// How two lists without duplicates differ, by linear search.
-fn expected_difference(before: &List, now: &List) -> ListDifference {
-    let find = |list: &List, name: u8| {
-        let entry = list.iter().find(|(other, _)| other % 12 == name % 12);
-        entry.map(|(_, value)| value % 3)
+/// Returns the difference between two lists without duplicates, by linear search.
+fn expected_difference(before: &[Entry], now: &[Entry]) -> ListDifference {
+    let find = |list: &[Entry], name: u8| {
+        let entry = list.iter().find(|other| other.name == name);
+        entry.map(|entry| entry.value)
     };
     let mut difference = ListDifference {
         total: now.len(),
         ..ListDifference::default()
     };
-    for (name, value) in now {
+    for Entry { name, value } in now {
         match find(before, *name) {
             None => difference.added += 1,
-            Some(previous) => difference.changed += usize::from(previous != value % 3),
+            Some(previous) => difference.changed += usize::from(previous != *value),
         }
     }
-    let is_removed = |(name, _): &&(u8, u8)| find(now, *name).is_none();
+    let is_removed = |entry: &&Entry| find(now, entry.name).is_none();
     difference.removed = before.iter().filter(is_removed).count();
     difference
 }
 
-fn matches_a_linear_search(before: Lists, now: Lists) -> bool {
-    let unique = |(methods, tenants)| (without_duplicates(methods), without_duplicates(tenants));
-    let (before, now) = (unique(before), unique(now));
-    let active = parsed(&settings(&before.0, &before.1));
-    let new = parsed(&settings(&now.0, &now.1));
+fn matches_linear_search(before: Lists, now: Lists) -> bool {
+    let before = before.without_duplicates();
+    let now = now.without_duplicates();
+    let active = parsed(&before.settings());
+    let new = parsed(&now.settings());
     let change = Change::between(&active, &new);
     let carried_over = CarriedOver {
         methods: expected_indexes(&active.methods, &new.methods),
@@ -75,22 +142,22 @@
         && active.methods == new.methods
         && active.tenants == new.tenants;
     change.carried_over == carried_over
-        && change.methods == expected_difference(&before.0, &now.0)
-        && change.tenants == expected_difference(&before.1, &now.1)
+        && change.methods == expected_difference(&before.methods, &now.methods)
+        && change.tenants == expected_difference(&before.tenants, &now.tenants)
         && change.is_none() == is_same
         && change.decision_keys.is_empty()
         && change.restart_keys.is_empty()
 }
 
 #[test]
-fn names_are_matched_as_by_a_linear_search() {
+fn comparison_by_name_matches_a_linear_search() {
     let mut check = QuickCheck::new()
         .tests(2000)
         .rng(Gen::from_size_and_seed(14, 11));
-    check.quickcheck(matches_a_linear_search as fn(_, _) -> bool);
+    check.quickcheck(matches_linear_search as fn(_, _) -> bool);
 }
 
-/// Each index before is carried over at most once, to its own name, and each name in both lists has one.
+/// Whether each former index is carried over at most once and to its own name, and each name in both lists has one.
 fn is_carried_over_once(before: &[String], now: &[String], indexes: &[Option<usize>]) -> bool {
     let mut carried: Vec<_> = indexes.iter().flatten().collect();
     let count = carried.len();
@@ -110,32 +177,42 @@
 }
 
 fn duplicates_are_carried_over_once(before: Lists, now: Lists) -> bool {
-    let active = parsed(&settings(&before.0, &before.1));
-    let new = parsed(&settings(&now.0, &now.1));
+    let active = parsed(&before.settings());
+    let new = parsed(&now.settings());
     let CarriedOver { methods, tenants } = Change::between(&active, &new).carried_over;
     is_carried_over_once(&active.methods, &new.methods, &methods)
         && is_carried_over_once(&active.tenants, &new.tenants, &tenants)
 }
 
 #[test]
-fn state_of_names_that_are_listed_twice_is_carried_over_once() {
+fn state_of_duplicate_names_is_carried_over_once() {
     let mut check = QuickCheck::new()
         .tests(2000)
         .rng(Gen::from_size_and_seed(20, 12));
     check.quickcheck(duplicates_are_carried_over_once as fn(_, _) -> bool);
 }
 
-/// Minimal settings, and the same with one key of a section, or of the object itself, changed.
-fn changed(section: &str, key: &str, value: Value) -> (ParsedSettings, ParsedSettings) {
-    let mut other = settings(&[(0, 1)], &[(0, 1)]);
+/// Settings before and after a change.
+struct ChangedSettings {
+    active: ParsedSettings,
+    new: ParsedSettings,
+}
+
+/// Changes a key of a section of minimal settings, or of the object itself.
+fn change_key(section: &str, key: &str, value: Value) -> ChangedSettings {
+    let mut other = Lists::minimal().settings();
     let active = parsed(&other);
     match section {
         "" => other[key] = value,
         section => other[section][key] = value,
     }
-    (active, parsed(&other))
+    ChangedSettings {
+        active,
+        new: parsed(&other),
+    }
 }
 
+/// Returns the path of a key in a settings object.
 fn path(section: &str, key: &str) -> String {
     if section.is_empty() {
         key.to_owned()
@@ -145,7 +222,7 @@
 }
 
 #[test]
-fn keys_that_change_decisions_are_listed_and_applied() {
+fn keys_of_decisions_are_listed_and_applied() {
     for (section, key, value) in [
         ("", "balancers", json!(5)),
         ("ceilings", "most-picks", json!(4)),
@@ -166,7 +243,7 @@
         ("contract", "fall-multiple", json!(2.0)),
         ("contract", "tip-after-ns", json!(3e9)),
     ] {
-        let (active, new) = changed(section, key, value);
+        let ChangedSettings { active, new } = change_key(section, key, value);
         let change = Change::between(&active, &new);
         let key = path(section, key);
         assert_eq!(change.decision_keys, [key.as_str()]);
@@ -186,7 +263,7 @@
         ("ceilings", "connect-timeout-ns", json!(3e9)),
         ("ceilings", "conn-idle-ns", json!(3e9)),
     ] {
-        let (active, new) = changed(section, key, value);
+        let ChangedSettings { active, new } = change_key(section, key, value);
         let change = Change::between(&active, &new);
         let key = format!("settings.{}", path(section, key));
         assert!(change.is_none(), "{key}");
@@ -197,13 +274,14 @@
     }
 }
 
+/// Returns the digest of a settings object.
 fn digest(value: &Value) -> u64 {
     parsed(value).digest
 }
 
 #[test]
-fn the_digest_does_not_depend_on_the_order_of_keys() {
-    let plain = settings(&[(0, 1)], &[(0, 1)]);
+fn digest_does_not_depend_on_the_order_of_keys() {
+    let plain = Lists::minimal().settings();
     let fields = plain.as_object().expect("an object").iter().rev();
     let fields: Vec<_> = fields
         .map(|(key, value)| format!(" {key:?} : {value}"))
@@ -215,16 +293,20 @@
 }
 
 #[test]
-fn the_digest_does_not_depend_on_the_own_zone() {
-    let plain = settings(&[(0, 1)], &[(0, 1)]);
+fn digest_does_not_depend_on_the_own_zone() {
+    let plain = Lists::minimal().settings();
     let mut elsewhere = plain.clone();
     elsewhere["my-zone"] = "b".into();
     assert_eq!(digest(&elsewhere), digest(&plain));
 }
 
 #[test]
-fn other_methods_or_accounts_have_another_digest() {
-    let plain = settings(&[(0, 1)], &[(0, 1)]);
-    assert_ne!(digest(&settings(&[(0, 2)], &[(0, 1)])), digest(&plain));
-    assert_ne!(digest(&settings(&[(0, 1)], &[(1, 1)])), digest(&plain));
+fn digest_depends_on_methods_and_tenants() {
+    let plain = Lists::minimal().settings();
+    let mut other_method = Lists::minimal();
+    other_method.methods[0].value = 2;
+    assert_ne!(digest(&other_method.settings()), digest(&plain));
+    let mut other_tenant = Lists::minimal();
+    other_tenant.tenants[0].name = 1;
+    assert_ne!(digest(&other_tenant.settings()), digest(&plain));
 }
--- a/crates/settings/tests/compatibility.rs
+++ b/crates/settings/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! Results that other processes and the operators' pages rely on, pinned to the byte: the parsed settings object with every
-//! key, its digest, the hash of a key and the text of a change.
+//! Compatibility with other versions: the parsed settings object with every key, its digest, the hash of an RPC's key, and
+//! the text of a change.
 mod fixtures;
 use birchhub::interface::{
     DeduplicationScope, Idempotency, LoadReportSource, MethodSettings, Settings, TenantSettings,
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_settings_object_with_every_key_is_parsed_as_in_earlier_versions() {
+fn settings_object_with_every_key_is_parsed_as_in_earlier_versions() {
     let expected = ParsedSettings {
         settings: expected_settings(),
         methods: strings(["read", "book", "log", "pay \u{e9}", "sync"]),
@@ -100,7 +100,7 @@
 
 /// Operators compare digests of proxies of different versions.
 #[test]
-fn the_digest_is_the_same_in_every_version() {
+fn digest_is_the_same_in_every_version() {
     let digest = |value: &Value| {
         let parsed = parse(&value.to_string()).expect("settings");
         format!("{:016x}", parsed.digest)
@@ -127,9 +127,9 @@
     );
 }
 
-/// Proxies of different versions have to agree on the number of a key.
+/// Proxies of different versions must agree on the hash of a key.
 #[test]
-fn the_hash_of_a_key_is_the_same_in_every_version() {
+fn hash_of_a_key_is_the_same_in_every_version() {
     let hashes = ["", "a", "entity-17", "\u{e9}\u{4e16}"].map(hash_key);
     let expected = [
         14_695_981_039_346_656_037,
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn the_text_of_a_change_is_the_same_in_every_version() {
+fn text_of_a_change_is_the_same_in_every_version() {
     let parsed = |value: &Value| parse_value(value).expect("settings");
     let before = parsed(&every_key());
     let text = |value: &Value| Change::between(&before, &parsed(value)).to_string();
--- a/crates/settings/tests/errors.rs
+++ b/crates/settings/tests/errors.rs
@@ -1,11 +1,11 @@
-//! The texts of errors, pinned to the byte: the operators' pages quote them.
+//! The texts of errors, which the operators' pages quote.
 mod fixtures;
 use birchhub_settings::{parse, parse_load_report, parse_value};
 use fixtures::{EVERY_KEY, every_key};
 use serde_json::{Value, json};
 
 #[test]
-fn numbers_that_are_too_large_for_a_float_are_named() {
+fn error_of_a_number_that_is_out_of_range_names_its_position() {
     let too_large = EVERY_KEY.replace("\"balancers\": 7", "\"balancers\": 7e999");
     let error = parse(&too_large).expect_err("an error");
     assert_eq!(
@@ -20,7 +20,7 @@
     );
 }
 
-/// The fixture with the value at a JSON pointer's place replaced.
+/// Returns the fixture with another value at a JSON pointer.
 fn with(pointer: &str, value: Value) -> Value {
     let mut settings = every_key();
     let (place, key) = pointer.rsplit_once('/').expect("a pointer");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn missing_settings_are_named() {
+fn error_names_the_missing_setting() {
     for (pointer, missing) in [
         ("/balancers", "balancers"),
         ("/ceilings", "ceilings"),
@@ -73,7 +73,7 @@
     assert_eq!(error_of(&with(pointer, value)), expected, "{pointer}");
 }
 
-/// The path of the value at a JSON pointer, as errors name it.
+/// Returns the path in errors of the value at a JSON pointer.
 fn path_of(pointer: &str) -> String {
     let mut path = String::new();
     for part in pointer[1..].split('/') {
@@ -87,29 +87,29 @@
 }
 
 #[test]
-fn wrong_numbers_are_named_with_their_value() {
-    let assert_no_number = |pointer: &str, value: Value, shown: &str| {
+fn error_names_the_invalid_number_and_its_value() {
+    let assert_not_a_number = |pointer: &str, value: Value, shown: &str| {
         let path = path_of(pointer);
         let expected = format!("{path} is not a number of 0 or more: {shown}");
         assert_error(pointer, value, &expected);
     };
-    assert_no_number("/balancers", json!("2"), "\"2\"");
-    assert_no_number("/ceilings/most-picks", json!(-1), "-1");
-    assert_no_number("/ceilings/connect-timeout-ns", json!("250ms"), "\"250ms\"");
-    assert_no_number(
+    assert_not_a_number("/balancers", json!("2"), "\"2\"");
+    assert_not_a_number("/ceilings/most-picks", json!(-1), "-1");
+    assert_not_a_number("/ceilings/connect-timeout-ns", json!("250ms"), "\"250ms\"");
+    assert_not_a_number(
         "/ceilings/conn-idle-ns",
         json!([1, {"a": true}]),
         "[1,{\"a\":true}]",
     );
-    assert_no_number("/ceilings/max-retry-after-ns", json!(false), "false");
-    assert_no_number("/methods/3/hard-limit-ns", json!(-0.5), "-0.5");
-    assert_no_number("/accounts/0/quota-per-s", json!(-3), "-3");
-    assert_no_number("/penalties/cross-zone", json!({}), "{}");
+    assert_not_a_number("/ceilings/max-retry-after-ns", json!(false), "false");
+    assert_not_a_number("/methods/3/hard-limit-ns", json!(-0.5), "-0.5");
+    assert_not_a_number("/accounts/0/quota-per-s", json!(-3), "-3");
+    assert_not_a_number("/penalties/cross-zone", json!({}), "{}");
 }
 
 #[test]
-fn wrong_flags_are_named_with_their_value() {
-    let assert_no_flag = |pointer: &str, value: Value, shown: &str| {
+fn error_names_the_invalid_boolean_and_its_value() {
+    let assert_not_a_boolean = |pointer: &str, value: Value, shown: &str| {
         let path = path_of(pointer);
         assert_error(
             pointer,
@@ -117,14 +117,14 @@
             &format!("{path} is not true or false: {shown}"),
         );
     };
-    assert_no_flag("/ceilings/cancel", json!(1), "1");
-    assert_no_flag("/ceilings/retry-after", json!("yes"), "\"yes\"");
-    assert_no_flag("/extra/warm-keys", json!([]), "[]");
-    assert_no_flag("/methods/4/keep-order", json!(0), "0");
+    assert_not_a_boolean("/ceilings/cancel", json!(1), "1");
+    assert_not_a_boolean("/ceilings/retry-after", json!("yes"), "\"yes\"");
+    assert_not_a_boolean("/extra/warm-keys", json!([]), "[]");
+    assert_not_a_boolean("/methods/4/keep-order", json!(0), "0");
 }
 
 #[test]
-fn wrong_strings_and_lists_are_named() {
+fn error_names_the_value_that_is_not_a_string_or_list() {
     for pointer in [
         "/methods",
         "/accounts",
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn unknown_choices_are_named() {
+fn error_names_the_unknown_choice() {
     let kind = "/methods/0/idempotency";
     let error = "methods[0].idempotency is not known: perhaps";
     assert_error(kind, json!("perhaps"), error);
@@ -165,8 +165,8 @@
     assert_error("/goal/nines-wanted", json!(0), error);
 }
 
-/// Errors in the order in which they are reported: each is, while all behind it are there as well.
-fn assert_named_in_order(errors: &[(&str, Value, &str)]) {
+/// Checks that each error is reported while all later ones are present as well.
+fn assert_reported_in_order(errors: &[(&str, Value, &str)]) {
     for from in 0..errors.len() {
         let mut settings = every_key();
         for (pointer, value, _) in errors[from..].iter().rev() {
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn the_first_of_several_missing_settings_is_named() {
+fn first_of_several_missing_settings_is_reported() {
     let errors = [
         "/ceilings",
         "/contract",
@@ -194,15 +194,15 @@
         "/contract/cold-from",
         "/contract/tip-after-ns",
     ];
-    assert_named_in_order(&errors.map(|pointer| (pointer, Value::Null, "is missing")));
+    assert_reported_in_order(&errors.map(|pointer| (pointer, Value::Null, "is missing")));
 }
 
 #[test]
-fn the_first_of_several_wrong_settings_is_named() {
-    const NO_NUMBER: &str = "is not a number of 0 or more: \"x\"";
-    const NO_ADDEND: &str = "is 0: what is lost could not be set against it";
+fn first_of_several_invalid_settings_is_reported() {
+    const NOT_A_NUMBER: &str = "is not a number of 0 or more: \"x\"";
+    const ZERO_NINES: &str = "is 0: what is lost could not be set against it";
     let wrong = || json!("x");
-    assert_named_in_order(&[
+    assert_reported_in_order(&[
         ("/accounts", wrong(), "is not a list"),
         ("/ceilings/retry-after", json!(5), "is not true or false: 5"),
         ("/report/how", json!(5), "is not a text"),
@@ -213,13 +213,13 @@
         ("/my-zone", json!(5), "is not a text"),
         ("/ceilings/cancel", json!(5), "is not true or false: 5"),
         ("/extra/warm-keys", json!(5), "is not true or false: 5"),
-        ("/penalties/probe", wrong(), NO_NUMBER),
-        ("/goal/log-loss-part", wrong(), NO_NUMBER),
-        ("/contract/key-quiet-ns", wrong(), NO_NUMBER),
-        ("/goal/nines-wanted", json!(0), NO_ADDEND),
-        ("/methods/0/hard-limit-ns", wrong(), NO_NUMBER),
-        ("/ceilings/connect-timeout-ns", wrong(), NO_NUMBER),
-        ("/ceilings/conn-idle-ns", wrong(), NO_NUMBER),
+        ("/penalties/probe", wrong(), NOT_A_NUMBER),
+        ("/goal/log-loss-part", wrong(), NOT_A_NUMBER),
+        ("/contract/key-quiet-ns", wrong(), NOT_A_NUMBER),
+        ("/goal/nines-wanted", json!(0), ZERO_NINES),
+        ("/methods/0/hard-limit-ns", wrong(), NOT_A_NUMBER),
+        ("/ceilings/connect-timeout-ns", wrong(), NOT_A_NUMBER),
+        ("/ceilings/conn-idle-ns", wrong(), NOT_A_NUMBER),
     ]);
 }
 
--- a/crates/settings/tests/parse.rs
+++ b/crates/settings/tests/parse.rs
@@ -1,11 +1,11 @@
-//! Parsing of settings and load reports, and the errors of what cannot be parsed.
+//! Parsing of settings and load reports.
 use birchhub::interface::Settings;
-use birchhub_settings::{ParsedSettings, parse, parse_load_report, parse_value};
+use birchhub_settings::{ParsedSettings, SettingsError, parse, parse_load_report, parse_value};
 use serde_json::{Value, json};
 
-/// The settings and the protocol page name the fields differently; a report with the names of either must not be ignored.
+/// The settings and the protocol name the fields differently: reports may use the names of either.
 #[test]
-fn load_reports_are_parsed_with_either_field_names() {
+fn load_reports_are_parsed_with_the_field_names_of_settings_and_protocol() {
     for text in ["concurrent=7,depth=2,new=x", " inflight=7,queue=2\n"] {
         let load = parse_load_report(text, '=').expect("a report");
         assert_eq!(
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn malformed_load_reports_are_refused() {
+fn malformed_load_reports_are_rejected() {
     assert!(parse_load_report("inflight", '=').is_err());
     assert!(parse_load_report("inflight=many", '=').is_err());
 }
@@ -27,24 +27,24 @@
     assert_eq!(load.utilisation, None);
 }
 
-/// Minimal settings after a change: the part that decisions are made by.
-fn decision_settings(change: impl FnOnce(&mut Value)) -> Result<Settings, String> {
+/// Parses minimal settings after a change, and returns those of the decisions.
+fn decision_settings(change: impl FnOnce(&mut Value)) -> Result<Settings, SettingsError> {
     parse_changed(change).map(|parsed| parsed.settings)
 }
 
-/// Minimal settings after a change.
-fn parse_changed(change: impl FnOnce(&mut Value)) -> Result<ParsedSettings, String> {
+/// Parses minimal settings after a change.
+fn parse_changed(change: impl FnOnce(&mut Value)) -> Result<ParsedSettings, SettingsError> {
     let mut value = json!({"balancers": 2, "ceilings": {"most-picks": 3},
         "methods": [{"name": "move", "idempotency": "non_idempotent", "latency-target-ns": 4e8}],
         "contract": {"drain-grace-ns": 5e8, "cold-from": 0.2, "cold-ns": 5e9, "fall-multiple": 3.0,
             "tip-after-ns": 1e9}});
     change(&mut value);
-    parse_value(&value).map_err(|error| error.to_string())
+    parse_value(&value)
 }
 
-/// The defaults must not be figures of one deployment.
+/// The defaults do not depend on the deployment.
 #[test]
-fn missing_times_have_defaults_of_their_own() {
+fn missing_durations_have_defaults() {
     let parsed = parse_changed(|_| ()).expect("settings");
     let max_poll_interval = parsed.settings.max_poll_interval;
     let times = (
@@ -56,9 +56,9 @@
     assert_eq!(parsed.longest_deadline, None);
 }
 
-/// Longer times could not be added to a clock.
+/// Longer durations could overflow when added to a clock.
 #[test]
-fn unlimited_and_huge_times_are_bounded() {
+fn unlimited_and_huge_durations_are_bounded() {
     let parsed = parse_changed(|settings| {
         settings["ceilings"]["connect-timeout-ns"] = 0.into();
         settings["ceilings"]["conn-idle-ns"] = 1e300.into();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn there_is_no_longest_deadline_if_a_method_has_none() {
+fn longest_deadline_is_missing_if_a_method_has_none() {
     let parsed = parse_changed(|settings| {
         let mut second = settings["methods"][0].clone();
         second["hard-limit-ns"] = 2_000_000_000.into();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn optional_settings_are_parsed_and_change_nothing_where_they_are_missing() {
+fn optional_settings_are_parsed_and_have_defaults() {
     let plain = decision_settings(|_| ()).expect("settings");
     assert_eq!(
         (
@@ -114,9 +114,9 @@
 #[test]
 fn errors_of_optional_settings_name_path_and_value() {
     let assert_error = |section: &str, key: &str, value: Value, expected: &str| {
-        let error = decision_settings(|settings| settings[section][key] = value).err();
-        let expected = format!("{section}.{key} {expected}");
-        assert_eq!(error, Some(expected));
+        let parsed = decision_settings(|settings| settings[section][key] = value);
+        let error = parsed.expect_err("an error").to_string();
+        assert_eq!(error, format!("{section}.{key} {expected}"));
     };
     let no_number = "is not a number of 0 or more:";
     assert_error(
@@ -145,12 +145,12 @@
 
 #[test]
 fn errors_of_optional_method_settings_name_the_method() {
-    let error = decision_settings(|settings| settings["methods"][0]["keep-order"] = "yes".into());
+    let parsed = decision_settings(|settings| settings["methods"][0]["keep-order"] = "yes".into());
     let expected = "methods[0].keep-order is not true or false: \"yes\"";
-    assert_eq!(error.err().as_deref(), Some(expected));
+    assert_eq!(parsed.expect_err("an error").to_string(), expected);
 }
 
-/// From a text the accounts are parsed one by one.
+/// The accounts of a text are parsed one by one.
 #[test]
 fn accounts_are_parsed_alike_from_text_and_value() {
     let mut settings = json!({"balancers": 2, "ceilings": {"most-picks": 3}, "my-zone": "a", "methods": [],
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn texts_that_are_no_settings_object_are_refused() {
+fn text_that_is_not_a_settings_object_is_rejected() {
     assert!(parse("[]").is_err_and(|error| error.to_string() == "ceilings is missing"));
     assert!(parse("null").is_err_and(|error| error.to_string() == "ceilings is missing"));
     assert!(parse("{\"a\":").is_err_and(|error| error.to_string().starts_with("is not JSON: ")));
