--- a/crates/daemon/src/lifecycle/shutdown.rs
+++ b/crates/daemon/src/lifecycle/shutdown.rs
@@ -28,7 +28,7 @@
         () = until(exit_deadline) => {}
     }
     log::info!(
-        "graceful shutdown complete: exiting with {} client connections open",
+        "graceful shutdown ended: exiting with {} client connections open",
         budget.open_sockets(SocketClass::Clients)
     );
 }
