--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -1,27 +1,31 @@
-//! What can happen in a rehearsal. Numbers stand for names; the head of the ledger tells the names.
+//! Events of a rehearsal, as the ledger stores them.
+//!
+//! The stored words of variants and fields are those of the first ledgers; `#[serde(rename)]` maps them to the names
+//! used here, and `Display` writes the stored words for the timeline and the report.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What a client was told of one try of an RPC, or what it saw instead.
+/// Outcome of a client request, as the client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
+    /// Success.
     Ok,
-    /// Come back after so many seconds, if told.
+    /// Rejected by the proxy, with the Retry-After in seconds if it sent one.
     #[serde(rename = "PushedBack")]
     Rejected(Option<f32>),
     /// Any other status.
     Aborted(u16),
     /// The connection ended without an answer.
     Lost,
-    /// No connection came up, or it was refused: the proxy never had it.
+    /// No connection was established, or it was refused: the proxy never had the request.
     Unreachable,
-    /// The client waited longer than it had said, and nothing came.
+    /// No answer arrived within the client's timeout.
     #[serde(rename = "Silence")]
     TimedOut,
-    /// The client hung up early, of its own will.
+    /// The client closed the connection before its timeout.
     #[serde(rename = "HungUp")]
     Cancelled,
-    /// Bytes behind the answer, or an answer that was none.
+    /// The answer was malformed, or further bytes followed it.
     #[serde(rename = "Garbled")]
     Malformed,
 }
@@ -33,7 +37,7 @@
     }
 }
 
-/// Writes the word of the stored ledger, as `birchhub ledger show` and the report print it.
+/// Writes the stored word.
 impl fmt::Display for Answer {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -49,31 +53,35 @@
     }
 }
 
-/// What the list says of a node.
+/// State of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointState {
+    /// It accepts new work.
     Ready,
+    /// It finishes its work and accepts no new work.
     Draining,
+    /// It is no longer in the list.
     Gone,
 }
 
-/// How a node took a pick.
+/// What a backend did with an attempt that it received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Admission {
+    /// It queued or executed the attempt.
     #[serde(rename = "Held")]
     Admitted,
-    /// Told the proxy that it never ran: queue full, draining, too many connections.
+    /// It told the proxy that the attempt did not run: full queue, draining, or too many connections.
     #[serde(rename = "TurnedAway")]
     Rejected,
-    /// Told the proxy nothing: the pick is lost, and for all that the proxy knows it may have run.
+    /// It never answered: as far as the proxy knows, the attempt may have run.
     #[serde(rename = "Swallowed")]
     Dropped,
-    /// Told the proxy of an error, after no run.
+    /// It answered with an error and did not run the attempt.
     #[serde(rename = "Error")]
     Failed,
 }
 
-/// Writes the word of the stored ledger, as `birchhub ledger show` prints it.
+/// Writes the stored word.
 impl fmt::Display for Admission {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
@@ -85,19 +93,19 @@
     }
 }
 
-/// How a pick left its node.
+/// How an attempt at a backend ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptEnd {
-    /// Its answer was written.
+    /// The backend wrote its answer.
     Replied,
     /// The proxy closed the connection first.
     #[serde(rename = "Withdrawn")]
     Cancelled,
-    /// The node's end of the connection broke: a reset, a spoilt answer, a crash.
+    /// The backend's side failed: a reset, a malformed answer, or a crash.
     Broken,
 }
 
-/// Writes the word of the stored ledger, as `birchhub ledger show` prints it.
+/// Writes the stored word.
 impl fmt::Display for AttemptEnd {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
@@ -111,172 +119,233 @@
 /// How a proxy's process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// Killed by the scenario.
+    /// The scenario killed it.
     Killed,
-    /// Ended by itself after SIGTERM.
+    /// It exited after SIGTERM.
     Stopped,
-    /// Killed after SIGTERM, as it would not end.
+    /// It was killed because it did not exit after SIGTERM.
     Forced,
-    /// Ended by itself, unasked.
+    /// It exited without a signal.
     Crashed,
-    /// The rehearsal is over.
+    /// The rehearsal ended.
     Over,
 }
 
-/// One thing that happened. `request_id` is one request of a client for an RPC (its first or a retry); `incarnation` one run of a backend's process, from its
-/// start to its end; `attempt_id` a pick at a node. Times are seconds since the rehearsal began.
+/// An event of a rehearsal.
+///
+/// - `request_id` identifies one request of a client for an RPC: its first one or a retry.
+/// - `attempt_id` identifies an attempt of a proxy at a backend.
+/// - `incarnation` identifies one run of a backend's process.
+/// - `method`, `tenant`, `proxy` and `backend` are indices in the ledger's head.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// An RPC was due, whether or not it could be sent.
     #[serde(rename = "Asked")]
     Arrival {
+        /// The RPC.
         rpc: u32,
+        /// Its method.
         method: u8,
+        /// The tenant that it belongs to.
         tenant: u8,
+        /// Whether it is within its tenant's quota.
         #[serde(rename = "within")]
         within_quota: bool,
     },
-    /// A client's request: its last byte left at this time.
+    /// A client sent the last byte of a request.
     #[serde(rename = "Sent")]
     RequestSent {
+        /// The request.
         #[serde(rename = "attempt")]
         request_id: u64,
+        /// The RPC that it is for.
         rpc: u32,
+        /// The proxy that it was sent to.
         proxy: u16,
+        /// How long the client waits for the answer, in seconds.
         #[serde(rename = "patience")]
         client_timeout: f32,
     },
+    /// A client request has an outcome.
     #[serde(rename = "Answered")]
     RequestAnswered {
+        /// The request.
         #[serde(rename = "attempt")]
         request_id: u64,
+        /// Its outcome.
         answer: Answer,
     },
-    /// An incarnation of a node began; `warm_capacity` is what it can do when warm, in standard cores.
+    /// A backend's process started.
     #[serde(rename = "Born")]
     BackendStarted {
+        /// The process.
         #[serde(rename = "life")]
         incarnation: u32,
+        /// The backend that it belongs to.
         #[serde(rename = "node")]
         backend: u32,
+        /// Whether it starts without its full capacity.
         cold: bool,
+        /// Its full capacity, in standard cores.
         #[serde(rename = "able")]
         warm_capacity: f32,
     },
+    /// A backend's process accepts no new work from now on.
     #[serde(rename = "Drained")]
     BackendDraining {
+        /// The process.
         #[serde(rename = "life")]
         incarnation: u32,
     },
+    /// A backend's process ended.
     #[serde(rename = "Died")]
     BackendEnded {
+        /// The process.
         #[serde(rename = "life")]
         incarnation: u32,
     },
-    /// Pushed over.
+    /// A cold backend's process collapsed under overload.
     #[serde(rename = "Fell")]
     BackendCollapsed {
+        /// The process.
         #[serde(rename = "life")]
         incarnation: u32,
     },
-    /// A pick arrived whole; its first byte came at `first_byte_at`. `overload` is how far it pushed a cold node to its fall.
+    /// A backend received a complete attempt.
     #[serde(rename = "Got")]
     AttemptReceived {
+        /// The backend's process.
         #[serde(rename = "life")]
         incarnation: u32,
+        /// The attempt.
         #[serde(rename = "job")]
         attempt_id: u64,
+        /// The client request that it serves.
         #[serde(rename = "attempt")]
         request_id: u64,
+        /// The proxy that made it.
         proxy: u16,
+        /// When its first byte arrived, in seconds.
         #[serde(rename = "begun")]
         first_byte_at: f64,
+        /// Its work, in seconds of a standard core.
         work: f32,
+        /// Recent work for the cold backend as a share of the work at which it collapses; 0 for a warm one.
         #[serde(rename = "pushed")]
         overload: f32,
+        /// What the backend did with it.
         #[serde(rename = "taken")]
         admission: Admission,
     },
+    /// A backend began to execute an attempt: its effect counts from now on.
     #[serde(rename = "Started")]
     ExecutionStarted {
+        /// The attempt.
         #[serde(rename = "job")]
         attempt_id: u64,
     },
-    /// Dropped as a repeat: answered as done, with no effect.
+    /// A backend dropped an attempt as a duplicate: it answers as if it had run, without an effect.
     #[serde(rename = "Repeated")]
     DuplicateDropped {
+        /// The attempt.
         #[serde(rename = "job")]
         attempt_id: u64,
     },
+    /// A backend finished the execution of an attempt.
     #[serde(rename = "Finished")]
     ExecutionFinished {
+        /// The attempt.
         #[serde(rename = "job")]
         attempt_id: u64,
     },
+    /// An attempt ended at its backend.
     #[serde(rename = "Left")]
     AttemptEnded {
+        /// The attempt.
         #[serde(rename = "job")]
         attempt_id: u64,
+        /// How it ended.
         how: AttemptEnd,
     },
-    /// The truth about a node changed and the list service knows.
+    /// The discovery service learnt of a change of an endpoint.
     #[serde(rename = "Changed")]
     EndpointChanged {
+        /// The backend.
         #[serde(rename = "node")]
         backend: u32,
+        /// Its process.
         #[serde(rename = "life")]
         incarnation: u32,
+        /// Its new state.
         state: EndpointState,
     },
-    /// The list service wrote it to a proxy, or the proxy started with it.
+    /// The discovery service sent the state of an endpoint to a proxy, or the proxy started with it.
     #[serde(rename = "Told")]
     ProxyNotified {
+        /// The proxy.
         proxy: u16,
+        /// The backend.
         #[serde(rename = "node")]
         backend: u32,
+        /// The backend's process.
         #[serde(rename = "life")]
         incarnation: u32,
+        /// The backend's state.
         state: EndpointState,
     },
-    /// A proxy's process began, ended, and answered that it is ready.
+    /// A proxy's process started.
     ProxyStarted {
+        /// The proxy.
         proxy: u16,
     },
+    /// A proxy answered that it is ready.
     ProxyReady {
+        /// The proxy.
         proxy: u16,
     },
+    /// A proxy's process ended.
     ProxyEnded {
+        /// The proxy.
         proxy: u16,
+        /// How it ended.
         how: End,
     },
-    /// A trouble of the scenario began or ended.
+    /// A planned fault began or ended.
     #[serde(rename = "Trouble")]
     Fault {
+        /// Index of the fault in the ledger's head.
         number: u16,
+        /// Whether it begins.
         begins: bool,
     },
-    /// The kit itself was late by so much, s: what was due at a time happened later.
+    /// The emulated clients sent an RPC later than it was due.
     #[serde(rename = "KitLate")]
     ClientLate {
+        /// By how much, in seconds.
         by: f32,
     },
-    /// What was due by itself at a stand-in node happened so much later, s.
+    /// An emulated backend did something later than it was due.
     #[serde(rename = "StageLate")]
     EmulatorLate {
+        /// By how much, in seconds.
         by: f32,
     },
-    /// A pick told its node that the proxy waits for so long, s.
+    /// A proxy forwarded to a backend how long it waits for an attempt.
     #[serde(rename = "TimeTold")]
     TimeoutForwarded {
+        /// The attempt.
         #[serde(rename = "job")]
         attempt_id: u64,
+        /// The timeout, in seconds.
         seconds: f32,
     },
 }
 
-/// An event and when it happened.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
+    /// When it happened, in seconds since the rehearsal began.
     pub at: f64,
+    /// What happened.
     pub event: Event,
 }
--- a/crates/audit/src/findings.rs
+++ b/crates/audit/src/findings.rs
@@ -2,7 +2,7 @@
 use crate::service::{Service, quantile};
 use serde::Serialize;
 
-/// Which rule was broken; the number is the rule's.
+/// A rule of the service; the discriminant is the rule's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
@@ -19,16 +19,19 @@
     SlowStart = 4,
 }
 
-/// One breach, told once for its rule and subject.
+/// A violation of a rule; there is at most one for each rule and subject.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
+    /// The rule.
     pub rule: Rule,
+    /// When it happened, in seconds since the rehearsal began.
     pub at: f64,
-    /// The RPC's number, or the node's name for rule 4.
+    /// The RPC, proxy or backend that it concerns.
     pub subject: String,
+    /// What happened.
     #[serde(rename = "what")]
     pub description: String,
-    /// Rests on a time limit: can't be upheld where the kit itself was late.
+    /// Whether it rests on a time limit, so that it can't be judged where the rehearsal itself was late.
     #[serde(rename = "timed")]
     pub timing_dependent: bool,
 }
@@ -36,50 +39,64 @@
 /// Counts that a report shows beside the rules.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Counts {
+    /// RPCs that were due.
     pub rpcs: usize,
+    /// Requests that clients sent, retries included.
     #[serde(rename = "tries")]
     pub client_requests: usize,
+    /// Attempts that backends received.
     #[serde(rename = "picks")]
     pub attempts: usize,
+    /// Executions that began at backends.
     #[serde(rename = "runs")]
     pub executions: usize,
+    /// Requests that succeeded.
     pub ok: usize,
+    /// Requests that the proxy rejected.
     #[serde(rename = "pushed_back")]
     pub rejected: usize,
+    /// Requests that got another status.
     pub aborted: usize,
-    /// Tries that got no answer because their proxy was killed.
+    /// Requests that got no answer because their proxy was killed.
     pub lost_with_proxy: usize,
+    /// Requests for which no connection to the proxy was established.
     pub unreachable: usize,
+    /// Requests that their client cancelled.
     #[serde(rename = "hung_up")]
     pub cancelled: usize,
+    /// Attempts that backends rejected.
     #[serde(rename = "turned_away")]
     pub attempts_rejected: usize,
-    /// Runs beyond the first of an RPC, where the method allows them.
+    /// Executions beyond the first one of an RPC whose method allows them.
     #[serde(rename = "repeated_runs")]
     pub repeated_executions: usize,
-    /// Repeats that nodes dropped.
+    /// Duplicates that backends dropped.
     #[serde(rename = "dropped_repeats")]
     pub duplicates_dropped: usize,
-    /// Runs beyond the first of an RPC whose method forbids them.
+    /// Executions beyond the first one of an RPC whose method forbids them.
     #[serde(rename = "double_runs")]
     pub double_executions: usize,
-    /// Nodes that fell, and those that fell by no fault of informed proxies.
+    /// Backends that collapsed under overload.
     #[serde(rename = "fallen")]
     pub collapsed: usize,
+    /// Of these, the ones for which proxies that knew of the start are not responsible.
     #[serde(rename = "fallen_uninformed")]
     pub collapsed_uninformed: usize,
+    /// Attempts that their proxy cancelled.
     #[serde(rename = "withdrawn")]
     pub attempts_cancelled: usize,
 }
 
-/// A cold incarnation and how near to its fall it came.
+/// A backend's cold start, and how close to a collapse it came.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ColdStart {
+    /// Name of the backend.
     #[serde(rename = "node")]
     pub backend: String,
+    /// When it started, in seconds since the rehearsal began.
     #[serde(rename = "from")]
     pub started_at: f64,
-    /// Part of what makes it fall.
+    /// Largest overload, as a share of the one at which it collapses.
     #[serde(rename = "peak")]
     pub peak_overload: f64,
 }
@@ -87,19 +104,23 @@
 /// What an audit found.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Findings {
+    /// Violations of the rules, in the order of time.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
+    /// Counts of events.
     pub counts: Counts,
+    /// Quality of service.
     pub service: Service,
+    /// Cold starts, in the order of time.
     #[serde(rename = "cold")]
     pub cold_starts: Vec<ColdStart>,
-    /// Latest new work to a draining or gone node after its proxy was told, s.
+    /// Longest time from the notification that a backend drains or is gone to new work for it, in seconds.
     #[serde(rename = "latest_after_told")]
     pub latest_after_notification: f64,
-    /// The kit's own lateness, s: median, 99th percentile and worst.
+    /// How late the emulated clients sent their requests.
     #[serde(rename = "kit_late")]
     pub client_lateness: LatenessSummary,
-    /// The same of stand-in nodes: guards against a stage that is out of breath and taken for slow nodes.
+    /// How late the emulated backends were: one that lacks processor time would look like a slow backend.
     #[serde(rename = "stage_late")]
     pub emulator_lateness: LatenessSummary,
 }
--- a/crates/audit/src/ledger.rs
+++ b/crates/audit/src/ledger.rs
@@ -1,104 +1,159 @@
-//! The file that keeps a rehearsal: a magic line, the head as one line of JSON, then one record after another (postcard: a
-//! few bytes each), so that a run that was stopped can be read up to where it came.
+//! The ledger file: a first line that names the format, the head as one line of JSON, and then the entries as
+//! length-prefixed postcard records. A file whose writer was stopped can be read up to its last complete record.
 use crate::event::Entry;
 use crate::head::Head;
-use std::io::{BufRead, Read, Write};
+use std::io::{self, BufRead, Read, Write};
 
-/// First line of every ledger; the number grows when older readers could not understand it.
+/// First line of every ledger; the number grows when older readers can't read a new form.
 const MAGIC: &str = "birchhub-ledger 1";
-const RECORD_MOST: usize = 4096; // bytes: longer ones are damage, not events
 
+/// Largest length of a record, in bytes; a larger one is damage.
+const MAX_RECORD_BYTES: usize = 4096;
+
+/// Length of the prefix of a record, in bytes: a little-endian `u16`.
+const LENGTH_PREFIX_BYTES: usize = size_of::<u16>();
+
+/// Why a ledger can't be read or written.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum LedgerError {
+    /// The file is not a ledger, or one of another version.
     #[error("not a ledger of this version: the first line is not \"{MAGIC}\"")]
     Magic,
+    /// The head can't be parsed or written.
     #[error("the head, line 2: {0}")]
     Head(#[from] serde_json::Error),
-    #[error("record {number} at byte {byte}: {why}")]
+    /// A record is damaged.
+    #[error("record {number} at byte {byte}: {damage}")]
     Record {
+        /// Index of the record.
         number: usize,
+        /// Position of its length prefix, in bytes from the end of the head.
         byte: usize,
-        why: &'static str,
+        /// What is wrong with it.
+        damage: RecordDamage,
     },
+    /// The file can't be read or written.
     #[error(transparent)]
-    Io(#[from] std::io::Error),
+    Io(#[from] io::Error),
+}
+
+/// How a record is damaged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RecordDamage {
+    /// Its length prefix exceeds the length of any record.
+    #[error("longer than any record")]
+    TooLong,
+    /// Its bytes are not those of an entry.
+    #[error("not an entry that this version can decode")]
+    Undecodable,
+    /// Its time is infinite or not a number.
+    #[error("the time is not finite")]
+    TimeNotFinite,
 }
 
 /// Writes a ledger.
 pub struct Writer<W: Write> {
-    to: W,
+    output: W,
 }
 
 impl<W: Write> Writer<W> {
-    pub fn new(mut to: W, head: &Head) -> Result<Self, Fault> {
-        writeln!(to, "{MAGIC}")?;
-        serde_json::to_writer(&mut to, head)?;
-        writeln!(to)?;
-        Ok(Self { to })
+    /// Writes the head.
+    pub fn new(mut output: W, head: &Head) -> Result<Self, LedgerError> {
+        writeln!(output, "{MAGIC}")?;
+        serde_json::to_writer(&mut output, head)?;
+        writeln!(output)?;
+        Ok(Self { output })
     }
 
-    pub fn write(&mut self, entry: &Entry) -> Result<(), Fault> {
-        let record = postcard::to_stdvec(entry).map_err(std::io::Error::other)?;
-        self.to.write_all(&(record.len() as u16).to_le_bytes())?;
-        Ok(self.to.write_all(&record)?)
+    /// Writes an entry.
+    pub fn write(&mut self, entry: &Entry) -> Result<(), LedgerError> {
+        let record = postcard::to_stdvec(entry).map_err(io::Error::other)?;
+        let length = record.len() as u16;
+        self.output.write_all(&length.to_le_bytes())?;
+        self.output.write_all(&record)?;
+        Ok(())
     }
 
-    pub fn flush(&mut self) -> Result<(), Fault> {
-        Ok(self.to.flush()?)
+    /// Flushes the output.
+    pub fn flush(&mut self) -> Result<(), LedgerError> {
+        self.output.flush()?;
+        Ok(())
     }
 }
 
-/// A ledger read back, in the order of time.
+/// A ledger that was read back.
 #[derive(Debug)]
 pub struct Ledger {
+    /// The head.
     pub head: Head,
+    /// The entries, in the order of time.
     pub entries: Vec<Entry>,
-    /// The last record was cut off: the writer was stopped.
-    pub cut: bool,
+    /// Whether the last record is incomplete because the writer was stopped.
+    pub truncated: bool,
+}
+
+/// Reads a ledger. A damaged record is an error, an incomplete one at the end is not.
+pub fn read(mut input: impl BufRead) -> Result<Ledger, LedgerError> {
+    let head = read_head(&mut input)?;
+    let mut bytes = Vec::new();
+    input.read_to_end(&mut bytes)?;
+    let (mut entries, truncated) = decode_records(&bytes)?;
+    // Several threads write: the order in the file is not quite that of time.
+    entries.sort_by(|a, b| a.at.total_cmp(&b.at));
+    Ok(Ledger {
+        head,
+        entries,
+        truncated,
+    })
 }
 
-/// Reads it whole. Damage in the middle is an error that names the record; a record cut off at the end is not.
-pub fn read(mut from: impl BufRead) -> Result<Ledger, Fault> {
+fn read_head(input: &mut impl BufRead) -> Result<Head, LedgerError> {
     let mut line = String::new();
-    from.by_ref()
+    input
+        .by_ref()
         .take(MAGIC.len() as u64 + 1)
         .read_line(&mut line)
-        .map_err(|_| Fault::Magic)?;
+        .map_err(|_| LedgerError::Magic)?;
     if line.trim_end() != MAGIC {
-        return Err(Fault::Magic);
+        return Err(LedgerError::Magic);
     }
     line.clear();
-    from.read_line(&mut line)?;
-    let head = serde_json::from_str(&line)?;
-    let mut bytes = Vec::new();
-    from.read_to_end(&mut bytes)?;
-    let (mut entries, mut place, mut cut) = (Vec::new(), 0, false);
-    while place < bytes.len() {
-        let fault = |why| Fault::Record {
+    input.read_line(&mut line)?;
+    Ok(serde_json::from_str(&line)?)
+}
+
+/// Decodes the records; the flag tells whether the last one is incomplete.
+fn decode_records(bytes: &[u8]) -> Result<(Vec<Entry>, bool), LedgerError> {
+    let mut entries = Vec::new();
+    let mut position = 0;
+    while position < bytes.len() {
+        let damaged = |damage| LedgerError::Record {
             number: entries.len(),
-            byte: place,
-            why,
+            byte: position,
+            damage,
         };
-        let Some(length) = bytes.get(place..place + 2) else {
-            cut = true;
-            break;
+        let body = position + LENGTH_PREFIX_BYTES;
+        let Some(prefix) = bytes.get(position..body) else {
+            return Ok((entries, true));
         };
-        let length = u16::from_le_bytes([length[0], length[1]]) as usize;
-        if length > RECORD_MOST {
-            return Err(fault("longer than any record"));
+        let length = u16::from_le_bytes([prefix[0], prefix[1]]) as usize;
+        if length > MAX_RECORD_BYTES {
+            return Err(damaged(RecordDamage::TooLong));
         }
-        let Some(record) = bytes.get(place + 2..place + 2 + length) else {
-            cut = true;
-            break;
+        let Some(record) = bytes.get(body..body + length) else {
+            return Ok((entries, true));
         };
-        let entry: Entry = postcard::from_bytes(record).map_err(|_| fault("makes no sense"))?;
-        if !entry.at.is_finite() {
-            return Err(fault("has no time"));
-        }
+        let entry = decode_entry(record).map_err(damaged)?;
         entries.push(entry);
-        place += 2 + length;
+        position = body + length;
+    }
+    Ok((entries, false))
+}
+
+fn decode_entry(record: &[u8]) -> Result<Entry, RecordDamage> {
+    let entry: Entry = postcard::from_bytes(record).map_err(|_| RecordDamage::Undecodable)?;
+    if !entry.at.is_finite() {
+        return Err(RecordDamage::TimeNotFinite);
     }
-    // Several threads wrote: the order of the file is not quite that of time.
-    entries.sort_by(|a: &Entry, b| a.at.total_cmp(&b.at));
-    Ok(Ledger { head, entries, cut })
+    Ok(entry)
 }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,10 +1,11 @@
-//! What happened in a rehearsal, and whether the four rules held. `event` and `head` say what can happen and among
-//! whom, `ledger` keeps it in a file, `audit` judges it, `service` says how well it went. Nothing here knows
-//! where the events come from: stand-ins on sockets or a fleet in simulated time.
-#![expect(
-    missing_docs,
-    reason = "docs/ROADMAP.md lists the crates that are not documented yet"
-)]
+//! The ledger of a rehearsal, and the audit of the four rules over it.
+//!
+//! - [`event`] and [`head`]: what can happen, and in which deployment.
+//! - [`ledger`]: the file that stores both.
+//! - [`audit`]: checks the rules; [`findings`] holds its results and [`service`] the quality of service.
+//! - [`timeline`]: the entries as text.
+//!
+//! Nothing here depends on where the events come from: emulated backends on sockets or a simulation.
 
 pub mod audit;
 pub mod event;
--- a/crates/audit/src/timeline.rs
+++ b/crates/audit/src/timeline.rs
@@ -1,50 +1,61 @@
-//! The ledger told in words: one line an event, all of them or those of one RPC.
+//! The timeline of a rehearsal or of one RPC: one line of text for each entry of the ledger.
 use crate::event::{Entry, Event};
 use crate::head::Head;
 use std::collections::HashMap;
 
-/// Which entries belong to an RPC, and the names behind the numbers.
+/// Writes entries as text, and tells to which RPC an event belongs.
 pub struct Timeline<'a> {
     head: &'a Head,
-    /// RPC of each request, request of each attempt, node of each incarnation.
+    /// RPC of each client request.
     rpcs: HashMap<u64, u32>,
-    attempt_ids: HashMap<u64, u64>,
+    /// Client request of each attempt.
+    request_ids: HashMap<u64, u64>,
+    /// Backend of each incarnation.
     backends: HashMap<u32, u32>,
 }
 
 impl<'a> Timeline<'a> {
+    /// Indexes the entries of a ledger.
     pub fn new(head: &'a Head, entries: &[Entry]) -> Self {
         let mut timeline = Self {
             head,
             rpcs: HashMap::new(),
-            attempt_ids: HashMap::new(),
+            request_ids: HashMap::new(),
             backends: HashMap::new(),
         };
         for entry in entries {
-            match entry.event {
-                Event::RequestSent {
-                    request_id, rpc, ..
-                } => drop(timeline.rpcs.insert(request_id, rpc)),
-                Event::AttemptReceived {
-                    attempt_id,
-                    request_id,
-                    ..
-                } => drop(timeline.attempt_ids.insert(attempt_id, request_id)),
-                Event::BackendStarted {
-                    incarnation,
-                    backend,
-                    ..
-                } => drop(timeline.backends.insert(incarnation, backend)),
-                _ => {}
-            }
+            timeline.index(&entry.event);
         }
         timeline
     }
 
-    /// The RPC that an event belongs to.
+    fn index(&mut self, event: &Event) {
+        match *event {
+            Event::RequestSent {
+                request_id, rpc, ..
+            } => {
+                self.rpcs.insert(request_id, rpc);
+            }
+            Event::AttemptReceived {
+                attempt_id,
+                request_id,
+                ..
+            } => {
+                self.request_ids.insert(attempt_id, request_id);
+            }
+            Event::BackendStarted {
+                incarnation,
+                backend,
+                ..
+            } => {
+                self.backends.insert(incarnation, backend);
+            }
+            _ => {}
+        }
+    }
+
+    /// Returns the RPC that an event belongs to, if it belongs to one.
     pub fn rpc(&self, event: &Event) -> Option<u32> {
-        let of_attempt =
-            |attempt_id: &u64| self.rpcs.get(self.attempt_ids.get(attempt_id)?).copied();
         match event {
             Event::Arrival { rpc, .. } | Event::RequestSent { rpc, .. } => Some(*rpc),
             Event::RequestAnswered { request_id, .. }
@@ -53,57 +64,51 @@
             | Event::DuplicateDropped { attempt_id }
             | Event::ExecutionFinished { attempt_id }
             | Event::AttemptEnded { attempt_id, .. }
-            | Event::TimeoutForwarded { attempt_id, .. } => of_attempt(attempt_id),
+            | Event::TimeoutForwarded { attempt_id, .. } => {
+                let request_id = self.request_ids.get(attempt_id)?;
+                self.rpcs.get(request_id).copied()
+            }
             _ => None,
         }
     }
 
-    fn backend(&self, backend: u32) -> &str {
-        self.head
-            .backends
-            .get(backend as usize)
-            .map_or("?", |n| &n.name)
+    /// Returns the line of an entry: its time in seconds, and what happened.
+    pub fn line(&self, entry: &Entry) -> String {
+        let event = &entry.event;
+        let text = self
+            .request_text(event)
+            .or_else(|| self.attempt_text(event))
+            .or_else(|| self.backend_text(event))
+            .or_else(|| self.endpoint_text(event))
+            .or_else(|| self.proxy_text(event))
+            .or_else(|| self.rehearsal_text(event))
+            .unwrap_or_default();
+        format!("{:10.4}  {text}", entry.at)
     }
 
     fn incarnation(&self, incarnation: u32) -> String {
-        format!(
-            "{} (life {incarnation})",
-            self.backends
-                .get(&incarnation)
-                .map_or("?", |backend| self.backend(*backend))
-        )
+        let backend = self.backends.get(&incarnation);
+        let name = backend.map_or("?", |backend| self.head.backend_name(*backend));
+        format!("{name} (life {incarnation})")
     }
 
-    fn proxy(&self, proxy: u16) -> &str {
-        self.head
-            .proxies
-            .get(proxy as usize)
-            .map_or("?", String::as_str)
-    }
-
-    /// One line for an entry.
-    #[expect(clippy::too_many_lines)]
-    pub fn line(&self, entry: &Entry) -> String {
-        let method = |m: u8| self.head.methods.get(m as usize).map_or("?", |m| &m.name);
-        let tenant = |t: u8| {
-            self.head
-                .tenants
-                .get(t as usize)
-                .map_or("-", String::as_str)
-        };
-        let what = match &entry.event {
+    /// Describes an event of a client.
+    fn request_text(&self, event: &Event) -> Option<String> {
+        Some(match event {
             Event::Arrival {
                 rpc,
-                method: m,
-                tenant: t,
+                method,
+                tenant,
                 within_quota,
             } => {
+                let method = self.head.method_name(*method);
+                let tenant = self.head.tenant_name(*tenant);
                 let quota = if *within_quota {
                     ""
                 } else {
                     ", beyond its quota"
                 };
-                format!("rpc {rpc} due: {} of {}{quota}", method(*m), tenant(*t))
+                format!("rpc {rpc} due: {method} of {tenant}{quota}")
             }
             Event::RequestSent {
                 request_id,
@@ -111,35 +116,21 @@
                 proxy,
                 client_timeout,
             } => {
+                let proxy = self.head.proxy_name(*proxy);
                 format!(
-                    "rpc {rpc} try {request_id:016x} sent to {}, waits {client_timeout:.3} s",
-                    self.proxy(*proxy)
+                    "rpc {rpc} try {request_id:016x} sent to {proxy}, waits {client_timeout:.3} s"
                 )
             }
             Event::RequestAnswered { request_id, answer } => {
                 format!("try {request_id:016x} answered: {answer}")
             }
-            Event::BackendStarted {
-                incarnation,
-                cold,
-                warm_capacity,
-                ..
-            } => {
-                format!(
-                    "{} starts {}, able {warm_capacity:.2}",
-                    self.incarnation(*incarnation),
-                    if *cold { "cold" } else { "warm" }
-                )
-            }
-            Event::BackendDraining { incarnation } => {
-                format!("{} drains", self.incarnation(*incarnation))
-            }
-            Event::BackendEnded { incarnation } => {
-                format!("{} ends", self.incarnation(*incarnation))
-            }
-            Event::BackendCollapsed { incarnation } => {
-                format!("{} is pushed over", self.incarnation(*incarnation))
-            }
+            _ => return None,
+        })
+    }
+
+    /// Describes an event of an attempt.
+    fn attempt_text(&self, event: &Event) -> Option<String> {
+        Some(match event {
             Event::AttemptReceived {
                 incarnation,
                 attempt_id,
@@ -150,10 +141,10 @@
                 overload,
                 admission,
             } => format!(
-                "try {request_id:016x} pick {attempt_id} at {} from {}, first byte at {first_byte_at:.4}, work {:.1} ms, pushed {:.0}%: \
-                 {admission}",
+                "try {request_id:016x} pick {attempt_id} at {} from {}, first byte at {first_byte_at:.4}, \
+                 work {:.1} ms, pushed {:.0}%: {admission}",
                 self.incarnation(*incarnation),
-                self.proxy(*proxy),
+                self.head.proxy_name(*proxy),
                 work * 1e3,
                 overload * 1e2
             ),
@@ -162,18 +153,51 @@
                 format!("pick {attempt_id} dropped as a repeat")
             }
             Event::ExecutionFinished { attempt_id } => format!("pick {attempt_id} has run"),
-            Event::AttemptEnded { attempt_id, how } => {
-                format!("pick {attempt_id} is over: {how}")
+            Event::AttemptEnded { attempt_id, how } => format!("pick {attempt_id} is over: {how}"),
+            Event::TimeoutForwarded {
+                attempt_id,
+                seconds,
+            } => format!("job {attempt_id} was told that the proxy waits {seconds:.3} s"),
+            _ => return None,
+        })
+    }
+
+    /// Describes an event of a backend's process.
+    fn backend_text(&self, event: &Event) -> Option<String> {
+        Some(match event {
+            Event::BackendStarted {
+                incarnation,
+                cold,
+                warm_capacity,
+                ..
+            } => {
+                let start = if *cold { "cold" } else { "warm" };
+                let incarnation = self.incarnation(*incarnation);
+                format!("{incarnation} starts {start}, able {warm_capacity:.2}")
+            }
+            Event::BackendDraining { incarnation } => {
+                format!("{} drains", self.incarnation(*incarnation))
+            }
+            Event::BackendEnded { incarnation } => {
+                format!("{} ends", self.incarnation(*incarnation))
             }
+            Event::BackendCollapsed { incarnation } => {
+                format!("{} is pushed over", self.incarnation(*incarnation))
+            }
+            _ => return None,
+        })
+    }
+
+    /// Describes a change of an endpoint, or a proxy's notification of one.
+    fn endpoint_text(&self, event: &Event) -> Option<String> {
+        Some(match event {
             Event::EndpointChanged {
                 backend,
                 incarnation,
                 state,
             } => {
-                format!(
-                    "{} (life {incarnation}) is {state:?}",
-                    self.backend(*backend)
-                )
+                let backend = self.head.backend_name(*backend);
+                format!("{backend} (life {incarnation}) is {state:?}")
             }
             Event::ProxyNotified {
                 proxy,
@@ -181,32 +205,36 @@
                 incarnation,
                 state,
             } => {
-                format!(
-                    "{} told: {} (life {incarnation}) is {state:?}",
-                    self.proxy(*proxy),
-                    self.backend(*backend)
-                )
+                let proxy = self.head.proxy_name(*proxy);
+                let backend = self.head.backend_name(*backend);
+                format!("{proxy} told: {backend} (life {incarnation}) is {state:?}")
+            }
+            _ => return None,
+        })
+    }
+
+    /// Describes an event of a proxy's process.
+    fn proxy_text(&self, event: &Event) -> Option<String> {
+        Some(match event {
+            Event::ProxyStarted { proxy } => format!("{} started", self.head.proxy_name(*proxy)),
+            Event::ProxyReady { proxy } => format!("{} ready", self.head.proxy_name(*proxy)),
+            Event::ProxyEnded { proxy, how } => {
+                format!("{} ended: {how:?}", self.head.proxy_name(*proxy))
             }
-            Event::ProxyStarted { proxy } => format!("{} started", self.proxy(*proxy)),
-            Event::ProxyReady { proxy } => format!("{} ready", self.proxy(*proxy)),
-            Event::ProxyEnded { proxy, how } => format!("{} ended: {how:?}", self.proxy(*proxy)),
+            _ => return None,
+        })
+    }
+
+    /// Describes an event of the rehearsal itself.
+    fn rehearsal_text(&self, event: &Event) -> Option<String> {
+        Some(match event {
             Event::Fault { number, begins } => {
-                let name = self
-                    .head
-                    .faults
-                    .get(*number as usize)
-                    .map_or("?", |t| &t.name);
+                let name = self.head.fault_name(*number);
                 format!("trouble {name} {}", if *begins { "begins" } else { "ends" })
             }
-            Event::TimeoutForwarded {
-                attempt_id,
-                seconds,
-            } => {
-                format!("job {attempt_id} was told that the proxy waits {seconds:.3} s")
-            }
             Event::EmulatorLate { by } => format!("a stand-in is {:.2} ms late", by * 1e3),
             Event::ClientLate { by } => format!("the kit is {:.2} ms late", by * 1e3),
-        };
-        format!("{:10.4}  {what}", entry.at)
+            _ => return None,
+        })
     }
 }
--- a/crates/audit/tests/audit.rs
+++ b/crates/audit/tests/audit.rs
@@ -621,11 +621,14 @@
     let read = ledger::read(bytes.as_slice()).expect("a ledger");
     builder.0.sort_by(|a, b| a.at.total_cmp(&b.at));
     assert_eq!(
-        (&read.head, &read.entries, read.cut),
+        (&read.head, &read.entries, read.truncated),
         (&head(), &builder.0, false)
     );
-    let cut = ledger::read(&bytes[..bytes.len() - 3]).expect("a ledger");
-    assert_eq!((cut.entries.len(), cut.cut), (builder.0.len() - 1, true));
+    let truncated = ledger::read(&bytes[..bytes.len() - 3]).expect("a ledger");
+    assert_eq!(
+        (truncated.entries.len(), truncated.truncated),
+        (builder.0.len() - 1, true)
+    );
     let first = bytes
         .iter()
         .enumerate()
@@ -642,7 +645,7 @@
     assert!(fault.starts_with("record 0 at byte 0: longer"), "{fault}");
     assert!(matches!(
         ledger::read(&b"{}"[..]),
-        Err(ledger::Fault::Magic)
+        Err(ledger::LedgerError::Magic)
     ));
 }
 
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -210,7 +210,7 @@
 }
 
 /// A ledger with the fixture's head and one record of these bytes after its time.
-fn with_record(event: &[u8]) -> Result<ledger::Ledger, ledger::Fault> {
+fn with_record(event: &[u8]) -> Result<ledger::Ledger, ledger::LedgerError> {
     let mut file = format!("{MAGIC}\n{}\n", serde_json::to_string(&head()).unwrap()).into_bytes();
     let record = [&1.0_f64.to_le_bytes(), event].concat();
     file.extend((record.len() as u16).to_le_bytes());
@@ -221,7 +221,7 @@
 #[test]
 fn a_stored_ledger_is_read_as_it_was_meant() {
     let stored = ledger::read(LEDGER).expect("a ledger");
-    assert!(!stored.cut, "the fixture is complete");
+    assert!(!stored.truncated, "the fixture is complete");
     assert_eq!(stored.head, head());
     assert_eq!(stored.entries, entries());
 }
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -108,7 +108,7 @@
     let told = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let file = File::open(path).map_err(|e| told(&e))?;
     let read = ledger::read(BufReader::new(file)).map_err(|e| told(&e))?;
-    if read.cut {
+    if read.truncated {
         log::warn!(
             "{}: the last record is cut off: its writer was stopped",
             path.display()
@@ -117,7 +117,7 @@
     Ok((read.head, read.entries))
 }
 
-type Kept = Result<(), ledger::Fault>;
+type Kept = Result<(), ledger::LedgerError>;
 
 /// The ledger's thread: writes what comes, and what it has when nothing comes for a while.
 fn keep(
