--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -29,7 +29,7 @@
     choice: BackendChoice,
     /// Time that it had when it was sent, in seconds.
     time_allowed: f64,
-    /// Load that the backend had reported lately when the attempt was sent.
+    /// Load level of the backend's last report, if it was recent when the attempt was sent.
     load_level: Option<LoadLevel>,
     /// Time at which a response started whose pace the client sets.
     response_started_at: Option<f64>,
@@ -128,7 +128,7 @@
     pub duration: f64,
     /// Time that it had, in seconds.
     pub time_allowed: f64,
-    /// Load that the backend had reported lately when the attempt was sent.
+    /// Load level of the backend's last report, if it was recent when the attempt was sent.
     pub load_level: Option<LoadLevel>,
     /// How the backend was chosen.
     pub choice: BackendChoice,
--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -2,8 +2,7 @@
 use crate::ewma::{DecayingCounter, Ewma};
 use crate::interface::Settings;
 
-/// Time constant of the averages in seconds: long enough for tens of responses, yet shorter than most
-/// faults.
+/// Time constant of the averages in seconds: long enough for tens of responses, shorter than most faults.
 pub(crate) const AVERAGING_TIME: f64 = 4.0;
 /// Largest error of a clock of whole nanoseconds after the arithmetic done here, in seconds.
 pub(crate) const CLOCK_TOLERANCE: f64 = 1e-6;
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::estimates::Estimates;
 use crate::rng::Rng;
 
-/// The backends that this proxy knows, and what is known of them as a whole.
+/// The backends that this proxy knows, averages over them and the random numbers.
 #[derive(Default)]
 pub(crate) struct Fleet {
     /// The backends.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -20,7 +20,7 @@
     pub can_cancel: bool,
     /// Backends answer health checks.
     pub can_health_check: bool,
-    /// Cells cache what they need for a key: an RPC costs less where its key was served lately.
+    /// Cells cache what they need for a key: an RPC costs less where its key was served recently.
     pub key_affinity: bool,
     /// An RPC may be hedged: it may have a second attempt while the first is in flight.
     pub can_hedge: bool,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 
 /// Multiple of the expected wait that must fit into the time left of an RPC of the highest priority.
-/// Below 1, since loads vary and some random backends have less than the mean.
+/// Below 1, since some of the random backends have less than the mean load.
 const WAIT_MULTIPLE: f64 = 0.6;
 /// The same where late responses have weight: late RPCs run on and delay those behind them.
 const WAIT_MULTIPLE_IF_LATE_COUNTS: f64 = 2.2;
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -29,7 +29,7 @@
 pub(crate) struct Dispatcher {
     /// Rules that no attempt may break.
     pub rules: Rules,
-    /// Backends that are taken to be idle.
+    /// Backends that are believed to be idle.
     pub idle_queue: IdleQueue,
     /// What load reports tell.
     pub load_reports: LoadReports,
@@ -57,7 +57,7 @@
     pub timer_at: Option<f64>,
 }
 
-/// How an RPC goes on after one of its attempts.
+/// Whether an attempt has ended its RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptResult {
     /// The client has its final answer from this attempt.
--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -13,13 +13,13 @@
 use crate::rpc_state::RpcState;
 use std::rc::Rc;
 
-/// Cost of crossing zones, in points of service, from which on choices stay local as far as the own
-/// zone's part of the backends allows. Below it they do so with the square of the cost.
+/// Cost of crossing zones, in points of service, at which choices stay local if the own zone has its even
+/// share of the backends. Below it the probability falls with the square of the cost.
 const FULL_LOCALITY_COST_POINTS: f64 = 0.033;
-/// Availability is ignored if fewer than one in so many allowed backends are available: during a
-/// general slowdown some backends must remain.
+/// Availability is ignored if fewer than one of this many allowed backends is available: some backends
+/// must remain when all are slow.
 const PANIC_THRESHOLD_DIVISOR: usize = 3;
-/// Cells that a key is kept to. Each of the first health checks of an RPC goes to another one.
+/// Number of cells that the RPCs with a key go to. Each health check of a round goes to another cell.
 pub(crate) const CELLS_PER_KEY: usize = 3;
 
 /// The preference for the own zone.
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -17,8 +17,8 @@
 
 /// Value of an RPC's first health check, in points of service: it saves late responses.
 const FIRST_CHECK_VALUE_POINTS: f64 = 0.032;
-/// Probability that a health check finds no idle backend. Each further check of an RPC is worth so
-/// much less than the one before.
+/// Probability that a health check finds no idle backend. Each further check of an RPC has this fraction
+/// of the value of the one before.
 const MISS_PROBABILITY: f64 = 0.6;
 /// Least cost of a health check, in points of service; settings may say 0.
 const MIN_CHECK_COST_POINTS: f64 = 1e-6;
@@ -28,7 +28,7 @@
 const MIN_CHECKS_PER_RPC: f64 = 0.05;
 /// Health checks sent at once for a pending RPC; more often than not one finds an idle backend.
 pub(crate) const CHECKS_PER_ROUND: usize = 3;
-/// RPCs whose health checks can be saved up, beside one round.
+/// Number of RPCs whose tokens can be saved up, in addition to those for one round.
 const MAX_SAVED_RPCS: f64 = 20.0;
 /// Time between two proactive health checks if an RPC is certain to arrive, in seconds.
 const PROACTIVE_INTERVAL_SECONDS: f64 = 0.05;
--- a/src/policy/idle_queue.rs
+++ b/src/policy/idle_queue.rs
@@ -1,10 +1,10 @@
-//! The idle queue of Join-Idle-Queue (Lu et al., 2011): backends that are taken to be idle.
+//! The idle queue of Join-Idle-Queue (Lu et al., 2011): backends that are believed to be idle.
 //!
-//! Each backend is queued at most once, and an RPC takes the first that it may go to. What differs:
-//! every proxy may hold the same idle backend, so an entry expires soon; where responses instead of
-//! reports fill the queue, the quickest backends come first, so that proxies do not all go round all
-//! backends; and the queue is passed over while attempts through it prove slow, as reports may be
-//! frozen.
+//! Each backend is queued at most once, and an RPC takes the first one that it may be sent to. What
+//! differs: several proxies may have queued the same backend, so that an entry expires soon; where
+//! responses instead of reports fill the queue, the quickest backends come first, so that not every
+//! proxy uses every backend; and the queue is not used while attempts through it are slow, as reports
+//! may be out of date.
 use super::load_reports::IdleSignal;
 use super::outlier_detection::is_healthy;
 use crate::attempt::CompletedAttempt;
@@ -18,15 +18,14 @@
 
 /// Lifetime of an entry that a report made, in mean service times.
 const ENTRY_LIFETIME_SERVICE_TIMES: f64 = 0.3;
-/// Longest lifetime of such an entry, and lifetime of one that a response made: the place that has
-/// come free there is this proxy's own. In seconds.
+/// Longest lifetime of such an entry in seconds; also the lifetime of an entry that a response made, as
+/// the capacity that it released was used by this proxy.
 const MAX_ENTRY_LIFETIME_SECONDS: f64 = 4.0;
 /// Fraction of its time that an attempt through the queue may be expected to use.
 const MAX_EXPECTED_TIME_FRACTION: f64 = 0.7;
-/// Number of attempts that count as having used no time: few slow attempts do not prove the queue
-/// wrong.
+/// Number of attempts that are assumed to have used no time: a few slow attempts prove nothing.
 const PRIOR_ATTEMPTS: f64 = 4.0;
-/// Most entries that one RPC may pass over, and most RPCs that one event may; bounds the cost.
+/// Most entries that are scanned for one RPC, and most RPCs that are scanned for one event.
 pub(crate) const SCAN_LIMIT: usize = 32;
 
 /// The entries, and how attempts through them went.
@@ -111,8 +110,8 @@
         backend.queued_until.set(None);
     }
 
-    /// Returns whether attempts through the queue have lately used too much of their time for an RPC
-    /// of this priority.
+    /// Returns whether recent attempts through the queue have used too much of their time for an RPC of
+    /// this priority.
     fn is_too_slow_for(&self, rpc: &RpcState, estimates: &Estimates, now: f64) -> bool {
         let time_constant = estimates.wait_time_constant();
         let expected_fraction =
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -9,8 +9,8 @@
 use crate::interface::{LoadReport, Settings};
 use crate::report_quality::{LoadLevel, ReportQuality};
 
-/// Highest load of an idle backend, as a fraction of the mean reported load. While backends hold one
-/// RPC each, only a load of 0 is below it.
+/// Highest load of an idle backend, as a fraction of the mean reported load. While backends have one RPC
+/// each, only a load of 0 is below it.
 const LOW_LOAD_FRACTION: f64 = 0.75;
 /// Fraction of the mean duration that attempts after reports of low load must save; otherwise reports
 /// are not worth using.
@@ -33,7 +33,7 @@
 pub(crate) enum IdleSignal {
     /// A report of low load.
     LowLoad,
-    /// Any response: a place at the backend has just come free.
+    /// Any response: it has just released capacity of the backend.
     Response,
 }
 
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -12,7 +12,7 @@
 use crate::interface::AttemptOutcome;
 use std::ops::Range;
 
-/// Consecutive timeouts and resets that eject a backend. Any other failure counts as so many at once.
+/// Consecutive timeouts and resets that eject a backend. Any other failure ejects it at once.
 const FAILURES_TO_EJECT: f64 = 3.0;
 /// Failures that one success takes back at the least.
 const FAILURES_FORGIVEN_PER_SUCCESS: f64 = 0.2;
@@ -20,7 +20,7 @@
 const FORGIVEN_MULTIPLE_OF_FAILURE_ODDS: f64 = 3.0;
 /// Duration of the first ejection in seconds; each further failure doubles it.
 const FIRST_EJECTION_SECONDS: f64 = 0.5;
-/// Most times that an ejection is doubled, before [`MAX_EJECTION_SECONDS`] applies.
+/// Most doublings of an ejection, before [`MAX_EJECTION_SECONDS`] applies.
 const MAX_EJECTION_DOUBLINGS: f64 = 10.0;
 /// Shortest ejection, in mean times between two responses to this proxy: with few RPCs a shorter one
 /// would have no effect.
@@ -75,8 +75,8 @@
     }
 }
 
-/// Returns the consecutive failures of a backend after one more. Timeouts and resets may be chance and
-/// would eject all backends in turn; whatever else fails will fail again.
+/// Returns the consecutive failures of a backend including this one. Timeouts and resets may happen by
+/// chance and would eject all backends in turn; all other failures are expected to repeat.
 fn failures_after(backend: &Backend, outcome: AttemptOutcome) -> f64 {
     let may_be_chance = matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset);
     let least = if may_be_chance {
@@ -87,7 +87,7 @@
     (backend.consecutive_failures.get() + 1.0).max(least)
 }
 
-/// Returns the duration of an ejection after so many consecutive failures, in seconds.
+/// Returns the duration of an ejection after this many consecutive failures, in seconds.
 fn ejection_seconds(failures: f64, fleet: &Fleet, now: f64) -> f64 {
     let doublings = (failures - FAILURES_TO_EJECT).min(MAX_EJECTION_DOUBLINGS);
     let doubled = FIRST_EJECTION_SECONDS * 2_f64.powf(doublings);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -3,8 +3,8 @@
 //! Other proxies ramp up the weight of a new backend, as Envoy's slow start does. Here its capacity is
 //! known, and all proxies together must stay below the load at which it fails, without talking to each
 //! other. Each therefore takes a share of the budget, and the shares sum to the budget or less: most of
-//! it goes by the traffic that a proxy carries, the rest evenly. What is below one RPC is decided by
-//! chance, so that hundreds of proxies do not send one RPC each.
+//! it is split by the traffic that each proxy carries, the rest evenly. A share below one RPC is used
+//! with a probability, so that hundreds of proxies do not send one RPC each.
 use crate::backend::Backend;
 use crate::fleet::Fleet;
 use crate::interface::Settings;
@@ -17,7 +17,7 @@
 /// completes few RPCs would earn few attempts.
 const TRAFFIC_FRACTION: f64 = 0.8;
 
-/// The budget, and the rule by which this proxy keeps to its share.
+/// The budget, and the rule that limits this proxy to its share.
 #[derive(Default)]
 pub(crate) struct SlowStart {
     /// The budget of a warming backend, and the traffic by which it is split.
@@ -28,7 +28,8 @@
 struct Allowance {
     /// Attempts per window that fit with near certainty.
     guaranteed_attempts: f64,
-    /// Attempts per window that fit on average. Beyond the guaranteed ones they are sent by chance.
+    /// Attempts per window that fit on average. Those beyond the guaranteed ones are sent with a
+    /// probability.
     maximum_attempts: f64,
     /// Attempts in flight at once.
     maximum_in_flight: f64,
@@ -42,9 +43,9 @@
     }
 
     /// Returns whether this proxy's share of the backend's budget has room for one more attempt; it
-    /// has if the backend is warm. `sample` is the sample of a random choice and the same for all
-    /// backends: otherwise a choice would go on until it finds a backend that is lucky. Without one,
-    /// the sample of the backend's last health check counts.
+    /// has if the backend is warm. `sample` is the sample of a random choice. It is the same for all
+    /// backends, as a choice that draws a sample for each of them would find one in the end. Without
+    /// it the sample of the backend's last health check counts.
     pub(crate) fn has_room(
         &self,
         to: &Backend,
@@ -122,7 +123,7 @@
 }
 
 /// Returns whether the backend has no attempt of this proxy in flight and has completed all that ended
-/// within the window. Few proxies would leave it idle until it is warm if they kept to their shares.
+/// within the window. Otherwise few proxies would leave it idle until it is warm.
 fn is_idle_and_reliable(to: &Backend, budget: &SlowStartBudget, now: f64) -> bool {
     to.in_flight.get() == 0 && to.has_completed_all(now, budget.window)
 }
--- a/src/policy/throttle.rs
+++ b/src/policy/throttle.rs
@@ -2,8 +2,8 @@
 //!
 //! After client-side adaptive throttling in the SRE book: RPCs are admitted at a multiple of the rate
 //! of attempts that go well. What differs: the throttle covers a method or a tenant at all backends,
-//! so that a slow one does not take the others' places, and an attempt goes well only if it is prompt
-//! where nothing tells loads, as backends must not fill up until no response is in time.
+//! so that a slow one does not use up the capacity of the others; and where nothing tells loads only
+//! prompt attempts count as good, as backends would otherwise fill up until no response is in time.
 use super::load_reports::IdleSignal;
 use crate::attempt::CompletedAttempt;
 use crate::rng::Rng;
@@ -18,7 +18,7 @@
 const TIME_CONSTANT_SECONDS: f64 = 1.0;
 /// Number of attempts that count as having gone well: a single late one throttles nothing.
 const PRIOR_GOOD_ATTEMPTS: f64 = 1.0;
-/// Fraction of its time that a prompt attempt uses at the most.
+/// Largest fraction of its time that a prompt attempt uses.
 const MAX_PROMPT_TIME_FRACTION: f64 = 0.4;
 
 /// Returns whether an RPC that has arrived is admitted. All are where load is shed by priority.
--- a/src/report_quality.rs
+++ b/src/report_quality.rs
@@ -6,9 +6,9 @@
 const TIME_CONSTANT_SECONDS: f64 = 12.0;
 /// Number of attempts that the estimate starts from.
 const PRIOR_ATTEMPTS: f64 = 5.0;
-/// How many times longer an attempt after a report of high load is taken to last at the start.
+/// Initial estimate of how many times longer attempts take after a report of high load.
 const PRIOR_SLOWDOWN: f64 = 2.0;
-/// Time for which a report tells the load that an attempt meets, in seconds.
+/// Time for which a report tells the load of its backend, in seconds.
 const REPORT_LIFETIME_SECONDS: f64 = 4.0;
 
 /// The load of a backend by a report, compared with that of other backends.
--- a/src/rpc_state.rs
+++ b/src/rpc_state.rs
@@ -133,7 +133,7 @@
         cells.is_empty() || cells.contains(&Subset::Cell(backend.cell.get()))
     }
 
-    /// Returns the lowest admission rate of the throttles of its tenant and its method, 1 at the most.
+    /// Returns the lowest admission rate of the throttles of its tenant and its method, at most 1.
     /// Each throttle is averaged with `prior_count` samples of `prior`.
     pub(crate) fn lowest_throttle_rate(
         &self,
--- a/src/slow_start_budget.rs
+++ b/src/slow_start_budget.rs
@@ -14,8 +14,8 @@
 /// Least rate of a warming backend, as a fraction of that of a warm one; it may start without any
 /// capacity.
 const MIN_CAPACITY_FRACTION: f64 = 0.05;
-/// RPCs counted beside those offered. A new process has offered few, from which a high probability of
-/// an attempt would follow.
+/// RPCs that are added to those offered. A new process has offered few, and would send attempts with too
+/// high a probability.
 const PRIOR_OFFERED_RPCS: f64 = 4.0;
 
 /// The budget of a warming backend, and the rates that it is split by. Work is in seconds of a warm
@@ -93,8 +93,8 @@
         pair_sample(rpc, now.to_bits())
     }
 
-    /// Records a load report. That of a health check offers part of an RPC and gives the backend a new
-    /// sample; that of a response stands for an attempt that was already sent.
+    /// Records a load report. A report by a health check offers part of an RPC and gives the backend a new
+    /// sample; a report in a response belongs to an attempt that was already counted.
     pub(crate) fn record_report(
         &self,
         backend: &Backend,
@@ -116,8 +116,8 @@
     }
 
     /// Records a completed RPC at one of `ready_count` backends. It is divided by the capacity of all
-    /// of these: otherwise the responses of a small backend, or of many that have gone since, would be
-    /// taken for what each backend completes. A warming backend counts by what it could be sent.
+    /// of these; otherwise the estimate would be wrong for backends of other sizes, and after many were
+    /// removed. A warming backend counts by its present capacity.
     pub(crate) fn record_completion(&self, backend: &Backend, ready_count: usize, now: f64) {
         let work = self.window_work(backend, now);
         let capacity_fraction = work.map_or(1.0, |work| self.capacity_fraction(work));
--- a/src/tenant.rs
+++ b/src/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants' quotas at this proxy: the slice of each quota, and how much of it was used lately.
+//! Tenants' quotas at this proxy: the slice of each quota, and its recent use.
 use crate::ewma::{DecayingCounter, Ewma};
 use crate::interface::{CarriedOver, Settings};
 use std::mem::take;
@@ -8,8 +8,8 @@
 const INITIAL_USED_FRACTION: f64 = 0.75;
 /// Shortest time over which the use of a quota is counted, in seconds; lets a short burst through.
 const MIN_WINDOW_SECONDS: f64 = 3.0;
-/// Fewest RPCs of a quota that its window covers. The margin in `policy::fairness` covers the chance
-/// variation of so many RPCs.
+/// Fewest RPCs of a quota that its window covers. `policy::fairness` has a margin for the random
+/// variation of this number.
 const MIN_WINDOW_RPCS: f64 = 20.0;
 
 /// How an RPC is classified by its tenant's use of its quota. The order is that of precedence.
