--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -54,42 +54,44 @@
         now: f64,
     ) -> bool {
         let budget = &self.budget;
-        let Some(work) = budget.window_work(to, now) else {
+        let Some(work_limit) = budget.work_limit(to, now) else {
             return true;
         };
         let work_per_rpc = fleet.estimates.service_time();
+        // If there are few proxies, their shares alone would leave the backend idle until it is warm.
         if is_idle_and_reliable(to, budget, now)
-            && budget.fits_one_from_each_proxy(work, work_per_rpc)
+            && budget.fits_one_from_each_proxy(work_limit, work_per_rpc)
         {
             return true;
         }
-        let allowance = self.allowance(to, work, work_per_rpc, now);
-        let sent = to.recent_attempts.count(now, budget.window) + 1.0;
+        let allowance = self.allowance(to, work_limit, work_per_rpc, now);
         let in_flight = to.in_flight.get() as f64 + 1.0;
         if in_flight > allowance.maximum_in_flight {
             return false;
         }
-        let sample =
-            sample.unwrap_or_else(|| to.slow_start_sample.get() * budget.health_checks_per_rpc);
+        let sent = to.recent_attempts.count(now, budget.window) + 1.0;
+        if sent <= allowance.guaranteed_attempts {
+            return true;
+        }
+        let check_sample = to.slow_start_sample.get() * budget.health_checks_per_rpc;
         let probability = self
-            .attempt_probability(work, fleet, now)
+            .attempt_probability(work_limit, fleet, now)
             .max(allowance.guaranteed_attempts);
-        sent <= allowance.guaranteed_attempts
-            || sent <= allowance.maximum_attempts && sample < probability
+        sent <= allowance.maximum_attempts && sample.unwrap_or(check_sample) < probability
     }
 
-    /// Returns this proxy's allowance for a backend that may get this much work in a window, in seconds
-    /// of a warm backend's work.
-    fn allowance(&self, to: &Backend, work: f64, work_per_rpc: f64, now: f64) -> Allowance {
+    /// Returns this proxy's allowance for a backend that may get this much work in a window from all
+    /// proxies, in seconds.
+    fn allowance(&self, to: &Backend, work_limit: f64, work_per_rpc: f64, now: f64) -> Allowance {
         let budget = &self.budget;
         let completion_rate = budget.completion_rate(now);
         let traffic_share = TRAFFIC_FRACTION * completion_rate * to.relative_size.get();
         let even_share = (1.0 - TRAFFIC_FRACTION) / (work_per_rpc * budget.process_total());
-        // RPCs for each second of work in the budget.
+        // In RPCs for each second of work in the limit.
         let share = traffic_share + even_share;
         Allowance {
-            guaranteed_attempts: guaranteed_work(work, work_per_rpc) * share,
-            maximum_attempts: (work * share).max(1.0),
+            guaranteed_attempts: guaranteed_work(work_limit, work_per_rpc) * share,
+            maximum_attempts: (work_limit * share).max(1.0),
             maximum_in_flight: budget.concurrency(share * work_per_rpc).max(1.0),
         }
     }
@@ -97,12 +99,12 @@
     /// Returns the probability with which an RPC that may go to any backend goes to a warming one, so
     /// that on average this proxy sends it no more than its share: the backend's relative capacity times
     /// the RPCs that this proxy completes for each that it offers.
-    fn attempt_probability(&self, work: f64, fleet: &Fleet, now: f64) -> f64 {
+    fn attempt_probability(&self, work_limit: f64, fleet: &Fleet, now: f64) -> f64 {
         let budget = &self.budget;
         let ready_count = fleet.index.ready_count() as f64;
         let completed_fraction =
             budget.completion_rate(now) * ready_count / budget.offered_rate(now);
-        let relative_capacity = work / SAFETY_FRACTION / budget.window;
+        let relative_capacity = work_limit / SAFETY_FRACTION / budget.window;
         relative_capacity * completed_fraction
     }
 
@@ -110,9 +112,10 @@
     /// than all proxies together may; its own share is far less.
     pub(crate) fn violation(&self, to: &Backend, fleet: &Fleet, now: f64) -> Option<Violation> {
         let budget = &self.budget;
-        let work = budget.window_work(to, now)?;
+        let work_limit = budget.work_limit(to, now)?;
         let sent = to.recent_attempts.count(now, budget.window);
-        let limit = slow_start_limit(work / SAFETY_FRACTION / fleet.estimates.service_time());
+        let full_work_limit = work_limit / SAFETY_FRACTION;
+        let limit = slow_start_limit(full_work_limit / fleet.estimates.service_time());
         // The count is infinite while another process of this proxy may have filled the window.
         let is_violated = sent.is_finite() && sent > limit;
         is_violated.then_some(Violation::SlowStart {
@@ -123,7 +126,7 @@
 }
 
 /// Returns whether the backend has no attempt of this proxy in flight and has completed all that ended
-/// within the window. Otherwise few proxies would leave it idle until it is warm.
+/// within the window.
 fn is_idle_and_reliable(to: &Backend, budget: &SlowStartBudget, now: f64) -> bool {
     to.in_flight.get() == 0 && to.has_completed_all(now, budget.window)
 }
--- a/src/slow_start_budget.rs
+++ b/src/slow_start_budget.rs
@@ -119,15 +119,15 @@
     /// of these; otherwise the estimate would be wrong for backends of other sizes, and after many were
     /// removed. A warming backend counts by its present capacity.
     pub(crate) fn record_completion(&self, backend: &Backend, ready_count: usize, now: f64) {
-        let work = self.window_work(backend, now);
-        let capacity_fraction = work.map_or(1.0, |work| self.capacity_fraction(work));
+        let work_limit = self.work_limit(backend, now);
+        let capacity_fraction = work_limit.map_or(1.0, |limit| self.capacity_fraction(limit));
         let capacity = ready_count.max(1) as f64 * backend.relative_size.get() * capacity_fraction;
         self.completed.add(1.0 / capacity, now, AVERAGING_TIME);
     }
 
-    /// Returns the relative capacity of a warming backend that may get this much work in a window.
-    fn capacity_fraction(&self, work: f64) -> f64 {
-        (work / self.safety / self.window).clamp(MIN_CAPACITY_FRACTION, 1.0)
+    /// Returns the relative capacity of a warming backend with this limit of work in a window.
+    fn capacity_fraction(&self, work_limit: f64) -> f64 {
+        (work_limit / self.safety / self.window).clamp(MIN_CAPACITY_FRACTION, 1.0)
     }
 
     /// Returns the RPCs per second that a warm backend of size 1 completes for this proxy.
@@ -140,22 +140,22 @@
         self.overload_multiple * cores
     }
 
-    /// Returns the work that a backend may get in a window; `None` once it is warm.
-    pub(crate) fn window_work(&self, backend: &Backend, now: f64) -> Option<f64> {
+    /// Returns the most work that a backend may get in a window from all proxies; `None` once it is warm.
+    pub(crate) fn work_limit(&self, backend: &Backend, now: f64) -> Option<f64> {
         let age = now - backend.started_at.get()?;
         let warm_fraction = (age / self.duration).max(0.0);
         let capacity_fraction =
             self.initial_fraction + (1.0 - self.initial_fraction) * warm_fraction;
-        let work = self.overload_multiple * self.window * capacity_fraction;
-        (age < self.duration).then_some(work)
+        let work_limit = self.overload_multiple * self.window * capacity_fraction;
+        (age < self.duration).then_some(work_limit)
     }
 
-    /// Returns whether one RPC from each process of all proxies fits with near certainty beside this
-    /// work and what the backend completes in the window.
-    pub(crate) fn fits_one_from_each_proxy(&self, work: f64, work_per_rpc: f64) -> bool {
-        let limit = work / self.safety;
-        let completed = work / self.overload_multiple;
-        let left = limit - completed - guaranteed_work(work, work_per_rpc);
+    /// Returns whether one RPC from each process of all proxies fits with near certainty beside RPCs that
+    /// use up this limit, given what the backend completes in the window.
+    pub(crate) fn fits_one_from_each_proxy(&self, work_limit: f64, work_per_rpc: f64) -> bool {
+        let full_limit = work_limit / self.safety;
+        let completed = work_limit / self.overload_multiple;
+        let left = full_limit - completed - guaranteed_work(work_limit, work_per_rpc);
         let required = self.process_total() * work_per_rpc;
         guaranteed_work(left.max(0.0), work_per_rpc) >= required
     }
