--- a/crates/daemon/tests/client_requests.rs
+++ b/crates/daemon/tests/client_requests.rs
@@ -1,7 +1,9 @@
 //! What clients send that is malformed, endless or too much.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
-use common::sockets::{Client, Daemon, Log, PATIENCE, blind, echo, eventually, gated, rpc};
+use common::sockets::{
+    Client, Daemon, EVENT_TIMEOUT, Log, echo, eventually, gated_backend, rpc, without_health_checks,
+};
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
@@ -105,7 +107,7 @@
         let mut client = daemon.client();
         let first = client.call(&(rpc("GET", "/read", &id, "") + &message));
         assert_eq!(first.expect("an answer").status(), 200);
-        let second = client.answer().map(|answer| answer.status());
+        let second = client.response().map(|answer| answer.status());
         assert_eq!(second, Some(status), "{message}");
         assert!(client.is_closed(), "{message}");
     }
@@ -130,7 +132,10 @@
         std::thread::sleep(Duration::from_millis(100));
         clients[1].send("x");
     }
-    assert_eq!(clients[2].answer().map(|answer| answer.status()), Some(408));
+    assert_eq!(
+        clients[2].response().map(|answer| answer.status()),
+        Some(408)
+    );
     assert!(clients.iter_mut().all(Client::is_closed));
     assert!(
         begun.elapsed() < Duration::from_secs(7),
@@ -149,21 +154,21 @@
     let large = rpc("POST", "/book", "id", &"x".repeat(3 << 20))
         .replace("Length: 3145728", "Length: 40000000");
     assert!(client.send(&large), "reset while sending");
-    assert_eq!(client.answer().map(|answer| answer.status()), Some(413));
+    assert_eq!(client.response().map(|answer| answer.status()), Some(413));
 }
 
 /// The id of an RPC in flight can't be used a second time; once that is answered it can.
 #[test]
 fn the_id_of_an_rpc_in_flight_is_refused() {
     let log = Log::new(vec![]);
-    let (at, gate) = gated("b1", &log, "done");
+    let (at, gate) = gated_backend("b1", &log, "done");
     let daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
     let (mut first, message) = (daemon.client(), rpc("POST", "/book", "same", ""));
     first.send(&message);
     log.await_event("b1 got POST /book HTTP/1.1 same");
     assert_eq!(daemon.client().status_of(&message), 409);
     gate.change(|open| *open = true);
-    assert_eq!(first.answer().unwrap().status(), 200);
+    assert_eq!(first.response().unwrap().status(), 200);
     assert_eq!(daemon.client().status_of(&message), 200);
     assert_eq!(log.count("same"), 2);
 }
@@ -183,7 +188,7 @@
     let mut served = Vec::new();
     // The connections that were idle longest are evicted first: all of them before the later ones of these.
     eventually(
-        PATIENCE,
+        EVENT_TIMEOUT,
         "connections with endless heads keep their sockets",
         || {
             let mut client = daemon.client();
@@ -203,10 +208,10 @@
 fn a_spent_socket_budget_rejects_and_idle_connections_are_evicted() {
     let log = Log::new(vec![]);
     let few = |config: &mut Value| {
-        blind(config);
+        without_health_checks(config);
         config["limits"]["sockets"] = 74.into();
     };
-    let (at, gate) = gated("b1", &log, "done");
+    let (at, gate) = gated_backend("b1", &log, "done");
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], few);
     let open = |n: usize| {
         let mut client = daemon.client();
@@ -230,7 +235,7 @@
     assert!(
         clients
             .iter_mut()
-            .all(|client| client.answer().is_some_and(|a| a.status() == 200))
+            .all(|client| client.response().is_some_and(|a| a.status() == 200))
     );
     assert_eq!(
         answer(),
--- a/crates/daemon/tests/clock_steps.rs
+++ b/crates/daemon/tests/clock_steps.rs
@@ -3,8 +3,8 @@
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
-    Act, Client, Daemon, Log, PATIENCE, backend, blind, echo, eventually, free, line, reply, rpc,
-    with_faults,
+    BackendAction, Client, Daemon, EVENT_TIMEOUT, Log, backend, echo, endpoint_entry, eventually,
+    reply, rpc, unused_address, with_faults, without_health_checks,
 };
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -24,10 +24,10 @@
 /// A daemon whose wall clock steps by so many seconds two seconds after its start, and its management address.
 fn stepping(step: &str, backend: SocketAddr) -> (Daemon, SocketAddr, String) {
     let program = with_faults(PROGRAM, &format!("clock={step}@1:2-3600"));
-    let management = free();
+    let management = unused_address();
     let daemon = Daemon::start_with(&program, &[("s-1", backend)], |config| {
         config["management"] = management.to_string().into();
-        blind(config);
+        without_health_checks(config);
     });
     (daemon, management, program)
 }
@@ -83,10 +83,10 @@
             number += 1;
         }
         daemon.signal("TERM");
-        eventually(PATIENCE, "it does not end", || {
+        eventually(EVENT_TIMEOUT, "it does not end", || {
             daemon.child.try_wait().expect("its state").is_some()
         });
-        assert!(daemon.await_end().success());
+        assert!(daemon.await_exit().success());
         std::fs::remove_file(program).expect("the program");
     }
 }
@@ -95,7 +95,7 @@
 fn started(uid: &str, at: SocketAddr, seconds_ago: f64) -> Value {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let boot = now.expect("a time after 1970").as_secs_f64() - seconds_ago;
-    let mut line = line(uid, at, "Ready");
+    let mut line = endpoint_entry(uid, at, "Ready");
     line["boot_ms"] = json!((boot * 1e3).round());
     line
 }
@@ -104,7 +104,7 @@
 fn working(name: &'static str, log: &Log) -> SocketAddr {
     backend(name, log, |_| {
         sleep(WORK);
-        Act::Write(reply("200 OK", ""))
+        BackendAction::Respond(reply("200 OK", ""))
     })
 }
 
@@ -117,19 +117,19 @@
         .map(|name| (name.as_str(), working("warm", &log)));
     let backends: Vec<_> = warm.collect();
     let daemon = Daemon::start_with(PROGRAM, &backends, |config| {
-        blind(config);
+        without_health_checks(config);
         // Too many for one attempt of each to fit: none is sent just because none is out.
         config["settings"]["balancers"] = 8.into();
         config["settings"]["contract"]["cold-from"] = 0.05.into();
         config["settings"]["contract"]["cold-ns"] = 20e9.into();
     });
-    daemon.earn_credit();
+    daemon.fill_retry_budget();
     let mut lines: Vec<_> = backends
         .iter()
-        .map(|(uid, at)| line(uid, *at, "Ready"))
+        .map(|(uid, at)| endpoint_entry(uid, *at, "Ready"))
         .collect();
     lines.push(started("s-new", working("new", &log), seconds_ago));
-    daemon.list.tell_heard(&lines);
+    daemon.discovery.publish_and_wait(&lines);
     let send = |client: usize| {
         let mut connection = daemon.client();
         for number in 0..RPCS_OF_A_CLIENT {
--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -2,8 +2,8 @@
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
-    Act, Client, Daemon, Log, PATIENCE, Shared, Slow, backend, blind, echo, eventually, line,
-    reply, rpc,
+    BackendAction, Client, Daemon, EVENT_TIMEOUT, Log, Shared, SlowAccept, backend, echo,
+    endpoint_entry, eventually, reply, rpc, without_health_checks,
 };
 use serde_json::Value;
 use std::io::Read;
@@ -22,26 +22,26 @@
         method["latency-target-ns"] = 60e9.into();
     }
     config["settings"]["ceilings"]["connect-timeout-ns"] = 60e9.into();
-    blind(config);
+    without_health_checks(config);
 }
 
 /// A backend that moves during a connect gets nothing at its old address: another may be there.
 #[test]
 fn a_backend_that_moves_during_a_connect_gets_nothing_at_its_old_address() {
     let log = Log::new(vec![]);
-    let slow = Slow::start();
+    let slow = SlowAccept::start();
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", slow.at)], patient);
     let before = daemon.descriptors();
     let mut client = daemon.client();
     client.send(&rpc("POST", "/book", "id", "").replace("3000", "60000"));
-    eventually(PATIENCE, "no connect was begun", || {
+    eventually(EVENT_TIMEOUT, "no connect was begun", || {
         daemon.descriptors() >= before + 2
     });
     daemon
-        .list
-        .tell_heard(&[line("s-1", echo("b2", &log), "Ready")]);
-    assert_eq!(slow.heard_when_let_in(), 0, "sent to its old address");
-    assert_eq!(client.answer().expect("an answer").text(), "b2:");
+        .discovery
+        .publish_and_wait(&[endpoint_entry("s-1", echo("b2", &log), "Ready")]);
+    assert_eq!(slow.count_senders(), 0, "sent to its old address");
+    assert_eq!(client.response().expect("an answer").text(), "b2:");
 }
 
 /// A backend that resets an attempt that may have run, once the gate is open, and a deduplication window of 0.3 s.
@@ -50,16 +50,16 @@
     let open = gate.clone();
     let at = backend("b1", log, move |m| match m.header("request-id") {
         "id" => {
-            open.wait(PATIENCE, |open| *open);
-            Act::Cut(vec![])
+            open.wait(EVENT_TIMEOUT, |open| *open);
+            BackendAction::RespondAndClose(vec![])
         }
-        _ => Act::Write(reply("200 OK", "")),
+        _ => BackendAction::Respond(reply("200 OK", "")),
     });
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], |config| {
         patient(config);
         config["settings"]["methods"][2]["window-ns"] = 300e6.into();
     });
-    daemon.earn_credit();
+    daemon.fill_retry_budget();
     (daemon, at, gate)
 }
 
@@ -68,21 +68,22 @@
 fn a_retry_whose_connect_outlasts_the_deduplication_window_is_not_sent() {
     let log = Log::new(vec![]);
     let (daemon, at, gate) = cuts_behind_a_gate(&log);
-    let slow = Slow::start();
+    let slow = SlowAccept::start();
     let mut client = daemon.client();
     client.send(&rpc("POST", "/log", "id", "").replace("3000", "60000"));
     log.await_event("b1 got POST /log HTTP/1.1 id");
-    daemon
-        .list
-        .tell_heard(&[line("s-1", at, "Ready"), line("s-2", slow.at, "Ready")]);
+    daemon.discovery.publish_and_wait(&[
+        endpoint_entry("s-1", at, "Ready"),
+        endpoint_entry("s-2", slow.at, "Ready"),
+    ]);
     gate.change(|open| *open = true);
     sleep(Duration::from_millis(400)); // longer than the window
     assert_eq!(
-        slow.heard_when_let_in(),
+        slow.count_senders(),
         0,
         "sent after the window in which repeats are dropped"
     );
-    assert_eq!(client.answer().expect("an answer").status(), 502);
+    assert_eq!(client.response().expect("an answer").status(), 502);
 }
 
 /// The same where the process was stopped meanwhile, and the time of its decisions with it.
@@ -93,15 +94,15 @@
     let mut client = daemon.client();
     client.send(&rpc("POST", "/log", "id", "").replace("3000", "60000"));
     log.await_event("b1 got POST /log HTTP/1.1 id");
-    daemon.list.tell_heard(&[
-        line("s-1", at, "Ready"),
-        line("s-2", echo("b2", &log), "Ready"),
+    daemon.discovery.publish_and_wait(&[
+        endpoint_entry("s-1", at, "Ready"),
+        endpoint_entry("s-2", echo("b2", &log), "Ready"),
     ]);
     daemon.signal("STOP");
     sleep(Duration::from_millis(400)); // longer than the window
     gate.change(|open| *open = true);
     daemon.signal("CONT");
-    assert_eq!(client.answer().expect("an answer").status(), 502);
+    assert_eq!(client.response().expect("an answer").status(), 502);
     assert_eq!(
         log.count("b2 got"),
         0,
@@ -114,24 +115,24 @@
     let log = Log::new(vec![]);
     let seen = log.clone();
     let at = backend("b1", &log, move |m| match m.header("request-id") {
-        "first" => Act::Late(
-            reply("200 OK", "first"),
-            seen.clone(),
-            "go on".into(),
-            more.to_vec(),
-        ),
-        id => Act::Write(reply("200 OK", id)),
+        "first" => BackendAction::RespondLater {
+            first: reply("200 OK", "first"),
+            log: seen.clone(),
+            event: "go on".into(),
+            rest: more.to_vec(),
+        },
+        id => BackendAction::Respond(reply("200 OK", id)),
     });
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], blind);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
     let mut client = daemon.client();
     assert_eq!(client.text_of(&rpc("POST", "/book", "first", "")), "first");
     sleep(Duration::from_millis(50)); // longer than a connection is suspected after its last use
     daemon.signal("STOP");
-    log.note("go on".into());
+    log.record("go on".into());
     log.await_event("b1 done with first");
     client.send(&rpc("POST", "/book", "second", ""));
     daemon.signal("CONT");
-    let answer = client.answer().expect("an answer");
+    let answer = client.response().expect("an answer");
     assert_eq!((answer.status(), answer.text().as_str()), (200, "second"));
     assert_eq!(log.count(" second"), 1);
 }
@@ -157,28 +158,34 @@
     let seen = log.clone();
     let at = backend("b1", &log, move |m| match m.header("request-id") {
         "crossed" => {
-            seen.wait(PATIENCE, |events| events.iter().any(|e| e == "go on"));
-            Act::Late(
-                reply("200 OK", "done"),
-                Log::new(vec![]),
-                "never".into(),
-                b"\r\n".to_vec(),
-            )
+            seen.wait(EVENT_TIMEOUT, |events| events.iter().any(|e| e == "go on"));
+            BackendAction::RespondLater {
+                first: reply("200 OK", "done"),
+                log: Log::new(vec![]),
+                event: "never".into(),
+                rest: b"\r\n".to_vec(),
+            }
         }
-        _ => Act::Write(reply("200 OK", "")),
+        _ => BackendAction::Respond(reply("200 OK", "")),
     });
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at), ("s-2", echo("b2", &log))], blind);
-    daemon.earn_credit();
-    daemon.list.tell_heard(&[line("s-1", at, "Ready")]);
+    let daemon = Daemon::start_with(
+        PROGRAM,
+        &[("s-1", at), ("s-2", echo("b2", &log))],
+        without_health_checks,
+    );
+    daemon.fill_retry_budget();
+    daemon
+        .discovery
+        .publish_and_wait(&[endpoint_entry("s-1", at, "Ready")]);
     let mut client = daemon.client();
     client.send(&rpc("POST", "/book", "crossed", "").replace("3000", waits));
     log.await_event("b1 got POST /book HTTP/1.1 crossed");
     daemon.signal("STOP");
-    log.note("go on".into());
+    log.record("go on".into());
     log.await_event("b1 done with crossed");
     what(&daemon, &mut client);
     daemon.signal("CONT");
-    let status = client.answer().map(|answer| answer.status());
+    let status = client.response().map(|answer| answer.status());
     assert!(allowed.contains(&status), "{status:?}");
     let next = daemon
         .client()
@@ -191,7 +198,7 @@
 
 #[test]
 fn a_response_that_crosses_with_a_drain_is_delivered_once() {
-    let drain = |daemon: &Daemon, _: &mut Client| daemon.list.tell(&[]);
+    let drain = |daemon: &Daemon, _: &mut Client| daemon.discovery.publish(&[]);
     an_answer_and(drain, "3000", &[Some(200)]);
 }
 
@@ -225,15 +232,19 @@
     let chunk = format!("{:x}\r\n{}\r\n", 1 << 20, "x".repeat(1 << 20));
     let endless = move |_: &common::sockets::Message| {
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned();
-        Act::Write((head + &chunk.repeat(48)).into_bytes())
+        BackendAction::Respond((head + &chunk.repeat(48)).into_bytes())
     };
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", backend("b1", &log, endless))], blind);
+    let daemon = Daemon::start_with(
+        PROGRAM,
+        &[("s-1", backend("b1", &log, endless))],
+        without_health_checks,
+    );
     let mut client = daemon.client();
     client.send(&rpc("GET", "/read", "id", ""));
     let mut all = Vec::new();
     client
         .stream()
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(EVENT_TIMEOUT))
         .expect("a time-out");
     let ended = client.stream().read_to_end(&mut all);
     assert!(
@@ -262,21 +273,21 @@
     ];
     let at = backend("b1", &log, move |m| {
         let number: usize = m.header("request-id")[1..].parse().expect("a number");
-        Act::Late(
-            parts[number].into(),
-            Log::new(vec![]),
-            "never".into(),
-            vec![],
-        )
+        BackendAction::RespondLater {
+            first: parts[number].into(),
+            log: Log::new(vec![]),
+            event: "never".into(),
+            rest: vec![],
+        }
     });
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], blind);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
     let mut clients: Vec<_> = parts.iter().map(|_| daemon.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&rpc("POST", "/book", &format!("n{n}"), "").replace("3000", "300"));
     }
     for (n, client) in clients.iter_mut().enumerate() {
         assert_eq!(
-            client.answer().map(|answer| answer.status()),
+            client.response().map(|answer| answer.status()),
             Some(502),
             "{}",
             parts[n]
--- a/crates/daemon/tests/crowd.rs
+++ b/crates/daemon/tests/crowd.rs
@@ -1,7 +1,10 @@
 //! Thousands of client connections under tight limits, over loopback sockets.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
-use common::sockets::{Client, Daemon, Log, PATIENCE, Shared, blind, echo, eventually, line, rpc};
+use common::sockets::{
+    Client, Daemon, EVENT_TIMEOUT, Log, Shared, echo, endpoint_entry, eventually, rpc,
+    without_health_checks,
+};
 use serde_json::Value;
 use std::collections::VecDeque;
 use std::fs::Permissions;
@@ -18,7 +21,7 @@
 
 fn limited(sockets: u64, memory_mb: u64, log: &Log) -> Daemon {
     Daemon::start_with(PROGRAM, &[("s-1", echo("b1", log))], |config| {
-        blind(config);
+        without_health_checks(config);
         config["limits"]["sockets"] = sockets.into();
         config["limits"]["memory_mb"] = memory_mb.into();
     })
@@ -82,7 +85,7 @@
     );
     daemon.signal("TERM");
     let begun = Instant::now();
-    assert!(daemon.await_end().success());
+    assert!(daemon.await_exit().success());
     assert!(begun.elapsed() < Duration::from_secs(5));
 }
 
@@ -102,7 +105,7 @@
 fn start_with_sockets(program: &Path, backend: SocketAddr, sockets: u64) -> Daemon {
     let program = program.to_str().expect("a path");
     Daemon::start_with(program, &[("s-1", backend)], |config| {
-        blind(config);
+        without_health_checks(config);
         config["limits"]["sockets"] = sockets.into();
     })
 }
@@ -147,13 +150,13 @@
     let clients = allowed as usize * 6 / 5;
     let mut all = crowd(&daemon, idle, clients, "before");
     ask(&daemon, "before-it");
-    daemon.list.tell_text(None);
+    daemon.discovery.respond_with(None);
     all.extend(crowd(&daemon, idle, clients, "while"));
     ask(&daemon, "meanwhile");
     let back = Instant::now();
     daemon
-        .list
-        .tell_heard(&[line("s-2", echo("b2", &log), "Ready")]);
+        .discovery
+        .publish_and_wait(&[endpoint_entry("s-2", echo("b2", &log), "Ready")]);
     let took = back.elapsed();
     let mut client = daemon.client();
     assert_eq!(
@@ -207,11 +210,11 @@
     let log = Log::new(vec![]);
     let at = echo("b1", &log);
     let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], |config| {
-        blind(config);
+        without_health_checks(config);
         config["limits"]["sockets"] = 256.into();
         config["known"] = Value::Null;
     });
-    daemon.list.tell_text(None);
+    daemon.discovery.respond_with(None);
     daemon
         .child
         .kill()
@@ -221,7 +224,9 @@
     daemon.await_ready(503);
     let crowds = [Idle::Fresh, Idle::HalfHead].map(|idle| crowd(&daemon, idle, 300, "first"));
     let back = Instant::now();
-    daemon.list.tell(&[line("s-1", at, "Ready")]);
+    daemon
+        .discovery
+        .publish(&[endpoint_entry("s-1", at, "Ready")]);
     daemon.await_ready(200);
     assert!(
         back.elapsed() < UPDATE_LIMIT,
@@ -254,12 +259,12 @@
         opened
     });
     (0..20).for_each(|n| drop(ask(&daemon, &format!("before{n}"))));
-    daemon.list.tell_text(None);
+    daemon.discovery.respond_with(None);
     (0..20).for_each(|n| drop(ask(&daemon, &format!("while{n}"))));
     let back = Instant::now();
     daemon
-        .list
-        .tell_heard(&[line("s-2", echo("b2", &log), "Ready")]);
+        .discovery
+        .publish_and_wait(&[endpoint_entry("s-2", echo("b2", &log), "Ready")]);
     let took = back.elapsed();
     (0..20).for_each(|n| drop(ask(&daemon, &format!("after{n}"))));
     ends.change(|ends| *ends = true);
@@ -290,7 +295,7 @@
     daemon.signal("CONT");
     let answers = busy
         .iter_mut()
-        .filter_map(Client::answer)
+        .filter_map(Client::response)
         .filter(|answer| answer.status() == 200)
         .count();
     assert_eq!(answers, busy.len());
@@ -321,7 +326,7 @@
         let statuses = |clients: &mut [Client]| {
             clients
                 .iter_mut()
-                .map(|client| client.answer().map(|a| a.status()))
+                .map(|client| client.response().map(|a| a.status()))
                 .collect::<Vec<_>>()
         };
         let all = [statuses(&mut idle), statuses(&mut new)];
@@ -370,11 +375,15 @@
         .for_each(|client| assert!(client.send("POST /book HTTP/1.1\r\nRequest-")));
     let open = |clients: &[Client]| clients.iter().filter(|client| is_open(client)).count();
     let mut served: Vec<_> = (0..4).map(|n| ask(&daemon, &format!("first{n}"))).collect();
-    eventually(PATIENCE, "the fresh connections stay", || open(&fresh) == 0);
+    eventually(EVENT_TIMEOUT, "the fresh connections stay", || {
+        open(&fresh) == 0
+    });
     assert_eq!((open(&between), open(&half)), (3, 3));
     served.extend((0..3).map(|n| ask(&daemon, &format!("second{n}"))));
-    eventually(PATIENCE, "the connections between requests stay", || {
-        open(&between) == 0
-    });
+    eventually(
+        EVENT_TIMEOUT,
+        "the connections between requests stay",
+        || open(&between) == 0,
+    );
     assert_eq!((open(&half), open(&served)), (3, 7));
 }
--- a/crates/daemon/tests/crowded_discovery.rs
+++ b/crates/daemon/tests/crowded_discovery.rs
@@ -1,7 +1,9 @@
 //! A discovery service that takes its calls in turn, and several proxies whose watches fall silent at the same time.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
-use common::sockets::{Act, Daemon, Log, Message, backend, config, echo, eventually, line, reply};
+use common::sockets::{
+    BackendAction, Daemon, Log, Message, backend, config, echo, endpoint_entry, eventually, reply,
+};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -19,9 +21,9 @@
 const COUNTS_AS_TOLD: Duration = Duration::from_secs(6);
 const WATCH: &str = "list got GET /registry/instances?from=101&hold_ms=3500 HTTP/1.1 ";
 
-fn list(version: u64, whole: bool, lines: &[Value]) -> Act {
+fn list(version: u64, whole: bool, lines: &[Value]) -> BackendAction {
     let body = json!({"rev": version, "all": whole, "targets": lines}).to_string();
-    Act::Write(reply("200 OK", &body))
+    BackendAction::Respond(reply("200 OK", &body))
 }
 
 /// Answers the first call of each proxy at once, leaves each watch without an answer, and takes all other calls in turn,
@@ -29,11 +31,11 @@
 fn service(log: &Log, ready: Value, draining: Value) -> SocketAddr {
     let turn = Arc::new(Mutex::new(()));
     backend("list", log, move |call: &Message| {
-        if !call.first.contains("from=") {
+        if !call.start_line.contains("from=") {
             return list(FIRST, true, std::slice::from_ref(&ready));
         }
-        if !call.first.contains("hold_ms=0 ") {
-            return Act::Hang;
+        if !call.start_line.contains("hold_ms=0 ") {
+            return BackendAction::Hang;
         }
         let _turn = turn.lock().expect("no call panics");
         sleep(CALL_TIME);
@@ -45,7 +47,10 @@
 fn each_proxy_is_told_in_time_when_all_watches_fall_silent_together() {
     let log = Log::new(vec![]);
     let node = echo("b1", &log);
-    let (ready, draining) = (line("s-1", node, "Ready"), line("s-1", node, "Terminating"));
+    let (ready, draining) = (
+        endpoint_entry("s-1", node, "Ready"),
+        endpoint_entry("s-1", node, "Terminating"),
+    );
     let address = service(&log, ready, draining);
     let daemons: Vec<_> = (0..PROXIES)
         .map(|_| Daemon::start(PROGRAM, &[("s-1", node)]))
--- a/crates/daemon/tests/ending.rs
+++ b/crates/daemon/tests/ending.rs
@@ -4,8 +4,8 @@
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
-    Act, Client, Daemon, HEALTH, Log, PATIENCE, backend, blind, echo, eventually, gated, reply,
-    rpc, send_signal,
+    BackendAction, Client, Daemon, EVENT_TIMEOUT, HEALTH, Log, backend, echo, eventually,
+    gated_backend, reply, rpc, send_signal, without_health_checks,
 };
 use serde_json::Value;
 use std::net::{SocketAddr, TcpListener};
@@ -33,7 +33,7 @@
 fn statuses(clients: &mut [Client]) -> Vec<Option<u16>> {
     clients
         .iter_mut()
-        .map(|client| client.answer().map(|answer| answer.status()))
+        .map(|client| client.response().map(|answer| answer.status()))
         .collect()
 }
 
@@ -70,7 +70,8 @@
 #[test]
 fn rpc_on_an_idle_connection_is_answered_after_the_idle_deadline() {
     let log = Log::new(vec![]);
-    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], blind);
+    let mut daemon =
+        Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], without_health_checks);
     let mut clients = idle_clients(&daemon);
     daemon.signal("TERM");
     daemon.await_ready(503);
@@ -82,17 +83,17 @@
     daemon.signal("CONT");
     assert_eq!(statuses(&mut clients), vec![Some(200); CLIENTS]);
     assert!(clients.iter_mut().all(Client::is_closed));
-    assert!(daemon.await_end().success());
+    assert!(daemon.await_exit().success());
 }
 
 /// The deadline of idle connections expires during a standby while complete RPCs on them are unread.
 #[test]
 fn rpc_on_an_idle_connection_is_answered_on_standby() {
     let log = Log::new(vec![]);
-    let management = common::sockets::free();
+    let management = common::sockets::unused_address();
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], |config| {
         config["management"] = management.to_string().into();
-        blind(config);
+        without_health_checks(config);
     });
     let mut clients = idle_clients(&daemon);
     let mut operator = Client::open(management).expect("a connection");
@@ -113,7 +114,7 @@
     let log = Log::new(vec![]);
     let few = |config: &mut Value| {
         config["limits"]["sockets"] = 74.into(); // room for ten clients
-        blind(config);
+        without_health_checks(config);
     };
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], few);
     let mut clients: Vec<_> = idle_clients(&daemon).drain(CLIENTS - 10..).collect();
@@ -151,7 +152,8 @@
 #[test]
 fn connections_in_the_backlog_are_served_after_the_accept_deadline() {
     let log = Log::new(vec![]);
-    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], blind);
+    let mut daemon =
+        Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], without_health_checks);
     daemon.signal("TERM");
     daemon.await_ready(503);
     daemon.signal("STOP");
@@ -162,14 +164,15 @@
     sleep(Duration::from_millis(700));
     daemon.signal("CONT");
     assert_eq!(statuses(&mut clients), vec![Some(200); CLIENTS]);
-    assert!(daemon.await_end().success());
+    assert!(daemon.await_exit().success());
 }
 
 /// A message that is incomplete at SIGTERM is served once it is complete, if the response deadline allows.
 #[test]
 fn message_that_is_incomplete_at_sigterm_is_served() {
     let log = Log::new(vec![]);
-    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], blind);
+    let mut daemon =
+        Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], without_health_checks);
     let mut clients = idle_clients(&daemon);
     let message = |n: usize| rpc("POST", "/book", &format!("n{n}"), "body");
     // Half of a head, or half of a body.
@@ -190,12 +193,12 @@
         client.send(&message(n)[part(n)..]);
     }
     assert_eq!(statuses(&mut clients), vec![Some(200); CLIENTS]);
-    assert!(daemon.await_end().success());
+    assert!(daemon.await_exit().success());
 }
 
 /// Starts a backend that never responds.
 fn backend_that_never_answers(log: &Log) -> SocketAddr {
-    backend("b1", log, |_| Act::Hang)
+    backend("b1", log, |_| BackendAction::Hang)
 }
 
 /// All RPCs are answered, and the process exits, before SIGKILL, which follows 0.7 s after the longest deadline or after
@@ -206,7 +209,7 @@
         PROGRAM,
         &[("s-1", backend_that_never_answers(&log))],
         |config| {
-            blind(config);
+            without_health_checks(config);
             for method in config["settings"]["methods"]
                 .as_array_mut()
                 .expect("methods")
@@ -229,13 +232,13 @@
     daemon.await_ready(503);
     after.send(&long("after"));
     let answers = (
-        before.answer().map(|a| a.status()),
-        after.answer().map(|a| a.status()),
+        before.response().map(|a| a.status()),
+        after.response().map(|a| a.status()),
     );
     assert_eq!(answers, (Some(502), Some(502)), "both may have run");
     assert!(term.elapsed() < kill, "answered after {:?}", term.elapsed());
     assert!(half.is_closed());
-    assert!(daemon.await_end().success());
+    assert!(daemon.await_exit().success());
     assert!(term.elapsed() < kill, "ended after {:?}", term.elapsed());
 }
 
@@ -252,9 +255,9 @@
 #[test]
 fn missing_deadline_does_not_end_rpcs_at_sigterm() {
     let log = Log::new(vec![]);
-    let (at, gate) = gated("b1", &log, "");
+    let (at, gate) = gated_backend("b1", &log, "");
     let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], |config| {
-        blind(config);
+        without_health_checks(config);
         for method in config["settings"]["methods"]
             .as_array_mut()
             .expect("methods")
@@ -270,15 +273,16 @@
     assert!(daemon.client().is_closed());
     sleep(Duration::from_millis(200));
     gate.change(|open| *open = true);
-    assert_eq!(held.answer().map(|answer| answer.status()), Some(200));
-    assert!(daemon.await_end().success());
+    assert_eq!(held.response().map(|answer| answer.status()), Some(200));
+    assert!(daemon.await_exit().success());
 }
 
 /// Repeated SIGTERM, and SIGHUP before and after it, cause one graceful shutdown.
 #[test]
 fn repeated_signals_cause_one_graceful_shutdown() {
     let log = Log::new(vec![]);
-    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], blind);
+    let mut daemon =
+        Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], without_health_checks);
     let mut clients = idle_clients(&daemon);
     daemon.signal("STOP");
     for name in ["HUP", "TERM", "HUP", "TERM", "HUP"] {
@@ -290,13 +294,13 @@
     daemon.signal("CONT");
     assert_eq!(statuses(&mut clients), vec![Some(200); CLIENTS]);
     daemon.signal("TERM");
-    assert!(daemon.await_end().success());
+    assert!(daemon.await_exit().success());
     let ended = daemon
         .logged()
         .matches("exiting with 0 client connections")
         .count();
     assert_eq!(ended, 1);
-    eventually(PATIENCE, "the process still listens", || {
+    eventually(EVENT_TIMEOUT, "the process still listens", || {
         Client::open(daemon.at).is_none()
     });
 }
@@ -307,11 +311,11 @@
     let log = Log::new(vec![]);
     let at = backend("b1", &log, |m| {
         match m.header("request-id").ends_with('0') {
-            true => Act::Hang,
-            false => Act::Write(reply("200 OK", "")),
+            true => BackendAction::Hang,
+            false => BackendAction::Respond(reply("200 OK", "")),
         }
     });
-    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], blind);
+    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
     let mut clients = idle_clients(&daemon);
     daemon.signal("STOP");
     for (n, client) in clients.iter_mut().enumerate() {
@@ -331,5 +335,5 @@
         (CLIENTS, CLIENTS / 4),
         "{answers:?}"
     );
-    assert!(daemon.await_end().success());
+    assert!(daemon.await_exit().success());
 }
--- a/crates/daemon/tests/endpoint_changes.rs
+++ b/crates/daemon/tests/endpoint_changes.rs
@@ -2,8 +2,9 @@
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
-    Act, Daemon, HEALTH, List, Log, PATIENCE, Shared, Slow, backend, blind, config, echo,
-    eventually, gated, line, reply, rpc,
+    BackendAction, Daemon, DiscoveryService, EVENT_TIMEOUT, HEALTH, Log, Shared, SlowAccept,
+    backend, config, echo, endpoint_entry, eventually, gated_backend, reply, rpc,
+    without_health_checks,
 };
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
@@ -14,18 +15,18 @@
 #[test]
 fn a_drain_withdraws_an_attempt_that_waits_for_its_connection() {
     let log = Log::new(vec![]);
-    let (good, slow) = (echo("b1", &log), Slow::start());
+    let (good, slow) = (echo("b1", &log), SlowAccept::start());
     // The connect would not time out within the test.
     let long = |config: &mut Value| {
         config["settings"]["methods"][1]["latency-target-ns"] = 60e9.into();
         config["settings"]["ceilings"]["connect-timeout-ns"] = 60e9.into();
-        blind(config);
+        without_health_checks(config);
     };
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", good)], long);
-    daemon.earn_credit();
-    daemon.list.tell_heard(&[
-        line("s-1", good, "Terminating"),
-        line("s-2", slow.at, "Ready"),
+    daemon.fill_retry_budget();
+    daemon.discovery.publish_and_wait(&[
+        endpoint_entry("s-1", good, "Terminating"),
+        endpoint_entry("s-2", slow.at, "Ready"),
     ]);
     let mut client = daemon.client();
     client.send(&rpc("POST", "/book", "waits", "").replace("3000", "60000"));
@@ -35,31 +36,31 @@
         0,
         "the draining backend gets nothing new"
     );
-    daemon.list.tell(&[
-        line("s-1", good, "Ready"),
-        line("s-2", slow.at, "Terminating"),
+    daemon.discovery.publish(&[
+        endpoint_entry("s-1", good, "Ready"),
+        endpoint_entry("s-2", slow.at, "Terminating"),
     ]);
-    assert_eq!(client.answer().unwrap().text(), "b1:");
+    assert_eq!(client.response().unwrap().text(), "b1:");
 }
 
 /// A backend that moved gets nothing at its old address, also not on a connection that was in use meanwhile.
 #[test]
 fn a_moved_backend_gets_rpcs_at_its_new_address_only() {
     let log = Log::new(vec![]);
-    let (old, gate) = gated("b1", &log, "old");
+    let (old, gate) = gated_backend("b1", &log, "old");
     let daemon = Daemon::start(PROGRAM, &[("s-1", old)]);
     let mut client = daemon.client();
     client.send(&rpc("POST", "/book", "before", ""));
     log.await_event("b1 got POST /book HTTP/1.1 before");
     daemon
-        .list
-        .tell_heard(&[line("s-1", echo("b2", &log), "Ready")]);
+        .discovery
+        .publish_and_wait(&[endpoint_entry("s-1", echo("b2", &log), "Ready")]);
     gate.change(|open| *open = true);
-    assert_eq!(client.answer().unwrap().text(), "old");
+    assert_eq!(client.response().unwrap().text(), "old");
     assert_eq!(client.text_of(&rpc("POST", "/book", "after", "")), "b2:");
     daemon
-        .list
-        .tell_heard(&[line("s-1", echo("b3", &log), "Ready")]);
+        .discovery
+        .publish_and_wait(&[endpoint_entry("s-1", echo("b3", &log), "Ready")]);
     assert_eq!(client.text_of(&rpc("POST", "/book", "idle", "")), "b3:");
 }
 
@@ -67,9 +68,13 @@
 #[test]
 fn connections_that_a_backend_closed_are_released() {
     let log = Log::new(vec![]);
-    let at = backend("b1", &log, |_| Act::Cut(reply("200 OK", "last")));
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], blind);
-    daemon.list.tell_heard(&[line("s-1", at, "Ready")]);
+    let at = backend("b1", &log, |_| {
+        BackendAction::RespondAndClose(reply("200 OK", "last"))
+    });
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
+    daemon
+        .discovery
+        .publish_and_wait(&[endpoint_entry("s-1", at, "Ready")]);
     let mut client = daemon.client();
     assert_eq!(client.status_of(HEALTH), 200);
     let before = daemon.descriptors();
@@ -94,14 +99,14 @@
     let last = Shared::new(Instant::now());
     let at = backend("b1", &log, move |m| {
         let idle = last.change(|last| std::mem::replace(last, Instant::now()).elapsed());
-        let lost = m.before > 0 && idle > Duration::from_millis(150);
+        let lost = m.messages_before > 0 && idle > Duration::from_millis(150);
         if lost {
-            Act::Cut(vec![])
+            BackendAction::RespondAndClose(vec![])
         } else {
-            Act::Write(reply("200 OK", ""))
+            BackendAction::Respond(reply("200 OK", ""))
         }
     });
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], blind);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
     let mut client = daemon.client();
     let mut lost = 0;
     for n in 0..6 {
@@ -119,8 +124,10 @@
     let daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
     let replace = |rounds: std::ops::Range<usize>| {
         for round in rounds {
-            let lines = (0..2000).map(|n| line(&format!("s-{round}-{n}"), at, "Ready"));
-            daemon.list.tell_heard(&lines.collect::<Vec<_>>());
+            let lines = (0..2000).map(|n| endpoint_entry(&format!("s-{round}-{n}"), at, "Ready"));
+            daemon
+                .discovery
+                .publish_and_wait(&lines.collect::<Vec<_>>());
         }
         daemon.memory()
     };
@@ -141,10 +148,10 @@
 fn a_watch_without_an_answer_is_repeated() {
     let log = Log::new(vec![]);
     let mut daemon = Daemon::start(PROGRAM, &[("s-1", echo("b1", &log))]);
-    let next = List::without_answer_to(0);
-    next.tell(&[line("s-2", echo("b2", &log), "Ready")]);
+    let next = DiscoveryService::without_response_to(0);
+    next.publish(&[endpoint_entry("s-2", echo("b2", &log), "Ready")]);
     daemon.reload(&config(daemon.at, next.at, &[]).to_string());
-    daemon.list = next;
+    daemon.discovery = next;
     let mut client = daemon.client();
     let mut ask = || client.text_of(&rpc("GET", "/read", "id", "")) == "b2:";
     eventually(
@@ -162,19 +169,19 @@
     let mut client = daemon.client();
     let mut ask = |n: &str| client.text_of(&rpc("GET", "/read", n, ""));
     assert_eq!(ask("up"), "b1:");
-    daemon.list.tell_text(None);
+    daemon.discovery.respond_with(None);
     assert_eq!(ask("down"), "b1:");
-    daemon.list.tell_text(Some("{\"rev\": nonsense"));
+    daemon.discovery.respond_with(Some("{\"rev\": nonsense"));
     assert_eq!(ask("garbage"), "b1:");
     let odd = [
         json!({"uid": "s-9", "state": "Dreaming"}),
         json!({"state": "Ready"}),
     ];
     daemon
-        .list
-        .tell(&[&odd[..], &[line("s-2", new, "Ready")]].concat());
+        .discovery
+        .publish(&[&odd[..], &[endpoint_entry("s-2", new, "Ready")]].concat());
     eventually(
-        PATIENCE,
+        EVENT_TIMEOUT,
         "the list of the restored service was never applied",
         || ask("back") == "b2:",
     );
@@ -187,10 +194,10 @@
     let at = echo("b1", &log);
     let daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
     let begun = Instant::now();
-    let same = json!({"rev": 0, "all": true, "targets": [line("s-1", at, "Ready")]});
-    daemon.list.tell_text(Some(&same.to_string()));
+    let same = json!({"rev": 0, "all": true, "targets": [endpoint_entry("s-1", at, "Ready")]});
+    daemon.discovery.respond_with(Some(&same.to_string()));
     std::thread::sleep(Duration::from_millis(300));
-    let calls = daemon.list.calls.change(|calls| *calls) as u128;
+    let calls = daemon.discovery.calls.change(|calls| *calls) as u128;
     assert!(
         calls <= 4 + begun.elapsed().as_millis() / 20,
         "{calls} calls"
--- a/crates/daemon/tests/footprint.rs
+++ b/crates/daemon/tests/footprint.rs
@@ -1,7 +1,7 @@
 //! The memory that a listed backend costs an idle proxy.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
-use common::sockets::{Daemon, Log, blind, echo, line};
+use common::sockets::{Daemon, Log, echo, endpoint_entry, without_health_checks};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
@@ -11,12 +11,12 @@
     const MORE: usize = 4_000;
     let log = Log::new(vec![]);
     let at = echo("b1", &log);
-    let daemon = Daemon::start_with(PROGRAM, &[("s-0", at)], blind);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-0", at)], without_health_checks);
     let before = daemon.memory();
     let lines: Vec<_> = (0..=MORE)
-        .map(|n| line(&format!("s-{n}"), at, "Ready"))
+        .map(|n| endpoint_entry(&format!("s-{n}"), at, "Ready"))
         .collect();
-    daemon.list.tell_heard(&lines);
+    daemon.discovery.publish_and_wait(&lines);
     let each = (daemon.memory() - before) / MORE;
     assert!(each < 5 << 10, "{each} bytes for a backend");
 }
--- a/crates/daemon/tests/forwarding.rs
+++ b/crates/daemon/tests/forwarding.rs
@@ -2,8 +2,8 @@
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
-    Act, Client, Daemon, HEALTH, Log, Message, PATIENCE, Shared, backend, blind, echo, eventually,
-    free, line, reply, rpc,
+    BackendAction, Client, Daemon, EVENT_TIMEOUT, HEALTH, Log, Message, Shared, backend, echo,
+    endpoint_entry, eventually, reply, rpc, unused_address, without_health_checks,
 };
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -40,12 +40,12 @@
     let log = Log::new(vec![]);
     let noted = log.clone();
     let at = backend("b1", &log, move |m| {
-        noted.note(format!(
+        noted.record(format!(
             "{} {}",
             m.header("idempotency-key"),
             m.header("request-timeout-ms").len()
         ));
-        Act::Write(reply("200 OK", ""))
+        BackendAction::Respond(reply("200 OK", ""))
     });
     let daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
     assert_eq!(
@@ -65,14 +65,14 @@
         backend(name, &log, move |m| {
             let cut = m.header("request-id").starts_with("cut") && first.change(std::mem::take);
             if cut {
-                Act::Cut(vec![])
+                BackendAction::RespondAndClose(vec![])
             } else {
-                Act::Write(reply("200 OK", name))
+                BackendAction::Respond(reply("200 OK", name))
             }
         })
     };
     let daemon = Daemon::start(PROGRAM, &[("s-1", bad("b1")), ("s-2", bad("b2"))]);
-    daemon.earn_credit();
+    daemon.fill_retry_budget();
     let mut client = daemon.client();
     for ((method, verb), (status, sent)) in KINDS.iter().zip([(200, 2), (502, 1), (200, 2)]) {
         first.change(|f| *f = true);
@@ -83,7 +83,7 @@
             "{method}"
         );
         assert_eq!(log.count(&id), sent, "{method}");
-        daemon.earn_credit();
+        daemon.fill_retry_budget();
     }
 }
 
@@ -92,12 +92,15 @@
 fn an_attempt_without_a_connection_is_retried_at_another_backend() {
     let log = Log::new(vec![]);
     let good = echo("b1", &log);
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", good)], blind);
-    daemon.earn_credit();
-    let dead = [line("s-2", free(), "Ready"), line("s-3", free(), "Ready")];
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", good)], without_health_checks);
+    daemon.fill_retry_budget();
+    let dead = [
+        endpoint_entry("s-2", unused_address(), "Ready"),
+        endpoint_entry("s-3", unused_address(), "Ready"),
+    ];
     daemon
-        .list
-        .tell_heard(&[&dead[..], &[line("s-1", good, "Ready")]].concat());
+        .discovery
+        .publish_and_wait(&[&dead[..], &[endpoint_entry("s-1", good, "Ready")]].concat());
     let mut client = daemon.client();
     for n in 0..20 {
         assert_eq!(
@@ -112,11 +115,13 @@
 fn malformed_responses_of_a_backend_fail_the_attempt() {
     let log = Log::new(vec![]);
     let at = backend("b1", &log, |m| match m.header("request-id") {
-        "garbage" => Act::Write(b"what?\r\n\r\n".to_vec()),
-        "half" => Act::Cut(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()),
-        "error" => Act::Write(reply("500 No", "")),
-        "refuses" => Act::Write(reply("503 No", "")),
-        _ => Act::Write(reply("200 OK", &"x".repeat(64 << 10))),
+        "garbage" => BackendAction::Respond(b"what?\r\n\r\n".to_vec()),
+        "half" => BackendAction::RespondAndClose(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec(),
+        ),
+        "error" => BackendAction::Respond(reply("500 No", "")),
+        "refuses" => BackendAction::Respond(reply("503 No", "")),
+        _ => BackendAction::Respond(reply("200 OK", &"x".repeat(64 << 10))),
     });
     let daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
     let mut client = daemon.client();
@@ -140,7 +145,10 @@
     let full = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
     let daemon = Daemon::start(
         PROGRAM,
-        &[("s-1", backend("b1", &log, |_| Act::Write(full.to_vec())))],
+        &[(
+            "s-1",
+            backend("b1", &log, |_| BackendAction::Respond(full.to_vec())),
+        )],
     );
     assert_eq!(
         daemon.client().status_of(&rpc("POST", "/book", "id", "")),
@@ -152,7 +160,10 @@
 #[test]
 fn a_timed_out_attempt_closes_its_socket() {
     let log = Log::new(vec![]);
-    let daemon = Daemon::start(PROGRAM, &[("s-1", backend("b1", &log, |_| Act::Hang))]);
+    let daemon = Daemon::start(
+        PROGRAM,
+        &[("s-1", backend("b1", &log, |_| BackendAction::Hang))],
+    );
     let mut client = daemon.client();
     let message = rpc("POST", "/book", "slow", "").replace("3000", "400");
     assert_eq!(client.status_of(&message), 502);
@@ -168,7 +179,7 @@
         |config: &mut Value| config["settings"]["methods"][0]["latency-target-ns"] = 60e9.into();
     let daemon = Daemon::start_with(
         PROGRAM,
-        &[("s-1", backend("b1", &log, |_| Act::Hang))],
+        &[("s-1", backend("b1", &log, |_| BackendAction::Hang))],
         long,
     );
     let mut client = daemon.client();
@@ -183,8 +194,10 @@
 fn bytes_after_a_response_answer_no_rpc() {
     let log = Log::new(vec![]);
     let copy = |m: &Message| reply("200 OK", &m.text());
-    let at = backend("b1", &log, move |m| Act::Write([copy(m), copy(m)].concat()));
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], blind);
+    let at = backend("b1", &log, move |m| {
+        BackendAction::Respond([copy(m), copy(m)].concat())
+    });
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
     let mut client = daemon.client();
     for n in 0..20 {
         let answer = client
@@ -195,15 +208,22 @@
     let (seen, noted) = (log.clone(), log.clone());
     let late = backend("b2", &noted, move |m| {
         match m.header("request-id").strip_prefix("first") {
-            Some(n) => Act::Late(copy(m), seen.clone(), format!("second{n}"), copy(m)),
-            None => Act::Write(copy(m)),
+            Some(n) => BackendAction::RespondLater {
+                first: copy(m),
+                log: seen.clone(),
+                event: format!("second{n}"),
+                rest: copy(m),
+            },
+            None => BackendAction::Respond(copy(m)),
         }
     });
-    daemon.list.tell_heard(&[line("s-2", late, "Ready")]);
+    daemon
+        .discovery
+        .publish_and_wait(&[endpoint_entry("s-2", late, "Ready")]);
     let mut tries = 0..;
     // The second may arrive too late on a slow machine; the connection of the first is in use again by then.
     eventually(
-        PATIENCE,
+        EVENT_TIMEOUT,
         "the second response answered the RPC of the first",
         || {
             let n = tries.next().expect("one more");
@@ -261,11 +281,11 @@
         config["settings"]["extra"] = json!({"warm-keys": true});
     });
     let in_its_cell = |(n, (uid, at)): (usize, &(&str, SocketAddr))| {
-        let mut line = line(uid, *at, "Ready");
+        let mut line = endpoint_entry(uid, *at, "Ready");
         line["pod_group"] = n.into();
         line
     };
-    daemon.list.tell_heard(
+    daemon.discovery.publish_and_wait(
         &backends
             .iter()
             .enumerate()
--- a/crates/daemon/tests/in_force/load.rs
+++ b/crates/daemon/tests/in_force/load.rs
@@ -1,5 +1,5 @@
 //! Reloads under load.
-use crate::common::sockets::{Client, Log, PATIENCE, Shared, echo, eventually, rpc};
+use crate::common::sockets::{Client, EVENT_TIMEOUT, Log, Shared, echo, eventually, rpc};
 use crate::proxy::{Proxy, method, methods};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -52,7 +52,7 @@
     change_settings(&mut proxy.config["settings"], n);
     let before = responses.load(Ordering::SeqCst);
     proxy.reload();
-    eventually(PATIENCE, "no RPC completes", || {
+    eventually(EVENT_TIMEOUT, "no RPC completes", || {
         responses.load(Ordering::SeqCst) > before
     });
 }
@@ -61,7 +61,7 @@
 /// clients would be evicted.
 fn await_last_change(proxy: &Proxy) {
     let digest = format!("digest {}", proxy.expected_digest());
-    eventually(PATIENCE, "the last change never became active", || {
+    eventually(EVENT_TIMEOUT, "the last change never became active", || {
         std::thread::sleep(Duration::from_millis(10));
         let logged = proxy.daemon.logged();
         let mut lines = logged.lines();
--- a/crates/daemon/tests/in_force/planned_size.rs
+++ b/crates/daemon/tests/in_force/planned_size.rs
@@ -1,5 +1,5 @@
 //! The cost of a reload at the planned size of the fleet, printed by an ignored test.
-use crate::common::sockets::{Client, Daemon, Log, PATIENCE, Shared, echo, eventually};
+use crate::common::sockets::{Client, Daemon, EVENT_TIMEOUT, Log, Shared, echo, eventually};
 use crate::load::SetOnDrop;
 use crate::proxy::{Proxy, call, method, methods};
 use serde_json::json;
@@ -54,7 +54,7 @@
     let text = proxy.config.to_string();
     let started = Instant::now();
     proxy.daemon.reload(&text);
-    eventually(PATIENCE, "never active", || {
+    eventually(EVENT_TIMEOUT, "never active", || {
         std::thread::sleep(Duration::from_millis(1));
         proxy.is_at(n)
     });
--- a/crates/daemon/tests/in_force/proxy.rs
+++ b/crates/daemon/tests/in_force/proxy.rs
@@ -1,5 +1,7 @@
 //! A birchhubd process whose configuration changes while it runs.
-use crate::common::sockets::{Client, Daemon, PATIENCE, blind, eventually, free, rpc};
+use crate::common::sockets::{
+    Client, Daemon, EVENT_TIMEOUT, eventually, rpc, unused_address, without_health_checks,
+};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
@@ -16,11 +18,11 @@
 
 impl Proxy {
     pub(crate) fn start(backends: &[(&str, SocketAddr)], change: impl FnOnce(&mut Value)) -> Self {
-        let management = free();
+        let management = unused_address();
         let mut initial_config = Value::Null;
         let daemon = Daemon::start_with(PROGRAM, backends, |config| {
             config["management"] = management.to_string().into();
-            blind(config);
+            without_health_checks(config);
             change(config);
             initial_config = config.clone();
         });
@@ -60,12 +62,12 @@
         change(&mut self.config["settings"]);
         self.reload();
         let complaint = format!("version {version} never became active");
-        eventually(PATIENCE, &complaint, || self.is_at(version));
+        eventually(EVENT_TIMEOUT, &complaint, || self.is_at(version));
     }
 
     /// Waits until the log contains this text.
     pub(crate) fn await_log(&self, text: &str) {
-        eventually(PATIENCE, &format!("never logged: {text}"), || {
+        eventually(EVENT_TIMEOUT, &format!("never logged: {text}"), || {
             self.daemon.logged().contains(text)
         });
     }
@@ -75,7 +77,9 @@
         let reloads = || self.daemon.logged().matches("SIGHUP: ").count();
         let before = reloads();
         self.daemon.signal("HUP");
-        eventually(PATIENCE, "the file was never read", || reloads() > before);
+        eventually(EVENT_TIMEOUT, "the file was never read", || {
+            reloads() > before
+        });
     }
 
     /// Calls a method on a new connection, and returns the status of the response.
--- a/crates/daemon/tests/in_force/restart.rs
+++ b/crates/daemon/tests/in_force/restart.rs
@@ -1,5 +1,7 @@
 //! Keys that take effect at the next start only, and the texts that name them.
-use crate::common::sockets::{Log, PATIENCE, echo, eventually, free, line};
+use crate::common::sockets::{
+    EVENT_TIMEOUT, Log, echo, endpoint_entry, eventually, unused_address,
+};
 use crate::proxy::{Proxy, method, methods};
 use serde_json::{Value, json};
 
@@ -9,7 +11,7 @@
 /// Changes each of the [`RESTART_KEYS`].
 fn change_restart_keys(config: &mut Value) {
     config["name"] = "n9".into();
-    config["listen"] = free().to_string().into();
+    config["listen"] = unused_address().to_string().into();
     config["seed"] = "1".into();
     config["limits"]["sockets"] = 77.into();
     let settings = &mut config["settings"];
@@ -31,11 +33,11 @@
     for reloads in 1..=2 {
         proxy.reload();
         let warning = format!("these keys take effect at the next start: {RESTART_KEYS}");
-        eventually(PATIENCE, "never logged", || {
+        eventually(EVENT_TIMEOUT, "never logged", || {
             proxy.daemon.logged().matches(&warning).count() == reloads
         });
         let waiting = format!("at the next start: {RESTART_KEYS}\n");
-        eventually(PATIENCE, "never shown", || {
+        eventually(EVENT_TIMEOUT, "never shown", || {
             proxy.active_settings().ends_with(&waiting)
         });
         assert!(proxy.is_at(0), "{}", proxy.active_settings());
@@ -48,7 +50,10 @@
     });
     assert_eq!(proxy.call("POST", "extra", "new"), 200);
     // The endpoint list is read in the mode and with the zones of the start.
-    proxy.daemon.list.tell_heard(&[line("s-1", at, "Ready")]);
+    proxy
+        .daemon
+        .discovery
+        .publish_and_wait(&[endpoint_entry("s-1", at, "Ready")]);
     assert_eq!(proxy.call("POST", "extra", "listed"), 200);
 }
 
--- a/crates/daemon/tests/in_force/rpcs.rs
+++ b/crates/daemon/tests/in_force/rpcs.rs
@@ -1,6 +1,7 @@
 //! RPCs that are in flight or arrive while settings change.
 use crate::common::sockets::{
-    Act, Client, Log, PATIENCE, Shared, backend, echo, eventually, gated, reply, rpc,
+    BackendAction, Client, EVENT_TIMEOUT, Log, Shared, backend, echo, eventually, gated_backend,
+    reply, rpc,
 };
 use crate::proxy::{Proxy, call, method, methods};
 use serde_json::{Value, json};
@@ -23,7 +24,7 @@
 #[test]
 fn rpcs_in_flight_complete_under_the_old_methods() {
     let log = Log::new(vec![]);
-    let (at, gate) = gated("b1", &log, "done");
+    let (at, gate) = gated_backend("b1", &log, "done");
     let mut proxy = Proxy::start(&[("s-1", at)], |_| {});
     let mut in_flight = start_rpcs(&proxy, &log);
     proxy.change(1, |settings| {
@@ -38,7 +39,7 @@
     assert_eq!(proxy.call("GET", "read", "wrong"), 400);
     gate.change(|open| *open = true);
     for (name, client) in &mut in_flight {
-        let response = client.answer().expect("a response");
+        let response = client.response().expect("a response");
         assert_eq!(response.status(), 200, "{name}");
         assert_eq!(response.text(), "done", "{name}");
     }
@@ -74,10 +75,10 @@
                     is_first
                 });
             if !is_first {
-                return Act::Write(reply("200 OK", name));
+                return BackendAction::Respond(reply("200 OK", name));
             }
-            gate.wait(PATIENCE, |open| *open);
-            Act::Cut(vec![])
+            gate.wait(EVENT_TIMEOUT, |open| *open);
+            BackendAction::RespondAndClose(vec![])
         });
         (uid, at)
     })
@@ -89,15 +90,15 @@
     let log = Log::new(vec![]);
     let gate = Shared::new(false);
     let mut proxy = Proxy::start(&cutting_backends(&log, &gate), |_| {});
-    proxy.daemon.earn_credit();
+    proxy.daemon.fill_retry_budget();
     let mut client = proxy.daemon.client();
     client.send(&rpc("GET", "/read", "cut-held", ""));
-    eventually(PATIENCE, "never sent", || log.count("cut-held") == 1);
+    eventually(EVENT_TIMEOUT, "never sent", || log.count("cut-held") == 1);
     proxy.change(1, |settings| {
         methods(settings)[0] = method("read", "non_idempotent")
     });
     gate.change(|open| *open = true);
-    let status = client.answer().expect("a response").status();
+    let status = client.response().expect("a response").status();
     assert_eq!(status, 200, "it was idempotent when it was accepted");
     assert_eq!(log.count("cut-held"), 2);
     assert_eq!(proxy.call("POST", "read", "cut-next"), 502);
@@ -143,7 +144,7 @@
     });
     let complete = |(client, message): (&mut Client, &String)| {
         client.send(&message[message.len() - 2..]);
-        client.answer().expect("a response").status()
+        client.response().expect("a response").status()
     };
     let statuses: Vec<_> = clients.iter_mut().zip(&messages).map(complete).collect();
     assert_eq!(statuses, [200, 400, 404]);
@@ -156,7 +157,7 @@
     let log = Log::new(vec![]);
     let at = backend("b1", &log, |_| {
         std::thread::sleep(Duration::from_millis(20));
-        Act::Write(reply("200 OK", ""))
+        BackendAction::Respond(reply("200 OK", ""))
     });
     let mut proxy = Proxy::start(&[("s-1", at)], |config| {
         config["settings"]["accounts"] =
@@ -167,7 +168,7 @@
         for (n, client) in clients.iter_mut().enumerate() {
             assert!(client.send(&rpc("GET", "/read", &format!("{round}{n}"), "")));
         }
-        let responses = clients.iter_mut().filter_map(Client::answer);
+        let responses = clients.iter_mut().filter_map(Client::response);
         responses
             .filter(|response| response.status() == 200)
             .count()
--- a/crates/daemon/tests/in_force/unchanged.rs
+++ b/crates/daemon/tests/in_force/unchanged.rs
@@ -1,5 +1,5 @@
 //! Reloads that change nothing: of an invalid configuration, and of the active one.
-use crate::common::sockets::{Log, PATIENCE, echo, eventually, free};
+use crate::common::sockets::{EVENT_TIMEOUT, Log, echo, eventually, unused_address};
 use crate::proxy::{Proxy, method, methods};
 use serde_json::{Value, json};
 
@@ -47,10 +47,10 @@
     for (place, key, value, error) in invalid_values() {
         let mut config = proxy.config.clone();
         methods(&mut config["settings"]).push(method("extra", "read_like"));
-        config["discovery"] = free().to_string().into();
+        config["discovery"] = unused_address().to_string().into();
         config.pointer_mut(place).expect("a place")[key] = value;
         proxy.daemon.reload(&config.to_string());
-        eventually(PATIENCE, &format!("never logged: {error}"), || {
+        eventually(EVENT_TIMEOUT, &format!("never logged: {error}"), || {
             let logged = proxy.daemon.logged();
             let mut lines = logged.lines();
             lines.any(|line| {
--- a/crates/daemon/tests/leaving/connecting.rs
+++ b/crates/daemon/tests/leaving/connecting.rs
@@ -1,28 +1,30 @@
 //! RPCs that wait for a connection to their backend.
-use crate::common::sockets::{Log, PATIENCE, Slow, echo, eventually, line, rpc};
+use crate::common::sockets::{
+    EVENT_TIMEOUT, Log, SlowAccept, echo, endpoint_entry, eventually, rpc,
+};
 use crate::harness::{assert_serves, await_descriptors, proxy_before_a_slow_backend};
 use serde_json::Value;
 
 /// While its connection comes up, also where the settings allow no cancelling, and with a body that is still coming.
 fn while_connecting(change: impl Fn(&mut Value), message: &str) {
     let log = Log::new(vec![]);
-    let slow = Slow::start();
+    let slow = SlowAccept::start();
     let daemon = proxy_before_a_slow_backend(&slow, change);
     let before = daemon.descriptors();
     let mut client = daemon.client();
     client.send(&message.replace("3000", "60000"));
-    eventually(PATIENCE, "no connection was asked for", || {
-        slow.asked() == 1
+    eventually(EVENT_TIMEOUT, "no connection was asked for", || {
+        slow.pending_connects() == 1
     });
     drop(client);
     let complaint = "the client, or what was to be sent for it, is still held";
     await_descriptors(&daemon, before, complaint);
-    daemon.list.tell_heard(&[
-        line("s-1", slow.at, "Terminating"),
-        line("s-2", echo("b2", &log), "Ready"),
+    daemon.discovery.publish_and_wait(&[
+        endpoint_entry("s-1", slow.at, "Terminating"),
+        endpoint_entry("s-2", echo("b2", &log), "Ready"),
     ]);
     assert_eq!(
-        slow.heard_when_let_in(),
+        slow.count_senders(),
         0,
         "forwarded for a client that had left"
     );
--- a/crates/daemon/tests/leaving/harness.rs
+++ b/crates/daemon/tests/leaving/harness.rs
@@ -1,7 +1,7 @@
 //! Clients, the proxy before a backend that holds RPCs, and the ways to disconnect.
 use crate::common::sockets::{
-    Act, Client, Daemon, HEALTH, Log, PATIENCE, Shared, Slow, backend, blind, eventually, reply,
-    rpc,
+    BackendAction, Client, Daemon, EVENT_TIMEOUT, HEALTH, Log, Shared, SlowAccept, backend,
+    eventually, reply, rpc, without_health_checks,
 };
 use serde_json::Value;
 use std::collections::HashSet;
@@ -17,7 +17,7 @@
 pub(crate) fn in_order(config: &mut Value) {
     config["settings"]["methods"][1]["keep-order"] = true.into();
     config["settings"]["contract"]["key-quiet-ns"] = 1.into();
-    blind(config);
+    without_health_checks(config);
 }
 
 /// An RPC of the one key that all of these tests use.
@@ -33,19 +33,19 @@
     let open = gate.clone();
     let at = backend("b1", log, move |m| match m.header("request-id") {
         "first" => {
-            open.wait(PATIENCE, |open| *open);
+            open.wait(EVENT_TIMEOUT, |open| *open);
             // Noted as done with once the answer is on its way, at once.
-            Act::Late(
-                reply("200 OK", ""),
-                Log::new(vec![String::new()]),
-                String::new(),
-                b"\r\n".to_vec(),
-            )
+            BackendAction::RespondLater {
+                first: reply("200 OK", ""),
+                log: Log::new(vec![String::new()]),
+                event: String::new(),
+                rest: b"\r\n".to_vec(),
+            }
         }
-        _ => Act::Write(reply("200 OK", "")),
+        _ => BackendAction::Respond(reply("200 OK", "")),
     });
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], in_order);
-    daemon.earn_credit(); // and shows that work is short: a queue is no reason to reject what comes
+    daemon.fill_retry_budget(); // and shows that work is short: a queue is no reason to reject what comes
     (daemon, gate)
 }
 
@@ -71,7 +71,7 @@
             }
             Disconnect::Reset => {
                 ends.insert((entry(stream.local_addr()), entry(stream.peer_addr())));
-                client.resets_when_dropped();
+                client.reset_on_drop();
             }
         }
     }
@@ -133,11 +133,14 @@
 }
 
 /// A proxy that waits for its connections for longer than the test does.
-pub(crate) fn proxy_before_a_slow_backend(slow: &Slow, change: impl Fn(&mut Value)) -> Daemon {
+pub(crate) fn proxy_before_a_slow_backend(
+    slow: &SlowAccept,
+    change: impl Fn(&mut Value),
+) -> Daemon {
     Daemon::start_with(PROGRAM, &[("s-1", slow.at)], |config| {
         config["settings"]["methods"][1]["latency-target-ns"] = 60e9.into();
         config["settings"]["ceilings"]["connect-timeout-ns"] = 60e9.into();
-        blind(config);
+        without_health_checks(config);
         change(config);
     })
 }
@@ -155,7 +158,7 @@
 }
 
 pub(crate) fn await_descriptors(daemon: &Daemon, most: usize, complaint: &str) {
-    eventually(PATIENCE, complaint, || daemon.descriptors() <= most);
+    eventually(EVENT_TIMEOUT, complaint, || daemon.descriptors() <= most);
 }
 
 /// An RPC of a client that stays is answered with 200.
--- a/crates/daemon/tests/leaving/key_queue.rs
+++ b/crates/daemon/tests/leaving/key_queue.rs
@@ -24,8 +24,8 @@
     await_descriptors(&daemon, before, "clients that left are still held");
     last.send(&of_key("last"));
     gate.change(|open| *open = true);
-    assert_eq!(first.answer().expect("an answer").status(), 200);
-    assert_eq!(last.answer().expect("an answer").status(), 200);
+    assert_eq!(first.response().expect("an answer").status(), 200);
+    assert_eq!(last.response().expect("an answer").status(), 200);
     assert_eq!(
         log.count(" gone"),
         0,
@@ -86,7 +86,7 @@
     client.send(&all);
     gate.change(|open| *open = true);
     let answers = (0..101)
-        .filter_map(|_| client.answer())
+        .filter_map(|_| client.response())
         .filter(|answer| answer.status() == 200)
         .count();
     assert_eq!((answers, log.count(" /log ")), (101, 100));
@@ -103,7 +103,7 @@
     gate.change(|open| *open = true);
     log.await_event("b1 done with first");
     let kept = disconnect_and_continue(&daemon, gone, how);
-    assert_eq!(first.answer().expect("an answer").status(), 200);
+    assert_eq!(first.response().expect("an answer").status(), 200);
     assert_eq!(last.call(&of_key("last")).expect("an answer").status(), 200);
     assert_eq!(log.count(" gone"), 0, "forwarded for clients that had left");
     drop(kept);
--- a/crates/daemon/tests/leaving/retries.rs
+++ b/crates/daemon/tests/leaving/retries.rs
@@ -1,41 +1,55 @@
 //! RPCs between two attempts, and those whose attempts outlast their client.
 use crate::common::sockets::{
-    Act, Client, Daemon, Log, PATIENCE, Shared, backend, blind, echo, eventually, gated, line,
-    reply, rpc,
+    BackendAction, Client, Daemon, EVENT_TIMEOUT, Log, Shared, backend, echo, endpoint_entry,
+    eventually, gated_backend, reply, rpc, without_health_checks,
 };
 use crate::harness::{
     Disconnect, PROGRAM, accepted_client, await_descriptors, disconnect_and_continue,
 };
 use serde_json::Value;
+use std::net::SocketAddr;
 
-/// Between two attempts: the first is rejected while the proxy is stopped, and then the clients disconnect.
-fn between_attempts(how: &Disconnect, clients: usize) {
-    let log = Log::new(vec![]);
-    let (gate, seen) = (Shared::new(false), log.clone());
+/// Starts a backend that rejects RPCs whose id begins with `gone`, once the gate is open.
+fn rejecting_backend(log: &Log) -> (SocketAddr, Shared<bool>) {
+    let gate = Shared::new(false);
     let open = gate.clone();
-    let at = backend("b1", &log, move |m| {
+    let seen = log.clone();
+    let at = backend("b1", log, move |m| {
         if !m.header("request-id").starts_with("gone") {
-            return Act::Write(reply("200 OK", ""));
+            return BackendAction::Respond(reply("200 OK", ""));
+        }
+        open.wait(EVENT_TIMEOUT, |open| *open);
+        BackendAction::RespondLater {
+            first: reply("503 Busy\r\nNot-Started: 1", ""),
+            log: seen.clone(),
+            event: "".into(),
+            rest: b"\r\n".to_vec(),
         }
-        open.wait(PATIENCE, |open| *open);
-        Act::Late(
-            reply("503 Busy\r\nNot-Started: 1", ""),
-            seen.clone(),
-            "".into(),
-            b"\r\n".to_vec(),
-        )
     });
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at), ("s-2", echo("b2", &log))], blind);
-    daemon.earn_credit();
-    daemon.list.tell_heard(&[line("s-1", at, "Ready")]);
+    (at, gate)
+}
+
+/// Between two attempts: the first is rejected while the proxy is stopped, and then the clients disconnect.
+fn between_attempts(how: &Disconnect, clients: usize) {
+    let log = Log::new(vec![]);
+    let (at, gate) = rejecting_backend(&log);
+    let daemon = Daemon::start_with(
+        PROGRAM,
+        &[("s-1", at), ("s-2", echo("b2", &log))],
+        without_health_checks,
+    );
+    daemon.fill_retry_budget();
+    daemon
+        .discovery
+        .publish_and_wait(&[endpoint_entry("s-1", at, "Ready")]);
     let mut gone: Vec<_> = (0..clients).map(|_| daemon.client()).collect();
     for (n, client) in gone.iter_mut().enumerate() {
         client.send(&rpc("POST", "/book", &format!("gone{n}"), ""));
         log.await_event(&format!("b1 got POST /book HTTP/1.1 gone{n}"));
     }
-    daemon.list.tell_heard(&[
-        line("s-1", at, "Ready"),
-        line("s-2", echo("b2", &log), "Ready"),
+    daemon.discovery.publish_and_wait(&[
+        endpoint_entry("s-1", at, "Ready"),
+        endpoint_entry("s-2", echo("b2", &log), "Ready"),
     ]);
     daemon.signal("STOP");
     gate.change(|open| *open = true);
@@ -65,10 +79,10 @@
 #[test]
 fn request_id_stays_in_use_until_its_attempts_have_ended() {
     let log = Log::new(vec![]);
-    let (at, gate) = gated("b1", &log, "");
+    let (at, gate) = gated_backend("b1", &log, "");
     let fixed = |config: &mut Value| {
         config["settings"]["ceilings"]["cancel"] = false.into();
-        blind(config);
+        without_health_checks(config);
     };
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], fixed);
     let mut other = accepted_client(&daemon);
@@ -86,7 +100,7 @@
     assert_eq!(again(&mut other), Some(409));
     assert_eq!(log.count("same"), 1);
     gate.change(|open| *open = true);
-    eventually(PATIENCE, "the name stays open", || {
+    eventually(EVENT_TIMEOUT, "the name stays open", || {
         again(&mut daemon.client()) == Some(200)
     });
 }
--- a/crates/daemon/tests/leaving/stopped.rs
+++ b/crates/daemon/tests/leaving/stopped.rs
@@ -1,6 +1,7 @@
 //! RPCs whose clients disconnect while the proxy is stopped.
 use crate::common::sockets::{
-    Daemon, Log, PATIENCE, Slow, blind, echo, eventually, line, read_message, reply, rpc,
+    Daemon, EVENT_TIMEOUT, Log, SlowAccept, echo, endpoint_entry, eventually, read_message, reply,
+    rpc, without_health_checks,
 };
 use crate::harness::{
     Disconnect, LATE, PROGRAM, accepted_client, assert_serves, await_descriptors,
@@ -13,17 +14,18 @@
 /// longer after that than an attempt may begin.
 fn while_the_proxy_is_stopped(message: impl Fn(usize) -> String, how: &Disconnect, clients: usize) {
     let log = Log::new(vec![]);
-    let slow = Slow::start();
+    let slow = SlowAccept::start();
     let daemon = proxy_before_a_slow_backend(&slow, |_| {});
     let gone = send_from_new_clients(&daemon, clients, |n| message(n).replace("3000", "60000"));
-    eventually(PATIENCE, "not all asked for a connection", || {
-        slow.asked() == clients
+    eventually(EVENT_TIMEOUT, "not all asked for a connection", || {
+        slow.pending_connects() == clients
     });
     daemon.signal("STOP");
-    let peers = slow.let_in(clients);
+    let peers = slow.accept(clients);
     let kept = disconnect_and_continue(&daemon, gone, how);
     let heard = |mut peer: &socket2::Socket| {
-        peer.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        peer.set_read_timeout(Some(EVENT_TIMEOUT))
+            .expect("a time-out");
         peer.read(&mut [0])
             .map_or_else(|e| e.kind() == ErrorKind::WouldBlock, |bytes| bytes > 0)
     };
@@ -34,8 +36,8 @@
     );
     drop(kept);
     daemon
-        .list
-        .tell_heard(&[line("s-2", echo("b2", &log), "Ready")]);
+        .discovery
+        .publish_and_wait(&[endpoint_entry("s-2", echo("b2", &log), "Ready")]);
     assert_serves(&mut daemon.client());
 }
 
@@ -89,37 +91,38 @@
 /// One that stays through all that is served, and what it sent meanwhile goes on whole and in order.
 #[test]
 fn client_that_stays_while_the_proxy_is_stopped_is_served() {
-    let slow = Slow::start();
+    let slow = SlowAccept::start();
     let daemon = proxy_before_a_slow_backend(&slow, |_| {});
     let body: String = (0..25_000).map(|n| format!("{n:8}")).collect();
     let message = rpc("POST", "/book", "stays", &body).replacen("3000", "60000", 1);
     let (half, rest) = message.split_at(100_000);
     let mut client = daemon.client();
     client.send(half);
-    eventually(PATIENCE, "no connection was asked for", || {
-        slow.asked() == 1
+    eventually(EVENT_TIMEOUT, "no connection was asked for", || {
+        slow.pending_connects() == 1
     });
     daemon.signal("STOP");
-    let peer = slow.let_in(1).pop().expect("a connection");
+    let peer = slow.accept(1).pop().expect("a connection");
     let mut sender = client.stream();
     let rest = rest.to_owned();
     let sent = spawn(move || sender.write_all(rest.as_bytes()).is_ok());
     sleep(LATE);
     daemon.signal("CONT");
-    peer.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    peer.set_read_timeout(Some(EVENT_TIMEOUT))
+        .expect("a time-out");
     let got = read_message(&mut BufReader::new(&peer)).expect("the RPC");
     assert!(got.text() == body && sent.join().expect("a sender"));
     (&peer)
         .write_all(&reply("200 OK", "done"))
         .expect("an answer");
-    assert_eq!(client.answer().expect("an answer").text(), "done");
+    assert_eq!(client.response().expect("an answer").text(), "done");
 }
 
 /// What is there at once when the proxy goes on: the last piece of an RPC, and its client's end.
 fn all_at_once(how: &Disconnect, clients: usize) {
     let log = Log::new(vec![]);
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], blind);
-    daemon.earn_credit();
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], without_health_checks);
+    daemon.fill_retry_budget();
     let mut last = accepted_client(&daemon);
     let before = daemon.descriptors();
     let message = |n| rpc("POST", "/book", &format!("gone{n}"), "a body");
--- a/crates/daemon/tests/long.rs
+++ b/crates/daemon/tests/long.rs
@@ -2,7 +2,8 @@
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
-    Act, Client, Daemon, Log, PATIENCE, Shared, backend, blind, echo, eventually, reply, rpc,
+    BackendAction, Client, Daemon, EVENT_TIMEOUT, Log, Shared, backend, echo, eventually, reply,
+    rpc, without_health_checks,
 };
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,7 +13,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
 fn start(backends: &[(&str, SocketAddr)]) -> Daemon {
-    Daemon::start_with(PROGRAM, backends, blind)
+    Daemon::start_with(PROGRAM, backends, without_health_checks)
 }
 
 fn text(bytes: usize) -> String {
@@ -69,14 +70,14 @@
     let log = Log::new(vec![]);
     let daemon = start(&[(
         "s-1",
-        backend("b1", &log, |_| Act::Write(reply("200 OK", ""))),
+        backend("b1", &log, |_| BackendAction::Respond(reply("200 OK", ""))),
     )]);
     let body = text((32 << 20) + 1);
     let message = chunked(&rpc("POST", "/log", "chunked", &body));
     let mut client = daemon.client();
     let mut writer = client.stream();
     let sending = spawn(move || writer.write_all(message.as_bytes()).is_ok());
-    assert_eq!(client.answer().map(|answer| answer.status()), Some(413));
+    assert_eq!(client.response().map(|answer| answer.status()), Some(413));
     drop(client);
     let _ = sending.join();
     assert_eq!(log.count("chunked"), 0, "a backend had all of it");
@@ -88,11 +89,11 @@
     let log = Log::new(vec![]);
     let slow = backend("b1", &log, |m| {
         sleep(Duration::from_millis(100));
-        Act::Write(reply("200 OK", &m.text()))
+        BackendAction::Respond(reply("200 OK", &m.text()))
     });
     let limit = 24 << 20;
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", slow)], |config| {
-        blind(config);
+        without_health_checks(config);
         config["limits"]["memory_mb"] = (limit >> 20).into();
     });
     let body = text(4 << 20);
@@ -113,7 +114,7 @@
                     })
                 });
                 sleep(Duration::from_millis(1500)); // nothing is read at first
-                let answer = client.answer().expect("an answer");
+                let answer = client.response().expect("an answer");
                 assert!(sending.join().expect("a sender"));
                 (answer.status(), answer.body.len()) == (200, bytes)
             })
@@ -144,7 +145,7 @@
         sleep(Duration::from_millis(200));
     }
     sleep(Duration::from_millis(800));
-    let answer = client.answer().expect("an answer");
+    let answer = client.response().expect("an answer");
     assert!(answer.status() == 200 && answer.body.len() == 250_003);
     // A pipeline of requests whose bytes take two seconds.
     let two = [
@@ -157,7 +158,7 @@
         sleep(Duration::from_millis(40));
     }
     let answers =
-        [client.answer(), client.answer()].map(|answer| answer.expect("an answer").text());
+        [client.response(), client.response()].map(|answer| answer.expect("an answer").text());
     assert_eq!(answers, ["b1:x", "b1:yz"]);
 }
 
@@ -172,14 +173,14 @@
             text(200_000)
         };
         backend("b1", &log, move |_| {
-            Act::Cut([head.as_bytes(), chunk.as_bytes()].concat())
+            BackendAction::RespondAndClose([head.as_bytes(), chunk.as_bytes()].concat())
         })
     };
     for head in ["Content-Length: 300000", "Transfer-Encoding: chunked"] {
         let daemon = start(&[("s-1", cut(head))]);
         let mut client = daemon.client();
         client.send(&rpc("POST", "/book", "cut", ""));
-        assert!(client.answer().is_none(), "{head}: it looks complete");
+        assert!(client.response().is_none(), "{head}: it looks complete");
         assert!(client.is_closed());
     }
 }
@@ -208,7 +209,7 @@
         .expect("the first of it");
     drop(client);
     assert!(
-        left.wait(PATIENCE, |left| *left),
+        left.wait(EVENT_TIMEOUT, |left| *left),
         "the backend's connection was never closed"
     );
     assert_eq!(log.all().len(), 0);
@@ -227,7 +228,7 @@
         let at = listener.local_addr().expect("an address");
         spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                log.note(format!("met {take}"));
+                log.record(format!("met {take}"));
                 let _ = stream.read_exact(&mut vec![0; take]);
             }
         });
@@ -240,7 +241,7 @@
         let message = rpc("POST", "/book", "breaks", &text(4 << 20));
         spawn(move || writer.write_all(message.as_bytes()).is_ok());
         assert_eq!(
-            client.answer().map(|answer| answer.status()),
+            client.response().map(|answer| answer.status()),
             Some(503),
             "after {take} bytes"
         );
@@ -253,10 +254,10 @@
     let log = Log::new(vec![]);
     let at = backend("b1", &log, |m| {
         match m.header("request-id") {
-        "interim" => Act::Write([&b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"[..], &reply("200 OK", "interim")].concat()),
-        "ends" => Act::Cut(b"HTTP/1.1 200 OK\r\n\r\nends with the connection".to_vec()),
-        "old" => Act::Cut(b"HTTP/1.0 200 OK\r\n\r\nold".to_vec()),
-        "chunks" => Act::Write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nch\r\n4\r\nunks\r\n0\r\nT: x\r\n\r\n".to_vec()),
+        "interim" => BackendAction::Respond([&b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"[..], &reply("200 OK", "interim")].concat()),
+        "ends" => BackendAction::RespondAndClose(b"HTTP/1.1 200 OK\r\n\r\nends with the connection".to_vec()),
+        "old" => BackendAction::RespondAndClose(b"HTTP/1.0 200 OK\r\n\r\nold".to_vec()),
+        "chunks" => BackendAction::Respond(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nch\r\n4\r\nunks\r\n0\r\nT: x\r\n\r\n".to_vec()),
         id => panic!("no such RPC: {id}"),
     }
     });
@@ -278,7 +279,9 @@
 #[test]
 fn all_framings_of_requests_are_forwarded() {
     let log = Log::new(vec![]);
-    let at = backend("b1", &log, |m| Act::Write(reply("200 OK", &m.text())));
+    let at = backend("b1", &log, |m| {
+        BackendAction::Respond(reply("200 OK", &m.text()))
+    });
     let daemon = start(&[("s-1", at)]);
     let mut client = daemon.client();
     // Expect: the body is asked for, then sent.
@@ -286,7 +289,7 @@
         rpc("POST", "/book", "expects", "body").replace("Tenant", "Expect: 100-continue\r\nTenant");
     let (head, body) = expecting.split_once("\r\n\r\n").expect("a head");
     client.send(&format!("{head}\r\n\r\n"));
-    assert_eq!(client.answer().expect("an interim answer").status(), 100);
+    assert_eq!(client.response().expect("an interim answer").status(), 100);
     assert_eq!(client.text_of(body), "body");
     // HTTP/1.0, kept alive where it asks for that.
     let old = rpc("POST", "/book", "old-1", "1.0").replace("HTTP/1.1", "HTTP/1.0");
@@ -310,7 +313,9 @@
 #[test]
 fn a_connection_with_an_unread_response_is_not_evicted() {
     let log = Log::new(vec![]);
-    let at = backend("b1", &log, |_| Act::Write(reply("200 OK", &text(60_000))));
+    let at = backend("b1", &log, |_| {
+        BackendAction::Respond(reply("200 OK", &text(60_000)))
+    });
     let few = |config: &mut serde_json::Value| config["limits"]["sockets"] = 74.into();
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], few);
     let mut slow: Vec<_> = (0..5).map(|_| daemon.client()).collect();
@@ -318,7 +323,7 @@
         (0..3)
             .for_each(|m| assert!(client.send(&rpc("POST", "/book", &format!("slow{n}-{m}"), ""))));
     }
-    eventually(PATIENCE, "the responses never came", || {
+    eventually(EVENT_TIMEOUT, "the responses never came", || {
         log.count("slow") >= 5
     });
     let begun = Instant::now();
@@ -330,7 +335,7 @@
     assert!(begun.elapsed() < Duration::from_secs(2));
     for client in &mut slow {
         assert_eq!(
-            client.answer().map(|answer| answer.body.len()),
+            client.response().map(|answer| answer.body.len()),
             Some(60_000)
         );
     }
--- a/crates/daemon/tests/operations.rs
+++ b/crates/daemon/tests/operations.rs
@@ -2,8 +2,8 @@
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
-    Act, Client, Daemon, FailedStart, HEALTH, Log, Message, PATIENCE, TestFolder, backend, blind,
-    echo, eventually, free, line, reply, rpc,
+    BackendAction, Client, Daemon, EVENT_TIMEOUT, FailedStart, HEALTH, Log, Message, TestFolder,
+    backend, echo, endpoint_entry, eventually, reply, rpc, unused_address, without_health_checks,
 };
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
@@ -18,10 +18,10 @@
     backends: &[(&str, SocketAddr)],
     change: impl FnOnce(&mut Value),
 ) -> (Daemon, SocketAddr) {
-    let at = free();
+    let at = unused_address();
     let daemon = Daemon::start_with(PROGRAM, backends, |config| {
         config["management"] = at.to_string().into();
-        blind(config);
+        without_health_checks(config);
         change(config);
     });
     (daemon, at)
@@ -87,7 +87,7 @@
         sleep(Duration::from_millis(20));
     }
     assert_eq!(
-        client.answer().expect("an answer").text(),
+        client.response().expect("an answer").text(),
         "on standby, health says no\n"
     );
 }
@@ -187,7 +187,7 @@
 fn slow_backend(name: &'static str, log: &Log) -> SocketAddr {
     backend(name, log, |_| {
         sleep(Duration::from_millis(20));
-        Act::Write(reply("200 OK", ""))
+        BackendAction::Respond(reply("200 OK", ""))
     })
 }
 
@@ -213,12 +213,14 @@
         assert_eq!(enter(at, "s-1"), 200);
     }
     assert_eq!(sent_to_b1(&mut client, &log, "maintenance"), 0);
-    let other = line("s-2", two, "Ready");
-    daemon.list.tell_heard(std::slice::from_ref(&other));
+    let other = endpoint_entry("s-2", two, "Ready");
+    daemon
+        .discovery
+        .publish_and_wait(std::slice::from_ref(&other));
     assert_eq!(enter(at, "s-1"), 200, "a removed backend is known");
-    let mut restarted = line("s-1", slow_backend("b1", &log), "Ready");
+    let mut restarted = endpoint_entry("s-1", slow_backend("b1", &log), "Ready");
     restarted["boot_ms"] = 1_700_000_000_000_u64.into();
-    daemon.list.tell_heard(&[restarted, other]);
+    daemon.discovery.publish_and_wait(&[restarted, other]);
     assert_eq!(sent_to_b1(&mut client, &log, "restarted"), 0);
     // With all backends in maintenance RPCs are rejected at once.
     assert_eq!(enter(at, "s-2"), 200);
@@ -239,7 +241,7 @@
     for (n, client) in clients.iter_mut().enumerate() {
         assert!(client.send(&rpc("POST", "/book", &format!("burst{n}"), "")));
     }
-    let answers = clients.iter_mut().map(|client| client.answer());
+    let answers = clients.iter_mut().map(|client| client.response());
     let statuses: Vec<_> = answers.map(|a| a.expect("an answer").status()).collect();
     assert!(statuses.contains(&503), "{statuses:?}");
 }
@@ -294,7 +296,7 @@
     // A request that is being sent when idle connections close has more time, until incomplete ones are closed.
     assert!(used.is_closed() && idle.is_closed());
     body.send(&message[message.len() - 2..]);
-    assert_eq!(body.answer().map(|answer| answer.status()), Some(200));
+    assert_eq!(body.response().map(|answer| answer.status()), Some(200));
     assert!(body.is_closed() && half.is_closed());
     assert!(
         started.elapsed() < Duration::from_secs(4),
@@ -304,22 +306,22 @@
     // SIGTERM during a standby ends the proxy as at any time.
     assert_eq!(call(at, "POST /standby").0, 200);
     daemon.signal("TERM");
-    assert!(daemon.await_end().success());
+    assert!(daemon.await_exit().success());
 }
 
 #[test]
 fn activated_proxy_without_an_endpoint_list_is_not_ready() {
     let folder = TestFolder::new("nolist");
-    let at = free();
-    let management = free();
-    let mut config = common::sockets::config(at, free(), &[]);
+    let at = unused_address();
+    let management = unused_address();
+    let mut config = common::sockets::config(at, unused_address(), &[]);
     config["management"] = management.to_string().into();
     let mut child = Command::new(PROGRAM)
         .env("LB_CONFIG", folder.write_config(&config.to_string()))
         .stderr(Stdio::null())
         .spawn()
         .expect("birchhubd");
-    eventually(PATIENCE, "never there", || {
+    eventually(EVENT_TIMEOUT, "never there", || {
         TcpStream::connect(management).is_ok()
     });
     let commands = ["POST /standby", "POST /active"].map(|command| call(management, command).1);
@@ -334,7 +336,7 @@
 
 /// Starts birchhubd, which must fail, with an admin address in the configuration or in the environment.
 fn failed_start(folder: &TestFolder, in_file: Option<&str>, variable: Option<&str>) -> FailedStart {
-    let mut config = common::sockets::config(free(), free(), &[]);
+    let mut config = common::sockets::config(unused_address(), unused_address(), &[]);
     if let Some(text) = in_file {
         config["management"] = text.into();
     }
--- a/crates/daemon/tests/process.rs
+++ b/crates/daemon/tests/process.rs
@@ -2,8 +2,9 @@
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
-    Act, Daemon, FailedStart, HEALTH, List, Log, PATIENCE, Shared, TestFolder, backend, blind,
-    config, echo, eventually, free, gated, line, reply, rpc,
+    BackendAction, Daemon, DiscoveryService, EVENT_TIMEOUT, FailedStart, HEALTH, Log, Shared,
+    TestFolder, backend, config, echo, endpoint_entry, eventually, gated_backend, reply, rpc,
+    unused_address, without_health_checks,
 };
 use serde_json::{Value, json};
 use std::net::TcpListener;
@@ -33,9 +34,9 @@
     let open = gate.clone();
     let at = backend("b1", &log, move |m| {
         if m.header("request-id") == "held" {
-            open.wait(PATIENCE, |open| *open);
+            open.wait(EVENT_TIMEOUT, |open| *open);
         }
-        Act::Write(reply("200 OK", "done"))
+        BackendAction::Respond(reply("200 OK", "done"))
     });
     let mut daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
     let mut held = daemon.client();
@@ -50,23 +51,23 @@
     daemon.signal("TERM");
     daemon.await_ready(503); // on a new connection
     half.send(&message[message.len() - 2..]);
-    let answer = half.answer().expect("an answer");
+    let answer = half.response().expect("an answer");
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, "close")
     );
     assert!(idle.is_closed());
     gate.change(|open| *open = true);
-    let answer = held.answer().expect("an answer");
+    let answer = held.response().expect("an answer");
     assert_eq!((answer.status(), answer.text().as_str()), (200, "done"));
-    assert!(daemon.await_end().success());
+    assert!(daemon.await_exit().success());
 }
 
 /// After SIGHUP the proxy polls the new service from its first version on, and no RPC in flight is lost.
 #[test]
 fn sighup_switches_to_another_discovery_service() {
     let log = Log::new(vec![]);
-    let (old, gate) = gated("b1", &log, "old");
+    let (old, gate) = gated_backend("b1", &log, "old");
     let mut daemon = Daemon::start(PROGRAM, &[("s-1", old)]);
     let mut held = daemon.client();
     held.send(&rpc("POST", "/book", "held", ""));
@@ -74,30 +75,34 @@
     let mut client = daemon.client();
     let mut ask = |n: &str| client.text_of(&rpc("GET", "/read", n, ""));
     // Each service starts with the version that its predecessor had: only a call for the full list is answered.
-    let mut now = line("s-1", old, "Ready");
+    let mut now = endpoint_entry("s-1", old, "Ready");
     for name in ["b2", "b3"] {
-        let version = daemon.list.tell_heard(std::slice::from_ref(&now));
-        let next = List::start();
-        (1..version).for_each(|_| next.tell(&[]));
-        now = line("s-2", echo(name, &log), "Ready");
-        next.tell(std::slice::from_ref(&now));
+        let version = daemon
+            .discovery
+            .publish_and_wait(std::slice::from_ref(&now));
+        let next = DiscoveryService::start();
+        (1..version).for_each(|_| next.publish(&[]));
+        now = endpoint_entry("s-2", echo(name, &log), "Ready");
+        next.publish(std::slice::from_ref(&now));
         daemon.reload(&config(daemon.at, next.at, &[]).to_string());
-        eventually(PATIENCE, "the new list was never applied", || {
+        eventually(EVENT_TIMEOUT, "the new list was never applied", || {
             ask(name) == format!("{name}:")
         });
-        daemon.list.tell(&[line("s-1", old, "Ready")]); // nobody listens there any more
-        daemon.list = next;
+        daemon
+            .discovery
+            .publish(&[endpoint_entry("s-1", old, "Ready")]); // nobody listens there any more
+        daemon.discovery = next;
     }
     for text in ["", "{\"listen\":", "{}"] {
         daemon.reload(text);
         assert_eq!(ask("kept"), "b3:");
     }
     gate.change(|open| *open = true);
-    assert_eq!(held.answer().expect("an answer").text(), "old");
+    assert_eq!(held.response().expect("an answer").text(), "old");
     daemon.signal("TERM");
     daemon.await_ready(503);
     daemon.reload("{}");
-    assert!(daemon.await_end().success());
+    assert!(daemon.await_exit().success());
 }
 
 /// An interval in which the process was stopped does not count as response time of its backends.
@@ -106,11 +111,11 @@
     let log = Log::new(vec![]);
     let at = backend("b1", &log, |_| {
         std::thread::sleep(Duration::from_millis(30));
-        Act::Write(reply("200 OK", "done"))
+        BackendAction::Respond(reply("200 OK", "done"))
     });
     let tight = |config: &mut Value| {
         config["settings"]["methods"][0]["latency-target-ns"] = 200e6.into();
-        blind(config);
+        without_health_checks(config);
     };
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], tight);
     let mut client = daemon.client();
@@ -120,7 +125,7 @@
     daemon.signal("STOP");
     std::thread::sleep(Duration::from_millis(600));
     daemon.signal("CONT");
-    client.answer().expect("an answer, whatever it is");
+    client.response().expect("an answer, whatever it is");
     assert_eq!(client.status_of(&rpc("GET", "/read", "after", "")), 200);
 }
 
@@ -137,7 +142,7 @@
         daemon.signal("STOP");
         std::thread::sleep(Duration::from_millis(100));
         daemon.signal("CONT");
-        assert_eq!(client.answer().expect("an answer").status(), 503);
+        assert_eq!(client.response().expect("an answer").status(), 503);
     }
 }
 
@@ -206,7 +211,11 @@
 fn startup_error_names_the_invalid_configuration_value() {
     let folder = TestFolder::new("bad");
     let taken = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let good = config(taken.local_addr().expect("an address"), free(), &[]);
+    let good = config(
+        taken.local_addr().expect("an address"),
+        unused_address(),
+        &[],
+    );
     for (file, named) in [bad_configurations(&good), bad_shadow_settings(&good)].concat() {
         let mut start = Command::new(PROGRAM);
         if let Some(text) = file {
--- a/crates/daemon/tests/replacing.rs
+++ b/crates/daemon/tests/replacing.rs
@@ -2,8 +2,9 @@
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
-    Client, FailedStart, HEALTH, List, Log, PATIENCE, TestFolder, blind, config, echo, eventually,
-    free, line, open_descriptors, rpc, send_signal,
+    Client, DiscoveryService, EVENT_TIMEOUT, FailedStart, HEALTH, Log, TestFolder, config, echo,
+    endpoint_entry, eventually, open_descriptors, rpc, send_signal, unused_address,
+    without_health_checks,
 };
 use serde_json::Value;
 use std::net::{SocketAddr, TcpListener};
@@ -16,7 +17,7 @@
 /// The platform, which owns the listening socket for clients and the folder that all processes of a proxy share.
 struct Platform {
     socket: TcpListener,
-    list: List,
+    discovery: DiscoveryService,
     backends: Vec<(&'static str, SocketAddr)>,
     folder: TestFolder,
     /// Socket limit of each process.
@@ -38,17 +39,17 @@
 impl Platform {
     fn new(test: &str, backends: &[(&'static str, SocketAddr)]) -> Self {
         let folder = TestFolder::new(test);
-        let list = List::start();
-        list.tell(
+        let discovery = DiscoveryService::start();
+        discovery.publish(
             &backends
                 .iter()
-                .map(|(uid, at)| line(uid, *at, "Ready"))
+                .map(|(uid, at)| endpoint_entry(uid, *at, "Ready"))
                 .collect::<Vec<_>>(),
         );
         let socket = TcpListener::bind("127.0.0.1:0").expect("a socket");
         Self {
             socket,
-            list,
+            discovery,
             backends: backends.to_vec(),
             folder,
             max_sockets: 1024,
@@ -62,7 +63,7 @@
     /// Starts a process and waits until it accepts clients.
     fn start(&self) -> Process {
         let process = self.spawn(|_| {});
-        eventually(PATIENCE, "never yes", || {
+        eventually(EVENT_TIMEOUT, "never yes", || {
             process
                 .call("GET /status")
                 .is_some_and(|(status, _)| status == 200)
@@ -72,14 +73,14 @@
 
     /// Starts a process, which inherits the listening socket as descriptor 7.
     fn spawn(&self, change: impl FnOnce(&mut Value)) -> Process {
-        let management = free();
+        let management = unused_address();
         let known: Vec<_> = self
             .backends
             .iter()
-            .map(|(uid, at)| line(uid, *at, "Ready"))
+            .map(|(uid, at)| endpoint_entry(uid, *at, "Ready"))
             .collect();
-        let mut config = config(self.at(), self.list.at, &known);
-        blind(&mut config);
+        let mut config = config(self.at(), self.discovery.at, &known);
+        without_health_checks(&mut config);
         config["management"] = management.to_string().into();
         config["limits"]["sockets"] = self.max_sockets.into();
         change(&mut config);
@@ -157,7 +158,7 @@
     let mut new = platform.start();
     assert!((0..50).all(|n| platform.ask(&format!("both{n}")) == 200));
     old.signal("TERM");
-    eventually(PATIENCE, "SIGTERM was never heard", || {
+    eventually(EVENT_TIMEOUT, "SIGTERM was never heard", || {
         old.call("GET /status")
             .is_none_or(|response| response.0 == 503)
     });
@@ -194,7 +195,7 @@
         let new = platform.start();
         new.signal("STOP");
         old.signal("TERM");
-        eventually(PATIENCE, "SIGTERM was never heard", || {
+        eventually(EVENT_TIMEOUT, "SIGTERM was never heard", || {
             old.call("GET /status")
                 .is_none_or(|response| response.0 == 503)
         });
@@ -203,7 +204,7 @@
         std::thread::sleep(Duration::from_millis(100)); // the old one has polled its siblings since
         new.signal("CONT");
         for client in &mut clients {
-            assert_eq!(client.answer().map(|answer| answer.status()), Some(200));
+            assert_eq!(client.response().map(|answer| answer.status()), Some(200));
         }
         assert!(old.child.wait().expect("its end").success());
     }
@@ -218,9 +219,9 @@
     let mut old = platform.start();
     let mut new = platform.spawn(|config| {
         // No cached endpoint list and no discovery service.
-        (config["known"], config["discovery"]) = (Value::Null, free().to_string().into());
+        (config["known"], config["discovery"]) = (Value::Null, unused_address().to_string().into());
     });
-    eventually(PATIENCE, "the new process was never noticed", || {
+    eventually(EVENT_TIMEOUT, "the new process was never noticed", || {
         old.text_of("GET /status").contains("1 other")
     });
     new.signal("TERM");
@@ -244,7 +245,7 @@
             .call("GET /status")
             .is_none_or(|response| response.0 == 503)
     };
-    eventually(PATIENCE, "SIGTERM was never heard", || {
+    eventually(EVENT_TIMEOUT, "SIGTERM was never heard", || {
         is_shutting_down(&old) && is_shutting_down(&new)
     });
     std::thread::sleep(Duration::from_millis(150)); // both have polled their siblings since
@@ -345,7 +346,7 @@
     let old = platform.start();
     let crowd = |_| Some(platform.client());
     let mut clients: Vec<_> = (0..300).filter_map(crowd).collect();
-    eventually(PATIENCE, "the crowd was never accepted", || {
+    eventually(EVENT_TIMEOUT, "the crowd was never accepted", || {
         old.descriptors() > 70
     });
     let new = platform.start();
@@ -357,17 +358,21 @@
     let shared = new.descriptors();
     old.signal("TERM");
     drop(old);
-    eventually(PATIENCE, "the socket budget was never restored", || {
-        clients.extend((0..50).filter_map(crowd));
-        new.descriptors() > shared + 30
-    });
+    eventually(
+        EVENT_TIMEOUT,
+        "the socket budget was never restored",
+        || {
+            clients.extend((0..50).filter_map(crowd));
+            new.descriptors() > shared + 30
+        },
+    );
     assert!(new.descriptors() <= 200);
 }
 
 #[test]
 fn invalid_inherited_socket_ends_the_start() {
     let platform = Platform::new("bad", &[]);
-    let config = config(free(), free(), &[]).to_string();
+    let config = config(unused_address(), unused_address(), &[]).to_string();
     let file = platform.folder.write_config(&config);
     let plain = || Stdio::from(std::fs::File::open(&file).expect("a file"));
     let udp = std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket");
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -4,7 +4,10 @@
 //! with exit code 2 and one line that names the value.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
-use common::sockets::{Daemon, FailedStart, Log, TestFolder, blind, config, echo, free, line, rpc};
+use common::sockets::{
+    Daemon, FailedStart, Log, TestFolder, config, echo, endpoint_entry, rpc, unused_address,
+    without_health_checks,
+};
 use serde_json::{Value, json};
 use std::path::Path;
 use std::process::Command;
@@ -81,7 +84,7 @@
 /// Starts a proxy with this value and checks that it serves an RPC of each method.
 fn assert_serves((place, key, value): UnusualSetting, backend: std::net::SocketAddr) {
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", backend)], |config| {
-        blind(config);
+        without_health_checks(config);
         config["settings"].pointer_mut(place).expect("a place")[key] = value.clone();
     });
     // RPCs without weight, or over their quota, may be rejected.
@@ -122,7 +125,11 @@
 fn startup_error_names_the_setting_that_cannot_be_parsed() {
     let folder = TestFolder::new("settings");
     let assert_named = |place: &str, key: &str, value: Value, path: &str| {
-        let mut config = config(free(), free(), &[line("s-1", free(), "Ready")]);
+        let mut config = config(
+            unused_address(),
+            unused_address(),
+            &[endpoint_entry("s-1", unused_address(), "Ready")],
+        );
         config["settings"].pointer_mut(place).expect("a place")[key] = value;
         let end = failed_start_with(&folder.write_config(&config.to_string()));
         end.assert_one_line();
@@ -190,7 +197,7 @@
 
 /// Returns changes of a valid configuration, each with the complete text of the error.
 fn invalid_configurations() -> Vec<(&'static str, &'static str, Value, &'static str)> {
-    let mut other = config(free(), free(), &[])["settings"].clone();
+    let mut other = config(unused_address(), unused_address(), &[])["settings"].clone();
     other["accounts"] = json!([{"name": "x", "quota-per-s": 1}]);
     vec![
         ("", "name", Value::Null, "LB_NAME is not set"),
@@ -236,7 +243,7 @@
 #[test]
 fn error_texts_of_invalid_configurations() {
     let folder = TestFolder::new("wrong");
-    let good = config(free(), free(), &[]);
+    let good = config(unused_address(), unused_address(), &[]);
     for (place, key, value, error) in invalid_configurations() {
         let mut config = good.clone();
         config.pointer_mut(place).expect("a place")[key] = value;
--- a/crates/daemon/tests/shadow.rs
+++ b/crates/daemon/tests/shadow.rs
@@ -1,7 +1,9 @@
 //! Other settings evaluated in the shadow of those in force.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
-use common::sockets::{Act, Daemon, Log, backend, blind, echo, free, reply, rpc};
+use common::sockets::{
+    BackendAction, Daemon, Log, backend, echo, reply, rpc, unused_address, without_health_checks,
+};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -24,7 +26,7 @@
     }
     drop(client);
     daemon.signal("TERM");
-    daemon.await_end();
+    daemon.await_exit();
     let log = daemon.logged();
     let last = log
         .lines()
@@ -41,22 +43,22 @@
 fn mixed(log: &Log) -> [(&'static str, SocketAddr); 4] {
     let faulty = backend("b3", log, |m| {
         match m.header("request-id").as_bytes().last() {
-            Some(b'3') => Act::Cut(vec![]),
-            Some(b'6') => Act::Write(reply("500 No", "")),
-            _ => Act::Write(reply("200 OK", "b3")),
+            Some(b'3') => BackendAction::RespondAndClose(vec![]),
+            Some(b'6') => BackendAction::Respond(reply("500 No", "")),
+            _ => BackendAction::Respond(reply("200 OK", "b3")),
         }
     });
     [
         ("s-1", echo("b1", log)),
         ("s-2", echo("b2", log)),
         ("s-3", faulty),
-        ("s-4", free()),
+        ("s-4", unused_address()),
     ]
 }
 
 #[test]
 fn a_shadow_with_the_same_settings_differs_in_nothing() {
-    for change in [|_: &mut Value| {}, blind] {
+    for change in [|_: &mut Value| {}, without_health_checks] {
         let log = Log::new(vec![]);
         let daemon = Daemon::start_with(PROGRAM, &mixed(&log), |config| {
             change(config);
@@ -92,7 +94,7 @@
     let before = log.all().len();
     let daemon = Daemon::start_with(PROGRAM, &backends, |config| {
         config["watch"] = config["settings"].clone();
-        blind(config);
+        without_health_checks(config);
     });
     let counts = counts_over(daemon, 90);
     assert!(
--- a/crates/daemon/tests/stalled_clients.rs
+++ b/crates/daemon/tests/stalled_clients.rs
@@ -13,7 +13,7 @@
 /// By when a client that stopped is owed an error or a close, counted from its last byte.
 const OWED_WITHIN: Duration = Duration::from_secs(3);
 /// After which a test stops waiting for a client's end.
-const PATIENCE: Duration = Duration::from_secs(9);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(9);
 /// Between the bytes of a client that sends the end of its request one by one.
 const DRIBBLE_INTERVAL: Duration = Duration::from_millis(300);
 
@@ -68,7 +68,7 @@
         // Where the proxy has answered already, the rest can't be sent.
         let _ = stream.write_all(self.sent.as_bytes());
         for _ in 0..self.complete {
-            assert_eq!(client.answer().expect("an answer").status(), 200);
+            assert_eq!(client.response().expect("an answer").status(), 200);
         }
         let stopped = Instant::now();
         if self.dribbled > 0 {
@@ -88,7 +88,7 @@
 
 /// Waits for an error or a close; false if neither comes.
 fn is_ended(mut stream: &TcpStream) -> bool {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + EVENT_TIMEOUT;
     let mut received = Vec::new();
     let mut chunk = [0; 4096];
     loop {
@@ -258,7 +258,11 @@
 #[test]
 fn clients_that_stop_in_a_long_body_are_answered_in_time_while_the_backend_hangs() {
     let (at, _listener) = deaf_backend();
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], common::sockets::blind);
+    let daemon = Daemon::start_with(
+        PROGRAM,
+        &[("s-1", at)],
+        common::sockets::without_health_checks,
+    );
     // Nothing is answered on a connection before, as nothing is answered at all.
     let stalls = stalls_in_a_long_body().into_iter();
     let stalls = stalls.filter(|stall| stall.answered_before == 0).collect();
@@ -273,7 +277,7 @@
         sleep(if number > 0 { pause } else { Duration::ZERO });
         assert!(client.send(piece), "closed at piece {number}");
     }
-    client.answer().expect("an answer").status()
+    client.response().expect("an answer").status()
 }
 
 /// What stopped clients are owed takes nothing from usual ones: they take 2 s for a head, and send a body at 64 kB a
@@ -330,6 +334,6 @@
         ],
         ["message is no valid RPC", "reason=invalid-request", "404"],
     ] {
-        eventually(PATIENCE, "a line is missing", || is_logged(&words));
+        eventually(EVENT_TIMEOUT, "a line is missing", || is_logged(&words));
     }
 }
--- a/crates/daemon/tests/starting.rs
+++ b/crates/daemon/tests/starting.rs
@@ -1,7 +1,9 @@
 //! Simultaneous start of many processes: nine in ten are ready in time, although all call the discovery service.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
-use common::sockets::{Act, Daemon, Log, Message, backend, blind, line, reply};
+use common::sockets::{
+    BackendAction, Daemon, Log, Message, backend, endpoint_entry, reply, without_health_checks,
+};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -20,7 +22,7 @@
 fn endpoints() -> Vec<Value> {
     let at = |n: u32| SocketAddr::from(([127, 250, (n >> 8) as u8, n as u8], 5000));
     (0..ENDPOINTS)
-        .map(|n| line(&format!("s-{n}"), at(n), "Ready"))
+        .map(|n| endpoint_entry(&format!("s-{n}"), at(n), "Ready"))
         .collect()
 }
 
@@ -30,20 +32,20 @@
     let busy = AtomicUsize::new(0);
     let complete_list = json!({"rev": 2, "all": true, "targets": endpoints()}).to_string();
     backend("list", log, move |call: &Message| {
-        if call.first.contains("from=2&hold_ms=3") {
+        if call.start_line.contains("from=2&hold_ms=3") {
             sleep(Duration::from_millis(3400));
-            return Act::Write(reply(
+            return BackendAction::Respond(reply(
                 "200 OK",
                 r#"{"rev": 2, "all": false, "targets": []}"#,
             ));
         }
         if busy.fetch_add(1, Ordering::SeqCst) > 0 {
             busy.fetch_sub(1, Ordering::SeqCst);
-            return Act::Write(reply("503 Service Unavailable", ""));
+            return BackendAction::Respond(reply("503 Service Unavailable", ""));
         }
         sleep(LIST_TIME);
         busy.fetch_sub(1, Ordering::SeqCst);
-        Act::Write(reply("200 OK", &complete_list))
+        BackendAction::Respond(reply("200 OK", &complete_list))
     })
 }
 
@@ -59,7 +61,7 @@
         spawn(move || {
             let mut started_at = Instant::now();
             let daemon = Daemon::start_with(PROGRAM, &[], |config| {
-                blind(config);
+                without_health_checks(config);
                 config["discovery"] = service.to_string().into();
                 config["seed"] = format!("{n:016x}").into();
                 config["settings"]["contract"]["ask-within-ns"] = 20e9.into();
@@ -111,10 +113,10 @@
     let log = Log::new(vec![]);
     let service = backend("list", &log, |_| {
         sleep(Duration::from_secs(5));
-        Act::Write(reply("200 OK", r#"{"rev": 2, "all": true, "targets": []}"#))
+        BackendAction::Respond(reply("200 OK", r#"{"rev": 2, "all": true, "targets": []}"#))
     });
     let daemon = Daemon::start_with(PROGRAM, &[], |config| {
-        blind(config);
+        without_health_checks(config);
         config["discovery"] = service.to_string().into();
         config["known"] = Value::Null;
     });
--- a/crates/daemon/tests/system_calls.rs
+++ b/crates/daemon/tests/system_calls.rs
@@ -2,7 +2,9 @@
 //! client's connection is closed, and the process ends when it is told to.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
-use common::sockets::{Client, Daemon, Log, blind, echo, eventually, rpc, with_faults};
+use common::sockets::{
+    Client, Daemon, Log, echo, eventually, rpc, with_faults, without_health_checks,
+};
 use std::process::ExitStatus;
 use std::thread;
 use std::time::Duration;
@@ -47,14 +49,18 @@
     eventually(SHUTDOWN, "it did not end after SIGTERM", || {
         daemon.child.try_wait().expect("its state").is_some()
     });
-    daemon.await_end()
+    daemon.await_exit()
 }
 
 /// All RPCs are served under these faults, and the process ends well.
 fn check_that_all_are_served(faults: &str) {
     let log = Log::new(vec![]);
     let program = with_faults(PROGRAM, faults);
-    let mut daemon = Daemon::start_with(&program, &[("s-1", echo("b1", &log))], blind);
+    let mut daemon = Daemon::start_with(
+        &program,
+        &[("s-1", echo("b1", &log))],
+        without_health_checks,
+    );
     let failures = failures_of_clients(&daemon);
     assert!(failures.is_empty(), "{faults}: {failures:?}");
     assert!(end(&mut daemon).success(), "{faults}: {}", daemon.logged());
@@ -96,7 +102,11 @@
 fn a_failed_accept_closes_no_idle_connection() {
     let log = Log::new(vec![]);
     let program = with_faults(PROGRAM, "seed=6,accept=EMFILE@0.3");
-    let daemon = Daemon::start_with(&program, &[("s-1", echo("b1", &log))], blind);
+    let daemon = Daemon::start_with(
+        &program,
+        &[("s-1", echo("b1", &log))],
+        without_health_checks,
+    );
     let open = |n: usize| {
         let mut client = daemon.client();
         assert_eq!(
--- a/crates/daemon/tests/watches.rs
+++ b/crates/daemon/tests/watches.rs
@@ -5,8 +5,8 @@
 use birchhub_audit::Event;
 use birchhub_rehearsal::{Options, Plan, Scenario, rehearse};
 use common::sockets::{
-    Act, Daemon, Log, Message, PATIENCE, Shared, Slow, backend, blind, config, echo, eventually,
-    line, reply, rpc,
+    BackendAction, Daemon, EVENT_TIMEOUT, Log, Message, Shared, SlowAccept, backend, config, echo,
+    endpoint_entry, eventually, reply, rpc, without_health_checks,
 };
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-fn update(version: u64, all: bool, lines: &[Value]) -> Act {
-    Act::Write(reply(
+fn update(version: u64, all: bool, lines: &[Value]) -> BackendAction {
+    BackendAction::Respond(reply(
         "200 OK",
         &json!({"rev": version, "all": all, "targets": lines}).to_string(),
     ))
@@ -26,7 +26,7 @@
 /// A discovery service that answers each call by its number. It logs `list got FIRST-LINE `.
 fn scripted(
     log: &Log,
-    answer: impl Fn(usize, &Message) -> Act + Send + Sync + 'static,
+    answer: impl Fn(usize, &Message) -> BackendAction + Send + Sync + 'static,
 ) -> SocketAddr {
     let calls = AtomicUsize::new(0);
     backend("list", log, move |call| {
@@ -35,7 +35,7 @@
 }
 
 fn requests_full_list(call: &Message) -> bool {
-    !call.first.contains("from=")
+    !call.start_line.contains("from=")
 }
 
 /// Reloads with this discovery service.
@@ -62,12 +62,15 @@
 fn an_older_list_does_not_replace_a_newer_one() {
     let log = Log::new(vec![]);
     let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], blind);
-    let (gone, here) = (line("s-1", old, "Ready"), line("s-2", new, "Ready"));
-    let at = scripted(&log, move |_, call| match call.first.as_str() {
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], without_health_checks);
+    let (gone, here) = (
+        endpoint_entry("s-1", old, "Ready"),
+        endpoint_entry("s-2", new, "Ready"),
+    );
+    let at = scripted(&log, move |_, call| match call.start_line.as_str() {
         first if first.contains("from=9&") => update(3, true, std::slice::from_ref(&gone)),
         _ if requests_full_list(call) => update(9, true, std::slice::from_ref(&here)),
-        _ => Act::Hang,
+        _ => BackendAction::Hang,
     });
     switch_discovery(&daemon, at, |_| {});
     let asked = |events: &Vec<String>| {
@@ -77,7 +80,7 @@
             .count()
     };
     assert!(
-        log.wait(PATIENCE, |events| asked(events) == 2),
+        log.wait(EVENT_TIMEOUT, |events| asked(events) == 2),
         "the full list was not requested again: {:?}",
         log.all()
     );
@@ -87,20 +90,27 @@
 
 /// What a truncated answer reports must apply in time: the next call is sent at once, as a poll.
 fn check_that_a_fault_is_followed_by_a_poll(
-    broken: impl Fn(Vec<u8>) -> Act + Send + Sync + 'static,
+    broken: impl Fn(Vec<u8>) -> BackendAction + Send + Sync + 'static,
 ) {
     let log = Log::new(vec![]);
     let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], blind);
-    let lines = move |state: &str| [line("s-1", old, state), line("s-2", new, "Ready")];
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], without_health_checks);
+    let lines = move |state: &str| {
+        [
+            endpoint_entry("s-1", old, state),
+            endpoint_entry("s-2", new, "Ready"),
+        ]
+    };
     let at = scripted(&log, move |number, call| match number {
         0 => update(1, true, &lines("Ready")),
         1 => match update(2, false, &lines("Terminating")) {
-            Act::Write(bytes) => broken(bytes),
+            BackendAction::Respond(bytes) => broken(bytes),
             other => other,
         },
-        _ if call.first.contains("from=1&hold_ms=0 ") => update(2, false, &lines("Terminating")),
-        _ => Act::Hang,
+        _ if call.start_line.contains("from=1&hold_ms=0 ") => {
+            update(2, false, &lines("Terminating"))
+        }
+        _ => BackendAction::Hang,
     });
     switch_discovery(&daemon, at, |_| {});
     log.await_event("list got GET /registry/instances?from=2&hold_ms=3500 HTTP/1.1 ");
@@ -109,13 +119,15 @@
 
 #[test]
 fn a_truncated_list_is_requested_again_at_once() {
-    check_that_a_fault_is_followed_by_a_poll(|bytes| Act::Cut(bytes[..bytes.len() - 20].to_vec()));
+    check_that_a_fault_is_followed_by_a_poll(|bytes| {
+        BackendAction::RespondAndClose(bytes[..bytes.len() - 20].to_vec())
+    });
 }
 
 #[test]
 fn a_malformed_list_is_requested_again_at_once() {
     check_that_a_fault_is_followed_by_a_poll(|_| {
-        Act::Write(reply(
+        BackendAction::Respond(reply(
             "200 OK",
             "{\"rev\": 2, \"all\": false, \"targets\": [{",
         ))
@@ -127,11 +139,11 @@
 fn the_call_after_a_time_out_does_not_watch() {
     let log = Log::new(vec![]);
     let at = echo("b1", &log);
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], blind);
-    let here = line("s-1", at, "Ready");
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
+    let here = endpoint_entry("s-1", at, "Ready");
     let list = scripted(&log, move |number, _| match number {
         0 | 2 => update(1, true, std::slice::from_ref(&here)),
-        _ => Act::Hang,
+        _ => BackendAction::Hang,
     });
     switch_discovery(&daemon, list, |_| {});
     log.await_event("list got GET /registry/instances?from=1&hold_ms=3500 HTTP/1.1 ");
@@ -139,7 +151,7 @@
     log.await_event("list got GET /registry/instances?from=1&hold_ms=0 HTTP/1.1 ");
     let waits =
         |events: &Vec<String>| events.iter().filter(|e| e.contains("hold_ms=3500")).count() == 2;
-    assert!(log.wait(PATIENCE, waits), "{:?}", log.all());
+    assert!(log.wait(EVENT_TIMEOUT, waits), "{:?}", log.all());
 }
 
 /// A call that had no answer in time keeps its turn at a crowded service: its answer counts when it comes, also after the
@@ -147,8 +159,8 @@
 #[test]
 fn the_late_answer_of_an_overdue_call_counts() {
     let log = Log::new(vec![]);
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], blind);
-    let moved = line("s-1", echo("b2", &log), "Ready");
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], without_health_checks);
+    let moved = endpoint_entry("s-1", echo("b2", &log), "Ready");
     let list = scripted(&log, move |number, _| match number {
         0 => update(1, true, &[]),
         // The first call after the watch: two more are overdue, and the backoff runs, when it is answered.
@@ -156,10 +168,10 @@
             sleep(Duration::from_millis(2100));
             update(2, true, std::slice::from_ref(&moved))
         }
-        _ => Act::Hang,
+        _ => BackendAction::Hang,
     });
     switch_discovery(&daemon, list, |_| {});
-    eventually(PATIENCE, "the late answer was dropped", || {
+    eventually(EVENT_TIMEOUT, "the late answer was dropped", || {
         sleep(Duration::from_millis(5));
         daemon.logged().contains("list version 2:")
     });
@@ -171,8 +183,8 @@
 #[test]
 fn a_connect_without_an_answer_times_out_before_its_call() {
     let log = Log::new(vec![]);
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], blind);
-    let slow = Slow::start();
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], without_health_checks);
+    let slow = SlowAccept::start();
     switch_discovery(&daemon, slow.at, |_| {});
     // Three connections of 0.75 s; by the call's own time it would be 6 s.
     eventually(
@@ -196,7 +208,7 @@
 
 /// The longest poll interval of any deployment: no backoff may depend on it.
 fn with_long_poll_interval(config: &mut Value) {
-    blind(config);
+    without_health_checks(config);
     config["settings"]["contract"]["ask-within-ns"] = 20e9.into();
 }
 
@@ -204,15 +216,18 @@
 /// answered. Returns how long that took from the first of them on, and the calls.
 fn time_until_update(
     requests_full_list: bool,
-    faults: Vec<fn() -> Act>,
+    faults: Vec<fn() -> BackendAction>,
 ) -> (Duration, Vec<String>) {
     let log = Log::new(vec![]);
     let (old, new) = (echo("b1", &log), echo("b2", &log));
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], with_long_poll_interval);
     let times = Shared::new(vec![]);
     let (noted, first) = (times.clone(), usize::from(!requests_full_list));
-    let here = line("s-1", old, "Ready");
-    let drained = [line("s-1", old, "Terminating"), line("s-2", new, "Ready")];
+    let here = endpoint_entry("s-1", old, "Ready");
+    let drained = [
+        endpoint_entry("s-1", old, "Terminating"),
+        endpoint_entry("s-2", new, "Ready"),
+    ];
     let at = scripted(&log, move |number, _| {
         noted.change(|times| times.push(Instant::now()));
         match number.checked_sub(first).map(|fault| faults.get(fault)) {
@@ -222,7 +237,7 @@
         }
     });
     switch_discovery(&daemon, at, with_long_poll_interval);
-    let long = PATIENCE * 2; // a fault made it take this long or longer
+    let long = EVENT_TIMEOUT * 2; // a fault made it take this long or longer
     log.wait(long, |events| {
         events
             .iter()
@@ -241,14 +256,16 @@
 /// A watch gets no answer, nor does the call after it on another connection.
 #[test]
 fn two_time_outs_in_a_row_leave_time_for_the_update() {
-    let (took, calls) = time_until_update(false, vec![|| Act::Hang, || Act::Hang]);
+    let (took, calls) =
+        time_until_update(false, vec![|| BackendAction::Hang, || BackendAction::Hang]);
     assert!(took < UPDATE_LIMIT, "{took:?}: {calls:?}");
 }
 
 /// The first call to a new discovery service gets no answer, nor does the second.
 #[test]
 fn two_time_outs_of_full_lists_leave_time_for_the_update() {
-    let (took, calls) = time_until_update(true, vec![|| Act::Hang, || Act::Hang]);
+    let (took, calls) =
+        time_until_update(true, vec![|| BackendAction::Hang, || BackendAction::Hang]);
     assert!(took < UPDATE_LIMIT, "{took:?}: {calls:?}");
 }
 
@@ -257,7 +274,12 @@
 fn no_call_watches_until_a_time_out_is_over() {
     let (_, calls) = time_until_update(
         false,
-        vec![|| Act::Hang, || Act::Hang, || Act::Hang, || Act::Hang],
+        vec![
+            || BackendAction::Hang,
+            || BackendAction::Hang,
+            || BackendAction::Hang,
+            || BackendAction::Hang,
+        ],
     );
     assert!(
         calls[2..6]
@@ -270,7 +292,7 @@
 /// An overloaded service refuses call after call: the backoff does not grow with the poll interval of the deployment.
 #[test]
 fn refusals_in_a_row_do_not_grow_the_backoff() {
-    let refused = || Act::Write(reply("503 Service Unavailable", ""));
+    let refused = || BackendAction::Respond(reply("503 Service Unavailable", ""));
     // Each backoff is at most 1 s and 0.5 s in the mean; a fault once made them 10 s each.
     let (took, calls) = time_until_update(false, vec![refused; 10]);
     assert!(took < Duration::from_secs(10), "{took:?}: {calls:?}");
@@ -280,12 +302,12 @@
 #[test]
 fn faulty_answers_leave_time_for_the_update() {
     let broken = || {
-        Act::Write(reply(
+        BackendAction::Respond(reply(
             "200 OK",
             "{\"rev\": 2, \"all\": false, \"targets\": [{",
         ))
     };
-    let refused = || Act::Write(reply("503 Service Unavailable", ""));
+    let refused = || BackendAction::Respond(reply("503 Service Unavailable", ""));
     let (took, calls) = time_until_update(
         false,
         vec![broken, broken, refused, || update(0, true, &[]), refused],
@@ -298,33 +320,36 @@
 fn a_drain_that_arrives_with_rpcs_applies_to_them() {
     let log = Log::new(vec![]);
     let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], blind);
-    daemon.earn_credit();
-    let version = daemon.list.tell_heard(&[line("s-1", old, "Ready")]);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], without_health_checks);
+    daemon.fill_retry_budget();
+    let version = daemon
+        .discovery
+        .publish_and_wait(&[endpoint_entry("s-1", old, "Ready")]);
     let mut clients: Vec<_> = (0..50).map(|_| daemon.client()).collect();
     daemon.signal("STOP");
-    daemon
-        .list
-        .tell(&[line("s-1", old, "Terminating"), line("s-2", new, "Ready")]);
+    daemon.discovery.publish(&[
+        endpoint_entry("s-1", old, "Terminating"),
+        endpoint_entry("s-2", new, "Ready"),
+    ]);
     assert!(
         daemon
-            .list
+            .discovery
             .answered
-            .wait(PATIENCE, |answered| *answered == version + 1),
+            .wait(EVENT_TIMEOUT, |answered| *answered == version + 1),
         "no watch was open"
     );
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&rpc("POST", "/book", &format!("n{n}"), ""));
     }
     daemon.signal("CONT");
-    assert!(
-        clients
-            .iter_mut()
-            .all(|client| client.answer().is_some_and(|answer| answer.status() == 200))
-    );
+    assert!(clients.iter_mut().all(|client| {
+        client
+            .response()
+            .is_some_and(|answer| answer.status() == 200)
+    }));
     // They may be read before the list is, but not after the drain grace.
     let mut later = daemon.client();
-    eventually(PATIENCE, "the list was never applied", || {
+    eventually(EVENT_TIMEOUT, "the list was never applied", || {
         later.text_of(&rpc("POST", "/book", "later", "")) == "b2:"
     });
     let sent = log.count("b1 got");
@@ -342,15 +367,15 @@
 fn an_unreadable_endpoint_is_treated_as_draining() {
     let log = Log::new(vec![]);
     let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], blind);
-    let mut bad = line("s-1", old, "Ready");
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], without_health_checks);
+    let mut bad = endpoint_entry("s-1", old, "Ready");
     bad["endpoint"] = "nowhere".into();
-    let first = [line("s-1", old, "Ready")];
-    let then = [bad, line("s-2", new, "Ready")];
+    let first = [endpoint_entry("s-1", old, "Ready")];
+    let then = [bad, endpoint_entry("s-2", new, "Ready")];
     let at = scripted(&log, move |number, _| match number {
         0 => update(1, true, &first),
         1 => update(2, false, &then),
-        _ => Act::Hang,
+        _ => BackendAction::Hang,
     });
     switch_discovery(&daemon, at, |_| {});
     log.await_event("list got GET /registry/instances?from=2&hold_ms=3500 HTTP/1.1 ");
@@ -362,30 +387,30 @@
 fn a_switch_of_discovery_drops_a_half_read_list() {
     let log = Log::new(vec![]);
     let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], blind);
-    let stale = line("s-1", old, "Ready");
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], without_health_checks);
+    let stale = endpoint_entry("s-1", old, "Ready");
     let first = scripted(&log, move |number, _| {
         match (number, update(7, true, std::slice::from_ref(&stale))) {
             (0, whole) => whole,
             // The rest arrives after the first call to the new service.
-            (_, Act::Write(bytes)) => {
+            (_, BackendAction::Respond(bytes)) => {
                 let (half, rest) = bytes.split_at(bytes.len() - 9);
-                Act::Late(
-                    half.to_vec(),
-                    Log::new(vec![]),
-                    "never".to_owned(),
-                    rest.to_vec(),
-                )
+                BackendAction::RespondLater {
+                    first: half.to_vec(),
+                    log: Log::new(vec![]),
+                    event: "never".to_owned(),
+                    rest: rest.to_vec(),
+                }
             }
             (_, other) => other,
         }
     });
     switch_discovery(&daemon, first, |_| {});
     log.await_event("list got GET /registry/instances?from=7&hold_ms=3500 HTTP/1.1 ");
-    let here = line("s-2", new, "Ready");
+    let here = endpoint_entry("s-2", new, "Ready");
     let second = scripted(&log, move |number, _| match number {
         0 => update(1, true, std::slice::from_ref(&here)),
-        _ => Act::Hang,
+        _ => BackendAction::Hang,
     });
     switch_discovery(&daemon, second, |_| {});
     log.await_event("list got GET /registry/instances?from=1&hold_ms=3500 HTTP/1.1 ");
@@ -395,7 +420,7 @@
 /// An agent has lists pushed to it.
 fn with_agent(config: &mut Value) {
     config["settings"]["membership-mode"] = "pushed".into();
-    blind(config);
+    without_health_checks(config);
 }
 
 /// The list of the agent applies from the first moment of a process, whatever cached list it was started with.
@@ -404,9 +429,10 @@
     let log = Log::new(vec![]);
     let (old, new) = (echo("b1", &log), echo("b2", &log));
     let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], with_agent);
-    daemon
-        .list
-        .tell_heard(&[line("s-1", old, "Terminating"), line("s-2", new, "Ready")]);
+    daemon.discovery.publish_and_wait(&[
+        endpoint_entry("s-1", old, "Terminating"),
+        endpoint_entry("s-2", new, "Ready"),
+    ]);
     // It starts again with the cached list of its first start.
     daemon.restart(PROGRAM);
     check_that_rpcs_go_to_b2(&daemon);
@@ -418,7 +444,7 @@
 fn a_new_process_does_not_wait_for_an_agent_without_an_answer() {
     let log = Log::new(vec![]);
     let at = echo("b1", &log);
-    let silent = scripted(&log, |_, _| Act::Hang);
+    let silent = scripted(&log, |_, _| BackendAction::Hang);
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], |config| {
         with_agent(config);
         config["discovery"] = silent.to_string().into();
@@ -435,21 +461,22 @@
     let log = Log::new(vec![]);
     let (old, new) = (echo("b1", &log), echo("b2", &log));
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], with_agent);
-    daemon.list.tell_text(None);
-    let calls = |daemon: &Daemon| daemon.list.calls.change(|calls| *calls);
+    daemon.discovery.respond_with(None);
+    let calls = |daemon: &Daemon| daemon.discovery.calls.change(|calls| *calls);
     let before = calls(&daemon);
     // By the backoff of a polled list, so many calls would take over a minute.
     assert!(
         daemon
-            .list
+            .discovery
             .calls
-            .wait(PATIENCE, |calls| *calls >= before + 50),
+            .wait(EVENT_TIMEOUT, |calls| *calls >= before + 50),
         "{} calls",
         calls(&daemon) - before
     );
-    daemon
-        .list
-        .tell_heard(&[line("s-1", old, "Terminating"), line("s-2", new, "Ready")]);
+    daemon.discovery.publish_and_wait(&[
+        endpoint_entry("s-1", old, "Terminating"),
+        endpoint_entry("s-2", new, "Ready"),
+    ]);
     assert_eq!(
         daemon.client().text_of(&rpc("POST", "/book", "id", "")),
         "b2:"
@@ -463,11 +490,14 @@
 fn the_answer_of_a_slow_agent_is_awaited() {
     let log = Log::new(vec![]);
     let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let lines = [line("s-1", old, "Terminating"), line("s-2", new, "Ready")];
+    let lines = [
+        endpoint_entry("s-1", old, "Terminating"),
+        endpoint_entry("s-2", new, "Ready"),
+    ];
     let list = scripted(&log, move |_, call| {
         // Longer than the first calls wait, and than the first call for a full list.
         sleep(Duration::from_millis(
-            if call.first.contains("hold_ms=2000") {
+            if call.start_line.contains("hold_ms=2000") {
                 3000
             } else {
                 450
@@ -491,11 +521,14 @@
 fn a_watch_of_a_pushed_list_without_an_answer_is_opened_again() {
     let log = Log::new(vec![]);
     let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let drained = [line("s-1", old, "Terminating"), line("s-2", new, "Ready")];
-    let here = line("s-1", old, "Ready");
+    let drained = [
+        endpoint_entry("s-1", old, "Terminating"),
+        endpoint_entry("s-2", new, "Ready"),
+    ];
+    let here = endpoint_entry("s-1", old, "Ready");
     let hung = Shared::new(0);
     let counted = hung.clone();
-    let list = scripted(&log, move |_, call| match call.first.as_str() {
+    let list = scripted(&log, move |_, call| match call.start_line.as_str() {
         first if first.contains("from=0&hold_ms=0 ") && counted.change(|n| *n) > 0 => {
             update(2, true, &drained)
         }
@@ -504,9 +537,9 @@
         }
         first if first.contains("from=0&") => {
             counted.change(|n| *n += 1);
-            Act::Hang
+            BackendAction::Hang
         }
-        _ => Act::Hang,
+        _ => BackendAction::Hang,
     });
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], |config| {
         with_agent(config);
--- a/tests/common/sockets/client.rs
+++ b/tests/common/sockets/client.rs
@@ -1,6 +1,6 @@
 //! A client's connection and the requests it sends.
 use super::http::{Message, read_message};
-use super::shared::PATIENCE;
+use super::shared::EVENT_TIMEOUT;
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -9,42 +9,53 @@
 pub(crate) struct Client(BufReader<TcpStream>);
 
 impl Client {
+    /// Connects to this address; none if the connection fails.
     pub(crate) fn open(at: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(at).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(EVENT_TIMEOUT)).ok()?;
         Some(Self(BufReader::new(stream)))
     }
-    /// Whether all of it could be sent.
+
+    /// Sends these bytes; false if that fails.
     pub(crate) fn send(&mut self, bytes: &str) -> bool {
         self.0.get_mut().write_all(bytes.as_bytes()).is_ok()
     }
-    /// The connection ends with a reset.
-    pub(crate) fn resets_when_dropped(&self) {
+
+    /// Resets the connection, instead of closing it, when the client is dropped.
+    pub(crate) fn reset_on_drop(&self) {
         socket2::SockRef::from(self.0.get_ref())
             .set_linger(Some(Duration::ZERO))
             .expect("no linger");
     }
-    /// A second handle of the socket, to write or read at the same time.
+
+    /// Returns a second handle of the socket, to read and write concurrently.
     pub(crate) fn stream(&self) -> TcpStream {
         self.0.get_ref().try_clone().expect("a second handle")
     }
-    pub(crate) fn answer(&mut self) -> Option<Message> {
+
+    /// Reads the next response; none if the connection ends before it is complete.
+    pub(crate) fn response(&mut self) -> Option<Message> {
         read_message(&mut self.0)
     }
+
+    /// Sends a request and reads its response.
     pub(crate) fn call(&mut self, bytes: &str) -> Option<Message> {
         self.send(bytes);
-        self.answer()
+        self.response()
     }
-    /// The status of the response; there has to be one.
+
+    /// Sends a request and returns the status of its response.
     pub(crate) fn status_of(&mut self, bytes: &str) -> u16 {
         self.call(bytes).expect("a response").status()
     }
-    /// The body of the response; there has to be one.
+
+    /// Sends a request and returns the body of its response.
     pub(crate) fn text_of(&mut self, bytes: &str) -> String {
         self.call(bytes).expect("a response").text()
     }
-    /// The peer has closed the connection, and sent nothing more. A read with a time limit that waits while a signal
-    /// reaches this process, as SIGCHLD of another test's child may, ends with EINTR: it is begun again.
+
+    /// Waits until the peer closes the connection; false if it sends something instead. A read with a timeout fails with
+    /// `EINTR` when a signal arrives, such as the SIGCHLD of another test's child, and is repeated.
     pub(crate) fn is_closed(&mut self) -> bool {
         loop {
             match self.0.read(&mut [0]) {
@@ -56,7 +67,7 @@
     }
 }
 
-/// An RPC with a deadline of 3 s; a `POST` has an idempotency key.
+/// Encodes an RPC with a timeout of 3 s. A `POST` has an idempotency key.
 pub(crate) fn rpc(verb: &str, path: &str, id: &str, body: &str) -> String {
     let key = if verb == "POST" {
         "Idempotency-Key: k1\r\n"
--- a/tests/common/sockets/daemon.rs
+++ b/tests/common/sockets/daemon.rs
@@ -1,9 +1,9 @@
-//! A birchhubd process with its configuration and its discovery service.
+//! A birchhubd process with its configuration and its emulated discovery service.
 use super::client::{Client, rpc};
-use super::discovery::{List, line};
+use super::discovery::{DiscoveryService, endpoint_entry};
 use super::http::HEALTH;
 use super::process::{open_descriptors, send_signal};
-use super::shared::{PATIENCE, eventually};
+use super::shared::{EVENT_TIMEOUT, eventually};
 use serde_json::{Value, json};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -15,34 +15,39 @@
 
 /// A birchhubd process, killed when dropped.
 pub(crate) struct Daemon {
+    /// The process.
     pub child: Child,
+    /// The address for clients.
     pub at: SocketAddr,
-    pub list: List,
+    /// Its discovery service.
+    pub discovery: DiscoveryService,
     folder: PathBuf,
 }
 
-/// Without health checks, so that backends are chosen by the random pick of the fallback.
-pub(crate) fn blind(config: &mut Value) {
+/// Disables health checks in a configuration, so that the random fallback chooses the backends.
+pub(crate) fn without_health_checks(config: &mut Value) {
     config["settings"]["ceilings"]["probes"] = false.into();
 }
 
-/// An address nobody listens on, nor will: all others listen elsewhere in the loopback range. Its port is not an
-/// ephemeral one, or a client that connects too early might be connected to itself.
-pub(crate) fn free() -> SocketAddr {
+/// Returns an address that no other process or test uses: all others listen elsewhere in the loopback range. Its port is
+/// not an ephemeral one, because a client that connects too early could be connected to itself.
+pub(crate) fn unused_address() -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
-    let (process, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+    let process = std::process::id();
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
     SocketAddr::from((
         [127, 1 + (process >> 8) as u8 % 127, process as u8, number],
         5000,
     ))
 }
 
-pub(crate) fn config(at: SocketAddr, list: SocketAddr, known: &[Value]) -> Value {
+/// Creates the usual configuration, with the addresses for clients and of the discovery service and the cached endpoints.
+pub(crate) fn config(at: SocketAddr, discovery: SocketAddr, known: &[Value]) -> Value {
     let method = |name: &str, kind: &str| {
         json!({"name": name, "idempotency": kind, "dedup-scope": "cell", "window-ns": 4e9, "utility": 1.0,
             "latency-target-ns": 3e9, "hard-limit-ns": 3e9})
     };
-    json!({"name": "n0", "listen": at.to_string(), "discovery": list.to_string(), "seed": "8c1f30d27a5be964",
+    json!({"name": "n0", "listen": at.to_string(), "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 1024}, "known": {"rev": 0, "all": true, "targets": known}, "settings": {
         "balancers": 1, "membership-mode": "on_request", "failure-domains": ["a"], "my-zone": "a",
         "methods": [method("read", "read_like"), method("book", "non_idempotent"),
@@ -61,7 +66,7 @@
         .env("LB_CONFIG", folder.join("config.json"))
         .env("TMPDIR", folder);
     start.stderr(log);
-    // A program that a test has just written is busy while another test's child, between fork and exec, has it open.
+    // A script that a test has just written is busy while another test's child, between fork and exec, has it open.
     loop {
         match start.spawn() {
             Err(e) if e.kind() == ErrorKind::ExecutableFileBusy => sleep(Duration::from_millis(2)),
@@ -71,11 +76,12 @@
 }
 
 impl Daemon {
+    /// Starts the program with the usual configuration, and waits until it is ready.
     pub(crate) fn start(program: &str, backends: &[(&str, SocketAddr)]) -> Self {
         Self::start_with(program, backends, |_| {})
     }
 
-    /// With a configuration that differs from the usual one.
+    /// Starts the program with a changed configuration, and waits until it is ready.
     pub(crate) fn start_with(
         program: &str,
         backends: &[(&str, SocketAddr)],
@@ -86,26 +92,27 @@
         let folder =
             std::env::temp_dir().join(format!("birchhubd-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let (at, list) = (free(), List::start());
+        let at = unused_address();
+        let discovery = DiscoveryService::start();
         let known: Vec<_> = backends
             .iter()
-            .map(|(uid, at)| line(uid, *at, "Ready"))
+            .map(|(uid, at)| endpoint_entry(uid, *at, "Ready"))
             .collect();
-        list.tell(&known);
-        let mut config = config(at, list.at, &known);
+        discovery.publish(&known);
+        let mut config = config(at, discovery.at, &known);
         change(&mut config);
         std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
         let daemon = Self {
             child: spawn_daemon(program, &folder),
             at,
-            list,
+            discovery,
             folder,
         };
         daemon.await_ready(200);
         daemon
     }
 
-    /// Kills it and starts it again with its configuration.
+    /// Kills the process, starts it again with the same configuration and waits until it is ready.
     pub(crate) fn restart(&mut self, program: &str) {
         self.child
             .kill()
@@ -115,26 +122,27 @@
         self.await_ready(200);
     }
 
-    /// Starts it again once it has ended, and doesn't wait until it is ready.
+    /// Starts the process again after it has exited, without waiting until it is ready.
     pub(crate) fn start_again(&mut self, program: &str) {
         self.child = spawn_daemon(program, &self.folder);
     }
 
-    /// Waits until `/health/ready` answers this.
+    /// Waits until the readiness check has this status.
     pub(crate) fn await_ready(&self, status: u16) {
-        let is = || Some(Client::open(self.at)?.call(HEALTH)?.status());
-        eventually(PATIENCE, &format!("never {status}"), || {
+        let current = || Some(Client::open(self.at)?.call(HEALTH)?.status());
+        eventually(EVENT_TIMEOUT, &format!("never {status}"), || {
             sleep(Duration::from_millis(2));
-            is() == Some(status)
+            current() == Some(status)
         });
     }
 
+    /// Opens a client's connection.
     pub(crate) fn client(&self) -> Client {
         Client::open(self.at).expect("a connection")
     }
 
     /// Sends RPCs whose responses fill the retry budget.
-    pub(crate) fn earn_credit(&self) {
+    pub(crate) fn fill_retry_budget(&self) {
         let mut client = self.client();
         for n in 0..30 {
             assert_eq!(
@@ -147,12 +155,12 @@
         }
     }
 
-    /// How many descriptors it has open.
+    /// Returns the number of open descriptors.
     pub(crate) fn descriptors(&self) -> usize {
         open_descriptors(&self.child)
     }
 
-    /// Its resident memory, bytes.
+    /// Returns the resident memory, in bytes.
     pub(crate) fn memory(&self) -> usize {
         let file = std::fs::read_to_string(format!("/proc/{}/statm", self.child.id()))
             .expect("its memory");
@@ -163,22 +171,24 @@
         pages.expect("pages") << 12
     }
 
-    /// What it has logged.
+    /// Returns the log so far.
     pub(crate) fn logged(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).expect("its log")
     }
 
+    /// Sends the signal of this name.
     pub(crate) fn signal(&self, name: &str) {
         send_signal(&self.child, name);
     }
 
-    /// Replaces its configuration and sends SIGHUP.
+    /// Replaces the configuration and sends SIGHUP.
     pub(crate) fn reload(&self, text: &str) {
         std::fs::write(self.folder.join("config.json"), text).expect("a file");
         self.signal("HUP");
     }
 
-    pub(crate) fn await_end(&mut self) -> ExitStatus {
+    /// Waits until the process exits.
+    pub(crate) fn await_exit(&mut self) -> ExitStatus {
         self.child.wait().expect("the end of birchhubd")
     }
 }
--- a/tests/common/sockets/discovery.rs
+++ b/tests/common/sockets/discovery.rs
@@ -1,104 +1,151 @@
-//! A stand-in for the discovery service.
+//! An emulated discovery service.
 use super::backend::serve;
-use super::http::{read_message, reply};
-use super::shared::{PATIENCE, Shared};
+use super::http::{Message, read_message, reply};
+use super::shared::{EVENT_TIMEOUT, Shared};
 use serde_json::{Value, json};
 use std::io::{BufReader, Read, Write};
-use std::net::SocketAddr;
+use std::net::{SocketAddr, TcpStream};
 
-/// One endpoint of the list.
-pub(crate) fn line(uid: &str, endpoint: SocketAddr, state: &str) -> Value {
+/// Creates an entry of the endpoint list.
+pub(crate) fn endpoint_entry(uid: &str, endpoint: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": endpoint.to_string(), "az": "a", "model": "m", "pod_group": 3,
         "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// The discovery service. `tell` changes its answer; without an answer it closes connections.
+/// The current response of the discovery service.
+#[derive(Clone, Default)]
+struct Publication {
+    version: u64,
+    /// The body of the response; without one the service closes the connection.
+    body: Option<String>,
+}
+
+/// An emulated discovery service with one response for all calls, which can be replaced.
 #[derive(Clone)]
-pub(crate) struct List {
+pub(crate) struct DiscoveryService {
+    /// The address that it listens on.
     pub at: SocketAddr,
-    state: Shared<(u64, Option<String>)>,
-    /// The version that the latest call has.
-    asked: Shared<u64>,
-    /// The version of the latest answer, or of the lack of one.
+    publication: Shared<Publication>,
+    /// The version that the latest call has already.
+    requested_after: Shared<u64>,
+    /// The version of the latest response, or of the latest call without one.
     pub answered: Shared<u64>,
+    /// The number of calls so far.
     pub calls: Shared<usize>,
 }
 
-impl List {
+impl DiscoveryService {
+    /// Starts a service.
     pub(crate) fn start() -> Self {
-        Self::without_answer_to(usize::MAX)
+        Self::without_response_to(usize::MAX)
     }
-    /// Never answers one call, counted from 0.
-    pub(crate) fn without_answer_to(unanswered: usize) -> Self {
-        let state = Shared::new((0, None::<String>));
-        let (asked, answered, calls) = (Shared::new(0), Shared::new(0), Shared::new(0));
-        let (now, noted, done, counted) = (
-            state.clone(),
-            asked.clone(),
-            answered.clone(),
-            calls.clone(),
-        );
-        let at = serve("127.0.0.1:0", move |mut stream| {
-            let mut input = BufReader::new(stream.try_clone().expect("a second handle"));
-            while let Some(call) = read_message(&mut input) {
-                let from = call
-                    .first
-                    .split("from=")
-                    .nth(1)
-                    .and_then(|rest| rest.split('&').next());
-                let from: u64 = from.and_then(|from| from.parse().ok()).unwrap_or(0);
-                noted.change(|asked| *asked = from);
-                if counted.change(|calls| std::mem::replace(calls, *calls + 1)) == unanswered {
-                    let _ = input.read(&mut [0]); // until the caller closes
-                    return;
-                }
-                now.wait(PATIENCE, |(version, text)| {
-                    *version != from || text.is_none()
-                });
-                let (version, text) = now.change(|now| now.clone());
-                if let Some(text) = &text {
-                    let _ = stream.write_all(&reply("200 OK", text));
-                }
-                done.change(|done| *done = version);
-                if text.is_none() {
-                    return;
-                }
-            }
-        });
+
+    /// Starts a service that never responds to one call, counted from 0.
+    pub(crate) fn without_response_to(ignored_call: usize) -> Self {
+        let publication = Shared::new(Publication::default());
+        let requested_after = Shared::new(0);
+        let answered = Shared::new(0);
+        let calls = Shared::new(0);
+        let connections = ServiceConnections {
+            publication: publication.clone(),
+            requested_after: requested_after.clone(),
+            answered: answered.clone(),
+            calls: calls.clone(),
+            ignored_call,
+        };
+        let at = serve("127.0.0.1:0", move |stream| connections.serve(stream));
         Self {
             at,
-            state,
-            asked,
+            publication,
+            requested_after,
             answered,
             calls,
         }
     }
-    pub(crate) fn tell(&self, lines: &[Value]) {
-        self.state.change(|(version, text)| {
-            *version += 1;
-            *text = Some(json!({"rev": version, "all": true, "targets": lines}).to_string());
+
+    /// Publishes a complete list of these endpoints.
+    pub(crate) fn publish(&self, endpoints: &[Value]) {
+        self.publication.change(|publication| {
+            publication.version += 1;
+            let version = publication.version;
+            let body = json!({"rev": version, "all": true, "targets": endpoints}).to_string();
+            publication.body = Some(body);
         });
     }
-    /// Answers with these endpoints, and waits until the proxy has them and watches for the next version.
-    pub(crate) fn tell_heard(&self, lines: &[Value]) -> u64 {
-        self.tell(lines);
-        let version = self.state.change(|(version, _)| *version);
+
+    /// Publishes a complete list of these endpoints, and waits until the proxy has it and polls for the next version.
+    pub(crate) fn publish_and_wait(&self, endpoints: &[Value]) -> u64 {
+        self.publish(endpoints);
+        let version = self.publication.change(|publication| publication.version);
         assert!(
-            self.asked.wait(PATIENCE, |asked| *asked == version),
+            self.requested_after
+                .wait(EVENT_TIMEOUT, |requested| *requested == version),
             "the list was never applied"
         );
         version
     }
-    /// Answers with this, or with nothing, and waits until a call got that.
-    pub(crate) fn tell_text(&self, text: Option<&str>) {
-        let version = self.state.change(|state| {
-            *state = (state.0 + 1, text.map(str::to_owned));
-            state.0
+
+    /// Responds with this body, or closes connections without one, and waits until a call was treated like that.
+    pub(crate) fn respond_with(&self, body: Option<&str>) {
+        let version = self.publication.change(|publication| {
+            publication.version += 1;
+            publication.body = body.map(str::to_owned);
+            publication.version
         });
         assert!(
             self.answered
-                .wait(PATIENCE, |answered| *answered == version),
+                .wait(EVENT_TIMEOUT, |answered| *answered == version),
             "the list was never requested"
         );
     }
 }
+
+/// The part of the service that its connections share.
+struct ServiceConnections {
+    publication: Shared<Publication>,
+    requested_after: Shared<u64>,
+    answered: Shared<u64>,
+    calls: Shared<usize>,
+    ignored_call: usize,
+}
+
+impl ServiceConnections {
+    /// Serves the calls on one connection. A call waits until there is something newer than what the proxy has.
+    fn serve(&self, mut stream: TcpStream) {
+        let mut input = BufReader::new(stream.try_clone().expect("a second handle"));
+        while let Some(call) = read_message(&mut input) {
+            let after = version_after(&call);
+            self.requested_after.change(|requested| *requested = after);
+            let number = self
+                .calls
+                .change(|calls| std::mem::replace(calls, *calls + 1));
+            if number == self.ignored_call {
+                // Returns when the proxy closes the connection.
+                let _ = input.read(&mut [0]);
+                return;
+            }
+            self.publication.wait(EVENT_TIMEOUT, |publication| {
+                publication.version != after || publication.body.is_none()
+            });
+            let publication = self.publication.change(|publication| publication.clone());
+            if let Some(body) = &publication.body {
+                let _ = stream.write_all(&reply("200 OK", body));
+            }
+            self.answered
+                .change(|answered| *answered = publication.version);
+            if publication.body.is_none() {
+                return;
+            }
+        }
+    }
+}
+
+/// Returns the version that the sender of a call has already; 0 for none.
+fn version_after(call: &Message) -> u64 {
+    let from = call
+        .start_line
+        .split("from=")
+        .nth(1)
+        .and_then(|rest| rest.split('&').next());
+    from.and_then(|from| from.parse().ok()).unwrap_or(0)
+}
--- a/tests/common/sockets/faults.rs
+++ b/tests/common/sockets/faults.rs
@@ -1,4 +1,4 @@
-//! Programs whose system calls fail, or whose wall clock steps.
+//! Runs programs with failing system calls or a stepping wall clock.
 use std::fs::Permissions;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,8 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The preloaded library, built on the first use: cargo builds none for the tests of another package.
+/// Returns the library to preload. It is built on first use, because cargo doesn't build it for the tests of another
+/// package.
 pub(crate) fn fault_shim() -> &'static Path {
     static SHIM: OnceLock<PathBuf> = OnceLock::new();
     SHIM.get_or_init(|| {
@@ -15,15 +16,18 @@
             .args(["build", "--locked", "--offline", "--quiet"])
             .args(["--package", "birchhub-fault-shim"])
             .status();
-        assert!(built.expect("cargo").success(), "the shim does not build");
-        // A test's program stands in `deps` of the folder with what cargo builds.
+        assert!(
+            built.expect("cargo").success(),
+            "the fault shim does not build"
+        );
+        // The program of a test is in `deps` of the target folder.
         let program = std::env::current_exe().expect("a path");
         let folder = program.ancestors().nth(2).expect("a target folder");
         folder.join("libbirchhub_fault_shim.so")
     })
 }
 
-/// The program with these faults, as `birchhub-fault-shim` reads them.
+/// Writes a script that runs the program with these faults, in the syntax of `birchhub-fault-shim`, and returns its path.
 pub(crate) fn with_faults(program: &str, faults: &str) -> String {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/tests/common/sockets/http.rs
+++ b/tests/common/sockets/http.rs
@@ -1,29 +1,38 @@
-//! HTTP/1.1 messages, read and written plainly.
+//! Reads and writes HTTP/1.1 messages.
 use std::collections::BTreeMap;
 use std::io::BufRead;
 
+/// The request of the readiness check.
 pub(crate) const HEALTH: &str = "GET /health/ready HTTP/1.1\r\n\r\n";
 
-/// An HTTP message as it was received.
+/// A received HTTP message.
 pub(crate) struct Message {
-    pub first: String,
+    /// The request line or status line.
+    pub start_line: String,
+    /// The header fields by their name in lower case.
     pub headers: BTreeMap<String, String>,
+    /// The body.
     pub body: Vec<u8>,
-    /// How many messages came before it on its connection, where that is counted.
-    pub before: usize,
+    /// The number of messages that preceded it on its connection; counted by backends only.
+    pub messages_before: usize,
 }
 
 impl Message {
+    /// Returns the value of a header field; empty if the field is absent.
     pub(crate) fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
+
+    /// Returns the status of a response; 0 if it has none.
     pub(crate) fn status(&self) -> u16 {
-        self.first
+        self.start_line
             .split(' ')
             .nth(1)
             .and_then(|code| code.parse().ok())
             .unwrap_or(0)
     }
+
+    /// Returns the body as text.
     pub(crate) fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
@@ -46,7 +55,7 @@
     }
 }
 
-/// Appends so many bytes to the body.
+/// Appends this number of bytes to the body.
 fn read_bytes(from: &mut impl BufRead, length: usize, body: &mut Vec<u8>) -> Option<()> {
     let before = body.len();
     body.resize(before + length, 0);
@@ -67,9 +76,9 @@
     Some(body)
 }
 
-/// The next message on a connection; nothing if it ends before that is complete.
+/// Reads the next message on a connection; none if the connection ends before it is complete.
 pub(crate) fn read_message(from: &mut impl BufRead) -> Option<Message> {
-    let first = read_line(from)?;
+    let start_line = read_line(from)?;
     let headers = read_headers(from)?;
     let coding = headers.get("transfer-encoding");
     let body = if coding.is_some_and(|coding| coding == "chunked") {
@@ -82,13 +91,14 @@
         body
     };
     Some(Message {
-        first,
+        start_line,
         headers,
         body,
-        before: 0,
+        messages_before: 0,
     })
 }
 
+/// Encodes a response with this status line and body.
 pub(crate) fn reply(status: &str, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
--- a/tests/common/sockets/mod.rs
+++ b/tests/common/sockets/mod.rs
@@ -1,4 +1,4 @@
-//! What surrounds a birchhubd process on loopback sockets: backends, the discovery service, clients and the process.
+//! A birchhubd process and its emulated peers on loopback sockets: backends, the discovery service and clients.
 mod backend;
 mod client;
 mod daemon;
--- a/tests/common/sockets/shared.rs
+++ b/tests/common/sockets/shared.rs
@@ -1,11 +1,12 @@
-//! Values that threads of a test share and wait for, and the log of what the stand-ins saw.
+//! Values that the threads of a test share and wait for, and the log of events at the emulated peers.
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20); // for an event; none should come near
+/// For an event that a test waits for. Events are expected much sooner.
+pub(crate) const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A value that threads change and wait for.
+/// A value that several threads change and wait for.
 pub(crate) struct Shared<T>(Arc<(Mutex<T>, Condvar)>);
 
 impl<T> Clone for Shared<T> {
@@ -15,49 +16,65 @@
 }
 
 impl<T: Send + 'static> Shared<T> {
+    /// Shares a value.
     pub(crate) fn new(value: T) -> Self {
         Self(Arc::new((Mutex::new(value), Condvar::new())))
     }
+
+    /// Changes the value, wakes all waiting threads and returns the result of `change`.
     pub(crate) fn change<R>(&self, change: impl FnOnce(&mut T) -> R) -> R {
         let result = change(&mut self.0.0.lock().expect("a healthy lock"));
         self.0.1.notify_all();
         result
     }
-    /// Waits until the condition holds; false if it never did.
-    pub(crate) fn wait(&self, longest: Duration, so: impl Fn(&T) -> bool) -> bool {
+
+    /// Waits until the condition is met; false if that takes longer than the timeout.
+    pub(crate) fn wait(&self, timeout: Duration, is_met: impl Fn(&T) -> bool) -> bool {
         let guard = self.0.0.lock().expect("a healthy lock");
-        let (_guard, late) = self
+        let (_guard, result) = self
             .0
             .1
-            .wait_timeout_while(guard, longest, |value| !so(value))
+            .wait_timeout_while(guard, timeout, |value| !is_met(value))
             .expect("a healthy lock");
-        !late.timed_out()
+        !result.timed_out()
     }
 }
 
-/// Tries until the condition holds; fails with the complaint if it never does.
-pub(crate) fn eventually(longest: Duration, complaint: &str, mut so: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !so() {
-        assert!(begun.elapsed() < longest, "{complaint}");
-        sleep(Duration::from_millis(2)); // beside what it waits for
+/// Interval between two checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(2);
+
+/// Checks until the condition is met; panics with the message if that takes longer than the timeout.
+pub(crate) fn eventually(timeout: Duration, message: &str, mut is_met: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !is_met() {
+        assert!(started.elapsed() < timeout, "{message}");
+        sleep(CHECK_INTERVAL);
     }
 }
 
-/// The events that all stand-ins of a test saw, in order.
+/// The events at all emulated peers of a test, in order.
 pub(crate) type Log = Shared<Vec<String>>;
 
 impl Log {
-    pub(crate) fn note(&self, event: String) {
+    /// Appends an event.
+    pub(crate) fn record(&self, event: String) {
         self.change(|events| events.push(event));
     }
+
+    /// Waits for an event.
     pub(crate) fn await_event(&self, event: &str) {
-        let there = self.wait(PATIENCE, |events| events.iter().any(|e| e == event));
-        assert!(there, "{event} never came: {:?}", self.all());
+        let is_recorded = self.wait(EVENT_TIMEOUT, |events| {
+            events.iter().any(|recorded| recorded == event)
+        });
+        assert!(is_recorded, "{event} never happened: {:?}", self.all());
     }
+
+    /// Returns all events so far.
     pub(crate) fn all(&self) -> Vec<String> {
         self.change(|events| events.clone())
     }
+
+    /// Returns the number of events that contain this text.
     pub(crate) fn count(&self, part: &str) -> usize {
         self.all()
             .iter()
--- a/tests/common/sockets/slow_accept.rs
+++ b/tests/common/sockets/slow_accept.rs
@@ -1,16 +1,19 @@
-//! A backend that accepts connections only when a test lets it.
+//! A backend that accepts connections only when a test permits it.
 use std::net::SocketAddr;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// An address whose connects complete only once the test accepts them.
-pub(crate) struct Slow {
+/// An address whose connections are established only once the test accepts them.
+pub(crate) struct SlowAccept {
+    /// The address that it listens on.
     pub at: SocketAddr,
     listener: socket2::Socket,
+    /// Connections that fill the kernel's queue.
     fillers: Vec<socket2::Socket>,
 }
 
-impl Slow {
+impl SlowAccept {
+    /// Listens, and fills the queue of the kernel so that further connects wait.
     pub(crate) fn start() -> Self {
         use socket2::{Domain, Socket, Type};
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -23,7 +26,6 @@
             .ok()
             .and_then(|at| at.as_socket())
             .expect("an address");
-        // These fill the queue of the kernel: a further connect waits.
         let fillers = std::iter::from_fn(|| {
             let filler = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
             filler
@@ -38,8 +40,9 @@
             fillers,
         }
     }
-    /// Connects under way, without the fillers.
-    pub(crate) fn asked(&self) -> usize {
+
+    /// Returns the number of connects that wait, without the fillers.
+    pub(crate) fn pending_connects(&self) -> usize {
         let SocketAddr::V4(at) = self.at else {
             panic!("no such address: {}", self.at)
         };
@@ -57,8 +60,9 @@
         };
         all.lines().filter(is).count()
     }
-    /// Accepts, and returns so many connections without the fillers once they are established.
-    pub(crate) fn let_in(self, connections: usize) -> Vec<socket2::Socket> {
+
+    /// Accepts this number of connections and returns them, without the fillers.
+    pub(crate) fn accept(self, connections: usize) -> Vec<socket2::Socket> {
         self.listener.listen(1024).expect("a longer queue");
         let filler_count = self.fillers.len();
         let all = (0..filler_count + connections)
@@ -67,9 +71,10 @@
         drop(self.fillers);
         peers
     }
-    /// Accepts all connections for longer than the kernel needs to repeat a connect, and counts those that sent anything,
-    /// without the fillers.
-    pub(crate) fn heard_when_let_in(self) -> usize {
+
+    /// Accepts all connections for longer than the kernel needs to retry a connect, and returns the number of those that
+    /// sent anything, without the fillers.
+    pub(crate) fn count_senders(self) -> usize {
         let until = Instant::now() + Duration::from_millis(1500);
         self.listener
             .set_nonblocking(true)
