--- a/crates/daemon/src/lifecycle/unstored_changes.rs
+++ b/crates/daemon/src/lifecycle/pending_changes.rs
@@ -6,7 +6,7 @@
 
 /// Commands and endpoint names that the state file still lacks.
 #[derive(Default)]
-pub(super) struct UnstoredChanges {
+pub(super) struct PendingChanges {
     /// Commands in the order in which they were given. No state that is read from the file undoes them.
     commands: RefCell<Vec<TimedCommand>>,
     /// Names of listed endpoints.
@@ -29,7 +29,7 @@
     }
 }
 
-impl UnstoredChanges {
+impl PendingChanges {
     /// Adds a command.
     pub(super) fn add_command(&self, command: TimedCommand) {
         self.commands.borrow_mut().push(command);
--- a/crates/daemon/src/lifecycle/state_store.rs
+++ b/crates/daemon/src/lifecycle/state_store.rs
@@ -2,9 +2,9 @@
 
 use crate::lifecycle::admin_state::{AdminCommand, AdminState, TimedCommand};
 use crate::lifecycle::graceful_shutdown::GracefulShutdown;
+use crate::lifecycle::pending_changes::{ChangeBatch, PendingChanges};
 use crate::lifecycle::process_group::{ProcessGroup, ProcessGroupError};
 use crate::lifecycle::state::ProxyState;
-use crate::lifecycle::unstored_changes::{ChangeBatch, UnstoredChanges};
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::{Mutex, watch};
@@ -14,7 +14,7 @@
 pub(crate) const SIBLING_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Largest number of known endpoint names. Some fleets give endpoints new names with each start.
 const MAX_KNOWN_NAMES: usize = 20_000;
-/// Number of sibling polls between writes of changes that are not stored yet.
+/// Number of sibling polls between writes of pending changes.
 const POLLS_PER_WRITE: u32 = 20;
 
 /// The owner of the [`ProxyState`].
@@ -25,7 +25,7 @@
     /// `None` if the proxy can't have other processes.
     process_group: Option<Mutex<ProcessGroup>>,
     /// Changes of the administrative state that wait to be stored.
-    unstored: UnstoredChanges,
+    pending: PendingChanges,
     /// Whether the last periodic write failed, which was logged.
     logged_write_failure: Cell<bool>,
     /// Whether the excess of endpoint names was logged.
@@ -46,7 +46,7 @@
             state: watch::Sender::new(state),
             applied_generation: watch::Sender::default(),
             process_group: process_group.map(Mutex::new),
-            unstored: UnstoredChanges::default(),
+            pending: PendingChanges::default(),
             logged_write_failure: Cell::default(),
             logged_excess_names: Cell::default(),
         }
@@ -99,11 +99,11 @@
         let known = &self.state.borrow().admin_state.known_names;
         for name in names.filter(|name| !known.contains(*name)) {
             // Without a process group names are never stored, and each endpoint list repeats them.
-            if self.unstored.contains_name(name) {
+            if self.pending.contains_name(name) {
                 continue;
             }
-            if known.len() + self.unstored.name_count() < MAX_KNOWN_NAMES {
-                self.unstored.add_name(name);
+            if known.len() + self.pending.name_count() < MAX_KNOWN_NAMES {
+                self.pending.add_name(name);
             } else if !self.logged_excess_names.replace(true) {
                 log::warn!(
                     "{MAX_KNOWN_NAMES} endpoint names are known: admin commands for further endpoints are rejected"
@@ -114,7 +114,7 @@
 
     /// Whether an endpoint with this name was ever listed.
     pub(crate) fn knows_name(&self, name: &str) -> bool {
-        self.state.borrow().admin_state.knows_name(name) || self.unstored.contains_name(name)
+        self.state.borrow().admin_state.knows_name(name) || self.pending.contains_name(name)
     }
 
     /// Records that the decision actor has applied the administrative state up to this generation.
@@ -128,9 +128,8 @@
     ///
     /// A sibling process runs and can't learn of the command. The command is in force in this process.
     pub(crate) async fn execute(&self, command: &AdminCommand) -> Result<(), ProcessGroupError> {
-        self.unstored
-            .add_command(TimedCommand::now(command.clone()));
-        let result = self.store().await;
+        self.pending.add_command(TimedCommand::now(command.clone()));
+        let result = self.write_pending().await;
         let generation = self.current().admin_generation;
         log::info!("admin command {command:?} executed: {}", *self.current());
         self.await_applied(generation).await;
@@ -153,7 +152,7 @@
         let _ = applied.wait_for(|applied| *applied >= generation).await;
     }
 
-    /// Polls the process group until dropped, and stores changes that are not stored yet. Returns at once without a
+    /// Polls the process group and writes pending changes until dropped. Returns at once without a
     /// process group.
     pub(crate) async fn follow_siblings(&self) {
         let mut polls: u32 = 0;
@@ -162,7 +161,7 @@
             polls = polls.wrapping_add(1);
             self.poll_siblings(&mut *group.lock().await);
             if polls.is_multiple_of(POLLS_PER_WRITE) {
-                self.store_unstored().await;
+                self.flush_pending().await;
             }
         }
     }
@@ -180,18 +179,18 @@
             }
         }
         if let Some(mut admin_state) = admin_state {
-            self.unstored.apply_commands_to(&mut admin_state);
+            self.pending.apply_commands_to(&mut admin_state);
             self.replace_admin_state(admin_state);
             log::info!("admin state read from a sibling: {}", *self.current());
         }
     }
 
-    /// Stores new names and the changes that could not be stored before. Logs the first of several failures.
-    async fn store_unstored(&self) {
-        if self.unstored.is_empty() {
+    /// Writes the pending changes, if there are any. Only the first of several consecutive failures is logged.
+    async fn flush_pending(&self) {
+        if self.pending.is_empty() {
             return;
         }
-        let result = self.store().await;
+        let result = self.write_pending().await;
         let was_logged = self.logged_write_failure.replace(result.is_err());
         if let Err(error) = result
             && !was_logged
@@ -200,30 +199,30 @@
         }
     }
 
-    /// Puts the unstored changes in force in this process, and in its siblings by storing them.
+    /// Puts the pending changes in force in this process, and in its siblings by storing them.
     ///
     /// # Errors
     ///
     /// The changes could not be stored. They are in force in this process.
-    async fn store(&self) -> Result<(), ProcessGroupError> {
-        let batch = self.unstored.take_batch();
+    async fn write_pending(&self) -> Result<(), ProcessGroupError> {
+        let batch = self.pending.take_batch();
         let mut own = self.state.borrow().admin_state.clone();
         match self.update_stored(&own, &batch).await {
             Ok(Some(admin_state)) => {
                 self.replace_admin_state(admin_state);
-                self.unstored.remove_stored(&batch);
+                self.pending.remove_stored(&batch);
                 Ok(())
             }
             Ok(None) => {
                 batch.apply_to(&mut own);
                 self.replace_admin_state(own);
-                self.unstored.remove_stored(&batch);
+                self.pending.remove_stored(&batch);
                 Ok(())
             }
             Err(error) => {
                 batch.apply_to(&mut own);
                 self.replace_admin_state(own);
-                self.unstored.restore_names(batch);
+                self.pending.restore_names(batch);
                 Err(error)
             }
         }
--- a/crates/daemon/src/lifecycle/state_store/tests.rs
+++ b/crates/daemon/src/lifecycle/state_store/tests.rs
@@ -9,7 +9,7 @@
 fn repeated_endpoint_names_are_recorded_once() {
     let store = StateStore::new(None, false);
     (0..3).for_each(|_| store.record_listed_names(["a", "b"].into_iter()));
-    assert_eq!(store.unstored.name_count(), 2);
+    assert_eq!(store.pending.name_count(), 2);
     assert!(store.knows_name("a") && !store.knows_name("c"));
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// Executes a command while the state file can't be written.
-fn execute_unstored(store: &StateStore, folder: &Path, command: &AdminCommand) {
+fn execute_without_storing(store: &StateStore, folder: &Path, command: &AdminCommand) {
     // A folder in the place of the new file makes writing fail.
     let new_file = folder.join("birchhub.standing.new");
     std::fs::create_dir(&new_file).expect("a folder");
@@ -80,7 +80,7 @@
     store.confirm_applied(u64::MAX);
     let enter = |name: &str| AdminCommand::EnterMaintenance(name.to_owned());
     block_on(store.execute(&enter("first"))).expect("stored");
-    execute_unstored(&store, &folder, &enter("second"));
+    execute_without_storing(&store, &folder, &enter("second"));
     assert!(is_in_maintenance(&store, "second"));
     assert!(
         !is_in_maintenance(&store_in(&folder), "second"),
@@ -95,7 +95,7 @@
         store.poll_siblings(&mut *group.lock().await);
     });
     assert!(is_in_maintenance(&store, "second") && is_in_maintenance(&store, "third"));
-    block_on(store.store_unstored());
+    block_on(store.flush_pending());
     let next = store_in(&folder);
     for name in ["first", "second", "third"] {
         assert!(is_in_maintenance(&next, name), "{name}");
@@ -110,10 +110,10 @@
     let folder = new_folder("time");
     let store = store_in(&folder);
     store.record_listed_names(["s-1"].into_iter());
-    execute_unstored(&store, &folder, &AdminCommand::Standby);
+    execute_without_storing(&store, &folder, &AdminCommand::Standby);
     let given_at = store.current().admin_state.standby_since;
     std::thread::sleep(Duration::from_millis(5));
-    block_on(store.store_unstored());
+    block_on(store.flush_pending());
     assert_eq!(store.current().admin_state.standby_since, given_at);
     assert!(store.knows_name("s-1"));
     let next = store_in(&folder);
