--- a/crates/daemon/src/lifecycle/startup.rs
+++ b/crates/daemon/src/lifecycle/startup.rs
@@ -55,7 +55,11 @@
 /// Makes the process ready if there is a cached endpoint list, which is enough to decide RPCs. Where lists are pushed,
 /// the first pushed list is awaited for [`AGENT_TIMEOUT`]. Without a cached list, discovery's first response makes the
 /// process ready.
-pub(crate) fn use_cached_endpoints(config: &Config, state_store: &Rc<StateStore>, pushed: bool) {
+pub(crate) fn use_cached_endpoints(
+    config: &Config,
+    state_store: &Rc<StateStore>,
+    lists_are_pushed: bool,
+) {
     let Some(cached) = &config.cached_endpoints else {
         return;
     };
@@ -66,7 +70,7 @@
     state_store.record_listed_names(names);
     let state_store = state_store.clone();
     spawn_local(async move {
-        if pushed {
+        if lists_are_pushed {
             sleep(AGENT_TIMEOUT).await;
         }
         state_store.set_ready();
@@ -79,11 +83,11 @@
     listener: Listener,
     socket: TcpListener,
     state_store: Rc<StateStore>,
-    pushed: bool,
+    lists_are_pushed: bool,
 ) {
     let inherited = state_store.current().inherited_listener;
     let siblings = state_store.current().siblings.alive;
-    if pushed {
+    if lists_are_pushed {
         await_ready(&state_store).await;
     }
     if inherited {
