--- a/crates/backend-model/src/backend.rs
+++ b/crates/backend-model/src/backend.rs
@@ -1,117 +1,145 @@
-//! The node: cores, a queue before them, and what befalls them.
+//! A backend's process: cores, a queue before them, and the faults that affect them.
 use crate::capacity_model::CapacityModel;
 use crate::deduplication::{DeduplicationCache, IdempotencyKey};
 use crate::overload_window::OverloadWindow;
 use std::collections::{BTreeMap, HashMap};
 
-/// Names one pick at this node; given by the caller, never twice.
+/// Identifies an attempt at a backend. The caller chooses it and never uses it twice.
 pub type AttemptId = u64;
 
-/// What a node is.
+/// Properties of a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
+    /// Number of cores.
     pub cores: usize,
-    /// Of a core, in standard cores.
+    /// Speed of a core, in standard cores.
     pub speed: f64,
-    /// RPCs that may wait; beyond, they are turned away.
+    /// Number of RPCs that may wait for a core; further ones are rejected.
     pub queue_capacity: usize,
-    /// Part of its capacity that it starts with, 0 to 1, and the seconds until it has all of it.
+    /// Share of its full capacity with which it starts, between 0 and 1.
     pub initial_capacity: f64,
+    /// Time from its start until it has its full capacity, in seconds.
     pub warm_up_seconds: f64,
-    /// Sent this multiple of what it can do, for so many seconds, while cold, it falls over.
+    /// While it warms up, it collapses when it receives this multiple of the work that its present capacity can do.
     pub collapse_factor: f64,
+    /// Window over which the received work is summed for that, in seconds.
     pub overload_window_seconds: f64,
-    /// Its load report is as old as this at most, s.
+    /// Time between updates of its load report, in seconds.
     pub report_interval: f64,
-    /// Whether running work stops when its RPC is cancelled; waiting work always does.
+    /// Whether execution stops when its RPC is cancelled; a queued RPC is always removed.
     pub cancel_stops_execution: bool,
-    /// Connections it holds at most.
+    /// Largest number of connections.
     pub connections: usize,
-    /// Work that the first RPC of a connection brings with it, s of a standard core.
+    /// Additional work of the first RPC on a connection, in seconds of a standard core.
     pub connection_work: f64,
 }
 
-/// How a life begins.
+/// How a backend's process starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
+    /// With its full capacity.
     Warm,
+    /// With its initial capacity.
     Cold,
 }
 
-/// An RPC sent to the node.
+/// An RPC that arrives at a backend.
 #[derive(Clone, Copy, Debug)]
 pub struct IncomingWork {
+    /// The attempt that carries it.
     pub attempt_id: AttemptId,
-    /// s of a standard core.
+    /// Its work, in seconds of a standard core.
     pub work: f64,
-    /// The key by which a repeat is dropped.
+    /// The key by which duplicates are dropped.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// It is the first on its connection.
+    /// Whether it is the first RPC on its connection.
     pub first_on_connection: bool,
 }
 
-/// Why an RPC was turned away before it ran.
+/// Why an RPC was rejected before it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
+    /// All cores are busy and the queue is full.
     QueueFull,
+    /// The backend accepts no new work.
     Draining,
-    /// Fallen over or crashed: nobody is there to answer.
+    /// The process collapsed or crashed: nothing answers.
     Down,
 }
 
-/// What happened by itself.
+/// Something that happens at a backend as time passes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendEvent {
-    /// The run began: from here on its effect counts.
+    /// The execution of an RPC began: its effect counts from now on.
     Started(AttemptId),
+    /// The execution of an RPC ended.
     Finished(AttemptId),
-    /// A repeat was dropped: answered as done, with no effect.
+    /// A duplicate was dropped: it is answered as if it had run, without an effect.
     DuplicateDropped(AttemptId),
-    /// Pushed over: all it held is lost, and it stays down.
+    /// The process collapsed under overload: all its RPCs are lost, and it stays down.
     Collapsed,
 }
 
-/// What the node tells of its load.
+/// The load that a backend reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
+    /// Number of RPCs that are queued or executed.
     pub in_flight: usize,
+    /// Number of RPCs that are queued.
     pub queued: usize,
-    /// Part of its cores that are busy, 0 to 1.
+    /// Share of the cores that are busy, between 0 and 1.
     pub utilisation: f64,
 }
 
+/// An RPC that was admitted.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct AdmittedWork {
+    /// In seconds of a standard core.
     work: f64,
     idempotency_key: Option<IdempotencyKey>,
 }
 
+/// Where an admitted RPC is.
 #[derive(Clone, Copy, Debug)]
-enum Place {
-    Waiting(u64),
-    /// The work clock's bits at its end.
-    Running(u64),
+enum Position {
+    /// In the queue, under this number.
+    Queued(u64),
+    /// On a core, until the work clock reads the number with these bits.
+    Executing(u64),
 }
 
-/// One life of one node, from its start to its end. Every call first lets happen what was due.
+/// The last load report.
+#[derive(Clone, Copy, Debug)]
+struct ReportedLoad {
+    /// When it was made, in seconds.
+    at: f64,
+    report: LoadReport,
+}
+
+/// One run of a backend's process, from its start to its end.
+///
+/// Each call first lets everything happen that was due before `now`, in seconds, and appends it to `events`.
 #[derive(Debug)]
 pub struct Backend {
     spec: Spec,
     capacity: CapacityModel,
-    waiting: BTreeMap<u64, (AttemptId, Held)>,
-    running: BTreeMap<(u64, AttemptId), Held>,
-    places: HashMap<AttemptId, Place>,
-    next: u64,
+    /// By arrival number.
+    queue: BTreeMap<u64, (AttemptId, AdmittedWork)>,
+    /// By the bits of the work clock at their end; they sort as the times do, which are not negative.
+    executing: BTreeMap<(u64, AttemptId), AdmittedWork>,
+    positions: HashMap<AttemptId, Position>,
+    next_arrival_number: u64,
     connections: usize,
     overload_window: OverloadWindow,
     overload: f64,
     peak_overload: f64,
     draining: bool,
     down: bool,
-    told: (f64, LoadReport),
+    reported: ReportedLoad,
 }
 
 impl Backend {
+    /// Starts a process at `now`, in seconds.
     pub fn new(spec: Spec, now: f64, start: Start) -> Self {
         let cold = start == Start::Cold;
         Self {
@@ -124,242 +152,247 @@
             ),
             overload_window: OverloadWindow::new(spec.overload_window_seconds),
             spec,
-            waiting: BTreeMap::new(),
-            running: BTreeMap::new(),
-            places: HashMap::new(),
-            next: 0,
+            queue: BTreeMap::new(),
+            executing: BTreeMap::new(),
+            positions: HashMap::new(),
+            next_arrival_number: 0,
             connections: 0,
             overload: 0.0,
             peak_overload: 0.0,
             draining: false,
             down: false,
-            told: (f64::NEG_INFINITY, LoadReport::default()),
+            reported: ReportedLoad {
+                at: f64::NEG_INFINITY,
+                report: LoadReport::default(),
+            },
         }
     }
 
-    /// A new connection; false when it holds as many as it may, or is down.
+    /// Opens a connection. Returns false if the process has its maximum of connections or is down.
     pub fn connect(&mut self) -> bool {
-        let free = !self.down && self.connections < self.spec.connections;
-        self.connections += usize::from(free);
-        free
+        let accepted = !self.down && self.connections < self.spec.connections;
+        self.connections += usize::from(accepted);
+        accepted
     }
 
-    /// A connection that `connect` allowed has ended.
+    /// Closes a connection that [`connect`](Self::connect) accepted.
     pub fn disconnect(&mut self) {
         self.connections = self.connections.saturating_sub(1);
     }
 
-    /// Takes an RPC in or tells why not. What reaches a cold node counts as a push also when it is turned away.
+    /// Admits or rejects an RPC. While the backend warms up, its work counts as load even if it is rejected.
     pub fn receive(
         &mut self,
         now: f64,
         incoming: IncomingWork,
         deduplication: &mut DeduplicationCache,
-        out: &mut Vec<BackendEvent>,
+        events: &mut Vec<BackendEvent>,
     ) -> Result<(), RejectionReason> {
-        self.advance(now, deduplication, out);
+        self.advance(now, deduplication, events);
         if self.down {
             return Err(RejectionReason::Down);
         }
-        let work = incoming.work
-            + if incoming.first_on_connection {
-                self.spec.connection_work
-            } else {
-                0.0
-            };
-        self.weigh(now, work);
+        let connection_work = if incoming.first_on_connection {
+            self.spec.connection_work
+        } else {
+            0.0
+        };
+        let work = incoming.work + connection_work;
+        self.measure_overload(now, work);
         if self.overload >= 1.0 {
             self.crash();
-            out.push(BackendEvent::Collapsed);
+            events.push(BackendEvent::Collapsed);
             return Err(RejectionReason::Down);
         }
-        let full =
-            self.running.len() >= self.spec.cores && self.waiting.len() >= self.spec.queue_capacity;
-        match () {
-            () if self.draining => return Err(RejectionReason::Draining),
-            () if full => return Err(RejectionReason::QueueFull),
-            () => {}
+        if self.draining {
+            return Err(RejectionReason::Draining);
         }
-        self.waiting.insert(
-            self.next,
-            (
-                incoming.attempt_id,
-                Held {
-                    work,
-                    idempotency_key: incoming.idempotency_key,
-                },
-            ),
-        );
-        self.places
-            .insert(incoming.attempt_id, Place::Waiting(self.next));
-        self.next += 1;
-        self.fill(now, deduplication, out);
+        if self.is_busy() && self.queue.len() >= self.spec.queue_capacity {
+            return Err(RejectionReason::QueueFull);
+        }
+        let admitted = AdmittedWork {
+            work,
+            idempotency_key: incoming.idempotency_key,
+        };
+        self.enqueue(incoming.attempt_id, admitted);
+        self.start_queued(now, deduplication, events);
         Ok(())
     }
 
-    fn weigh(&mut self, now: f64, work: f64) {
+    /// Adds received work to the overload window. A warm backend has no overload.
+    fn measure_overload(&mut self, now: f64, work: f64) {
         self.overload = 0.0;
-        if self.capacity.is_cold(now) {
-            let able = self.spec.cores as f64 * self.spec.speed * self.capacity.warmth(now);
-            let bearable = self.spec.collapse_factor * able * self.spec.overload_window_seconds;
-            self.overload = self.overload_window.add(now, work) / bearable;
+        if self.capacity.is_warming_up(now) {
+            let capacity = self.spec.cores as f64 * self.spec.speed * self.capacity.warm_share(now);
+            let collapse_work =
+                self.spec.collapse_factor * capacity * self.spec.overload_window_seconds;
+            self.overload = self.overload_window.add(now, work) / collapse_work;
             self.peak_overload = self.peak_overload.max(self.overload);
         }
     }
 
-    /// Lets waiting RPCs begin on cores that are free.
-    fn fill(
+    fn enqueue(&mut self, attempt_id: AttemptId, admitted: AdmittedWork) {
+        let number = self.next_arrival_number;
+        self.next_arrival_number += 1;
+        self.queue.insert(number, (attempt_id, admitted));
+        self.positions.insert(attempt_id, Position::Queued(number));
+    }
+
+    /// Starts queued RPCs on idle cores, and drops duplicates among them.
+    fn start_queued(
         &mut self,
         now: f64,
         deduplication: &mut DeduplicationCache,
-        out: &mut Vec<BackendEvent>,
+        events: &mut Vec<BackendEvent>,
     ) {
-        while self.running.len() < self.spec.cores {
-            let Some((_, (attempt_id, held))) = self.waiting.pop_first() else {
+        while !self.is_busy() {
+            let Some((_, (attempt_id, admitted))) = self.queue.pop_first() else {
                 return;
             };
-            if held
+            let is_duplicate = admitted
                 .idempotency_key
-                .is_some_and(|idempotency_key| !deduplication.first(now, idempotency_key))
-            {
-                self.places.remove(&attempt_id);
-                out.push(BackendEvent::DuplicateDropped(attempt_id));
+                .is_some_and(|key| !deduplication.insert(now, key));
+            if is_duplicate {
+                self.positions.remove(&attempt_id);
+                events.push(BackendEvent::DuplicateDropped(attempt_id));
                 continue;
             }
-            let end = (self.capacity.done() + held.work).to_bits();
-            self.running.insert((end, attempt_id), held);
-            self.places.insert(attempt_id, Place::Running(end));
-            out.push(BackendEvent::Started(attempt_id));
+            let end = (self.capacity.work_done() + admitted.work).to_bits();
+            self.executing.insert((end, attempt_id), admitted);
+            self.positions.insert(attempt_id, Position::Executing(end));
+            events.push(BackendEvent::Started(attempt_id));
         }
     }
 
-    /// When something will happen by itself, if nothing comes in between.
+    /// Returns when the next event is due, in seconds, if no call comes before it.
     pub fn next_event(&self) -> Option<f64> {
-        let ((end, _), _) = self.running.first_key_value()?;
-        self.capacity.when(f64::from_bits(*end))
+        let ((end, _), _) = self.executing.first_key_value()?;
+        self.capacity.time_of(f64::from_bits(*end))
     }
 
-    /// Lets time pass until `now`: runs end, and others begin in the order in which they came, each at its own time.
+    /// Lets time pass until `now`: executions end, and queued RPCs start in the order of their arrival, each at its
+    /// own time.
     pub fn advance(
         &mut self,
         now: f64,
         deduplication: &mut DeduplicationCache,
-        out: &mut Vec<BackendEvent>,
+        events: &mut Vec<BackendEvent>,
     ) {
         while let Some(at) = self.next_event().filter(|at| *at <= now) {
-            self.capacity.settle(at);
-            let Some(((_, attempt_id), _)) = self.running.pop_first() else {
+            self.capacity.advance(at);
+            let Some(((_, attempt_id), _)) = self.executing.pop_first() else {
                 break;
             };
-            self.places.remove(&attempt_id);
-            out.push(BackendEvent::Finished(attempt_id));
-            self.fill(at, deduplication, out);
+            self.positions.remove(&attempt_id);
+            events.push(BackendEvent::Finished(attempt_id));
+            self.start_queued(at, deduplication, events);
         }
-        self.capacity.settle(now);
+        self.capacity.advance(now);
     }
 
-    /// The RPC's proxy no longer waits. False where its run goes on, or it is not here any more.
+    /// Cancels an RPC for which its proxy no longer waits. Returns false if its execution goes on or has ended.
     pub fn cancel(
         &mut self,
         now: f64,
         attempt_id: AttemptId,
         deduplication: &mut DeduplicationCache,
-        out: &mut Vec<BackendEvent>,
+        events: &mut Vec<BackendEvent>,
     ) -> bool {
-        self.advance(now, deduplication, out);
-        match self.places.get(&attempt_id).copied() {
-            Some(Place::Waiting(number)) => {
-                self.waiting.remove(&number);
+        self.advance(now, deduplication, events);
+        match self.positions.get(&attempt_id).copied() {
+            Some(Position::Queued(number)) => {
+                self.queue.remove(&number);
             }
-            Some(Place::Running(end)) if self.spec.cancel_stops_execution => {
-                self.running.remove(&(end, attempt_id));
+            Some(Position::Executing(end)) if self.spec.cancel_stops_execution => {
+                self.executing.remove(&(end, attempt_id));
             }
             _ => return false,
         }
-        self.places.remove(&attempt_id);
-        self.fill(now, deduplication, out);
+        self.positions.remove(&attempt_id);
+        self.start_queued(now, deduplication, events);
         true
     }
 
-    /// It finishes what it has and turns everything new away.
+    /// Rejects new RPCs from now on, and finishes the admitted ones.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Ends it: all it held is lost.
+    /// Ends the process: all its RPCs are lost.
     pub fn crash(&mut self) {
         self.down = true;
-        self.waiting.clear();
-        self.running.clear();
-        self.places.clear();
+        self.queue.clear();
+        self.executing.clear();
+        self.positions.clear();
     }
 
-    /// It stands still from now on, or goes on.
+    /// Begins or ends a stall, during which the process does no work. Stalls may overlap.
     pub fn stall(
         &mut self,
         now: f64,
         stalled: bool,
         deduplication: &mut DeduplicationCache,
-        out: &mut Vec<BackendEvent>,
+        events: &mut Vec<BackendEvent>,
     ) {
-        self.advance(now, deduplication, out);
+        self.advance(now, deduplication, events);
         self.capacity.stall(now, stalled);
     }
 
-    /// From now on it works `factor` times as fast: a neighbour comes (below 1) or goes (its reciprocal).
+    /// Multiplies the speed by `factor`: below 1 when a neighbour takes capacity, its reciprocal when the neighbour
+    /// gives it back.
     pub fn scale(
         &mut self,
         now: f64,
         factor: f64,
         deduplication: &mut DeduplicationCache,
-        out: &mut Vec<BackendEvent>,
+        events: &mut Vec<BackendEvent>,
     ) {
-        self.advance(now, deduplication, out);
+        self.advance(now, deduplication, events);
         self.capacity.scale_by(now, factor);
     }
 
-    /// Its load, renewed when the last one is old enough.
+    /// Returns the load report, which is updated once its interval has passed.
     pub fn report(&mut self, now: f64) -> LoadReport {
-        if now - self.told.0 >= self.spec.report_interval {
-            let (queued, running) = (self.waiting.len(), self.running.len());
-            let utilisation = running as f64 / self.spec.cores as f64;
-            self.told = (
-                now,
-                LoadReport {
-                    in_flight: queued + running,
-                    queued,
-                    utilisation,
-                },
-            );
+        if now - self.reported.at >= self.spec.report_interval {
+            let queued = self.queue.len();
+            let executing = self.executing.len();
+            let report = LoadReport {
+                in_flight: queued + executing,
+                queued,
+                utilisation: executing as f64 / self.spec.cores as f64,
+            };
+            self.reported = ReportedLoad { at: now, report };
         }
-        self.told.1
+        self.reported.report
     }
 
-    /// RPCs it holds, waiting or running.
+    /// Returns the number of RPCs that are queued or executed.
     pub fn in_flight(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// How far the last offer pushed it towards its fall; 1 is the fall, 0 whenever it is warm.
+    /// Returns the overload after the last RPC received: 1 at a collapse, 0 for a warm backend.
     pub fn overload(&self) -> f64 {
         self.overload
     }
 
-    /// The most it was ever pushed.
+    /// Returns the largest overload so far.
     pub fn peak_overload(&self) -> f64 {
         self.peak_overload
     }
 
+    /// Whether the process collapsed or crashed.
     pub fn is_down(&self) -> bool {
         self.down
     }
 
+    /// Whether the backend rejects new RPCs because it drains.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
     /// Whether a new RPC would have to wait for a core.
     pub fn is_busy(&self) -> bool {
-        self.running.len() >= self.spec.cores
+        self.executing.len() >= self.spec.cores
     }
 }
--- a/crates/backend-model/src/capacity_model.rs
+++ b/crates/backend-model/src/capacity_model.rs
@@ -1,26 +1,31 @@
-//! How fast a node's cores work: all at the same pace, so that one clock of work done tells when each run ends.
+//! Speed of a backend's cores over time, and the clock of the work that they do.
 //!
-//! The pace rises linearly from `initial_capacity` to 1 over `warm_up_seconds` seconds after the start, and is scaled by speed, by
-//! slowness, and by what neighbours leave. Its integral is a parabola and then a line, so both directions are solved exactly.
+//! All cores have the same speed, so one clock tells when each execution ends. The speed rises linearly from the initial
+//! to the full capacity while the backend warms up, and is scaled by stalls and by what neighbours on the machine take.
+//! Its integral is a parabola and then a line, so both directions are solved exactly.
 
 /// The work clock of one core.
 #[derive(Clone, Debug)]
 pub struct CapacityModel {
+    /// Full speed, in standard cores.
     speed: f64,
+    /// Share of the full speed at the start, between 0 and 1.
     initial_capacity: f64,
     warm_up_seconds: f64,
-    started: f64,
-    /// Up to here, s, `done` is settled.
+    /// When the process started, in seconds.
+    started_at: f64,
+    /// The time up to which `work_done` counts, in seconds.
     at: f64,
-    /// Work that a core busy since the start would have done, s of a standard core.
-    done: f64,
-    /// Part of the machine that neighbours leave, 0 to 1.
-    left: f64,
+    /// Work of a core that was busy since the start, in seconds of a standard core.
+    work_done: f64,
+    /// Share of the machine that neighbours leave, between 0 and 1.
+    machine_share: f64,
+    /// Number of stalls in progress.
     stalls: usize,
 }
 
 impl CapacityModel {
-    /// `cold`: it starts now; else it has been warm for ever.
+    /// Starts the clock at `now`, in seconds: warming up if `cold`, otherwise with the full speed.
     pub fn new(
         speed: f64,
         initial_capacity: f64,
@@ -28,19 +33,20 @@
         now: f64,
         cold: bool,
     ) -> Self {
-        let started = if cold { now } else { f64::NEG_INFINITY };
+        let started_at = if cold { now } else { f64::NEG_INFINITY };
         Self {
             speed,
             initial_capacity,
             warm_up_seconds,
-            started,
+            started_at,
             at: now,
-            done: 0.0,
-            left: 1.0,
+            work_done: 0.0,
+            machine_share: 1.0,
             stalls: 0,
         }
     }
 
+    /// Returns the growth of the warm share per second while warming up.
     fn slope(&self) -> f64 {
         if self.warm_up_seconds > 0.0 {
             (1.0 - self.initial_capacity) / self.warm_up_seconds
@@ -49,79 +55,82 @@
         }
     }
 
+    /// Returns when the backend has its full speed, in seconds.
     fn warm_at(&self) -> f64 {
-        self.started + self.warm_up_seconds
+        self.started_at + self.warm_up_seconds
     }
 
-    /// Part of its capacity that it has by its age alone, 0 to 1.
-    pub fn warmth(&self, now: f64) -> f64 {
+    /// Returns the share of the full speed that the backend has by its age, between 0 and 1.
+    pub fn warm_share(&self, now: f64) -> f64 {
         if now >= self.warm_at() {
             1.0
         } else {
-            self.initial_capacity + self.slope() * (now - self.started).max(0.0)
+            self.initial_capacity + self.slope() * (now - self.started_at).max(0.0)
         }
     }
 
-    /// Whether it is not warm yet.
-    pub fn is_cold(&self, now: f64) -> bool {
+    /// Whether the backend has not reached its full speed.
+    pub fn is_warming_up(&self, now: f64) -> bool {
         now < self.warm_at()
     }
 
+    /// Returns the speed apart from the warm share, in standard cores.
     fn scale(&self) -> f64 {
         if self.stalls > 0 {
             0.0
         } else {
-            self.speed * self.left
+            self.speed * self.machine_share
         }
     }
 
-    /// Integral of the warmth.
-    fn area(&self, from: f64, to: f64) -> f64 {
+    /// Returns the integral of the warm share over a period.
+    fn warm_share_integral(&self, from: f64, to: f64) -> f64 {
         let bend = self.warm_at().clamp(from, to);
-        let ramp = (bend - from) * (self.warmth(from) + self.warmth(bend)) / 2.0;
-        // At the bend itself the warmth is 1 from either side.
+        let ramp = (bend - from) * (self.warm_share(from) + self.warm_share(bend)) / 2.0;
+        // At the bend itself the share is 1 from either side.
         ramp + (to - bend)
     }
 
-    /// Brings the clock to `now`; a time before the last one changes nothing.
-    pub fn settle(&mut self, now: f64) {
+    /// Advances the clock to `now`. A time before the last one changes nothing.
+    pub fn advance(&mut self, now: f64) {
         if now > self.at {
-            self.done += self.scale() * self.area(self.at, now);
+            self.work_done += self.scale() * self.warm_share_integral(self.at, now);
             self.at = now;
         }
     }
 
-    /// Work done by a core that was busy all the time, as last settled.
-    pub fn done(&self) -> f64 {
-        self.done
+    /// Returns the work of a core that was busy all the time, in seconds of a standard core.
+    pub fn work_done(&self) -> f64 {
+        self.work_done
     }
 
-    /// When the clock will read this, if nothing changes; `None` while it stands still.
-    pub fn when(&self, done: f64) -> Option<f64> {
+    /// Returns when the clock will read `work_done`, in seconds; `None` during a stall.
+    pub fn time_of(&self, work_done: f64) -> Option<f64> {
         let scale = self.scale();
-        if done <= self.done {
+        if work_done <= self.work_done {
             return Some(self.at);
         }
         if scale <= 0.0 {
             return None;
         }
-        let need = (done - self.done) / scale;
-        let ramp = if self.is_cold(self.at) {
-            self.area(self.at, self.warm_at())
+        let needed = (work_done - self.work_done) / scale;
+        let ramp = if self.is_warming_up(self.at) {
+            self.warm_share_integral(self.at, self.warm_at())
         } else {
             0.0
         };
-        if need >= ramp {
-            return Some(self.at.max(self.warm_at()) + (need - ramp));
+        if needed >= ramp {
+            return Some(self.at.max(self.warm_at()) + (needed - ramp));
         }
         // Solved for the smaller root in the form that loses no digits when the slope is slight.
-        let (warmth, slope) = (self.warmth(self.at), self.slope());
-        Some(self.at + 2.0 * need / (warmth + (warmth * warmth + 2.0 * slope * need).sqrt()))
+        let share = self.warm_share(self.at);
+        let slope = self.slope();
+        Some(self.at + 2.0 * needed / (share + (share * share + 2.0 * slope * needed).sqrt()))
     }
 
-    /// Stalls lie over one another: it goes on when the last has ended.
+    /// Begins or ends a stall. Work goes on when the last of several overlapping stalls has ended.
     pub fn stall(&mut self, now: f64, stalled: bool) {
-        self.settle(now);
+        self.advance(now);
         self.stalls = if stalled {
             self.stalls + 1
         } else {
@@ -129,9 +138,9 @@
         };
     }
 
-    /// Takes away or gives back a factor of the machine; what is taken twice is given back twice.
+    /// Multiplies the share of the machine by `factor`.
     pub fn scale_by(&mut self, now: f64, factor: f64) {
-        self.settle(now);
-        self.left *= factor;
+        self.advance(now);
+        self.machine_share *= factor;
     }
 }
--- a/crates/backend-model/src/deduplication.rs
+++ b/crates/backend-model/src/deduplication.rs
@@ -1,62 +1,81 @@
-//! Which keys have run lately: the nodes of one group share a memory and drop a repeat within the window.
+//! Deduplication of RPCs: the backends of a group remember the idempotency keys that ran within a window.
 use std::collections::{BTreeSet, HashMap};
 
-const FORGET: usize = 2; // expired marks dropped with each call: more than are added, so that memory stays bounded
+/// Expired keys that each insertion removes at most: more than it adds, so memory stays bounded.
+const EXPIRED_KEYS_REMOVED_PER_INSERT: usize = 2;
 
-/// The key of a deduplicated RPC, with the group whose nodes drop its repeats and for how long, s.
+/// The idempotency key of an RPC, with the group of backends that drops its duplicates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IdempotencyKey {
+    /// Number of the group.
     pub group: u64,
+    /// The key, as a hash.
     pub key: u64,
+    /// For how long duplicates are dropped, in seconds.
     pub window: f64,
 }
 
-/// The memory of a whole fleet, by group and key.
+/// A key within its group.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct GroupKey {
+    group: u64,
+    key: u64,
+}
+
+/// The keys that ran lately, of all groups.
 #[derive(Debug, Default)]
 pub struct DeduplicationCache {
-    until: HashMap<(u64, u64), f64>,
-    expiry: BTreeSet<(u64, u64, u64)>, // bits of the time (not negative, so they sort as it does), group, key
+    /// When each key expires, in seconds.
+    expires_at: HashMap<GroupKey, f64>,
+    /// The same in the order of expiry; times are kept as their bits.
+    by_expiry: BTreeSet<(u64, GroupKey)>,
 }
 
-fn bits(time: f64) -> u64 {
+/// Returns the bits of a time, which sort as times do that are not negative.
+fn time_bits(time: f64) -> u64 {
     time.max(0.0).to_bits()
 }
 
 impl DeduplicationCache {
-    /// Whether this is the first run within its window; if so, the window begins.
-    pub fn first(&mut self, now: f64, idempotency_key: IdempotencyKey) -> bool {
-        for _ in 0..FORGET {
-            match self.expiry.first().copied() {
-                Some(old) if old.0 <= bits(now) => {
-                    self.expiry.pop_first();
-                    self.until.remove(&(old.1, old.2));
-                }
-                _ => break,
+    /// Records an execution at `now`, in seconds. Returns false if the key ran within its window already; its window
+    /// then stays as it is.
+    pub fn insert(&mut self, now: f64, key: IdempotencyKey) -> bool {
+        self.remove_expired(now);
+        let group_key = GroupKey {
+            group: key.group,
+            key: key.key,
+        };
+        if let Some(expires_at) = self.expires_at.get(&group_key) {
+            if now < *expires_at {
+                return false;
             }
+            self.by_expiry.remove(&(time_bits(*expires_at), group_key));
         }
-        let at = (idempotency_key.group, idempotency_key.key);
-        match self.until.get(&at) {
-            Some(until) if now < *until => return false,
-            Some(until) => drop(self.expiry.remove(&(
-                bits(*until),
-                idempotency_key.group,
-                idempotency_key.key,
-            ))),
-            None => {}
-        }
-        let until = now + idempotency_key.window;
-        self.until.insert(at, until);
-        self.expiry
-            .insert((bits(until), idempotency_key.group, idempotency_key.key));
+        let expires_at = now + key.window;
+        self.expires_at.insert(group_key, expires_at);
+        self.by_expiry.insert((time_bits(expires_at), group_key));
         true
     }
 
-    /// Marks held.
+    fn remove_expired(&mut self, now: f64) {
+        for _ in 0..EXPIRED_KEYS_REMOVED_PER_INSERT {
+            match self.by_expiry.first().copied() {
+                Some((expiry, group_key)) if expiry <= time_bits(now) => {
+                    self.by_expiry.pop_first();
+                    self.expires_at.remove(&group_key);
+                }
+                _ => return,
+            }
+        }
+    }
+
+    /// Returns the number of keys, expired ones included.
     pub fn len(&self) -> usize {
-        self.until.len()
+        self.expires_at.len()
     }
 
+    /// Whether there is no key.
     pub fn is_empty(&self) -> bool {
-        self.until.is_empty()
+        self.expires_at.is_empty()
     }
 }
--- a/crates/backend-model/src/lib.rs
+++ b/crates/backend-model/src/lib.rs
@@ -1,10 +1,7 @@
-//! One api node as a state machine: it has neither sockets nor a clock and is driven by calls that carry the
-//! time, in seconds from any fixed moment, never falling. The same model serves stand-ins on sockets and fleets
-//! in simulated time; no call costs more than O(log) of what the node holds.
-#![expect(
-    missing_docs,
-    reason = "docs/ROADMAP.md lists the crates that are not documented yet"
-)]
+//! A backend as a state machine, for emulated backends on sockets and for simulations.
+//!
+//! It has neither sockets nor a clock: calls carry the time, in seconds from any fixed moment, which never goes back.
+//! No call costs more than O(log n) in the number of RPCs at the backend.
 
 pub mod backend;
 pub mod capacity_model;
--- a/crates/backend-model/src/overload_window.rs
+++ b/crates/backend-model/src/overload_window.rs
@@ -1,37 +1,41 @@
-//! How hard a cold node is pushed: the work sent to it within its window, in slots, against what makes it fall.
+//! Work that a warming backend received lately, as a sum over a sliding window.
 
-const SLOTS: usize = 20; // of a window: what is older than the window is forgotten to a twentieth of it
+/// Number of slots of a window: work older than the window is forgotten with an accuracy of one slot.
+const SLOTS: usize = 20;
 
-/// A sum over the last `window` seconds, kept in slots; adding and reading cost the same whatever was added.
+/// A sum over a sliding window, kept in slots, so that the cost does not depend on the number of additions.
 #[derive(Clone, Debug)]
 pub struct OverloadWindow {
-    slot: f64,
+    slot_seconds: f64,
+    /// Sum of each slot, in seconds of a standard core.
     sums: [f64; SLOTS],
+    /// Number of the newest slot.
     newest: i64,
-    total: f64,
 }
 
 impl OverloadWindow {
-    /// `window` in s, above 0.
-    pub fn new(window: f64) -> Self {
+    /// Returns an empty window of this length, in seconds, which must be positive.
+    pub fn new(window_seconds: f64) -> Self {
         Self {
-            slot: window / SLOTS as f64,
+            slot_seconds: window_seconds / SLOTS as f64,
             sums: [0.0; SLOTS],
             newest: i64::MIN / 2,
-            total: 0.0,
         }
     }
 
-    /// Adds and returns the sum over the window that ends now.
+    /// Adds work at `now`, in seconds, and returns the sum over the window that ends then.
     pub fn add(&mut self, now: f64, work: f64) -> f64 {
-        let number = (now / self.slot).floor() as i64;
+        let number = (now / self.slot_seconds).floor() as i64;
         let passed = number.saturating_sub(self.newest).clamp(0, SLOTS as i64);
         self.newest = self.newest.max(number);
         for back in 0..passed {
-            self.sums[(self.newest - back).rem_euclid(SLOTS as i64) as usize] = 0.0;
+            self.sums[slot_index(self.newest - back)] = 0.0;
         }
-        self.sums[self.newest.rem_euclid(SLOTS as i64) as usize] += work;
-        self.total = self.sums.iter().sum();
-        self.total
+        self.sums[slot_index(self.newest)] += work;
+        self.sums.iter().sum()
     }
 }
+
+fn slot_index(number: i64) -> usize {
+    number.rem_euclid(SLOTS as i64) as usize
+}
--- a/crates/backend-model/src/work.rs
+++ b/crates/backend-model/src/work.rs
@@ -1,10 +1,10 @@
-//! What an RPC costs: drawn from the seed and the RPC's id alone, so that it costs the same wherever it runs.
+//! The work of an RPC: it depends on the seed and the RPC's id alone, so it is the same wherever the RPC runs.
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp1, LogNormal};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-/// How work is spread around its mean.
+/// Distribution of work around its mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Spread {
@@ -17,14 +17,16 @@
     HeavyTail,
 }
 
-/// Work of a method, s of a standard core.
+/// Work of a method's RPCs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Work {
+    /// Mean, in seconds of a standard core.
     pub mean: f64,
+    /// Distribution around the mean.
     pub spread: Spread,
 }
 
-/// A generator of its own for each pair: neighbours share nothing.
+/// Returns a random number generator for this seed and id. Generators of neighbouring ids are independent.
 pub fn generator(seed: u64, id: u64) -> Pcg64Mcg {
     // SplitMix64's finaliser (Steele, Lea, Flood 2014): ids in sequence would otherwise start alike.
     let mut z = seed ^ id.wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -34,17 +36,17 @@
 }
 
 impl Work {
-    /// Work of the RPC with this id, s of a standard core.
-    pub fn draw(&self, seed: u64, id: u64) -> f64 {
-        let mut chance = generator(seed, id);
+    /// Returns the work of the RPC with this id, in seconds of a standard core.
+    pub fn sample(&self, seed: u64, id: u64) -> f64 {
+        let mut generator = generator(seed, id);
         let factor = match self.spread {
             Spread::Constant => 1.0,
-            Spread::Exponential => Exp1.sample(&mut chance),
+            Spread::Exponential => Exp1.sample(&mut generator),
             Spread::HeavyTail => {
                 // cv² = exp(σ²) − 1 = 4; the mean is 1 with µ = −σ²/2.
                 let variance = 5f64.ln();
                 LogNormal::new(-variance / 2.0, variance.sqrt())
-                    .map_or(1.0, |d| d.sample(&mut chance))
+                    .map_or(1.0, |distribution| distribution.sample(&mut generator))
             }
         };
         self.mean * factor
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -84,7 +84,7 @@
     ) -> Option<(f64, Option<IdempotencyKey>)> {
         let method = self.costs.iter().position(|c| c.name == class)?;
         let cost = &self.costs[method];
-        let drawn = cost.work.draw(self.seed, u64::from(rpc_of(request_id)));
+        let drawn = cost.work.sample(self.seed, u64::from(rpc_of(request_id)));
         let idempotency_key = match (cost.kind, key) {
             (Idempotency::Deduplicated { group, window }, Some(key)) => {
                 // FNV-1a: keys are texts of the client's own.
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -628,7 +628,7 @@
             mean: m.work.0,
             spread: m.spread,
         }
-        .draw(seed, arrivals.len() as u64);
+        .sample(seed, arrivals.len() as u64);
         let zone = whereto.random_range(0..scenario.fleet.zones.len()) as u32;
         let (method, tenant, deal) = (method as u8, tenant as u8, whereto.random());
         arrivals.push(Arrival {
