--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -11,7 +11,7 @@
 impl Dispatcher {
     /// Lets an RPC wait for a backend, or for its key.
     pub(crate) fn enqueue_rpc(&mut self, rpc: &Rc<RpcState>, now: f64) {
-        let health_checks_enabled = self.health_checks.enabled;
+        let health_checks_enabled = self.health_checks.usage.is_enabled();
         let until =
             deadlines::pending_until(rpc, &self.keyed, health_checks_enabled, &self.fleet, now);
         self.pending.remove(rpc);
@@ -86,6 +86,9 @@
         } else {
             health_checks.next_round_at
         };
-        health_checks.enabled.then_some(check_at.max(now))
+        health_checks
+            .usage
+            .is_enabled()
+            .then_some(check_at.max(now))
     }
 }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -164,11 +164,10 @@
     /// Passes new settings to each mechanism. Observations and RPCs in flight are kept.
     fn apply_settings(&mut self, settings: &Settings, carried: &CarriedOver, now: f64) {
         self.health_checks.apply_settings(settings);
-        let enabled = self.health_checks.enabled;
-        let affordable = self.health_checks.affordable;
-        self.load_reports
-            .apply_settings(settings, enabled, affordable);
-        self.admission.apply_settings(settings, carried, enabled);
+        let health_checks = self.health_checks.usage;
+        self.load_reports.apply_settings(settings, health_checks);
+        self.admission
+            .apply_settings(settings, carried, health_checks.is_enabled());
         self.quotas.apply_settings(settings, carried, now);
         self.rules.limits = Limits::new(settings);
         let checks_per_rpc = self.health_checks.per_rpc;
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,7 +1,7 @@
 //! Health checks that look for idle backends, as many as are worth their cost.
 //!
-//! Where responses carry no load reports, a few random backends are checked for a pending RPC, as in
-//! the power of d choices; whichever reports idle first joins the idle queue. What differs: the number
+//! Where responses do not tell the queue of a backend, a few random backends are checked for a pending
+//! RPC, as in the power of d choices; whichever reports idle first joins the idle queue. What differs: the number
 //! of checks follows from their cost by a token bucket, and a backend is also checked proactively
 //! while no RPC is pending, so that the next one finds the queue filled.
 use super::idle_queue::entry_lifetime;
@@ -35,13 +35,30 @@
 /// Time between two rounds for pending RPCs, in mean service times.
 const ROUND_INTERVAL_SERVICE_TIMES: f64 = 0.1;
 
+/// Whether health checks are sent.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) enum HealthCheckUse {
+    /// They are impossible, or tell nothing that responses do not.
+    #[default]
+    Disabled,
+    /// Even one for each RPC costs more than it is worth. Few are sent.
+    TooExpensive,
+    /// At least one for each RPC is worth its cost.
+    Affordable,
+}
+
+impl HealthCheckUse {
+    /// Returns whether health checks are sent at all.
+    pub(crate) fn is_enabled(self) -> bool {
+        self != Self::Disabled
+    }
+}
+
 /// The budget and the schedule of health checks.
 #[derive(Default)]
 pub(crate) struct HealthChecks {
-    /// Health checks tell something that responses do not.
-    pub enabled: bool,
-    /// At least one health check for each RPC is worth its cost.
-    pub affordable: bool,
+    /// Whether health checks are sent.
+    pub usage: HealthCheckUse,
     /// Health checks that each RPC pays for.
     pub per_rpc: f64,
     /// Time of the next round for pending RPCs.
@@ -60,10 +77,15 @@
             LoadReportSource::Responses => !settings.reports_include_queue,
             LoadReportSource::None => false,
         };
-        self.enabled = settings.can_health_check && tell_load;
         let cost = settings.health_check_cost.max(MIN_CHECK_COST_POINTS);
         let worthwhile_checks = (FIRST_CHECK_VALUE_POINTS / cost).log(1.0 / MISS_PROBABILITY);
-        self.affordable = worthwhile_checks >= 0.0;
+        self.usage = if !settings.can_health_check || !tell_load {
+            HealthCheckUse::Disabled
+        } else if worthwhile_checks >= 0.0 {
+            HealthCheckUse::Affordable
+        } else {
+            HealthCheckUse::TooExpensive
+        };
         self.per_rpc = worthwhile_checks.clamp(MIN_CHECKS_PER_RPC, MAX_CHECKS_PER_RPC);
     }
 
@@ -85,7 +107,7 @@
         };
         let fits = |backend: &Rc<Backend>| is_healthy(backend, now) && is_unknown(backend);
         for number in 0..max {
-            if !self.enabled || !self.tokens.can_pay() {
+            if !self.usage.is_enabled() || !self.tokens.can_pay() {
                 return;
             }
             let cell = cells.get(number * cells.len() / max);
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -4,6 +4,7 @@
 //! marked by the load in a response or a health check, compared with the mean load of all backends:
 //! capacities and load levels differ, and a fixed threshold would fit few of them. Reports that do not
 //! predict durations (late, frozen or untrue ones) are replaced by the responses themselves.
+use super::health_checks::HealthCheckUse;
 use crate::backend::Backend;
 use crate::fleet::Fleet;
 use crate::interface::{LoadReport, Settings};
@@ -44,20 +45,15 @@
     pub quality: ReportQuality,
     /// Reports do not tell the length of a queue, but the duration of a health check does.
     pub checks_measure_queue: bool,
-    /// Health checks are impossible or cost more than they are worth.
-    without_health_checks: bool,
+    /// Whether health checks are sent.
+    health_checks: HealthCheckUse,
 }
 
 impl LoadReports {
-    /// Adopts what reports carry, and whether health checks are enabled and worth their cost.
-    pub(crate) fn apply_settings(
-        &mut self,
-        settings: &Settings,
-        health_checks_enabled: bool,
-        health_checks_affordable: bool,
-    ) {
-        self.checks_measure_queue = health_checks_enabled && !settings.reports_include_queue;
-        self.without_health_checks = !(health_checks_enabled && health_checks_affordable);
+    /// Adopts what reports carry, and whether health checks are sent.
+    pub(crate) fn apply_settings(&mut self, settings: &Settings, health_checks: HealthCheckUse) {
+        self.checks_measure_queue = health_checks.is_enabled() && !settings.reports_include_queue;
+        self.health_checks = health_checks;
     }
 
     /// Returns the load of a backend in RPCs, by its report or by the duration of a health check. The
@@ -111,15 +107,15 @@
         self.quality.low_load_duration_ratio(now) <= MAX_PREDICTIVE_DURATION_RATIO
     }
 
-    /// Returns what puts a backend into the idle queue: reports, or any response where health checks
-    /// cost too much or reports hardly save time, as where all tell a low load. Proxies that each see
-    /// too little to pay for health checks would otherwise only pick at random.
+    /// Returns what puts a backend into the idle queue: reports of low load, or any response where health
+    /// checks are not affordable or reports hardly save time, for example because all tell a low load.
+    /// Otherwise a proxy with few RPCs would find its idle queue empty and always choose at random.
     pub(crate) fn idle_signal(&self, now: f64) -> IdleSignal {
-        let reports_are_used = self.checks_measure_queue || self.reports_save_time(now);
-        if self.without_health_checks || !reports_are_used {
-            IdleSignal::Response
-        } else {
+        let is_affordable = self.health_checks == HealthCheckUse::Affordable;
+        if is_affordable && (self.checks_measure_queue || self.reports_save_time(now)) {
             IdleSignal::LowLoad
+        } else {
+            IdleSignal::Response
         }
     }
 
