--- a/crates/daemon/src/config/file.rs
+++ b/crates/daemon/src/config/file.rs
@@ -2,7 +2,8 @@
 
 use crate::config::error::ConfigError;
 use crate::config::keys::{self, ReplaceableKey};
-use crate::discovery::update::{DecodeError, EndpointUpdate};
+use crate::discovery::update::EndpointUpdate;
+use crate::discovery::wire::DecodeError;
 use birchhub::interface::Settings;
 use birchhub_settings::ParsedSettings;
 use serde_json::Value;
--- a/crates/daemon/src/decision/endpoints.rs
+++ b/crates/daemon/src/decision/endpoints.rs
@@ -90,7 +90,7 @@
         }
         let now = Instant::now();
         let endpoints = update
-            .listed
+            .endpoints
             .iter()
             .map(|listed| self.apply_endpoint(listed, update.changed_since, admin, clock))
             .collect();
@@ -106,7 +106,7 @@
     /// Drops the backends that a snapshot does not name.
     fn drop_unlisted(&mut self, snapshot: &EndpointUpdate) {
         let uids: HashSet<_> = snapshot
-            .listed
+            .endpoints
             .iter()
             .map(|listed| listed.uid.as_str())
             .collect();
@@ -131,7 +131,7 @@
             &listed.uid,
             EndpointStatus {
                 readiness: listed.readiness,
-                started_at_ms: listed.boot_ms,
+                started_at_ms: listed.started_at_ms,
             },
         );
         let read_start = || StartTime::read(started_at_ms, changed_since, clock);
@@ -146,7 +146,7 @@
             self.ids.mark_removed(&listed.uid);
         } else {
             let info = EndpointInfo {
-                address: listed.endpoint,
+                address: listed.address,
                 ready: readiness == Readiness::Ready,
             };
             self.start_or_inform(backend, info);
--- a/crates/daemon/src/decision/start_times.rs
+++ b/crates/daemon/src/decision/start_times.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct StartTime {
     /// The listed start time, in Unix milliseconds.
-    boot_ms: f64,
+    started_at_ms: f64,
     /// Start time in seconds of the decisions' clock; `None` for long ago.
     seconds: Option<f64>,
 }
@@ -23,19 +23,22 @@
     /// Reads a listed start time, in Unix milliseconds. It cannot lie more than [`MAX_LISTING_DELAY`] before
     /// `changed_since`, the time at which the previous list was current. Without a previous list, the wall clock alone
     /// decides.
-    pub(super) fn read(boot_ms: f64, changed_since: Option<Instant>, clock: &Clock) -> Self {
+    pub(super) fn read(started_at_ms: f64, changed_since: Option<Instant>, clock: &Clock) -> Self {
         let max_age = changed_since.map_or(f64::INFINITY, |since| {
             (since.elapsed() + MAX_LISTING_DELAY).as_secs_f64()
         });
         let seconds = clock
-            .seconds_since_unix_ms(boot_ms)
+            .seconds_since_unix_ms(started_at_ms)
             .map(|age| clock.now() - age.clamp(0.0, max_age));
-        Self { boot_ms, seconds }
+        Self {
+            started_at_ms,
+            seconds,
+        }
     }
 
     /// Returns whether this was read from the same listed start time.
-    pub(super) fn was_read_from(&self, boot_ms: f64) -> bool {
-        self.boot_ms == boot_ms
+    pub(super) fn was_read_from(&self, started_at_ms: f64) -> bool {
+        self.started_at_ms == started_at_ms
     }
 
     /// Returns the start time in seconds of the decisions' clock, or `None` for long ago.
--- a/crates/daemon/src/decision/updates.rs
+++ b/crates/daemon/src/decision/updates.rs
@@ -12,7 +12,7 @@
         self.update_endpoints(&EndpointUpdate {
             version: cached.map_or(0, |cached| cached.version),
             kind: EndpointUpdateKind::StaleSnapshot,
-            listed: cached.map_or(Vec::new(), |cached| cached.listed.clone()),
+            endpoints: cached.map_or(Vec::new(), |cached| cached.endpoints.clone()),
             changed_since: None,
         });
     }
@@ -25,7 +25,7 @@
             let clock = &self.platform.clock;
             self.platform.endpoints.apply(update, admin, clock)
         };
-        let count = update.listed.len();
+        let count = update.endpoints.len();
         if count > 0 && kind != EndpointUpdateKind::Administrative {
             let version = update.version;
             log::info!("endpoint list version {version}: {count} endpoints, {kind:?}");
@@ -58,7 +58,7 @@
             self.update_endpoints(&EndpointUpdate {
                 version: 0,
                 kind: EndpointUpdateKind::Administrative,
-                listed,
+                endpoints: listed,
                 // A backend that leaves maintenance counts as started now.
                 changed_since: Some(Instant::now()),
             });
--- a/crates/daemon/src/discovery/client.rs
+++ b/crates/daemon/src/discovery/client.rs
@@ -1,283 +1,158 @@
-//! The actor that follows the endpoint list: one call after another while the decisions want its changes. It has one
-//! connection and one call under way, and a few more where the first ones had no response in time; what it receives goes
-//! to the decision actor's mailbox.
+//! The discovery client: the task that decides when the endpoint list is watched.
+//!
+//! It has one connection and one poll in flight, and a few overdue polls after timeouts.
 
 use crate::discovery::LOG_TARGET;
-use crate::discovery::call::{Call, CallEnd, OverdueCalls, make_call};
 use crate::discovery::error::DiscoveryError;
-use crate::discovery::timing::{
-    AGENT, AGENT_RETRY_INTERVAL, CallTiming, FIRST_SNAPSHOT, LOG_INTERVAL, MIN_CALL_INTERVAL,
-    SERVICE,
-};
-use crate::discovery::update::EndpointUpdate;
+use crate::discovery::poller::Poller;
+use crate::discovery::source::DiscoverySource;
+use crate::discovery::timing::{AGENT_RETRY_INTERVAL, OUTAGE_LOG_INTERVAL};
+use crate::discovery::watch::{DecisionActorEnded, EndpointWatch, WatchEnd};
 use crate::lifecycle::state_store::StateStore;
 use crate::messages::Event;
 use crate::net::connection::Connection;
 use std::future::ready;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::select;
 use tokio::sync::{Notify, mpsc, watch};
-use tokio::time::{Instant, sleep, sleep_until};
-
-const INSTANCES_PATH: &str = "/registry/instances";
+use tokio::time::{Instant, sleep};
+
+/// The parts of the process that the discovery client uses.
+pub(crate) struct DiscoveryContext {
+    /// Address of the discovery service, which a reload may change.
+    pub address: watch::Receiver<SocketAddr>,
+    /// Mailbox of the decision actor.
+    pub decisions: mpsc::Sender<Event>,
+    /// Notified when the decisions request a watch.
+    pub watch_requested: Rc<Notify>,
+    /// Version of the cached endpoint list.
+    pub cached_version: Option<u64>,
+    /// Kind of the discovery service.
+    pub source: DiscoverySource,
+    /// The state of the process.
+    pub state_store: Rc<StateStore>,
+}
 
-/// Follows the endpoint list.
+/// Watches the endpoint list: a central service when the decisions request it, a local agent all the time.
 pub(crate) struct DiscoveryClient {
-    /// Address of the service; it may move.
     address: watch::Receiver<SocketAddr>,
-    decisions: mpsc::Sender<Event>,
-    /// The decisions ask for the changes of the list.
+    source: DiscoverySource,
     watch_requested: Rc<Notify>,
-    /// Version of the list that is known at the present address.
-    version: Option<u64>,
-    /// Lists are pushed: the list is followed unasked, whatever fails.
-    pushed: bool,
-    /// Told of the first response, and of all names.
-    state_store: Rc<StateStore>,
-    consecutive_timeouts: usize,
-    overdue: OverdueCalls,
-    /// When a response came last, from whichever address.
-    last_response: Option<Instant>,
+    watch: EndpointWatch,
+    /// Time of the last log line about the present outage of a local agent.
+    outage_logged_at: Option<Instant>,
 }
 
-/// The decision actor has ended: nobody is left to tell.
-struct ActorEnded;
-
 impl DiscoveryClient {
-    /// A client that knows the list up to `version`.
-    pub(crate) fn new(
-        address: watch::Receiver<SocketAddr>,
-        decisions: mpsc::Sender<Event>,
-        watch_requested: Rc<Notify>,
-        version: Option<u64>,
-        pushed: bool,
-        state_store: Rc<StateStore>,
-    ) -> Self {
+    /// Creates a client that knows the cached endpoint list.
+    pub(crate) fn new(context: DiscoveryContext) -> Self {
+        let poller = Poller::new(
+            context.address.clone(),
+            context.source,
+            context.cached_version,
+        );
         Self {
-            address,
-            decisions,
-            watch_requested,
-            version,
-            pushed,
-            state_store,
-            consecutive_timeouts: 0,
-            overdue: OverdueCalls::default(),
-            last_response: None,
+            address: context.address,
+            source: context.source,
+            watch_requested: context.watch_requested,
+            watch: EndpointWatch {
+                poller,
+                source: context.source,
+                decisions: context.decisions,
+                state_store: context.state_store,
+            },
+            outage_logged_at: None,
         }
     }
 
-    /// Follows the list until the decision actor has ended: a watch runs until a call fails, and the next begins when
-    /// the decisions ask for it, or at once when discovery has moved. Where lists are pushed it always goes on.
+    /// Watches the endpoint list until the decision actor has ended.
     pub(crate) async fn run(mut self) {
-        let mut address_changes = self.address.clone();
-        let mut watch_at_once = self.pushed;
-        let mut last_logged = None;
-        loop {
-            let mut connection = None;
-            if !watch_at_once {
-                select! {
-                    () = self.watch_requested.notified() => {}
-                    Ok(()) = address_changes.changed() => self.forget_version(),
-                    late = self.overdue.next_update() => {
-                        // The watch goes on from there, as if the call had not been overdue.
-                        match self.accept_late(late).await {
-                            Ok(usable) => connection = usable,
-                            Err(ActorEnded) => return,
-                        }
-                    }
-                }
-            }
-            let failure = select! {
-                biased;
-                Ok(()) = address_changes.changed() => None,
-                error = self.watch(connection) => Some(error),
-            };
-            watch_at_once = self.pushed || failure.is_none();
-            let Some(error) = failure else {
-                self.forget_version();
-                continue;
-            };
-            self.log_failure(&error, &mut last_logged);
-            self.drop_pending_request().await;
-            if self.decisions.send(Event::DiscoveryFailed).await.is_err() {
+        let mut starts_at_once = self.is_local_agent();
+        while let Ok(end) = self.watch_once(starts_at_once).await {
+            let address_changed = matches!(end, WatchEnd::AddressChanged);
+            starts_at_once = self.is_local_agent() || address_changed;
+            if self.handle_end(end).await.is_err() {
                 return;
             }
-            if self.pushed {
-                sleep(AGENT_RETRY_INTERVAL).await;
-            }
-        }
-    }
-
-    /// A version of one service means nothing at another: the whole list comes first there.
-    fn forget_version(&mut self) {
-        self.version = None;
-        self.consecutive_timeouts = 0;
-        self.overdue.clear();
-    }
-
-    /// Delivers the update that an overdue call has brought, if it is none of an older list, and returns its connection.
-    async fn accept_late(
-        &mut self,
-        (update, connection): (EndpointUpdate, Option<Connection>),
-    ) -> Result<Option<Connection>, ActorEnded> {
-        if let Ok(update) = self.check_order(update) {
-            let changed_since = self.last_response;
-            self.record_response();
-            self.deliver(update, changed_since).await?;
         }
-        Ok(connection)
     }
 
-    /// A response has come: what is still under way would tell nothing else.
-    fn record_response(&mut self) {
-        self.overdue.clear();
-        self.consecutive_timeouts = 0;
-        self.last_response = Some(Instant::now());
+    fn is_local_agent(&self) -> bool {
+        self.source == DiscoverySource::LocalAgent
     }
 
-    /// Prevents a log full of one outage.
-    fn log_failure(&self, error: &DiscoveryError, last_logged: &mut Option<Instant>) {
-        if last_logged.is_none_or(|at| at.elapsed() > LOG_INTERVAL) {
-            log::warn!(target: LOG_TARGET, "list call failed: {error}");
-            *last_logged = Some(Instant::now()).filter(|_| self.pushed);
-        }
+    /// Runs one watch, which starts at once or when the decisions request it.
+    async fn watch_once(&mut self, starts_at_once: bool) -> Result<WatchEnd, DecisionActorEnded> {
+        let connection = if starts_at_once {
+            None
+        } else {
+            self.wait_for_start().await?
+        };
+        Ok(select! {
+            biased;
+            Ok(()) = self.address.changed() => WatchEnd::AddressChanged,
+            end = self.watch.run(connection) => end,
+        })
     }
 
-    /// What was asked for while the watch ran is done with. Prevents calls without a backoff.
-    async fn drop_pending_request(&self) {
+    /// Waits until the decisions request a watch, the address changes, or an overdue poll receives an update. A watch
+    /// that starts after an overdue poll continues on the connection of that poll.
+    async fn wait_for_start(&mut self) -> Result<Option<Connection>, DecisionActorEnded> {
         select! {
-            biased;
-            () = self.watch_requested.notified() => {}
-            () = ready(()) => {}
+            () = self.watch_requested.notified() => Ok(None),
+            Ok(()) = self.address.changed() => {
+                self.watch.poller.reset();
+                Ok(None)
+            }
+            late = self.watch.poller.next_late_update() => self.watch.accept_late(late).await,
         }
     }
 
-    /// Calls until one fails for good.
-    async fn watch(&mut self, mut connection: Option<Connection>) -> DiscoveryError {
-        let timing = if self.pushed { AGENT } else { SERVICE };
-        // After a timeout, a call that waits at the service would be given up too late if it timed out too.
-        let mut catching_up = self.pushed || self.consecutive_timeouts > 0;
-        let mut retries = 0;
-        loop {
-            let call = self.next_call(&timing, catching_up);
-            let started = Instant::now();
-            let before = self.last_response;
-            let is_watch = call.is_watch && before.is_some();
-            match self.call(&mut connection, call).await {
-                Ok(update) => {
-                    (catching_up, retries) = (false, 0);
-                    // A watch answers as soon as something changes.
-                    let changed_since = if is_watch { self.last_response } else { before };
-                    if self.deliver(update, changed_since).await.is_err() {
-                        return DiscoveryError::ActorEnded;
-                    }
-                    sleep_until(started + MIN_CALL_INTERVAL).await;
-                }
-                // Another connection may do. Prevents a link that lost one call, or an update that counts as told
-                // though its response broke off, from costing a backoff.
-                Err(error) if retries < error.immediate_retries(&timing) => {
-                    log::warn!(target: LOG_TARGET, "list call goes out again: {error}");
-                    catching_up = true;
-                    retries += 1;
-                }
-                Err(error) => return error,
+    async fn handle_end(&mut self, end: WatchEnd) -> Result<(), DecisionActorEnded> {
+        match end {
+            WatchEnd::AddressChanged => {
+                self.watch.poller.reset();
+                Ok(())
             }
+            WatchEnd::Failed(error) => self.handle_failure(&error).await,
+            WatchEnd::DecisionActorEnded => Err(DecisionActorEnded),
         }
     }
 
-    /// The call that comes next: for the whole list, for what has changed by now, or a watch.
-    fn next_call(&self, timing: &CallTiming, catching_up: bool) -> Call {
-        let nth = |timeouts: &[Duration]| timeouts[self.consecutive_timeouts % timeouts.len()];
-        let Some(version) = self.version else {
-            let first = !self.pushed && !self.state_store.current().ready;
-            let timeouts = if first {
-                FIRST_SNAPSHOT
-            } else {
-                timing.snapshot
-            };
-            return Call {
-                path: INSTANCES_PATH.to_owned(),
-                is_watch: false,
-                timeout: nth(timeouts),
-            };
-        };
-        let (hold, timeout) = if catching_up {
-            (Duration::ZERO, nth(timing.catch_up))
-        } else {
-            (timing.hold, timing.hold + timing.response_margin)
-        };
-        let hold_ms = hold.as_millis();
-        Call {
-            path: format!("{INSTANCES_PATH}?from={version}&hold_ms={hold_ms}"),
-            is_watch: !hold.is_zero(),
-            timeout,
+    async fn handle_failure(&mut self, error: &DiscoveryError) -> Result<(), DecisionActorEnded> {
+        self.log_failure(error);
+        self.discard_pending_request().await;
+        self.watch.report_failure().await?;
+        if self.is_local_agent() {
+            sleep(AGENT_RETRY_INTERVAL).await;
         }
+        Ok(())
     }
 
-    /// Makes a call, and counts timeouts in a row. One that times out stays under way: the first response counts.
-    async fn call(
-        &mut self,
-        connection: &mut Option<Connection>,
-        call: Call,
-    ) -> Result<EndpointUpdate, DiscoveryError> {
-        let deadline = Instant::now() + call.timeout;
-        let address = *self.address.borrow();
-        let mut current = make_call(address, connection.take(), call.path);
-        let CallEnd {
-            result,
-            connection: usable,
-        } = select! {
-            biased;
-            end = &mut current => end,
-            (update, connection) = self.overdue.next_update() => CallEnd {
-                result: Ok(update),
-                connection,
-            },
-            () = sleep_until(deadline) => {
-                self.overdue.push(current);
-                DiscoveryError::TimedOut.into()
-            }
-        };
-        let result = result.and_then(|update| self.check_order(update));
-        match &result {
-            Ok(_) => {
-                self.record_response();
-                *connection = usable;
-            }
-            Err(DiscoveryError::TimedOut) => self.consecutive_timeouts += 1,
-            Err(_) => self.consecutive_timeouts = 0,
+    /// Logs a failed poll. Limits the log lines about one outage of a local agent, which is polled without a backoff.
+    fn log_failure(&mut self, error: &DiscoveryError) {
+        let is_due = self
+            .outage_logged_at
+            .is_none_or(|at| at.elapsed() > OUTAGE_LOG_INTERVAL);
+        if !is_due {
+            return;
         }
-        result
-    }
-
-    /// Prevents an older list from undoing a newer one: what is true then is in the whole list, whatever its version.
-    fn check_order(&mut self, update: EndpointUpdate) -> Result<EndpointUpdate, DiscoveryError> {
-        match self.version {
-            Some(known) if update.version < known => {
-                self.version = None;
-                Err(DiscoveryError::OutOfOrder {
-                    received: update.version,
-                    known,
-                })
-            }
-            _ => Ok(update),
+        log::warn!(
+            target: LOG_TARGET,
+            "discovery poll failed, keeping the last endpoint list: {error}"
+        );
+        if self.is_local_agent() {
+            self.outage_logged_at = Some(Instant::now());
         }
     }
 
-    /// Hands an update to the decision actor, with the time since which what it tells may have been so.
-    async fn deliver(
-        &mut self,
-        mut update: EndpointUpdate,
-        changed_since: Option<Instant>,
-    ) -> Result<(), ActorEnded> {
-        update.changed_since = changed_since;
-        self.version = Some(update.version);
-        let names = update.listed.iter().map(|endpoint| endpoint.uid.as_str());
-        self.state_store.record_listed_names(names);
-        self.state_store.set_ready();
-        let event = Event::EndpointsChanged(update);
-        self.decisions.send(event).await.map_err(|_| ActorEnded)
+    /// Discards a request that the decisions made during the watch. Prevents polls without a backoff.
+    async fn discard_pending_request(&self) {
+        select! {
+            biased;
+            () = self.watch_requested.notified() => {}
+            () = ready(()) => {}
+        }
     }
 }
--- a/crates/daemon/src/discovery/error.rs
+++ b/crates/daemon/src/discovery/error.rs
@@ -1,60 +1,56 @@
-//! Why a call to discovery brought no update.
+//! The errors of polls of the discovery service.
 
-use crate::discovery::timing::CallTiming;
-use crate::discovery::update::DecodeError;
+use crate::discovery::timing::PollTiming;
+use crate::discovery::wire::DecodeError;
 use crate::net::connect::ConnectError;
 use crate::net::connection::ConnectionError;
 use hyper::StatusCode;
 use thiserror::Error;
 
-/// How a call ended without an update.
+/// The reason why a poll received no usable update.
 #[derive(Debug, Error)]
 pub(super) enum DiscoveryError {
-    /// No response in time, or no connection in time.
-    #[error("no answer in time")]
+    /// The connect or the response timed out.
+    #[error("no response within the timeout")]
     TimedOut,
-    /// The response broke off.
-    #[error("the answer broke off")]
-    Truncated,
-    /// The response is not JSON.
-    #[error("not JSON: {0}")]
+    /// The connection ended within the response.
+    #[error("the response was truncated")]
+    TruncatedResponse,
+    /// The body of the response is not JSON.
+    #[error("the response is not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The response is JSON, but no endpoint list.
-    #[error(transparent)]
+    /// The body of the response is JSON, but not an endpoint list.
+    #[error("the response is not an endpoint list: {0}")]
     Malformed(#[from] DecodeError),
     /// The connection could not be opened.
     #[error(transparent)]
-    NoConnection(ConnectError),
-    /// The connection failed before a response.
+    ConnectFailed(ConnectError),
+    /// The connection failed before a response was received.
     #[error("the connection failed: {0:?}")]
     ConnectionFailed(ConnectionError),
-    /// The response has another status than 200.
-    #[error("status {0}")]
-    Status(StatusCode),
-    /// The list is older than the one that is known.
-    #[error("version {received} came after {known}")]
-    OutOfOrder {
-        /// Version of the list that came.
+    /// The status of the response is not 200.
+    #[error("the response has status {0}")]
+    UnexpectedStatus(StatusCode),
+    /// The list is older than the last one from this service.
+    #[error("version {received} is older than the known version {known}")]
+    OutdatedVersion {
+        /// Version of the list that was received.
         received: u64,
-        /// Version that was known before.
+        /// Version of the last list.
         known: u64,
     },
-    /// The decision actor has ended.
-    #[error("the decision actor has ended")]
-    ActorEnded,
 }
 
 impl DiscoveryError {
-    /// How many calls in a row are retried at once after such an end.
-    pub(super) fn immediate_retries(&self, timing: &CallTiming) -> usize {
+    /// Returns how many consecutive polls may be retried at once after this error.
+    pub(super) fn immediate_retries(&self, timing: &PollTiming) -> usize {
         match self {
             Self::TimedOut => timing.retries_after_timeout,
-            Self::Truncated | Self::NotJson(_) | Self::Malformed(_) => 1,
-            Self::NoConnection(_)
+            Self::TruncatedResponse | Self::NotJson(_) | Self::Malformed(_) => 1,
+            Self::ConnectFailed(_)
             | Self::ConnectionFailed(_)
-            | Self::Status(_)
-            | Self::OutOfOrder { .. }
-            | Self::ActorEnded => 0,
+            | Self::UnexpectedStatus(_)
+            | Self::OutdatedVersion { .. } => 0,
         }
     }
 }
--- a/crates/daemon/src/discovery/mod.rs
+++ b/crates/daemon/src/discovery/mod.rs
@@ -1,10 +1,15 @@
-//! Discovery: following the endpoint list and decoding it.
+//! Discovery: polls the discovery service for the endpoint list, and decodes its responses.
 
 mod call;
 pub(crate) mod client;
 mod error;
+mod overdue;
+mod poller;
+pub(crate) mod source;
 mod timing;
 pub(crate) mod update;
+mod watch;
+pub(crate) mod wire;
 
-/// The part that log lines of all these modules name.
+/// Target of the log lines of all these modules, which names them `discovery`.
 const LOG_TARGET: &str = "birchhubd::discovery";
--- /dev/null
+++ b/crates/daemon/src/discovery/poller.rs
@@ -0,0 +1,199 @@
+//! The poller: makes one poll of the discovery service at a time, and keeps what the next poll depends on.
+
+use crate::discovery::call::{Call, CallEnd, start_call};
+use crate::discovery::error::DiscoveryError;
+use crate::discovery::overdue::{LateUpdate, OverdueCalls};
+use crate::discovery::source::DiscoverySource;
+use crate::discovery::timing::FIRST_SNAPSHOT_TIMEOUTS;
+use crate::discovery::update::EndpointUpdate;
+use crate::discovery::wire;
+use crate::net::connection::Connection;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::select;
+use tokio::sync::watch;
+use tokio::time::{Instant, sleep_until};
+
+/// Makes polls. A poll that times out stays in flight as overdue, and the first response counts.
+pub(super) struct Poller {
+    address: watch::Receiver<SocketAddr>,
+    source: DiscoverySource,
+    /// Version of the last list from the service at the present address.
+    version: Option<u64>,
+    consecutive_timeouts: usize,
+    overdue: OverdueCalls,
+    /// Time of the last response, from any address.
+    last_response: Option<Instant>,
+}
+
+/// Whether the service may hold the next poll.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum PollMode {
+    /// The service responds at once with all changes so far.
+    CatchUp,
+    /// The service holds the poll until there is a change.
+    Watch,
+}
+
+impl Poller {
+    /// Creates a poller that knows the list up to `version`.
+    pub(super) fn new(
+        address: watch::Receiver<SocketAddr>,
+        source: DiscoverySource,
+        version: Option<u64>,
+    ) -> Self {
+        Self {
+            address,
+            source,
+            version,
+            consecutive_timeouts: 0,
+            overdue: OverdueCalls::default(),
+            last_response: None,
+        }
+    }
+
+    /// Resets the poller after a change of the address. A version has no meaning at another service, so the next poll
+    /// requests a snapshot.
+    pub(super) fn reset(&mut self) {
+        self.version = None;
+        self.consecutive_timeouts = 0;
+        self.overdue.clear();
+    }
+
+    /// Returns the time of the last response.
+    pub(super) fn last_response(&self) -> Option<Instant> {
+        self.last_response
+    }
+
+    /// Sets the version that the next poll continues from.
+    pub(super) fn set_version(&mut self, version: u64) {
+        self.version = Some(version);
+    }
+
+    /// Returns the mode of the first poll of a watch. After a timeout, a held poll that timed out too would do so late.
+    pub(super) fn initial_mode(&self) -> PollMode {
+        if self.source == DiscoverySource::LocalAgent || self.consecutive_timeouts > 0 {
+            PollMode::CatchUp
+        } else {
+            PollMode::Watch
+        }
+    }
+
+    /// Returns the next call: for a snapshot if no version is known, or else for changes. `is_ready` tells whether the
+    /// process has any endpoint list.
+    pub(super) fn next_call(&self, mode: PollMode, is_ready: bool) -> Call {
+        match self.version {
+            None => self.snapshot_call(is_ready),
+            Some(version) => self.changes_call(version, mode),
+        }
+    }
+
+    fn snapshot_call(&self, is_ready: bool) -> Call {
+        let is_first = self.source == DiscoverySource::CentralService && !is_ready;
+        let timeouts = if is_first {
+            FIRST_SNAPSHOT_TIMEOUTS
+        } else {
+            self.source.timing().snapshot
+        };
+        Call {
+            path: wire::snapshot_path(),
+            is_watch: false,
+            timeout: self.next_timeout(timeouts),
+        }
+    }
+
+    fn changes_call(&self, version: u64, mode: PollMode) -> Call {
+        let timing = self.source.timing();
+        match mode {
+            PollMode::CatchUp => Call {
+                path: wire::changes_path(version, Duration::ZERO),
+                is_watch: false,
+                timeout: self.next_timeout(timing.catch_up),
+            },
+            PollMode::Watch => Call {
+                path: wire::changes_path(version, timing.hold),
+                is_watch: true,
+                timeout: timing.hold + timing.response_margin,
+            },
+        }
+    }
+
+    /// Returns the timeout for the present number of consecutive timeouts.
+    fn next_timeout(&self, timeouts: &[Duration]) -> Duration {
+        timeouts[self.consecutive_timeouts % timeouts.len()]
+    }
+
+    /// Makes a call on `connection`, and leaves the connection there if the next call can use it. A response to an
+    /// overdue call is returned in place of the response to this one.
+    pub(super) async fn poll(
+        &mut self,
+        connection: &mut Option<Connection>,
+        call: Call,
+    ) -> Result<EndpointUpdate, DiscoveryError> {
+        let deadline = Instant::now() + call.timeout;
+        let address = *self.address.borrow();
+        let mut current = start_call(address, connection.take(), call.path);
+        let end = select! {
+            biased;
+            end = &mut current => end,
+            late = self.overdue.next_update() => late.into(),
+            () = sleep_until(deadline) => {
+                self.overdue.push(current);
+                DiscoveryError::TimedOut.into()
+            }
+        };
+        let result = end.result.and_then(|update| self.check_version(update));
+        match &result {
+            Ok(_) => {
+                self.record_response();
+                *connection = end.connection;
+            }
+            Err(DiscoveryError::TimedOut) => self.consecutive_timeouts += 1,
+            Err(_) => self.consecutive_timeouts = 0,
+        }
+        result
+    }
+
+    /// Waits for a response to an overdue call.
+    pub(super) async fn next_late_update(&mut self) -> LateUpdate {
+        self.overdue.next_update().await
+    }
+
+    /// Accepts the update of an overdue call unless it is older than the last one.
+    pub(super) fn accept_late(&mut self, update: EndpointUpdate) -> Option<EndpointUpdate> {
+        let update = self.check_version(update).ok()?;
+        self.record_response();
+        Some(update)
+    }
+
+    /// Records a response. All calls in flight would return the same changes.
+    fn record_response(&mut self) {
+        self.overdue.clear();
+        self.consecutive_timeouts = 0;
+        self.last_response = Some(Instant::now());
+    }
+
+    /// Rejects a list that is older than the last one, and has the next poll request a snapshot. Prevents an older list
+    /// from undoing a newer one: a snapshot is current, whatever its version.
+    fn check_version(&mut self, update: EndpointUpdate) -> Result<EndpointUpdate, DiscoveryError> {
+        match self.version {
+            Some(known) if update.version < known => {
+                self.version = None;
+                Err(DiscoveryError::OutdatedVersion {
+                    received: update.version,
+                    known,
+                })
+            }
+            _ => Ok(update),
+        }
+    }
+}
+
+impl From<LateUpdate> for CallEnd {
+    fn from(late: LateUpdate) -> Self {
+        Self {
+            result: Ok(late.update),
+            connection: late.connection,
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/discovery/source.rs
@@ -0,0 +1,32 @@
+//! The kinds of discovery source.
+
+use crate::discovery::timing::{CENTRAL_SERVICE, LOCAL_AGENT, PollTiming};
+use birchhub::interface::Settings;
+
+/// Where the endpoint list comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum DiscoverySource {
+    /// A central service, which proxies poll when the decisions ask for it.
+    CentralService,
+    /// An agent on the same machine that lists are pushed to. It is watched all the time, even while polls fail.
+    LocalAgent,
+}
+
+impl DiscoverySource {
+    /// Returns the source that the settings name.
+    pub(crate) fn of(settings: &Settings) -> Self {
+        if settings.polls_endpoint_list {
+            Self::CentralService
+        } else {
+            Self::LocalAgent
+        }
+    }
+
+    /// Returns the time limits on the polls of this source.
+    pub(super) fn timing(self) -> &'static PollTiming {
+        match self {
+            Self::CentralService => &CENTRAL_SERVICE,
+            Self::LocalAgent => &LOCAL_AGENT,
+        }
+    }
+}
--- a/crates/daemon/src/discovery/timing.rs
+++ b/crates/daemon/src/discovery/timing.rs
@@ -1,21 +1,23 @@
-//! How long calls to discovery may wait, and how often they are retried at once.
+//! Time limits on the polls of the discovery service, and on their retries.
 
 use std::time::Duration;
 
-/// Limits on the calls to one kind of discovery service. What a service has to tell counts as told 6 s after it could
-/// be reached, and 6 s after a watch fell silent: two calls in a row without a response, and one backoff of the
-/// decisions (1 s at the most) between them, leave time for a third that is answered.
-pub(super) struct CallTiming {
-    /// Time that a watch may wait at the service.
+/// Time limits on the polls of one kind of source.
+///
+/// A proxy must apply an update within 6 s after the source became reachable, and within 6 s after a watch fell silent.
+/// Two polls in a row without a response, and one backoff of the decisions (at most 1 s) between them, leave time for a
+/// third poll that succeeds.
+pub(super) struct PollTiming {
+    /// Time for which the source may hold a watch.
     pub(super) hold: Duration,
-    /// Time waited for the response to a watch beyond that.
+    /// Time after `hold` until a watch times out.
     pub(super) response_margin: Duration,
-    /// Timeouts of a call that does not wait at the service, after a timeout or a broken response; indexed by the number
-    /// of timeouts in a row. Some are longer, for a service that is slower than usual.
+    /// Timeouts of polls for changes that the source does not hold, indexed by the number of consecutive timeouts. Some
+    /// are longer, for a source that is slower than usual.
     pub(super) catch_up: &'static [Duration],
-    /// Timeouts of a call for the whole list, likewise.
+    /// Timeouts of polls for a snapshot, indexed likewise.
     pub(super) snapshot: &'static [Duration],
-    /// Calls that are retried at once after one that timed out: the timeout took as long as a backoff.
+    /// Number of immediate retries after a timeout, which took as long as a backoff.
     pub(super) retries_after_timeout: usize,
 }
 
@@ -23,8 +25,8 @@
     Duration::from_millis(ms)
 }
 
-/// A central service, which the proxies poll. With a shorter `hold` the calls would load it.
-pub(super) const SERVICE: CallTiming = CallTiming {
+/// Limits for a central service. A shorter `hold` would increase the load on the service.
+pub(super) const CENTRAL_SERVICE: PollTiming = PollTiming {
     hold: ms(3500),
     response_margin: ms(500),
     catch_up: &[ms(3000), ms(750), ms(1250)],
@@ -32,9 +34,8 @@
     retries_after_timeout: 2,
 };
 
-/// An agent on the same machine, where lists are pushed: what it has counts as told at once, and it answers from its own
-/// memory.
-pub(super) const AGENT: CallTiming = CallTiming {
+/// Limits for a local agent, which responds from memory. A proxy must apply what the agent has without delay.
+pub(super) const LOCAL_AGENT: PollTiming = PollTiming {
     hold: ms(2000),
     response_margin: ms(500),
     catch_up: &[ms(100), ms(200), ms(400), ms(800)],
@@ -42,21 +43,23 @@
     retries_after_timeout: 1,
 };
 
-/// Timeouts of calls for the whole list while a process has none at all: nothing counts as told to a process that is not
-/// ready. Prevents a mass start whose calls are given up while they wait their turn, and are worked on all the same.
-pub(super) const FIRST_SNAPSHOT: &[Duration] = &[ms(8000), ms(4000), ms(4000)];
+/// Timeouts of polls for the first snapshot of a process that is not ready, indexed by the number of consecutive
+/// timeouts. Prevents the proxies of a mass start from abandoning polls that wait their turn, and that the service would
+/// process all the same.
+pub(super) const FIRST_SNAPSHOT_TIMEOUTS: &[Duration] = &[ms(8000), ms(4000), ms(4000)];
 
-/// Between calls to an agent that fail: less than the grace of a drain.
+/// Pause after a failed poll of a local agent; shorter than the drain grace of a backend.
 pub(super) const AGENT_RETRY_INTERVAL: Duration = ms(20);
 
-/// For a connection: one whose handshake was lost must not cost a whole call.
+/// Timeout of a connect. Prevents a lost handshake from using up the whole timeout of a poll.
 pub(super) const CONNECT_TIMEOUT: Duration = ms(750);
 
-/// Between log lines of one outage, where calls go on.
-pub(super) const LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Shortest time between two log lines about the same outage of a local agent.
+pub(super) const OUTAGE_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Between the starts of two calls: a service that answers each at once must not make this process spin.
+/// Shortest time from the start of a poll to the start of the next. Prevents a busy loop when the source responds to
+/// each watch at once.
 pub(super) const MIN_CALL_INTERVAL: Duration = ms(20);
 
-/// Largest body of a list, bytes: some 20,000 lines.
-pub(super) const MAX_BODY: usize = 4 << 20;
+/// Largest body of a response, in bytes; some 20,000 endpoints.
+pub(super) const MAX_BODY_BYTES: usize = 4 << 20;
--- a/crates/daemon/src/lifecycle/startup.rs
+++ b/crates/daemon/src/lifecycle/startup.rs
@@ -63,10 +63,13 @@
     let Some(cached) = &config.cached_endpoints else {
         return;
     };
-    if cached.listed.is_empty() {
+    if cached.endpoints.is_empty() {
         return;
     }
-    let names = cached.listed.iter().map(|endpoint| endpoint.uid.as_str());
+    let names = cached
+        .endpoints
+        .iter()
+        .map(|endpoint| endpoint.uid.as_str());
     state_store.record_listed_names(names);
     let state_store = state_store.clone();
     spawn_local(async move {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -22,7 +22,8 @@
 use crate::config::name_table::{ActiveNames, NameTable};
 use crate::config::reload::Reload;
 use crate::decision::actor::{self, ActorContext, DecisionActor};
-use crate::discovery::client::DiscoveryClient;
+use crate::discovery::client::{DiscoveryClient, DiscoveryContext};
+use crate::discovery::source::DiscoverySource;
 use crate::downstream::listener::Listener;
 use crate::downstream::request_parser::RequestParser;
 use crate::invariants::Invariants;
@@ -109,8 +110,7 @@
     budget: Rc<SocketBudget>,
     state_store: Rc<StateStore>,
     invariants: Rc<Invariants>,
-    /// Endpoint lists are pushed to this process, and not polled by it.
-    pushed: bool,
+    discovery_source: DiscoverySource,
 }
 
 impl Proxy {
@@ -123,11 +123,15 @@
             budget: SocketBudget::new(config.max_sockets),
             state_store: Rc::new(StateStore::new(process_group, inherited)),
             invariants: Rc::new(Invariants::new()),
-            pushed: !config.parsed_settings.settings.polls_endpoint_list,
+            discovery_source: DiscoverySource::of(&config.parsed_settings.settings),
             config: Arc::new(config),
         }
     }
 
+    fn lists_are_pushed(&self) -> bool {
+        self.discovery_source == DiscoverySource::LocalAgent
+    }
+
     /// Starts following the siblings, and the server of the second address where there is one.
     fn spawn_lifecycle(
         &self,
@@ -171,19 +175,19 @@
             },
         );
         spawn_local(decisions.run(mailbox));
-        startup::use_cached_endpoints(&self.config, &self.state_store, self.pushed);
+        startup::use_cached_endpoints(&self.config, &self.state_store, self.lists_are_pushed());
         let (address_sender, address) = watch::channel(self.config.discovery_address);
         let config = self.config.clone();
         spawn_local(Reload::new(config, address_sender, events.clone(), active_config).run(reload));
         let cached = self.config.cached_endpoints.as_ref();
-        let discovery = DiscoveryClient::new(
+        let discovery = DiscoveryClient::new(DiscoveryContext {
             address,
-            events.clone(),
+            decisions: events.clone(),
             watch_requested,
-            cached.map(|cached| cached.version),
-            self.pushed,
-            self.state_store.clone(),
-        );
+            cached_version: cached.map(|cached| cached.version),
+            source: self.discovery_source,
+            state_store: self.state_store.clone(),
+        });
         spawn_local(discovery.run());
         events
     }
@@ -202,7 +206,7 @@
             listener,
             socket,
             state_store,
-            self.pushed,
+            self.lists_are_pushed(),
         ))
     }
 }
--- a/crates/daemon/tests/watches.rs
+++ b/crates/daemon/tests/watches.rs
@@ -194,7 +194,7 @@
             sleep(Duration::from_millis(20));
             daemon
                 .logged()
-                .contains("list call failed: no answer in time")
+                .contains("discovery poll failed, keeping the last endpoint list: no response within the timeout")
         },
     );
     assert_eq!(
@@ -481,7 +481,10 @@
         daemon.client().text_of(&rpc("POST", "/book", "id", "")),
         "b2:"
     );
-    let warnings = daemon.logged().matches("list call failed").count();
+    let warnings = daemon
+        .logged()
+        .matches("discovery poll failed, keeping")
+        .count();
     assert!(warnings <= 3, "{warnings} log lines of one outage");
 }
 
