--- a/crates/daemon/src/decision/in_flight.rs
+++ b/crates/daemon/src/decision/in_flight.rs
@@ -116,9 +116,9 @@
     /// Returns the facts by which the invariants judge an attempt that starts now.
     pub(super) fn attempt_start(&self) -> AttemptStart {
         AttemptStart {
-            is_answered: !self.awaits_response(),
+            is_finished: !self.awaits_response(),
             repeat_rule: self.limits.repeat_rule,
-            since_first: self.first_possible_execution().map(|first| first.elapsed()),
+            since_first_execution: self.first_possible_execution().map(|first| first.elapsed()),
         }
     }
 
@@ -172,10 +172,10 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Violation::SecondAnswer`] if the RPC already has a response.
+    /// Returns [`Violation::SecondResponse`] if the RPC already has a response.
     pub(super) fn respond(&mut self, response: ProxyResponse) -> Result<(), Violation> {
         if self.has_response {
-            return Err(Violation::SecondAnswer);
+            return Err(Violation::SecondResponse);
         }
         if let Some(responder) = self.responder.take() {
             self.has_response = true;
--- a/crates/daemon/src/decision/platform.rs
+++ b/crates/daemon/src/decision/platform.rs
@@ -5,7 +5,7 @@
 use crate::decision::endpoints::EndpointRegistry;
 use crate::decision::in_flight::InFlightRpc;
 use crate::downstream::response::ProxyResponse;
-use crate::invariants::Invariants;
+use crate::invariants::{Invariants, NO_REQUEST_ID};
 use crate::messages::{AttemptId, Event};
 use crate::upstream::backend_protocol::health_check_request;
 use crate::upstream::completion_guard::CompletionGuard;
@@ -21,9 +21,6 @@
 /// Timeout of a health check. A load report that takes longer is out of date.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Logged in place of the request id for a violation that concerns no single RPC.
-const NO_REQUEST_ID: &str = "-";
-
 /// The daemon's implementation of [`Platform`].
 pub(super) struct DaemonPlatform {
     /// Time of the current call on the balancer, in seconds of `clock`.
@@ -86,7 +83,8 @@
                 "response decided: {response}"
             );
             if let Err(violation) = in_flight.respond(response) {
-                self.invariants.violated(in_flight.request_id(), &violation);
+                self.invariants
+                    .record_violation(in_flight.request_id(), &violation);
             }
         }
     }
@@ -216,7 +214,7 @@
     }
 
     fn report_violation(&mut self, violation: Violation) {
-        self.invariants.violated(NO_REQUEST_ID, &violation);
+        self.invariants.record_violation(NO_REQUEST_ID, &violation);
     }
 
     fn schedule_timer(&mut self, delay: f64) {
--- a/crates/daemon/src/downstream/connection_task.rs
+++ b/crates/daemon/src/downstream/connection_task.rs
@@ -92,7 +92,7 @@
         if reason == EndReason::AnswerOverdue {
             let connection = format!("connection {}", client.id());
             self.invariants
-                .violated(&connection, &Violation::Unanswered);
+                .record_violation(&connection, &Violation::NoResponse);
         }
     }
 
--- a/crates/daemon/src/downstream/rpc_service.rs
+++ b/crates/daemon/src/downstream/rpc_service.rs
@@ -102,7 +102,7 @@
         };
         if let Some(received_at) = received_at {
             self.invariants
-                .check_answer(log.request_id(), received_at + timeout);
+                .check_response(log.request_id(), received_at + timeout);
         }
         log.end(outcome.reason);
         // The rest of a streamed request is not read any more, so the next message can't be found.
--- a/crates/daemon/src/invariants.rs
+++ b/crates/daemon/src/invariants.rs
@@ -1,108 +1,77 @@
-//! The process's [`Guard`], with what it needs from the daemon: the log, and what the process was stopped for.
+//! The invariants of the process: a [`Guard`] with the log and the suspensions that it needs.
+
+mod suspensions;
+
 use birchhub_invariants::{AttemptStart, Guard, Report, SendFacts, Violation};
-use std::cell::{Cell, RefCell};
-use std::collections::VecDeque;
+use std::cell::Cell;
 use std::time::Duration;
+use suspensions::Suspensions;
 use tokio::time::Instant;
 
-/// Stops of the process that are kept.
-const STOPS: usize = 64;
-/// Between two heartbeats of a process that runs, at most.
-const USUAL_BEAT: Duration = Duration::from_millis(20);
-
-/// A time for which the process was stopped.
-#[derive(Clone, Copy)]
-struct Stop {
-    ended_at: Instant,
-    length: Duration,
-}
+/// Logged in place of the request id for a violation that concerns no single RPC.
+pub(crate) const NO_REQUEST_ID: &str = "-";
 
-/// The one guard through which every start, send, answer and close goes.
+/// The one guard of a process, which judges every attempt, response and closed connection.
 pub(crate) struct Invariants {
     guard: Guard,
-    last_beat: Cell<Instant>,
-    /// RPCs that have no answer yet.
+    suspensions: Suspensions,
+    /// Number of RPCs that have no response yet and whose client is connected.
     open_rpcs: Cell<u64>,
-    /// The latest last.
-    stops: RefCell<VecDeque<Stop>>,
 }
 
 impl Invariants {
-    /// Of a process that starts now.
+    /// Creates the guard of a process that starts now.
     pub(crate) fn new() -> Self {
         Self {
             guard: Guard::default(),
-            last_beat: Cell::new(Instant::now()),
+            suspensions: Suspensions::new(),
             open_rpcs: Cell::new(0),
-            stops: RefCell::default(),
-        }
-    }
-
-    /// The process runs, and was stopped before for so long, if it was.
-    pub(crate) fn record_heartbeat(&self, stopped_for: Option<Duration>) {
-        let now = Instant::now();
-        self.last_beat.set(now);
-        let Some(length) = stopped_for else { return };
-        let mut stops = self.stops.borrow_mut();
-        if stops.len() == STOPS {
-            stops.pop_front();
         }
-        stops.push_back(Stop {
-            ended_at: now,
-            length,
-        });
     }
 
-    /// For how long the process was stopped since then, also by what no heartbeat has told of yet.
-    fn stopped_since(&self, since: Instant) -> Duration {
-        let stops = self.stops.borrow();
-        let recent = stops.iter().filter(|stop| stop.ended_at > since);
-        let told: Duration = recent.map(|stop| stop.length).sum();
-        told + self.last_beat.get().elapsed().saturating_sub(USUAL_BEAT)
+    /// Records a heartbeat, and the duration of the suspension that preceded it, if there was one.
+    pub(crate) fn record_heartbeat(&self, suspended_for: Option<Duration>) {
+        self.suspensions.record_heartbeat(suspended_for);
     }
 
-    /// Whether an attempt that the decisions ask for may start.
+    /// Returns whether an attempt that the decisions request may start.
     pub(crate) fn may_start(&self, request: &str, facts: &AttemptStart) -> bool {
         let result = self.guard.check_start(facts);
-        result
-            .inspect_err(|violation| log_refusal(request, violation))
-            .is_ok()
+        is_allowed(request, result)
     }
 
-    /// Whether the first byte of an attempt may be sent.
+    /// Returns whether the first byte of an attempt may be sent.
     pub(crate) fn may_send(&self, request: &str, facts: &SendFacts) -> bool {
         let result = self.guard.check_send(facts);
-        result
-            .inspect_err(|violation| log_refusal(request, violation))
-            .is_ok()
+        is_allowed(request, result)
     }
 
-    /// An RPC was read: an answer is owed.
+    /// Records an RPC that was received and must have a response.
     pub(crate) fn record_rpc(&self) {
         self.open_rpcs.update(|open| open + 1);
     }
 
-    /// The RPC has its answer, or its client has gone.
+    /// Records that an RPC has its response, or that its client has disconnected.
     pub(crate) fn record_rpc_end(&self) {
         self.open_rpcs.update(|open| open - 1);
     }
 
-    /// The process exits now: no RPC may be left.
+    /// Checks that no RPC is left without a response when the process exits.
     pub(crate) fn check_exit(&self) {
         for _ in 0..self.open_rpcs.get() {
-            self.violated("-", &Violation::Unanswered);
+            self.record_violation(NO_REQUEST_ID, &Violation::NoResponse);
         }
     }
 
-    /// An RPC with this deadline is answered now.
-    pub(crate) fn check_answer(&self, request: &str, deadline: Instant) {
-        let late = |late| Violation::LateAnswer { late };
+    /// Checks that the response to an RPC with this deadline is in time if it is sent now.
+    pub(crate) fn check_response(&self, request: &str, deadline: Instant) {
+        let late = |late| Violation::LateResponse { late };
         if let Err(violation) = self.check_lateness(deadline, late) {
             log_violation(request, &violation);
         }
     }
 
-    /// A client's connection, of this number in the log, is closed now; it was to be by `deadline`.
+    /// Checks that a client's connection, with this id in the log, is closed in time if it is closed now.
     pub(crate) fn check_close(&self, connection: u64, deadline: Instant) {
         let late = |late| Violation::LateClose { late };
         if let Err(violation) = self.check_lateness(deadline, late) {
@@ -116,27 +85,31 @@
         violation: fn(Duration) -> Violation,
     ) -> Result<(), Violation> {
         let late = deadline.elapsed();
-        self.guard
-            .check_lateness(late, self.stopped_since(deadline), violation)
+        let suspended = self.suspensions.total_since(deadline);
+        self.guard.check_lateness(late, suspended, violation)
     }
 
-    /// This was seen to be broken.
-    pub(crate) fn violated(&self, request: &str, violation: &Violation) {
+    /// Counts and logs a violation.
+    pub(crate) fn record_violation(&self, request: &str, violation: &Violation) {
         self.guard.count(violation);
         log_violation(request, violation);
     }
 
-    /// What was broken and refused so far.
+    /// Returns the counts of violations and refusals so far.
     pub(crate) fn report(&self) -> Report<'_> {
         self.guard.report()
     }
 }
 
-fn log_violation(request: &str, violation: &Violation) {
-    log::error!(request:%, rule:% = violation.rule(); "invariant violated: {violation}");
+/// Returns whether an attempt is allowed, and logs why it is not. The guard has counted a violation, if it is one.
+fn is_allowed(request: &str, result: Result<(), Violation>) -> bool {
+    let Err(violation) = result else {
+        return true;
+    };
+    log::debug!(request:%, rule:% = violation.rule(); "attempt refused: {violation}");
+    false
 }
 
-/// What is refused is not sent; the guard counts whether it should never have been asked for.
-fn log_refusal(request: &str, violation: &Violation) {
-    log::debug!(request:%, rule:% = violation.rule(); "attempt refused: {violation}");
+fn log_violation(request: &str, violation: &Violation) {
+    log::error!(request:%, rule:% = violation.rule(); "invariant violated: {violation}");
 }
--- a/crates/daemon/src/upstream/attempt/send.rs
+++ b/crates/daemon/src/upstream/attempt/send.rs
@@ -26,7 +26,7 @@
             // a client that has disconnected. The decision actor will receive that event and cancel the exchange.
             let facts = self.send_facts(self.is_client_disconnected().await);
             if !self.may_send(&facts) {
-                if facts.is_client_gone {
+                if facts.is_client_disconnected {
                     return pending().await;
                 }
                 return AttemptOutcome::NotSent.into();
@@ -47,16 +47,16 @@
         invariants.may_send(self.request.id_text(), facts)
     }
 
-    fn send_facts(&self, is_client_gone: bool) -> SendFacts {
+    fn send_facts(&self, is_client_disconnected: bool) -> SendFacts {
         let now = Instant::now();
         // The client's deadline of a streamed request is not known before its last byte.
         let client_deadline = self.deadlines.client_deadline;
         let client_deadline = client_deadline.filter(|_| self.request.may_be_complete());
         let send_deadline = self.deadlines.send_deadline;
         SendFacts {
-            is_client_gone,
+            is_client_disconnected,
             time_left: client_deadline.map(|deadline| deadline.saturating_duration_since(now)),
-            late: client_deadline.map_or(Duration::ZERO, |deadline| {
+            past_deadline: client_deadline.map_or(Duration::ZERO, |deadline| {
                 now.saturating_duration_since(deadline)
             }),
             forwarded_timeout: self
--- a/crates/invariants/src/guard.rs
+++ b/crates/invariants/src/guard.rs
@@ -1,97 +1,66 @@
-//! The one guard of a process.
+//! The guard: judges attempts, responses and closed connections, and counts what it finds.
 //!
-//! What it refuses is of two kinds. An attempt that the decisions should never have asked for is a violation, prevented but
-//! counted. One that became wrong between the decision and the first byte, as when the client goes in between, is a
-//! refusal: that race can't be avoided, only be lost safely.
+//! An attempt that the decisions must never request is a violation, which is prevented and counted. An attempt that
+//! became wrong between the decision and its first byte, as when the client disconnects in between, is a refusal: that
+//! race is unavoidable, and the attempt is safely not sent.
+use crate::facts::{AttemptStart, RepeatRule, SendFacts};
+use crate::report::Report;
 use crate::rule::Rule;
 use crate::violation::Violation;
 use crate::{DEADLINE_SLACK, LATENESS_SLACK};
 use std::cell::Cell;
-use std::fmt;
 use std::time::Duration;
 
-/// Whether a method's requests may be repeated after an attempt that may have run.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RepeatRule {
-    /// They may: they have no effect.
-    Always,
-    /// They may not.
-    Never,
-    /// For so long after the first such attempt, by which backends drop them as duplicates.
-    Within(Duration),
-}
-
-/// What is known as the decisions start an attempt.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AttemptStart {
-    /// The RPC has its answer.
-    pub is_answered: bool,
-    /// Whether it may be repeated.
-    pub repeat_rule: RepeatRule,
-    /// Since the first of its attempts that may have run.
-    pub since_first: Option<Duration>,
-}
+/// A counter for each rule, in the order of [`Rule::ALL`].
+type RuleCounts = [Cell<u64>; Rule::ALL.len()];
 
-/// What is known as the first byte of an attempt is about to be sent.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SendFacts {
-    /// The client's connection has ended.
-    pub is_client_gone: bool,
-    /// What is left to the client; none where its time counts from a byte that is still to come.
-    pub time_left: Option<Duration>,
-    /// How long the client's time has been over.
-    pub late: Duration,
-    /// The `Request-Timeout-Ms` that is forwarded to the backend.
-    pub forwarded_timeout: Duration,
-    /// The backend takes new requests.
-    pub is_backend_ready: bool,
-    /// What is left of the time in which a repeat is recognised; none where that is not limited.
-    pub repeat_time_left: Option<Duration>,
-}
-
-/// Checks and counts.
+/// Judges by the rules, and counts violations and refusals.
 #[derive(Debug, Default)]
 pub struct Guard {
-    violations: [Cell<u64>; Rule::ALL.len()],
-    refusals: [Cell<u64>; Rule::ALL.len()],
+    violations: RuleCounts,
+    refusals: RuleCounts,
 }
 
 impl Guard {
-    /// Judges an attempt that the decisions start; after an error it must not start. Time may have passed while the
-    /// process was stopped, which the decisions leave out: a window that is over since is a refusal, all else a violation.
+    /// Judges an attempt that the decisions start. An expired deduplication window counts as a refusal, since it may have
+    /// expired while the process was suspended, which the clock of the decisions excludes.
+    ///
+    /// # Errors
+    ///
+    /// Returns the violation if the attempt must not start.
     pub fn check_start(&self, facts: &AttemptStart) -> Result<(), Violation> {
-        let result = judge_start(facts);
-        match &result {
-            Err(refused @ Violation::WindowOver { .. }) => {
-                increment(&self.refusals, refused.rule());
-            }
-            Err(violation) => self.count(violation),
-            Ok(()) => {}
-        }
-        result
-    }
-
-    /// Judges an attempt before its first byte. An error is a refusal: the attempt must not be sent. What the decisions or
-    /// their platform should never have asked for is counted as a violation.
+        judge_start(facts).inspect_err(|violation| match violation {
+            Violation::DeduplicationWindowExpired { .. } => self.count_refusal(violation),
+            _ => self.count(violation),
+        })
+    }
+
+    /// Judges an attempt before its first byte is sent. A forwarded timeout that is too long counts as a violation, since
+    /// the proxy itself has chosen it. All else counts as a refusal.
+    ///
+    /// # Errors
+    ///
+    /// Returns the violation if the attempt must not be sent.
     pub fn check_send(&self, facts: &SendFacts) -> Result<(), Violation> {
-        let result = judge_send(facts);
-        match &result {
-            Err(violation @ Violation::DeadlineExceeded { .. }) => self.count(violation),
-            Err(refused) => increment(&self.refusals, refused.rule()),
-            Ok(()) => {}
-        }
-        result
-    }
-
-    /// Judges how late an answer was, or a connection's end, as a violation that is counted. `excused` is the time for
-    /// which the process was stopped meanwhile.
+        judge_send(facts).inspect_err(|violation| match violation {
+            Violation::ForwardedTimeoutTooLong { .. } => self.count(violation),
+            _ => self.count_refusal(violation),
+        })
+    }
+
+    /// Judges how late a response, or the close of a connection, was. `suspended` is the time for which the process was
+    /// suspended after the deadline, which is allowed. `violation` makes the violation of the remaining lateness.
+    ///
+    /// # Errors
+    ///
+    /// Returns the violation, which is counted, if the lateness exceeds [`LATENESS_SLACK`].
     pub fn check_lateness(
         &self,
         late: Duration,
-        excused: Duration,
+        suspended: Duration,
         violation: fn(Duration) -> Violation,
     ) -> Result<(), Violation> {
-        let late = late.saturating_sub(excused);
+        let late = late.saturating_sub(suspended);
         if late <= LATENESS_SLACK {
             return Ok(());
         }
@@ -100,40 +69,47 @@
         Err(violation)
     }
 
-    /// Counts what was seen to be broken.
+    /// Counts a violation.
     pub fn count(&self, violation: &Violation) {
         increment(&self.violations, violation.rule());
     }
 
-    /// How often a rule was broken.
+    fn count_refusal(&self, violation: &Violation) {
+        increment(&self.refusals, violation.rule());
+    }
+
+    /// Returns the number of violations of a rule.
     pub fn violations(&self, rule: Rule) -> u64 {
         self.violations[rule as usize].get()
     }
 
-    /// How often an attempt was refused for a rule.
+    /// Returns the number of attempts that were refused by a rule.
     pub fn refusals(&self, rule: Rule) -> u64 {
         self.refusals[rule as usize].get()
     }
 
-    /// The counts, as a line.
+    /// Returns the counts of all rules, as text.
     pub fn report(&self) -> Report<'_> {
         Report(self)
     }
 }
 
-fn increment(counts: &[Cell<u64>; Rule::ALL.len()], rule: Rule) {
+fn increment(counts: &RuleCounts, rule: Rule) {
     counts[rule as usize].update(|count| count + 1);
 }
 
 fn judge_start(facts: &AttemptStart) -> Result<(), Violation> {
-    if facts.is_answered {
-        return Err(Violation::AfterEnd);
+    if facts.is_finished {
+        return Err(Violation::AttemptAfterEnd);
     }
-    match (facts.since_first, facts.repeat_rule) {
-        (None, _) | (_, RepeatRule::Always) => Ok(()),
-        (Some(_), RepeatRule::Never) => Err(Violation::SecondEffect),
-        (Some(since_first), RepeatRule::Within(window)) if since_first < window => Ok(()),
-        (Some(since_first), RepeatRule::Within(window)) => Err(Violation::WindowOver {
+    let Some(since_first) = facts.since_first_execution else {
+        return Ok(());
+    };
+    match facts.repeat_rule {
+        RepeatRule::Always => Ok(()),
+        RepeatRule::Never => Err(Violation::UnsafeRepeat),
+        RepeatRule::Within(window) if since_first < window => Ok(()),
+        RepeatRule::Within(window) => Err(Violation::DeduplicationWindowExpired {
             since_first,
             window,
         }),
@@ -141,51 +117,25 @@
 }
 
 fn judge_send(facts: &SendFacts) -> Result<(), Violation> {
-    if facts.is_client_gone {
-        return Err(Violation::ClientGone);
+    if facts.is_client_disconnected {
+        return Err(Violation::ClientDisconnected);
     }
     if !facts.is_backend_ready {
-        return Err(Violation::Draining);
+        return Err(Violation::BackendDraining);
     }
     if facts.repeat_time_left == Some(Duration::ZERO) {
-        return Err(Violation::SecondEffect);
+        return Err(Violation::UnsafeRepeat);
     }
     let Some(left) = facts.time_left else {
         return Ok(());
     };
     if left.is_zero() {
-        return Err(Violation::DeadlinePassed { late: facts.late });
+        let late = facts.past_deadline;
+        return Err(Violation::DeadlinePassed { late });
     }
-    let forwarded_timeout = facts.forwarded_timeout;
-    if forwarded_timeout > left + DEADLINE_SLACK {
-        return Err(Violation::DeadlineExceeded {
-            forwarded_timeout,
-            left,
-        });
+    let forwarded = facts.forwarded_timeout;
+    if forwarded > left + DEADLINE_SLACK {
+        return Err(Violation::ForwardedTimeoutTooLong { forwarded, left });
     }
     Ok(())
 }
-
-/// The counts of a guard: what was violated and what was refused, by rule; rules with neither are left out.
-#[derive(Clone, Copy, Debug)]
-pub struct Report<'a>(&'a Guard);
-
-impl Report<'_> {
-    /// Violations of all rules.
-    pub fn violations(&self) -> u64 {
-        Rule::ALL.iter().map(|rule| self.0.violations(*rule)).sum()
-    }
-}
-
-impl fmt::Display for Report<'_> {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        write!(to, "{} violations", self.violations())?;
-        for rule in Rule::ALL {
-            let (violated, refused) = (self.0.violations(rule), self.0.refusals(rule));
-            if violated + refused > 0 {
-                write!(to, ", {rule}: {violated} violated, {refused} refused")?;
-            }
-        }
-        Ok(())
-    }
-}
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,34 +1,27 @@
-//! What a proxy may never do, whatever fails around it, checked while it runs.
+//! Runtime checks of the rules that a proxy must keep whatever fails around it.
 //!
-//! [`Rule`] lists it. [`Guard`] is asked before each attempt starts and before each is sent, and refuses what would break
-//! a rule; it is told of each answer and of each connection's end, and counts what was broken. Nothing here does I/O, reads
-//! a clock or waits: callers pass times as spans.
+//! [`Rule`] lists the rules. The [`Guard`] judges each attempt before it starts and again before it is sent, so that an
+//! attempt that would break a rule is not sent. It also judges each response and each closed connection, and counts what
+//! was violated. Nothing here performs I/O, reads a clock or waits: callers pass durations.
+mod facts;
 mod guard;
+mod report;
 mod rule;
+mod slow_start;
 mod violation;
 
-pub use guard::{AttemptStart, Guard, RepeatRule, Report, SendFacts};
+pub use facts::{AttemptStart, RepeatRule, SendFacts};
+pub use guard::Guard;
+pub use report::Report;
 pub use rule::Rule;
+pub use slow_start::slow_start_limit;
 pub use violation::Violation;
 
 use std::time::Duration;
 
-/// For an attempt to begin after its client has closed its connection or cancelled.
-pub const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
-/// By which the time that an attempt tells its backend may exceed what is left to the client.
+/// Time by which the timeout that is forwarded to a backend may exceed the time that the client has left.
 pub const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// By which an answer or a connection's end may be late. Times that the process was stopped for come on top: no program
-/// can act in them.
-pub const LATENESS_SLACK: Duration = Duration::from_millis(250);
 
-/// Most requests of mean work that all proxies together may send a warming backend in the overload window, if its
-/// settings allow it `allowed` then.
-pub fn slow_start_limit(allowed: f64) -> f64 {
-    const FEW: f64 = 30.0;
-    let spread = allowed.max(0.0).sqrt();
-    if allowed < FEW {
-        allowed + 3.0 * spread + 3.0
-    } else {
-        allowed + 2.0 * spread + 2.0
-    }
-}
+/// Time after its deadline until which a response, or the close of a connection, is still in time. The time for which
+/// the process was suspended is allowed in addition.
+pub const LATENESS_SLACK: Duration = Duration::from_millis(250);
--- a/crates/invariants/src/rule.rs
+++ b/crates/invariants/src/rule.rs
@@ -1,34 +1,34 @@
-//! The rules.
+//! The rules that a proxy must keep.
 use std::fmt;
 
-/// What a proxy may never do.
+/// A rule that a proxy must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
-    /// An RPC has one final answer.
+    /// An RPC has exactly one final response.
     OneFinalAnswer,
-    /// The answer comes before the deadline.
+    /// The response is sent before the deadline.
     AnswerInTime,
-    /// A request that was read has an answer before its connection is closed.
+    /// A request that was read has a response before its connection is closed.
     NoRequestUnanswered,
-    /// No attempt begins after the client has gone, past [`crate::DISCONNECT_SLACK`].
+    /// No attempt starts after the client has disconnected.
     NoAttemptAfterDisconnect,
-    /// No attempt begins after the client's time, or tells its backend more than is left of it, past
+    /// No attempt starts after the client's deadline, or forwards a timeout that exceeds the time left by more than
     /// [`crate::DEADLINE_SLACK`].
     NoAttemptBeyondDeadline,
-    /// Nothing begins for an RPC that has its answer.
+    /// No attempt starts for an RPC that has its response.
     NothingAfterEnd,
-    /// No effect is repeated that may not be.
+    /// No RPC is executed a second time that must be executed at most once.
     NoSecondEffect,
-    /// Nothing new is sent to a draining or removed backend past the grace.
+    /// No attempt is sent to a draining or removed backend after the drain grace.
     NothingToDraining,
-    /// A warming backend gets no more than all proxies together may send it.
+    /// A warming backend is sent no more than [`crate::slow_start_limit`] allows.
     SlowStartBudget,
-    /// No connection is kept beyond the deadline of its phase.
+    /// No client connection stays open after the deadline of its phase.
     NoConnectionPastDeadline,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules, in the order of their discriminants.
     pub const ALL: [Self; 10] = [
         Self::OneFinalAnswer,
         Self::AnswerInTime,
@@ -42,7 +42,7 @@
         Self::NoConnectionPastDeadline,
     ];
 
-    /// Its name in logs and reports.
+    /// Returns the name of the rule in logs and in the admin API, which must not change.
     pub fn name(self) -> &'static str {
         match self {
             Self::OneFinalAnswer => "one-final-answer",
--- a/crates/invariants/src/violation.rs
+++ b/crates/invariants/src/violation.rs
@@ -1,92 +1,94 @@
-//! How a rule was broken, or would have been, with the evidence.
+//! Violations of the rules, with the evidence.
 use crate::rule::Rule;
 use std::time::Duration;
 use thiserror::Error;
 
-/// One breach of a rule, with what was seen.
+/// A violation of a rule, or an attempt that was refused because it would be one.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum Violation {
     /// See [`Rule::OneFinalAnswer`].
-    #[error("a second answer was decided")]
-    SecondAnswer,
+    #[error("a second response was decided")]
+    SecondResponse,
     /// See [`Rule::AnswerInTime`].
-    #[error("answered {late:?} after the deadline")]
-    LateAnswer {
-        /// Beyond the deadline.
+    #[error("the response was sent {late:?} after the deadline")]
+    LateResponse {
+        /// Time after the deadline.
         late: Duration,
     },
     /// See [`Rule::NoRequestUnanswered`].
-    #[error("the connection was closed with the request unanswered")]
-    Unanswered,
+    #[error("the connection was closed before the request had a response")]
+    NoResponse,
     /// See [`Rule::NoAttemptAfterDisconnect`].
-    #[error("an attempt for a client that has gone")]
-    ClientGone,
+    #[error("the client has disconnected")]
+    ClientDisconnected,
     /// See [`Rule::NoAttemptBeyondDeadline`].
-    #[error("an attempt {late:?} after the deadline")]
+    #[error("the attempt would start {late:?} after the deadline")]
     DeadlinePassed {
-        /// Beyond the deadline.
+        /// Time after the deadline.
         late: Duration,
     },
     /// See [`Rule::NoAttemptBeyondDeadline`].
     #[error(
-        "an attempt forwards a timeout of {forwarded_timeout:?} with {left:?} left to the client"
+        "the attempt would forward a timeout of {forwarded:?}, but the client has {left:?} left"
     )]
-    DeadlineExceeded {
-        /// The timeout that is forwarded to the backend.
-        forwarded_timeout: Duration,
-        /// What is left to the client.
+    ForwardedTimeoutTooLong {
+        /// Timeout that would be forwarded to the backend.
+        forwarded: Duration,
+        /// Time that the client has left.
         left: Duration,
     },
     /// See [`Rule::NothingAfterEnd`].
-    #[error("an attempt for an RPC that has its answer")]
-    AfterEnd,
+    #[error("the RPC already has its response, or its client has disconnected")]
+    AttemptAfterEnd,
     /// See [`Rule::NoSecondEffect`].
-    #[error("an attempt beside one that may have run")]
-    SecondEffect,
+    #[error("an earlier attempt may have been executed, and the RPC must not be repeated")]
+    UnsafeRepeat,
     /// See [`Rule::NoSecondEffect`].
     #[error(
-        "an attempt {since_first:?} after the first, where duplicates are dropped for {window:?}"
+        "the first attempt was {since_first:?} ago, but backends recognise duplicates for {window:?}"
     )]
-    WindowOver {
-        /// Since the first attempt that may have run.
+    DeduplicationWindowExpired {
+        /// Time since the first attempt that a backend may have executed.
         since_first: Duration,
-        /// For which duplicates are dropped.
+        /// Time for which backends recognise duplicates.
         window: Duration,
     },
     /// See [`Rule::NothingToDraining`].
-    #[error("an attempt to a backend that takes nothing new")]
-    Draining,
+    #[error("the backend is draining or removed")]
+    BackendDraining,
     /// See [`Rule::SlowStartBudget`].
-    #[error("{sent} requests to a warming backend, where all proxies may send {limit:.1}")]
-    SlowStart {
-        /// By this proxy, in the window.
+    #[error(
+        "{sent} requests were sent to a warming backend, but all proxies together may send {limit:.1}"
+    )]
+    SlowStartLimitExceeded {
+        /// Requests that this proxy has sent in the window.
         sent: u32,
-        /// By all proxies.
+        /// Requests that all proxies together may send in the window.
         limit: f64,
     },
     /// See [`Rule::NoConnectionPastDeadline`].
-    #[error("the connection ended {late:?} after its deadline")]
+    #[error("the connection was closed {late:?} after its deadline")]
     LateClose {
-        /// Beyond the deadline.
+        /// Time after the deadline.
         late: Duration,
     },
 }
 
 impl Violation {
-    /// The rule that is broken.
+    /// Returns the violated rule.
     pub fn rule(&self) -> Rule {
         match self {
-            Self::SecondAnswer => Rule::OneFinalAnswer,
-            Self::LateAnswer { .. } => Rule::AnswerInTime,
-            Self::Unanswered => Rule::NoRequestUnanswered,
-            Self::ClientGone => Rule::NoAttemptAfterDisconnect,
-            Self::DeadlinePassed { .. } | Self::DeadlineExceeded { .. } => {
+            Self::SecondResponse => Rule::OneFinalAnswer,
+            Self::LateResponse { .. } => Rule::AnswerInTime,
+            Self::NoResponse => Rule::NoRequestUnanswered,
+            Self::ClientDisconnected => Rule::NoAttemptAfterDisconnect,
+            Self::DeadlinePassed { .. } | Self::ForwardedTimeoutTooLong { .. } => {
                 Rule::NoAttemptBeyondDeadline
             }
-            Self::AfterEnd => Rule::NothingAfterEnd,
-            Self::SecondEffect | Self::WindowOver { .. } => Rule::NoSecondEffect,
-            Self::Draining => Rule::NothingToDraining,
-            Self::SlowStart { .. } => Rule::SlowStartBudget,
+            Self::AttemptAfterEnd => Rule::NothingAfterEnd,
+            Self::UnsafeRepeat | Self::DeduplicationWindowExpired { .. } => Rule::NoSecondEffect,
+            Self::BackendDraining => Rule::NothingToDraining,
+            Self::SlowStartLimitExceeded { .. } => Rule::SlowStartBudget,
             Self::LateClose { .. } => Rule::NoConnectionPastDeadline,
         }
     }
--- a/crates/invariants/tests/guard.rs
+++ b/crates/invariants/tests/guard.rs
@@ -1,4 +1,4 @@
-//! Each rule, as the guard judges it.
+//! The guard's judgement of each rule.
 use birchhub_invariants::{
     AttemptStart, Guard, RepeatRule, Rule, SendFacts, Violation, slow_start_limit,
 };
@@ -7,25 +7,25 @@
 const SECOND: Duration = Duration::from_secs(1);
 const MS: Duration = Duration::from_millis(1);
 
-/// An attempt to which nothing is wrong.
+/// An attempt that may be sent.
 const SEND: SendFacts = SendFacts {
-    is_client_gone: false,
+    is_client_disconnected: false,
     time_left: Some(SECOND),
-    late: Duration::ZERO,
+    past_deadline: Duration::ZERO,
     forwarded_timeout: SECOND,
     is_backend_ready: true,
     repeat_time_left: None,
 };
 
 fn start(
-    is_answered: bool,
+    is_finished: bool,
     repeat_rule: RepeatRule,
-    since_first: Option<Duration>,
+    since_first_execution: Option<Duration>,
 ) -> AttemptStart {
     AttemptStart {
-        is_answered,
+        is_finished,
         repeat_rule,
-        since_first,
+        since_first_execution,
     }
 }
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn first_attempts_and_harmless_repeats_may_start() {
+fn first_attempts_and_safe_repeats_may_start() {
     let guard = Guard::default();
     let window = RepeatRule::Within(SECOND);
     for facts in [
@@ -49,36 +49,46 @@
 }
 
 #[test]
-fn what_the_decisions_may_not_start_is_refused_and_counted() {
+fn attempts_that_must_not_start_are_refused_and_counted() {
     let guard = Guard::default();
-    let over = Violation::WindowOver {
+    let expired = Violation::DeduplicationWindowExpired {
         since_first: SECOND,
         window: SECOND,
     };
     for (facts, violation) in [
-        (start(true, RepeatRule::Always, None), Violation::AfterEnd),
+        (
+            start(true, RepeatRule::Always, None),
+            Violation::AttemptAfterEnd,
+        ),
         (
             start(false, RepeatRule::Never, Some(MS)),
-            Violation::SecondEffect,
+            Violation::UnsafeRepeat,
+        ),
+        (
+            start(false, RepeatRule::Within(SECOND), Some(SECOND)),
+            expired,
         ),
-        (start(false, RepeatRule::Within(SECOND), Some(SECOND)), over),
     ] {
         assert_eq!(guard.check_start(&facts), Err(violation), "{facts:?}");
     }
     assert_eq!(guard.violations(Rule::NothingAfterEnd), 1);
     assert_eq!(guard.violations(Rule::NoSecondEffect), 1);
-    assert_eq!(guard.refusals(Rule::NoSecondEffect), 1, "time has passed");
+    assert_eq!(
+        guard.refusals(Rule::NoSecondEffect),
+        1,
+        "the window has expired since"
+    );
     assert_eq!(all_violations(&guard), 2);
 }
 
 #[test]
-fn what_went_wrong_since_the_decision_is_refused_before_its_first_byte() {
+fn attempts_that_became_wrong_since_the_decision_are_refused_before_their_first_byte() {
     let guard = Guard::default();
     assert_eq!(guard.check_send(&SEND), Ok(()));
     for (facts, rule) in [
         (
             SendFacts {
-                is_client_gone: true,
+                is_client_disconnected: true,
                 ..SEND
             },
             Rule::NoAttemptAfterDisconnect,
@@ -109,10 +119,10 @@
         assert_eq!(refused.rule(), rule, "{facts:?}");
         assert_eq!(guard.refusals(rule), 1, "{facts:?}");
     }
-    assert_eq!(all_violations(&guard), 0, "races are no violations");
+    assert_eq!(all_violations(&guard), 0, "races are not violations");
 }
 
-/// The forwarded timeout is at most what is left to the client, with a slack.
+/// The slack is added to the time that is left.
 #[test]
 fn forwarded_timeout_does_not_exceed_the_time_left_to_the_client() {
     let guard = Guard::default();
@@ -123,20 +133,20 @@
     assert_eq!(guard.check_send(&with_timeout(SECOND + 150 * MS)), Ok(()));
     assert!(guard.check_send(&with_timeout(SECOND + 151 * MS)).is_err());
     assert_eq!(guard.violations(Rule::NoAttemptBeyondDeadline), 1);
-    let still_coming = SendFacts {
+    let incomplete_request = SendFacts {
         time_left: None,
         forwarded_timeout: 60 * SECOND,
         ..SEND
     };
-    assert_eq!(guard.check_send(&still_coming), Ok(()));
+    assert_eq!(guard.check_send(&incomplete_request), Ok(()));
 }
 
 #[test]
-fn lateness_counts_beyond_what_the_process_was_stopped_for() {
+fn lateness_excludes_the_time_for_which_the_process_was_suspended() {
     let guard = Guard::default();
-    let check = |late, stopped| {
+    let check = |late, suspended| {
         guard
-            .check_lateness(late, stopped, |late| Violation::LateClose { late })
+            .check_lateness(late, suspended, |late| Violation::LateClose { late })
             .is_ok()
     };
     assert!(check(250 * MS, Duration::ZERO));
@@ -147,12 +157,12 @@
 }
 
 #[test]
-fn the_report_names_what_was_broken_and_refused() {
+fn the_report_lists_violations_and_refusals_by_rule() {
     let guard = Guard::default();
     assert_eq!(guard.report().to_string(), "0 violations");
-    guard.count(&Violation::SecondAnswer);
+    guard.count(&Violation::SecondResponse);
     let _ = guard.check_send(&SendFacts {
-        is_client_gone: true,
+        is_client_disconnected: true,
         ..SEND
     });
     assert_eq!(
@@ -163,17 +173,17 @@
 }
 
 #[test]
-fn the_slow_start_limit_is_the_one_of_the_operators() {
+fn the_slow_start_limit_has_the_tolerance_of_the_rules() {
     assert_eq!(slow_start_limit(100.0), 122.0);
     assert_eq!(slow_start_limit(16.0), 31.0);
     assert_eq!(slow_start_limit(0.0), 3.0);
 }
 
 #[test]
-fn every_rule_has_its_own_name_and_place() {
+fn every_rule_has_its_own_name_and_index() {
     let mut names: Vec<_> = Rule::ALL.iter().map(|rule| rule.name()).collect();
-    for (place, rule) in Rule::ALL.iter().enumerate() {
-        assert_eq!(*rule as usize, place);
+    for (index, rule) in Rule::ALL.iter().enumerate() {
+        assert_eq!(*rule as usize, index);
     }
     names.sort_unstable();
     names.dedup();
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -118,7 +118,7 @@
         let limit = slow_start_limit(full_work_limit / fleet.estimates.service_time());
         // The count is infinite while another process of this proxy may have filled the window.
         let is_violated = sent.is_finite() && sent > limit;
-        is_violated.then_some(Violation::SlowStart {
+        is_violated.then_some(Violation::SlowStartLimitExceeded {
             sent: sent as u32,
             limit,
         })
