--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,65 +1,74 @@
-//! The clock of the decisions: wall time and the machine's monotonic clock, as seconds.
+//! The clock of the decisions: converts wall-clock time and monotonic time to seconds since the start of the process.
 
 use std::future::pending;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{Instant, sleep_until};
 
-/// Upper bound of a time in seconds that is converted to an `Instant`, which would overflow far beyond.
+/// Upper bound of a time that is converted to an `Instant`, which cannot represent times far beyond it.
 const MAX_SECONDS: f64 = 1e9;
 
-/// The one place where wall time and the monotonic clock become the seconds of the decision package.
+/// Milliseconds per second.
+const MS_PER_SECOND: f64 = 1e3;
+
+/// A monotonic clock in seconds, from which suspensions of the process can be excluded.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
-    base: Instant,
+    /// Instant at which the clock reads 0; later than `started` by the excluded time.
+    zero: Instant,
     started: Instant,
-    /// Wall time at the start, as Unix seconds. The wall clock is not read again: it may step.
-    wall: f64,
+    /// Wall-clock time at the start, in Unix seconds. The wall clock is not read again, since it may step.
+    unix_seconds_at_start: f64,
 }
 
 impl Clock {
-    /// A clock that reads 0 now.
+    /// Starts a clock, which reads 0 now.
     pub(crate) fn start() -> Self {
-        let wall = SystemTime::now()
+        let unix_seconds_at_start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_secs_f64();
         let started = Instant::now();
         Self {
-            base: started,
+            zero: started,
             started,
-            wall,
+            unix_seconds_at_start,
         }
     }
 
-    /// Leaves out a time that has passed, as if the clock had stood still for it.
+    /// Sets the clock back by a time that has passed, to exclude it.
     pub(crate) fn skip(&mut self, time: Duration) {
-        self.base += time;
+        self.zero += time;
     }
 
-    /// Seconds since the start, less than none where more was left out than has passed.
+    /// Returns the present time in seconds, which is negative if more time was excluded than has passed.
     pub(crate) fn now(&self) -> f64 {
         self.seconds_at(Instant::now())
     }
 
-    /// This instant as seconds since the start.
+    /// Converts an instant to seconds.
     pub(crate) fn seconds_at(&self, at: Instant) -> f64 {
-        let after = at.saturating_duration_since(self.base);
-        let before = self.base.saturating_duration_since(at);
-        after.as_secs_f64() - before.as_secs_f64()
+        let after_zero = at.saturating_duration_since(self.zero);
+        let before_zero = self.zero.saturating_duration_since(at);
+        after_zero.as_secs_f64() - before_zero.as_secs_f64()
     }
 
-    /// The instant at which this clock reads so many seconds.
+    /// Converts seconds to an instant.
     pub(crate) fn instant_at(&self, seconds: f64) -> Instant {
-        self.base + Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECONDS))
+        self.zero + Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECONDS))
     }
 
-    /// Real seconds since a time in Unix milliseconds; none for 0, which stands for long ago.
+    /// Returns the real seconds since a wall-clock time in Unix milliseconds, suspensions included. Returns `None` for 0,
+    /// which stands for long ago.
     pub(crate) fn seconds_since_unix_ms(&self, ms: f64) -> Option<f64> {
-        (ms > 0.0).then(|| self.wall + self.started.elapsed().as_secs_f64() - ms / 1e3)
+        (ms > 0.0).then(|| {
+            let unix_seconds_now =
+                self.unix_seconds_at_start + self.started.elapsed().as_secs_f64();
+            unix_seconds_now - ms / MS_PER_SECOND
+        })
     }
 }
 
-/// Waits until a time; for ever without one.
+/// Waits until an instant, or for ever without one.
 pub(crate) async fn until(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
--- a/crates/daemon/src/messages.rs
+++ b/crates/daemon/src/messages.rs
@@ -1,4 +1,4 @@
-//! The events that the other actors send to the decision actor.
+//! The messages that other actors send to the decision actor.
 
 use crate::config::update::ConfigUpdate;
 use crate::discovery::update::EndpointUpdate;
@@ -11,31 +11,31 @@
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use tokio::sync::oneshot;
 
-/// Names one attempt of one RPC.
+/// Identifies an attempt of an RPC.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AttemptId {
-    /// The RPC's number.
+    /// Id of the RPC.
     pub rpc: u64,
-    /// Counts the attempts of the RPC, from 0.
+    /// Index of the attempt among those of the RPC, from 0.
     pub index: usize,
 }
 
-/// What happened, for the decision actor.
+/// An event that the decision actor handles.
 pub(crate) enum Event {
-    /// A client sent an RPC.
+    /// An RPC was received from a client.
     RpcReceived {
-        /// The number that the listener gave it.
+        /// Id that the RPC service assigned.
         id: u64,
-        /// The RPC as it was parsed.
+        /// The parsed RPC.
         rpc: Box<ReceivedRpc>,
-        /// Keeps its `Request-Id` reserved until no attempt of it is out.
+        /// Reserves the `Request-Id` until no attempt of the RPC is in flight.
         request_id: RequestIdGuard,
-        /// Whether the client is still connected.
+        /// Tells whether the client is still connected.
         client: ClientLiveness,
-        /// Takes the response.
+        /// Receives the response.
         response: oneshot::Sender<ProxyResponse>,
     },
-    /// The client of this RPC disconnected before it had its response.
+    /// The client of the RPC with this id disconnected before it had its response.
     ClientDisconnected(u64),
     /// An attempt ended.
     AttemptEnded {
@@ -44,31 +44,31 @@
         /// How it ended.
         result: ExchangeResult,
     },
-    /// The last byte of a long request was taken to be sent.
+    /// The last byte of a streamed request was written to the connection.
     RequestSent {
-        /// The attempt that sends it.
+        /// The attempt that sends the request.
         attempt: AttemptId,
     },
-    /// A streamed response starts.
+    /// The head of a streamed response was received.
     ResponseStarted {
-        /// The attempt that brought it.
+        /// The attempt that received the response.
         attempt: AttemptId,
-        /// Its body, for the client.
+        /// The body of the response.
         body: StreamedBody,
     },
     /// A health check ended.
     HealthChecked {
-        /// The backend's number.
+        /// Id of the backend.
         backend: u32,
         /// How it ended.
         outcome: AttemptOutcome,
         /// The load report that came with the response.
         report: Option<LoadReport>,
     },
-    /// Discovery brought a list or changes of it.
+    /// Discovery received an update of the endpoint list.
     EndpointsChanged(EndpointUpdate),
-    /// A call to the list service failed.
+    /// A poll of the discovery service failed.
     DiscoveryFailed,
-    /// Other settings, in force for all events behind this one in the mailbox.
+    /// The settings changed. They apply to all later events in the mailbox.
     SettingsChanged(Box<ConfigUpdate>),
 }
--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that a process follows.
+//! The signals that the process handles.
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::flag;
@@ -8,11 +8,11 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Between looks at whether a signal has come. A flag can't be lost or fail, as a pipe to the event loop can when its
+/// Interval at which the flags are polled. A flag cannot lose a signal, as a pipe to the event loop can when its system
 /// calls are interrupted.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A subscription to one signal, which acts by default until this is made.
+/// A flag that a signal sets. The signal has its default action until the flag is created.
 pub(crate) struct SignalFlag(Arc<AtomicBool>);
 
 impl SignalFlag {
@@ -22,24 +22,28 @@
         Ok(Self(flag))
     }
 
-    /// Waits until the signal has come since the last time; once, however often it came.
+    /// Waits until the signal was received since the last call of this function. Several signals count as one.
     pub(crate) async fn received(&self) {
         while !self.0.swap(false, Ordering::Relaxed) {
-            sleep(LOOK_INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Subscriptions to the signals.
+/// The flags of all handled signals.
 pub(crate) struct Signals {
-    /// SIGTERM: shut down.
+    /// SIGTERM starts a graceful shutdown.
     pub terminate: SignalFlag,
-    /// SIGHUP: reload the configuration.
+    /// SIGHUP reloads the configuration.
     pub reload: SignalFlag,
 }
 
 impl Signals {
-    /// Subscribes to the signals.
+    /// Creates the flags.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the system refuses a signal handler.
     pub(crate) fn subscribe() -> io::Result<Self> {
         Ok(Self {
             terminate: SignalFlag::subscribe(SIGTERM)?,
