--- /dev/null
+++ b/crates/daemon/tests/discovery/main.rs
@@ -0,0 +1,10 @@
+//! The discovery client: failed polls, the time until an update applies, an address change, and a local agent. Scripted
+//! discovery services force the races, and their logs show the polls that they received.
+mod applied_updates;
+#[path = "../../../../tests/common/mod.rs"]
+mod common;
+mod failed_polls;
+mod harness;
+mod local_agent;
+mod outage;
+mod update_limit;
--- a/crates/simulation/tests/discovery.rs
+++ b/crates/simulation/tests/discovery.rs
@@ -83,13 +83,9 @@
 /// The service is down for 8 s, half of the backends drain meanwhile, and then all proxies call it.
 fn after_an_outage(proxies: usize, ask_within: f64, calls: usize, takes: &str) -> f64 {
     let list = format!("calls = {calls}\n{takes}");
-    let troubles = r#"
-[[trouble]]
-name = "down"
-kind = "list-down"
-at = "2s"
-for = "8s"
-[[trouble]]
+    let troubles = concat!(
+        include_str!("../../../tests/common/discovery_outage.toml"),
+        r#"[[trouble]]
 name = "release"
 kind = "deploy"
 at = "5s"
@@ -97,7 +93,8 @@
 every = "4500ms"
 stop-after = "1s"
 nodes = { share = 0.5 }
-"#;
+"#
+    );
     let longest = |seed| latest(&play(seed, proxies, ask_within, &list, troubles), proxies);
     (1..=3).map(longest).fold(0.0, f64::max)
 }
