--- /dev/null
+++ b/crates/daemon/tests/attempts/main.rs
@@ -0,0 +1,7 @@
+//! Attempts at backends: their races with other events, and incomplete responses.
+#[path = "../../../../tests/common/mod.rs"]
+mod common;
+mod incomplete_responses;
+mod races;
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
--- a/crates/daemon/tests/leaving/connecting.rs
+++ b/crates/daemon/tests/client_disconnects/connecting.rs
@@ -1,23 +1,23 @@
-//! RPCs that wait for a connection to their backend.
+//! Disconnects while an RPC waits for a connection to its backend.
 use crate::common::sockets::{
     EVENT_TIMEOUT, Log, SlowAccept, echo, endpoint_entry, eventually, rpc,
 };
 use crate::harness::{assert_serves, await_descriptors, proxy_before_a_slow_backend};
 use serde_json::Value;
 
-/// While its connection comes up, also where the settings allow no cancelling, and with a body that is still coming.
-fn while_connecting(change: impl Fn(&mut Value), message: &str) {
+/// Checks that an RPC is not forwarded whose client disconnects during the connect.
+fn assert_not_forwarded_after_connect(change: impl Fn(&mut Value), message: &str) {
     let log = Log::new(vec![]);
     let slow = SlowAccept::start();
     let daemon = proxy_before_a_slow_backend(&slow, change);
     let before = daemon.descriptors();
     let mut client = daemon.client();
     client.send(&message.replace("3000", "60000"));
-    eventually(EVENT_TIMEOUT, "no connection was asked for", || {
+    eventually(EVENT_TIMEOUT, "no connect was started", || {
         slow.pending_connects() == 1
     });
     drop(client);
-    let complaint = "the client, or what was to be sent for it, is still held";
+    let complaint = "the connection of the client or of its attempt is still open";
     await_descriptors(&daemon, before, complaint);
     daemon.discovery.publish_and_wait(&[
         endpoint_entry("s-1", slow.at, "Terminating"),
@@ -26,26 +26,30 @@
     assert_eq!(
         slow.count_senders(),
         0,
-        "forwarded for a client that had left"
+        "forwarded for a client that has disconnected"
     );
     assert_serves(&mut daemon.client());
 }
 
 #[test]
-fn client_that_closes_while_a_connection_is_established_is_not_served() {
-    while_connecting(|_| {}, &rpc("POST", "/book", "gone", ""));
+fn an_rpc_is_not_forwarded_after_a_disconnect_during_the_connect() {
+    assert_not_forwarded_after_connect(|_| {}, &rpc("POST", "/book", "gone", ""));
 }
 
 #[test]
-fn client_that_closes_is_not_served_where_cancelling_is_off() {
-    let fixed = |config: &mut Value| config["settings"]["ceilings"]["cancel"] = false.into();
-    while_connecting(fixed, &(rpc("POST", "/book", "gone", "") + "\r\n"));
+fn an_rpc_is_not_forwarded_after_a_disconnect_without_cancellation() {
+    let without_cancellation =
+        |config: &mut Value| config["settings"]["ceilings"]["cancel"] = false.into();
+    assert_not_forwarded_after_connect(
+        without_cancellation,
+        &(rpc("POST", "/book", "gone", "") + "\r\n"),
+    );
 }
 
 #[test]
-fn client_that_closes_with_a_long_body_under_way_is_not_served() {
+fn an_rpc_is_not_forwarded_after_a_disconnect_within_a_long_body() {
     let body = "x".repeat(100_000);
-    while_connecting(
+    assert_not_forwarded_after_connect(
         |_| {},
         &rpc("POST", "/book", "gone", &body).replace("Length: 100000", "Length: 200000"),
     );
--- a/crates/daemon/tests/leaving/harness.rs
+++ b/crates/daemon/tests/client_disconnects/harness.rs
@@ -1,4 +1,4 @@
-//! Clients, the proxy before a backend that holds RPCs, and the ways to disconnect.
+//! Clients that disconnect, and proxies whose RPCs wait.
 use crate::common::sockets::{
     BackendAction, Client, Daemon, EVENT_TIMEOUT, HEALTH, Log, Shared, SlowAccept, backend,
     eventually, reply, rpc, without_health_checks,
@@ -9,32 +9,32 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-// After a client has gone: an attempt that begins more than 0.1 s after that breaks the rule.
-pub(crate) const LATE: Duration = Duration::from_millis(150);
+/// A pause after a disconnect, longer than the 0.1 s in which an attempt may still start.
+pub(crate) const AFTER_DISCONNECT_SLACK: Duration = Duration::from_millis(150);
 pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// `book` keeps the order of a key.
-pub(crate) fn in_order(config: &mut Value) {
+/// Configures the method `book` to keep the order of RPCs of a key.
+pub(crate) fn with_ordered_keys(config: &mut Value) {
     config["settings"]["methods"][1]["keep-order"] = true.into();
     config["settings"]["contract"]["key-quiet-ns"] = 1.into();
     without_health_checks(config);
 }
 
-/// An RPC of the one key that all of these tests use.
-pub(crate) fn of_key(id: &str) -> String {
+/// Returns an RPC of the key that all tests use.
+pub(crate) fn keyed_rpc(id: &str) -> String {
     rpc("POST", "/book", id, "")
         .replace("Tenant", "Request-Info: entity=k:7\r\nTenant")
         .replace("3000", "20000")
 }
 
-/// A backend of which the RPC named `first` waits for the gate, and a proxy that keeps order before it.
-pub(crate) fn behind_a_gate(log: &Log) -> (Daemon, Shared<bool>) {
+/// Starts a backend whose response to the RPC `first` waits for the gate, and a proxy that keeps the order of keys.
+pub(crate) fn proxy_before_a_gated_backend(log: &Log) -> (Daemon, Shared<bool>) {
     let gate = Shared::new(false);
     let open = gate.clone();
     let at = backend("b1", log, move |m| match m.header("request-id") {
         "first" => {
             open.wait(EVENT_TIMEOUT, |open| *open);
-            // Noted as done with once the answer is on its way, at once.
+            // Logged as done as soon as the response is sent.
             BackendAction::RespondLater {
                 first: reply("200 OK", ""),
                 log: Log::new(vec![String::new()]),
@@ -44,11 +44,15 @@
         }
         _ => BackendAction::Respond(reply("200 OK", "")),
     });
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], in_order);
-    daemon.fill_retry_budget(); // and shows that work is short: a queue is no reason to reject what comes
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], with_ordered_keys);
+    // Also shows that RPCs are short, so that those in the queue are not rejected.
+    daemon.fill_retry_budget();
     (daemon, gate)
 }
 
+/// State of an established connection in `/proc/net/tcp`.
+const PROC_ESTABLISHED: &str = "01";
+
 /// How a client disconnects.
 pub(crate) enum Disconnect {
     Close,
@@ -56,55 +60,59 @@
     Reset,
 }
 
-/// All disconnect; those that can still read are given back.
+/// Disconnects all clients. Returns those that can still read.
 pub(crate) fn disconnect(clients: Vec<Client>, how: &Disconnect) -> Vec<Client> {
-    let mut kept = Vec::new();
-    let mut ends = HashSet::new();
+    let mut readable = Vec::new();
+    let mut resets = HashSet::new();
     for client in clients {
         let stream = client.stream();
         match how {
-            // Whoever is started by another test may hold a copy of the socket for a moment: a close alone might be late.
+            // A process that another test starts may hold a copy of the socket for a moment, which would delay a close.
             Disconnect::Close => stream.shutdown(Shutdown::Both).expect("ended"),
             Disconnect::HalfClose => {
                 stream.shutdown(Shutdown::Write).expect("half closed");
-                kept.push(client);
+                readable.push(client);
             }
             Disconnect::Reset => {
-                ends.insert((entry(stream.local_addr()), entry(stream.peer_addr())));
+                resets.insert((
+                    proc_format(stream.local_addr()),
+                    proc_format(stream.peer_addr()),
+                ));
                 client.reset_on_drop();
             }
         }
     }
-    while !ends.is_empty() && open_connections().any(|ends_of| ends.contains(&ends_of)) {
+    while !resets.is_empty() && open_connections().any(|connection| resets.contains(&connection)) {
         sleep(Duration::from_millis(10));
     }
-    kept
+    readable
 }
 
-/// An address as the machine's list of connections has it.
-pub(crate) fn entry(at: std::io::Result<SocketAddr>) -> String {
+/// Returns an address in the format of `/proc/net/tcp`.
+pub(crate) fn proc_format(at: std::io::Result<SocketAddr>) -> String {
     match at.expect("an address") {
         SocketAddr::V4(at) => format!(
             "{:08X}:{:04X}",
             u32::from_ne_bytes(at.ip().octets()),
             at.port()
         ),
-        SocketAddr::V6(at) => panic!("no such address: {at}"),
+        SocketAddr::V6(at) => panic!("unexpected IPv6 address: {at}"),
     }
 }
 
-/// Both ends of each open connection.
+/// Returns both addresses of each established connection of the machine.
 pub(crate) fn open_connections() -> impl Iterator<Item = (String, String)> {
     let all = std::fs::read_to_string("/proc/net/tcp").expect("connections");
     let open = |line: &str| {
         let mut words = line.split_whitespace().skip(1).map(str::to_owned);
-        let (from, to) = (words.next()?, words.next()?);
-        (words.next()? == "01").then_some((from, to))
+        let local = words.next()?;
+        let remote = words.next()?;
+        (words.next()? == PROC_ESTABLISHED).then_some((local, remote))
     };
     all.lines().filter_map(open).collect::<Vec<_>>().into_iter()
 }
 
-/// Each of so many new clients sends its message.
+/// Opens this many clients, each of which sends its message.
 pub(crate) fn send_from_new_clients(
     daemon: &Daemon,
     clients: usize,
@@ -117,22 +125,22 @@
     opened
 }
 
-/// A client whose connection is accepted, and with it all that were opened before.
+/// Returns a client that is accepted, as are all that were opened before it.
 pub(crate) fn accepted_client(daemon: &Daemon) -> Client {
     let mut client = daemon.client();
     assert_eq!(client.call(HEALTH).unwrap().status(), 200);
     client
 }
 
-/// The backend holds the first RPC of the key from now on.
-pub(crate) fn send_first_of_key(daemon: &Daemon, log: &Log) -> Client {
+/// Sends the first RPC of the key, which the backend holds.
+pub(crate) fn send_first_keyed_rpc(daemon: &Daemon, log: &Log) -> Client {
     let mut first = daemon.client();
-    first.send(&of_key("first"));
+    first.send(&keyed_rpc("first"));
     log.await_event("b1 got POST /book HTTP/1.1 first");
     first
 }
 
-/// A proxy that waits for its connections for longer than the test does.
+/// Starts a proxy whose connects do not time out within a test.
 pub(crate) fn proxy_before_a_slow_backend(
     slow: &SlowAccept,
     change: impl Fn(&mut Value),
@@ -145,23 +153,24 @@
     })
 }
 
-/// The clients disconnect while the proxy is stopped, longer before it continues than an attempt may begin.
+/// Disconnects the clients of a suspended proxy, and resumes it later than an attempt may start for them.
 pub(crate) fn disconnect_and_continue(
     daemon: &Daemon,
     clients: Vec<Client>,
     how: &Disconnect,
 ) -> Vec<Client> {
-    let kept = disconnect(clients, how);
-    sleep(LATE);
+    let readable = disconnect(clients, how);
+    sleep(AFTER_DISCONNECT_SLACK);
     daemon.signal("CONT");
-    kept
+    readable
 }
 
+/// Waits until the proxy has at most this many descriptors open.
 pub(crate) fn await_descriptors(daemon: &Daemon, most: usize, complaint: &str) {
     eventually(EVENT_TIMEOUT, complaint, || daemon.descriptors() <= most);
 }
 
-/// An RPC of a client that stays is answered with 200.
+/// Checks that an RPC of a connected client succeeds.
 pub(crate) fn assert_serves(client: &mut Client) {
     let answer = client.call(&rpc("POST", "/book", "next", ""));
     assert_eq!(answer.unwrap().status(), 200);
--- /dev/null
+++ b/crates/daemon/tests/client_disconnects/key_queue.rs
@@ -0,0 +1,145 @@
+//! Disconnects while an RPC waits in the queue of its key.
+use crate::common::sockets::{Log, rpc};
+use crate::harness::{
+    Disconnect, accepted_client, await_descriptors, disconnect, disconnect_and_continue, keyed_rpc,
+    proxy_before_a_gated_backend, send_first_keyed_rpc, send_from_new_clients,
+};
+
+/// Checks that queued RPCs are not forwarded whose clients disconnect, each after it has sent these further bytes.
+fn assert_not_forwarded_from_the_queue(further_bytes: &str, how: &Disconnect, clients: usize) {
+    let log = Log::new(vec![]);
+    let (daemon, gate) = proxy_before_a_gated_backend(&log);
+    let mut first = send_first_keyed_rpc(&daemon, &log);
+    let mut last = accepted_client(&daemon);
+    let before = daemon.descriptors();
+    let mut gone: Vec<_> = (0..clients).map(|_| daemon.client()).collect();
+    drop(accepted_client(&daemon));
+    // A suspended proxy receives the RPC, the further bytes and the disconnect together.
+    daemon.signal("STOP");
+    for (n, client) in gone.iter_mut().enumerate() {
+        client.send(&(keyed_rpc(&format!("gone{n}")) + further_bytes));
+    }
+    let _readable = disconnect(gone, how);
+    daemon.signal("CONT");
+    await_descriptors(
+        &daemon,
+        before,
+        "connections of disconnected clients are still open",
+    );
+    last.send(&keyed_rpc("last"));
+    gate.change(|open| *open = true);
+    assert_eq!(first.response().expect("an answer").status(), 200);
+    assert_eq!(last.response().expect("an answer").status(), 200);
+    assert_eq!(
+        log.count(" gone"),
+        0,
+        "forwarded for a client that has disconnected"
+    );
+}
+
+#[test]
+fn a_queued_rpc_is_not_forwarded_after_a_close() {
+    assert_not_forwarded_from_the_queue("", &Disconnect::Close, 1);
+}
+
+/// A further byte hides the disconnect from a proxy that reads one message at a time.
+#[test]
+fn a_queued_rpc_is_not_forwarded_after_a_close_behind_further_bytes() {
+    assert_not_forwarded_from_the_queue("\r\n", &Disconnect::Close, 1);
+}
+
+#[test]
+fn a_queued_rpc_is_not_forwarded_after_a_half_close_behind_further_bytes() {
+    assert_not_forwarded_from_the_queue("\r\n", &Disconnect::HalfClose, 1);
+}
+
+#[test]
+fn a_queued_rpc_is_not_forwarded_after_a_reset_behind_further_bytes() {
+    assert_not_forwarded_from_the_queue("\r\n", &Disconnect::Reset, 1);
+}
+
+#[test]
+fn pipelined_rpcs_are_not_forwarded_after_a_close() {
+    let more: String = (0..20)
+        .map(|n| keyed_rpc(&format!("gone-more{n}")))
+        .collect();
+    assert_not_forwarded_from_the_queue(&more, &Disconnect::Close, 1);
+}
+
+/// The pipelined RPCs exceed the read-ahead buffer.
+#[test]
+fn many_pipelined_rpcs_are_not_forwarded_after_a_close() {
+    let more: String = (0..400)
+        .map(|n| keyed_rpc(&format!("gone-more{n}")))
+        .collect();
+    assert_not_forwarded_from_the_queue(&more, &Disconnect::Close, 1);
+}
+
+#[test]
+fn queued_rpcs_of_hundreds_of_clients_are_not_forwarded_after_a_close() {
+    assert_not_forwarded_from_the_queue("\r\n", &Disconnect::Close, 300);
+}
+
+/// The client stays connected.
+#[test]
+fn pipelined_rpcs_are_served_in_order() {
+    let log = Log::new(vec![]);
+    let (daemon, gate) = proxy_before_a_gated_backend(&log);
+    let body = "x".repeat(500);
+    let all: String = (0..100)
+        .map(|n| rpc("POST", "/log", &format!("n{n}"), &format!("{n}{body}")))
+        .collect();
+    let mut client = send_first_keyed_rpc(&daemon, &log);
+    client.send(&all);
+    gate.change(|open| *open = true);
+    let answers = (0..101)
+        .filter_map(|_| client.response())
+        .filter(|answer| answer.status() == 200)
+        .count();
+    assert_eq!((answers, log.count(" /log ")), (101, 100));
+}
+
+/// Checks that RPCs are not forwarded whose turn comes while the proxy is suspended, and whose clients disconnect then.
+fn assert_not_forwarded_at_their_turn(how: &Disconnect, clients: usize) {
+    let log = Log::new(vec![]);
+    let (daemon, gate) = proxy_before_a_gated_backend(&log);
+    let mut first = send_first_keyed_rpc(&daemon, &log);
+    let gone = send_from_new_clients(&daemon, clients, |n| keyed_rpc(&format!("gone{n}")));
+    let mut last = accepted_client(&daemon);
+    daemon.signal("STOP");
+    gate.change(|open| *open = true);
+    log.await_event("b1 done with first");
+    let readable = disconnect_and_continue(&daemon, gone, how);
+    assert_eq!(first.response().expect("an answer").status(), 200);
+    assert_eq!(
+        last.call(&keyed_rpc("last")).expect("an answer").status(),
+        200
+    );
+    assert_eq!(
+        log.count(" gone"),
+        0,
+        "forwarded for clients that have disconnected"
+    );
+    drop(readable);
+}
+
+#[test]
+fn an_rpc_whose_turn_comes_is_not_forwarded_after_a_close() {
+    assert_not_forwarded_at_their_turn(&Disconnect::Close, 1);
+}
+
+#[test]
+fn an_rpc_whose_turn_comes_is_not_forwarded_after_a_half_close() {
+    assert_not_forwarded_at_their_turn(&Disconnect::HalfClose, 1);
+}
+
+#[test]
+fn an_rpc_whose_turn_comes_is_not_forwarded_after_a_reset() {
+    assert_not_forwarded_at_their_turn(&Disconnect::Reset, 1);
+}
+
+#[test]
+fn rpcs_of_hundreds_of_clients_are_not_forwarded_when_their_turn_comes() {
+    assert_not_forwarded_at_their_turn(&Disconnect::Close, 300);
+    assert_not_forwarded_at_their_turn(&Disconnect::Reset, 300);
+}
--- a/crates/daemon/tests/leaving/retries.rs
+++ b/crates/daemon/tests/client_disconnects/retries.rs
@@ -1,4 +1,4 @@
-//! RPCs between two attempts, and those whose attempts outlast their client.
+//! Disconnects between two attempts, and attempts that outlast their client.
 use crate::common::sockets::{
     BackendAction, Client, Daemon, EVENT_TIMEOUT, Log, Shared, backend, echo, endpoint_entry,
     eventually, gated_backend, reply, rpc, without_health_checks,
@@ -29,8 +29,9 @@
     (at, gate)
 }
 
-/// Between two attempts: the first is rejected while the proxy is stopped, and then the clients disconnect.
-fn between_attempts(how: &Disconnect, clients: usize) {
+/// Checks that RPCs are not retried whose first attempt is rejected while the proxy is suspended, and whose clients
+/// disconnect then.
+fn assert_not_retried(how: &Disconnect, clients: usize) {
     let log = Log::new(vec![]);
     let (at, gate) = rejecting_backend(&log);
     let daemon = Daemon::start_with(
@@ -54,53 +55,58 @@
     daemon.signal("STOP");
     gate.change(|open| *open = true);
     (0..clients).for_each(|n| log.await_event(&format!("b1 done with gone{n}")));
-    let kept = disconnect_and_continue(&daemon, gone, how);
+    let readable = disconnect_and_continue(&daemon, gone, how);
     let next = daemon
         .client()
         .call(&rpc("POST", "/book", "next", ""))
         .map(|answer| answer.status());
     assert!(matches!(next, Some(200 | 503)), "{next:?}");
+    // Each is logged when it is received and when it is done.
     assert_eq!(
         log.count(" gone"),
         2 * clients,
-        "forwarded for clients that had left"
-    ); // got, and done with
-    drop(kept);
+        "forwarded for clients that have disconnected"
+    );
+    drop(readable);
 }
 
 #[test]
-fn client_that_disconnects_between_two_attempts_is_not_retried() {
-    between_attempts(&Disconnect::Close, 1);
-    between_attempts(&Disconnect::HalfClose, 1);
-    between_attempts(&Disconnect::Reset, 1);
+fn an_rpc_is_not_retried_after_a_disconnect_between_attempts() {
+    assert_not_retried(&Disconnect::Close, 1);
+    assert_not_retried(&Disconnect::HalfClose, 1);
+    assert_not_retried(&Disconnect::Reset, 1);
 }
 
-/// The same RPC again, while a pick of the first is still out: never two out, and none once it may have run.
+/// A second RPC with the `Request-Id` is rejected while an attempt of the first is in flight.
 #[test]
-fn request_id_stays_in_use_until_its_attempts_have_ended() {
+fn a_request_id_is_reserved_until_its_attempts_have_ended() {
     let log = Log::new(vec![]);
     let (at, gate) = gated_backend("b1", &log, "");
-    let fixed = |config: &mut Value| {
+    let without_cancellation = |config: &mut Value| {
         config["settings"]["ceilings"]["cancel"] = false.into();
         without_health_checks(config);
     };
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], fixed);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_cancellation);
     let mut other = accepted_client(&daemon);
     let before = daemon.descriptors();
     let mut client = daemon.client();
     client.send(&rpc("POST", "/book", "same", "").replace("3000", "20000"));
     log.await_event("b1 got POST /book HTTP/1.1 same");
     drop(client);
-    await_descriptors(&daemon, before + 1, "the client is still held");
-    let again = |other: &mut Client| {
+    await_descriptors(
+        &daemon,
+        before + 1,
+        "the connection of the client is still open",
+    );
+    let send_again = |other: &mut Client| {
         other
             .call(&rpc("POST", "/book", "same", ""))
             .map(|a| a.status())
     };
-    assert_eq!(again(&mut other), Some(409));
+    assert_eq!(send_again(&mut other), Some(409));
     assert_eq!(log.count("same"), 1);
     gate.change(|open| *open = true);
-    eventually(EVENT_TIMEOUT, "the name stays open", || {
-        again(&mut daemon.client()) == Some(200)
+    eventually(EVENT_TIMEOUT, "the id is still reserved", || {
+        send_again(&mut daemon.client()) == Some(200)
     });
 }
--- a/crates/daemon/tests/client_requests.rs
+++ b/crates/daemon/tests/client_requests.rs
@@ -1,4 +1,4 @@
-//! What clients send that is malformed, endless or too much.
+//! Requests that are malformed, incomplete or too large, and clients that exceed the socket budget.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
@@ -9,8 +9,8 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// Requests whose head is bad or names nothing that is served, and the status of the refusal.
-fn bad_heads() -> Vec<(String, u16)> {
+/// Returns requests with a malformed or unknown head, and the status of the response.
+fn malformed_heads() -> Vec<(String, u16)> {
     let good = rpc("GET", "/read", "id", "");
     let keyed = rpc("POST", "/log", "id", "");
     vec![
@@ -35,8 +35,8 @@
     ]
 }
 
-/// Requests whose body is framed wrongly, and the status of the refusal.
-fn bad_framing() -> Vec<(String, u16)> {
+/// Returns requests whose body has malformed framing, and the status of the response.
+fn malformed_framing() -> Vec<(String, u16)> {
     let good = rpc("GET", "/read", "id", "");
     let book = rpc("POST", "/book", "id", "half");
     let framed = |by: &str| book.replace("Content-Length: 4", by);
@@ -64,17 +64,18 @@
             400,
         ),
         (framed("Transfer-Encoding: gzip, chunked"), 400),
-        (framed("Transfer-Encoding: chunked"), 400), // "half" is no size of a chunk
+        // "half" is not a chunk size.
+        (framed("Transfer-Encoding: chunked"), 400),
         ("what?\r\n\r\n".to_owned(), 400),
     ]
 }
 
 #[test]
-fn bad_input_is_refused_and_reaches_no_backend() {
+fn malformed_requests_are_rejected_and_not_forwarded() {
     let log = Log::new(vec![]);
     let daemon = Daemon::start(PROGRAM, &[("s-1", echo("b1", &log))]);
     let good = rpc("GET", "/read", "id", "");
-    for (message, status) in [bad_heads(), bad_framing()].concat() {
+    for (message, status) in [malformed_heads(), malformed_framing()].concat() {
         let mut client = daemon.client();
         let answer = client.call(&message).map(|answer| answer.status());
         assert_eq!(
@@ -93,16 +94,16 @@
     assert_eq!(
         answer.status(),
         200,
-        "unknown tenants and headers are no error"
+        "unknown tenants and headers are allowed"
     );
 }
 
-/// Request smuggling behind another message: the framing of each head counts, wherever it stands in what is read.
+/// Prevents request smuggling behind another request.
 #[test]
-fn bad_framing_behind_another_request_is_refused_and_reaches_no_backend() {
+fn malformed_framing_of_a_pipelined_request_is_rejected_and_not_forwarded() {
     let log = Log::new(vec![]);
     let daemon = Daemon::start(PROGRAM, &[("s-1", echo("b1", &log))]);
-    for (number, (message, status)) in bad_framing().into_iter().enumerate() {
+    for (number, (message, status)) in malformed_framing().into_iter().enumerate() {
         let id = format!("ahead{number}");
         let mut client = daemon.client();
         let first = client.call(&(rpc("GET", "/read", &id, "") + &message));
@@ -114,9 +115,8 @@
     assert_eq!(log.count("POST"), 0, "{:?}", log.all());
 }
 
-/// A client that does not complete a message is refused or cut off, and soon.
 #[test]
-fn messages_that_never_end_are_cut_off() {
+fn incomplete_requests_time_out() {
     let log = Log::new(vec![]);
     let daemon = Daemon::start(PROGRAM, &[("s-1", echo("b1", &log))]);
     let begun = Instant::now();
@@ -127,7 +127,7 @@
         client.send(start);
         client
     });
-    // Further bytes give no more time.
+    // Further bytes do not extend the timeout.
     for _ in 0..20 {
         std::thread::sleep(Duration::from_millis(100));
         clients[1].send("x");
@@ -145,25 +145,26 @@
     assert_eq!(log.all(), Vec::<String>::new());
 }
 
-/// A refusal is not lost to a reset while its client still sends.
+/// Prevents that a reset discards the response.
 #[test]
-fn a_refusal_can_be_read_by_a_client_that_still_sends() {
+fn a_rejection_can_be_read_by_a_client_that_is_still_sending() {
     let log = Log::new(vec![]);
     let daemon = Daemon::start(PROGRAM, &[("s-1", echo("b1", &log))]);
     let mut client = daemon.client();
     let large = rpc("POST", "/book", "id", &"x".repeat(3 << 20))
         .replace("Length: 3145728", "Length: 40000000");
-    assert!(client.send(&large), "reset while sending");
+    assert!(client.send(&large), "the connection was reset");
     assert_eq!(client.response().map(|answer| answer.status()), Some(413));
 }
 
-/// The id of an RPC in flight can't be used a second time; once that is answered it can.
+/// The id can be used again after the response.
 #[test]
-fn the_id_of_an_rpc_in_flight_is_refused() {
+fn the_id_of_an_rpc_in_flight_is_rejected() {
     let log = Log::new(vec![]);
     let (at, gate) = gated_backend("b1", &log, "done");
     let daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
-    let (mut first, message) = (daemon.client(), rpc("POST", "/book", "same", ""));
+    let mut first = daemon.client();
+    let message = rpc("POST", "/book", "same", "");
     first.send(&message);
     log.await_event("b1 got POST /book HTTP/1.1 same");
     assert_eq!(daemon.client().status_of(&message), 409);
@@ -173,23 +174,22 @@
     assert_eq!(log.count("same"), 2);
 }
 
-/// Clients that never complete a head keep no socket that others need.
 #[test]
-fn connections_with_endless_heads_are_evicted() {
+fn connections_with_incomplete_heads_are_evicted() {
     let log = Log::new(vec![]);
-    let few = |config: &mut Value| config["limits"]["sockets"] = 74.into();
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], few);
+    let with_few_sockets = |config: &mut Value| config["limits"]["sockets"] = 74.into();
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], with_few_sockets);
     let open = |_| {
         let mut client = daemon.client();
         client.send("GET /read HTTP/1.1\r\nRequest-");
         client
     };
-    let mut endless: Vec<_> = (0..10).map(open).collect();
+    let mut incomplete: Vec<_> = (0..10).map(open).collect();
     let mut served = Vec::new();
-    // The connections that were idle longest are evicted first: all of them before the later ones of these.
+    // The connections that were idle longest are evicted first.
     eventually(
         EVENT_TIMEOUT,
-        "connections with endless heads keep their sockets",
+        "connections with incomplete heads are not evicted",
         || {
             let mut client = daemon.client();
             if client
@@ -201,18 +201,18 @@
             served.len() >= 30
         },
     );
-    assert!(endless.iter_mut().all(Client::is_closed));
+    assert!(incomplete.iter_mut().all(Client::is_closed));
 }
 
 #[test]
-fn a_spent_socket_budget_rejects_and_idle_connections_are_evicted() {
+fn an_exhausted_socket_budget_rejects_clients_and_evicts_idle_connections() {
     let log = Log::new(vec![]);
-    let few = |config: &mut Value| {
+    let with_few_sockets = |config: &mut Value| {
         without_health_checks(config);
         config["limits"]["sockets"] = 74.into();
     };
     let (at, gate) = gated_backend("b1", &log, "done");
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], few);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], with_few_sockets);
     let open = |n: usize| {
         let mut client = daemon.client();
         client.send(&rpc("POST", "/book", &format!("n{n}"), ""));
@@ -228,7 +228,7 @@
     };
     eventually(
         Duration::from_secs(3),
-        "no RPC was rejected for the spent budget",
+        "no RPC was rejected with an exhausted budget",
         || answer() == Some((503, true)),
     );
     gate.change(|open| *open = true);
--- a/crates/daemon/tests/clock_steps.rs
+++ b/crates/daemon/tests/clock_steps.rs
@@ -1,5 +1,5 @@
-//! Wall clocks that step: this machine's while the proxy runs, and that of the machine that tells when backends started.
-//! Spans are real time, so neither changes what is done.
+//! Steps of the wall clock of this machine, and skew of the clock by which the start times of backends are listed. Neither
+//! affects the proxy, which measures intervals by the monotonic clock.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
@@ -12,24 +12,38 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
-const HOUR: f64 = 3600.0;
-/// What an RPC takes a backend.
-const WORK: Duration = Duration::from_millis(20);
+const HOUR_SECONDS: f64 = 3600.0;
+
+/// Service time of an RPC.
+const SERVICE_TIME: Duration = Duration::from_millis(20);
 const CLIENTS: usize = 8;
-/// They take a second.
-const RPCS_OF_A_CLIENT: usize = 50;
-/// After a standby no connection may be held idle for longer.
+
+/// RPCs of each client, which take a second.
+const RPCS_PER_CLIENT: usize = 50;
+
+/// Longest time from a standby until idle connections are closed.
 const STANDBY_LIMIT: Duration = Duration::from_secs(4);
 
-/// A daemon whose wall clock steps by so many seconds two seconds after its start, and its management address.
-fn stepping(step: &str, backend: SocketAddr) -> (Daemon, SocketAddr, String) {
+/// A daemon whose wall clock steps two seconds after its start.
+struct SteppingDaemon {
+    daemon: Daemon,
+    admin_address: SocketAddr,
+    program: String,
+}
+
+/// Starts a daemon whose wall clock steps by this many seconds.
+fn start_stepping(step: &str, backend: SocketAddr) -> SteppingDaemon {
     let program = with_faults(PROGRAM, &format!("clock={step}@1:2-3600"));
-    let management = unused_address();
+    let admin_address = unused_address();
     let daemon = Daemon::start_with(&program, &[("s-1", backend)], |config| {
-        config["management"] = management.to_string().into();
+        config["management"] = admin_address.to_string().into();
         without_health_checks(config);
     });
-    (daemon, management, program)
+    SteppingDaemon {
+        daemon,
+        admin_address,
+        program,
+    }
 }
 
 fn idle_client(daemon: &Daemon) -> Client {
@@ -38,38 +52,45 @@
     client
 }
 
-/// Standby closes idle connections after its grace, whichever way the clock steps meanwhile.
 #[test]
-fn a_standby_is_over_in_time_though_the_clock_steps() {
+fn a_standby_closes_idle_connections_in_time_despite_a_clock_step() {
     for step in ["-3600", "+3600"] {
         let log = Log::new(vec![]);
         let started = Instant::now();
-        let (daemon, management, program) = stepping(step, echo("b1", &log));
+        let SteppingDaemon {
+            daemon,
+            admin_address,
+            program,
+        } = start_stepping(step, echo("b1", &log));
         sleep(Duration::from_millis(1700).saturating_sub(started.elapsed()));
-        let (mut idle, mut resting) = (idle_client(&daemon), idle_client(&daemon));
+        let mut active = idle_client(&daemon);
+        let mut idle = idle_client(&daemon);
         let call = "POST /standby HTTP/1.1\r\nHost: m\r\n\r\n";
-        let mut caller = Client::open(management).expect("a connection");
+        let mut caller = Client::open(admin_address).expect("a connection");
         assert_eq!(caller.status_of(call), 200);
         let standby = Instant::now();
-        // The clock steps in the grace of a second, in which a client may still send.
+        // The clock steps within the grace period of a second, in which a client may still send.
         sleep(Duration::from_millis(600));
         assert_eq!(
-            idle.status_of(&rpc("GET", "/read", "late", "")),
+            active.status_of(&rpc("GET", "/read", "late", "")),
             200,
             "{step}"
         );
-        assert!(resting.is_closed(), "{step}");
+        assert!(idle.is_closed(), "{step}");
         assert!(standby.elapsed() < STANDBY_LIMIT, "{step}");
         std::fs::remove_file(program).expect("the program");
     }
 }
 
-/// RPCs, idle connections and the shutdown go by spans of real time.
 #[test]
-fn rpcs_and_the_shutdown_do_not_see_a_step() {
+fn rpcs_and_the_shutdown_are_not_affected_by_a_clock_step() {
     for step in ["-3600", "+3600"] {
         let log = Log::new(vec![]);
-        let (mut daemon, _, program) = stepping(step, echo("b1", &log));
+        let SteppingDaemon {
+            mut daemon,
+            program,
+            ..
+        } = start_stepping(step, echo("b1", &log));
         let mut client = daemon.client();
         let begun = Instant::now();
         let mut number = 0;
@@ -83,7 +104,7 @@
             number += 1;
         }
         daemon.signal("TERM");
-        eventually(EVENT_TIMEOUT, "it does not end", || {
+        eventually(EVENT_TIMEOUT, "the process does not exit", || {
             daemon.child.try_wait().expect("its state").is_some()
         });
         assert!(daemon.await_exit().success());
@@ -91,8 +112,8 @@
     }
 }
 
-/// A line of a backend that by the clock of its machine started so many seconds ago.
-fn started(uid: &str, at: SocketAddr, seconds_ago: f64) -> Value {
+/// Returns the list entry of a backend that started this many seconds ago by the clock of its machine.
+fn listed_with_age(uid: &str, at: SocketAddr, seconds_ago: f64) -> Value {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let boot = now.expect("a time after 1970").as_secs_f64() - seconds_ago;
     let mut line = endpoint_entry(uid, at, "Ready");
@@ -100,15 +121,16 @@
     line
 }
 
-/// A backend whose RPCs take a while each.
+/// Starts a backend with a service time of [`SERVICE_TIME`].
 fn working(name: &'static str, log: &Log) -> SocketAddr {
     backend(name, log, |_| {
-        sleep(WORK);
+        sleep(SERVICE_TIME);
         BackendAction::Respond(reply("200 OK", ""))
     })
 }
 
-/// RPCs that a backend gets in its first second, beside nine warm ones, if its start is told as so long ago.
+/// Returns the number of RPCs that a new backend gets in its first second, beside nine warm ones, if its listed start time
+/// is this many seconds ago.
 fn first_rpcs_of_a_new_backend(seconds_ago: f64) -> usize {
     let log = Log::new(vec![]);
     let names: Vec<String> = (0..9).map(|number| format!("s-{number}")).collect();
@@ -118,7 +140,7 @@
     let backends: Vec<_> = warm.collect();
     let daemon = Daemon::start_with(PROGRAM, &backends, |config| {
         without_health_checks(config);
-        // Too many for one attempt of each to fit: none is sent just because none is out.
+        // Too many proxies for one attempt of each to fit into the slow-start budget.
         config["settings"]["balancers"] = 8.into();
         config["settings"]["contract"]["cold-from"] = 0.05.into();
         config["settings"]["contract"]["cold-ns"] = 20e9.into();
@@ -128,11 +150,11 @@
         .iter()
         .map(|(uid, at)| endpoint_entry(uid, *at, "Ready"))
         .collect();
-    lines.push(started("s-new", working("new", &log), seconds_ago));
+    lines.push(listed_with_age("s-new", working("new", &log), seconds_ago));
     daemon.discovery.publish_and_wait(&lines);
     let send = |client: usize| {
         let mut connection = daemon.client();
-        for number in 0..RPCS_OF_A_CLIENT {
+        for number in 0..RPCS_PER_CLIENT {
             let id = format!("c{client}-{number}");
             assert_eq!(connection.status_of(&rpc("GET", "/read", &id, "")), 200);
         }
@@ -142,15 +164,14 @@
     log.count("new got")
 }
 
-/// A backend that has just come starts slowly, however long ago its own clock says that it started.
 #[test]
-fn a_new_backend_starts_slowly_whatever_its_clock_says() {
+fn a_new_backend_gets_a_slow_start_despite_clock_skew() {
     let usual = first_rpcs_of_a_new_backend(1.0);
-    for seconds_ago in [HOUR, -HOUR] {
+    for seconds_ago in [HOUR_SECONDS, -HOUR_SECONDS] {
         let sent = first_rpcs_of_a_new_backend(seconds_ago);
         assert!(
             sent <= usual + 3,
-            "{seconds_ago}: {sent} where {usual} are usual"
+            "listed as started {seconds_ago} s ago: {sent} RPCs, without clock skew {usual}"
         );
     }
 }
--- a/crates/daemon/tests/endpoint_changes.rs
+++ b/crates/daemon/tests/endpoint_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list and of its service: drains, moves, outages, and the connections to backends that go with them.
+//! Changes of the endpoint list, outages of discovery, and the connections to backends.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
@@ -11,18 +11,18 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// Rule 3: a slow connect must not send an RPC after the drain grace.
+/// Prevents that an RPC is sent after the drain grace because its connect was slow.
 #[test]
 fn a_drain_withdraws_an_attempt_that_waits_for_its_connection() {
     let log = Log::new(vec![]);
-    let (good, slow) = (echo("b1", &log), SlowAccept::start());
-    // The connect would not time out within the test.
-    let long = |config: &mut Value| {
+    let good = echo("b1", &log);
+    let slow = SlowAccept::start();
+    let without_connect_timeouts = |config: &mut Value| {
         config["settings"]["methods"][1]["latency-target-ns"] = 60e9.into();
         config["settings"]["ceilings"]["connect-timeout-ns"] = 60e9.into();
         without_health_checks(config);
     };
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", good)], long);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", good)], without_connect_timeouts);
     daemon.fill_retry_budget();
     daemon.discovery.publish_and_wait(&[
         endpoint_entry("s-1", good, "Terminating"),
@@ -30,12 +30,9 @@
     ]);
     let mut client = daemon.client();
     client.send(&rpc("POST", "/book", "waits", "").replace("3000", "60000"));
-    std::thread::sleep(Duration::from_millis(300)); // the attempt has begun, or the RPC is sent after the drain
-    assert_eq!(
-        log.count("waits"),
-        0,
-        "the draining backend gets nothing new"
-    );
+    // By then the attempt has started.
+    std::thread::sleep(Duration::from_millis(300));
+    assert_eq!(log.count("waits"), 0, "sent to the draining backend");
     daemon.discovery.publish(&[
         endpoint_entry("s-1", good, "Ready"),
         endpoint_entry("s-2", slow.at, "Terminating"),
@@ -43,9 +40,9 @@
     assert_eq!(client.response().unwrap().text(), "b1:");
 }
 
-/// A backend that moved gets nothing at its old address, also not on a connection that was in use meanwhile.
+/// Neither a connection in use nor an idle one leads to the former address.
 #[test]
-fn a_moved_backend_gets_rpcs_at_its_new_address_only() {
+fn a_backend_with_a_new_address_gets_no_rpcs_at_the_former_one() {
     let log = Log::new(vec![]);
     let (old, gate) = gated_backend("b1", &log, "old");
     let daemon = Daemon::start(PROGRAM, &[("s-1", old)]);
@@ -64,9 +61,9 @@
     assert_eq!(client.text_of(&rpc("POST", "/book", "idle", "")), "b3:");
 }
 
-/// A pooled connection that the backend closed is noticed and released, not written to.
+/// They would otherwise fail the next RPC.
 #[test]
-fn connections_that_a_backend_closed_are_released() {
+fn idle_connections_that_a_backend_closes_are_released() {
     let log = Log::new(vec![]);
     let at = backend("b1", &log, |_| {
         BackendAction::RespondAndClose(reply("200 OK", "last"))
@@ -92,9 +89,9 @@
     }
 }
 
-/// A network path that drops connections sooner than the settings say costs one RPC, not one each time.
+/// A network path that drops idle connections sooner than the settings say costs one RPC only.
 #[test]
-fn the_idle_time_of_connections_is_learnt_from_one_loss() {
+fn the_idle_timeout_is_reduced_after_the_loss_of_a_connection() {
     let log = Log::new(vec![]);
     let last = Shared::new(Instant::now());
     let at = backend("b1", &log, move |m| {
@@ -116,9 +113,8 @@
     assert_eq!(lost, 1);
 }
 
-/// Backends that were removed from the list are forgotten: memory does not grow with all that ever were listed.
 #[test]
-fn removed_backends_are_forgotten() {
+fn memory_does_not_grow_with_removed_backends() {
     let log = Log::new(vec![]);
     let at = echo("b1", &log);
     let daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
@@ -131,7 +127,8 @@
         }
         daemon.memory()
     };
-    let (before, after) = (replace(0..8), replace(8..58));
+    let before = replace(0..8);
+    let after = replace(8..58);
     assert!(
         after < before + (25 << 20),
         "{} MB more for 100,000 removed backends",
@@ -143,9 +140,8 @@
     );
 }
 
-/// A call without an answer times out soon, and the next one is sent at once.
 #[test]
-fn a_watch_without_an_answer_is_repeated() {
+fn a_watch_that_times_out_is_repeated_at_once() {
     let log = Log::new(vec![]);
     let mut daemon = Daemon::start(PROGRAM, &[("s-1", echo("b1", &log))]);
     let next = DiscoveryService::without_response_to(0);
@@ -153,26 +149,26 @@
     daemon.reload(&config(daemon.at, next.at, &[]).to_string());
     daemon.discovery = next;
     let mut client = daemon.client();
-    let mut ask = || client.text_of(&rpc("GET", "/read", "id", "")) == "b2:";
+    let mut is_applied = || client.text_of(&rpc("GET", "/read", "id", "")) == "b2:";
     eventually(
         Duration::from_secs(5),
-        "one lost call, and the list is not applied",
-        &mut ask,
+        "the list is not applied after one lost poll",
+        &mut is_applied,
     );
 }
 
 #[test]
-fn an_outage_of_discovery_keeps_the_cached_list() {
+fn the_last_list_is_kept_during_an_outage_of_discovery() {
     let log = Log::new(vec![]);
     let (old, new) = (echo("b1", &log), echo("b2", &log));
     let daemon = Daemon::start(PROGRAM, &[("s-1", old)]);
     let mut client = daemon.client();
-    let mut ask = |n: &str| client.text_of(&rpc("GET", "/read", n, ""));
-    assert_eq!(ask("up"), "b1:");
+    let mut send = |n: &str| client.text_of(&rpc("GET", "/read", n, ""));
+    assert_eq!(send("up"), "b1:");
     daemon.discovery.respond_with(None);
-    assert_eq!(ask("down"), "b1:");
+    assert_eq!(send("down"), "b1:");
     daemon.discovery.respond_with(Some("{\"rev\": nonsense"));
-    assert_eq!(ask("garbage"), "b1:");
+    assert_eq!(send("garbage"), "b1:");
     let odd = [
         json!({"uid": "s-9", "state": "Dreaming"}),
         json!({"state": "Ready"}),
@@ -182,14 +178,14 @@
         .publish(&[&odd[..], &[endpoint_entry("s-2", new, "Ready")]].concat());
     eventually(
         EVENT_TIMEOUT,
-        "the list of the restored service was never applied",
-        || ask("back") == "b2:",
+        "the list of the recovered service was never applied",
+        || send("back") == "b2:",
     );
 }
 
-/// A discovery service that answers every watch at once must not keep the proxy busy.
+/// Prevents a busy loop.
 #[test]
-fn watches_that_return_at_once_are_spaced() {
+fn polls_of_a_service_that_responds_at_once_are_spaced() {
     let log = Log::new(vec![]);
     let at = echo("b1", &log);
     let daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
@@ -204,9 +200,9 @@
     );
 }
 
-/// A cached list that can't be read does not prevent the start: the first answer of discovery replaces it.
+/// It does not prevent the start.
 #[test]
-fn an_unreadable_cached_list_is_replaced_by_discovery() {
+fn a_malformed_cached_list_is_replaced_by_discovery() {
     let log = Log::new(vec![]);
     for known in [json!("odd"), json!({"rev": "x"}), json!(null)] {
         let backend = [("s-1", echo("b1", &log))];
--- a/crates/daemon/tests/shadow.rs
+++ b/crates/daemon/tests/shadow.rs
@@ -1,4 +1,4 @@
-//! Other settings evaluated in the shadow of those in force.
+//! The shadow evaluation of other settings.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
@@ -9,14 +9,14 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// Method and verb of each idempotency: idempotent, non-idempotent, deduplicated.
-const KINDS: [(&str, &str); 3] = [("read", "GET"), ("book", "POST"), ("log", "POST")];
+/// Method and verb for each kind of idempotency: idempotent, non-idempotent, deduplicated.
+const METHODS: [(&str, &str); 3] = [("read", "GET"), ("book", "POST"), ("log", "POST")];
 
-/// Sends so many RPCs of each kind in turn, ends the daemon and returns the last counts of its shadow.
-fn counts_over(mut daemon: Daemon, rpcs: usize) -> String {
+/// Sends this many RPCs, of each method in turn, and returns the counts of the shadow evaluation at the end.
+fn shadow_counts(mut daemon: Daemon, rpcs: usize) -> String {
     let mut client = daemon.client();
     for n in 0..rpcs {
-        let (method, verb) = KINDS[n % KINDS.len()];
+        let (method, verb) = METHODS[n % METHODS.len()];
         assert!(
             client
                 .call(&rpc(verb, &format!("/{method}"), &format!("n{n}"), ""))
@@ -39,8 +39,8 @@
         .to_owned()
 }
 
-/// Two backends that respond, one that fails now and then, and one whose address nobody listens at.
-fn mixed(log: &Log) -> [(&'static str, SocketAddr); 4] {
+/// Starts two backends that succeed and one that sometimes fails, and adds an address where nothing listens.
+fn mixed_backends(log: &Log) -> [(&'static str, SocketAddr); 4] {
     let faulty = backend("b3", log, |m| {
         match m.header("request-id").as_bytes().last() {
             Some(b'3') => BackendAction::RespondAndClose(vec![]),
@@ -57,14 +57,14 @@
 }
 
 #[test]
-fn a_shadow_with_the_same_settings_differs_in_nothing() {
+fn a_shadow_with_the_same_settings_decides_the_same() {
     for change in [|_: &mut Value| {}, without_health_checks] {
         let log = Log::new(vec![]);
-        let daemon = Daemon::start_with(PROGRAM, &mixed(&log), |config| {
+        let daemon = Daemon::start_with(PROGRAM, &mixed_backends(&log), |config| {
             change(config);
             config["watch"] = config["settings"].clone();
         });
-        let counts = counts_over(daemon, 300);
+        let counts = shadow_counts(daemon, 300);
         let none = "300 RPCs compared: queued 0, attempted 0, rejected 0, accepted 0, given up 0, retried 0, \
                     answered differently 0; other backend 0; ";
         let health_checks = counts
@@ -78,15 +78,15 @@
 }
 
 #[test]
-fn a_shadow_with_other_settings_is_counted_and_sends_nothing() {
+fn a_shadow_with_other_settings_is_only_counted() {
     let log = Log::new(vec![]);
     let backends = [("s-1", echo("b1", &log)), ("s-2", echo("b2", &log))];
-    // A shadow without health checks doesn't wait for their reports; one with them would.
+    // A shadow without health checks does not queue RPCs until there are load reports.
     let daemon = Daemon::start_with(PROGRAM, &backends, |config| {
         config["watch"] = config["settings"].clone();
         config["watch"]["ceilings"]["probes"] = false.into();
     });
-    let counts = counts_over(daemon, 90);
+    let counts = shadow_counts(daemon, 90);
     assert!(
         !counts.contains(" attempted 0,") && counts.ends_with(", would be 0"),
         "{counts}"
@@ -96,7 +96,7 @@
         config["watch"] = config["settings"].clone();
         without_health_checks(config);
     });
-    let counts = counts_over(daemon, 90);
+    let counts = shadow_counts(daemon, 90);
     assert!(
         !counts.contains(" queued 0,") && counts.contains("; health checks 0, would be "),
         "{counts}"
@@ -105,6 +105,6 @@
     assert_eq!(
         log.all().len() - before,
         90,
-        "one message an RPC and no health check"
+        "one request for each RPC, and no health check"
     );
 }
