--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -6,7 +6,7 @@
 //! 3. A backend that is draining or removed gets nothing new.
 //! 4. A warming backend gets no more than its slow-start budget.
 use super::deadlines::DEADLINE_MARGIN_SECONDS;
-use super::slow_start::SlowStart;
+use super::slow_start::{AttemptSample, SlowStart};
 use crate::backend::Backend;
 use crate::backend_index::Subset;
 use crate::fleet::Fleet;
@@ -24,13 +24,12 @@
 }
 
 impl Rules {
-    /// Returns whether an attempt breaks no rule; every attempt is judged here. `sample` is the random
-    /// sample of the fallback's choice.
+    /// Returns whether an attempt breaks no rule; every attempt is judged here.
     pub(crate) fn may_attempt(
         &self,
         rpc: &RpcState,
         to: &Backend,
-        sample: Option<f64>,
+        sample: AttemptSample,
         fleet: &Fleet,
         now: f64,
     ) -> bool {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -24,6 +24,16 @@
     pub budget: SlowStartBudget,
 }
 
+/// Random sample that decides on an attempt at a warming backend.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum AttemptSample {
+    /// The sample of a random choice. It is the same for all backends: a choice that draws one for each
+    /// of them would find a backend in the end.
+    RandomChoice(f64),
+    /// The sample that the backend got with its last load report.
+    LastReport,
+}
+
 /// What this proxy may send to a warming backend.
 struct Allowance {
     /// Attempts per window that fit with near certainty.
@@ -43,13 +53,11 @@
     }
 
     /// Returns whether this proxy's share of the backend's budget has room for one more attempt; it
-    /// has if the backend is warm. `sample` is the sample of a random choice. It is the same for all
-    /// backends, as a choice that draws a sample for each of them would find one in the end. Without
-    /// it the sample of the backend's last health check counts.
+    /// has if the backend is warm.
     pub(crate) fn has_room(
         &self,
         to: &Backend,
-        sample: Option<f64>,
+        sample: AttemptSample,
         fleet: &Fleet,
         now: f64,
     ) -> bool {
@@ -73,11 +81,14 @@
         if sent <= allowance.guaranteed_attempts {
             return true;
         }
-        let check_sample = to.slow_start_sample.get() * budget.health_checks_per_rpc;
+        let sample = match sample {
+            AttemptSample::RandomChoice(sample) => sample,
+            AttemptSample::LastReport => to.slow_start_sample.get() * budget.health_checks_per_rpc,
+        };
         let probability = self
             .attempt_probability(work_limit, fleet, now)
             .max(allowance.guaranteed_attempts);
-        sent <= allowance.maximum_attempts && sample.unwrap_or(check_sample) < probability
+        sent <= allowance.maximum_attempts && sample < probability
     }
 
     /// Returns this proxy's allowance for a backend that may get this much work in a window from all
