--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Helpers of the tests of the decisions and of the running daemon.
 //!
-//! `fixtures`, `fleets`, `rule_model` and `proxy` run the decisions in simulated time, watched by a plain model of the rules;
-//! `sockets` has what surrounds a birchhubd process on loopback sockets.
+//! `fixtures`, `fleets`, `rule_model` and `proxy` run the decisions in simulated time and check them against a
+//! model of the rules; `sockets` has the surroundings of a birchhubd process on loopback sockets.
 #![allow(
     dead_code,
     unused_imports,
--- a/tests/common/proxy.rs
+++ b/tests/common/proxy.rs
@@ -26,6 +26,12 @@
     }
 }
 
+/// Something that is due at a time.
+struct Due<T> {
+    at: f64,
+    what: T,
+}
+
 /// One balancer and its platform.
 pub(crate) struct Proxy {
     pub platform: CheckedPlatform,
@@ -242,25 +248,28 @@
         }
     }
 
-    /// Returns the attempt that times out first, and when. Streamed responses have no timeout.
-    fn next_timeout(&self) -> (f64, Option<AttemptInFlight>) {
-        let mut next = (f64::INFINITY, None);
-        for in_flight in self.attempts_in_flight() {
-            let record = &self.platform.rpcs[&in_flight.rpc];
-            let timeout_at = record.attempts[in_flight.number].timeout_at;
-            if !record.is_streaming && timeout_at < next.0 {
-                next = (timeout_at, Some(in_flight));
+    /// Returns the attempt that times out first. Streamed responses have no timeout.
+    fn next_timeout(&self) -> Option<Due<AttemptInFlight>> {
+        let mut next: Option<Due<AttemptInFlight>> = None;
+        for attempt in self.attempts_in_flight() {
+            let record = &self.platform.rpcs[&attempt.rpc];
+            let at = record.attempts[attempt.number].timeout_at;
+            if !record.is_streaming && next.as_ref().is_none_or(|next| at < next.at) {
+                next = Some(Due { at, what: attempt });
             }
         }
         next
     }
 
-    /// Returns when the next timer is due, and its index.
-    fn next_timer(&self) -> (f64, Option<usize>) {
-        let mut next = (f64::INFINITY, None);
-        for (index, due) in self.platform.timers.iter().enumerate() {
-            if *due < next.0 {
-                next = (*due, Some(index));
+    /// Returns the index of the timer that is due first.
+    fn next_timer(&self) -> Option<Due<usize>> {
+        let mut next: Option<Due<usize>> = None;
+        for (index, at) in self.platform.timers.iter().enumerate() {
+            if next.as_ref().is_none_or(|next| *at < next.at) {
+                next = Some(Due {
+                    at: *at,
+                    what: index,
+                });
             }
         }
         next
@@ -270,25 +279,25 @@
     pub(crate) fn advance(&mut self, seconds: f64) {
         let end = self.platform.now + seconds;
         loop {
-            let (timeout_at, attempt) = self.next_timeout();
-            let (timer_at, timer) = self.next_timer();
-            let next = timeout_at.min(timer_at);
-            if next > end {
-                break;
-            }
-            self.platform.now = self.platform.now.max(next);
-            if timeout_at <= timer_at {
-                let attempt = attempt.expect("an attempt that is due");
-                self.end_in_flight(attempt, AttemptOutcome::TimedOut, None);
-            } else {
-                let timer = timer.expect("a timer that is due");
-                self.platform.timers.swap_remove(timer);
-                self.balancer.on_timer(&mut self.platform);
+            let timeout = self.next_timeout().filter(|timeout| timeout.at <= end);
+            let timer = self.next_timer().filter(|timer| timer.at <= end);
+            match (timeout, timer) {
+                (Some(timeout), timer) if timer.as_ref().is_none_or(|t| timeout.at <= t.at) => {
+                    self.platform.now = self.platform.now.max(timeout.at);
+                    self.end_in_flight(timeout.what, AttemptOutcome::TimedOut, None);
+                }
+                (_, Some(timer)) => {
+                    self.platform.now = self.platform.now.max(timer.at);
+                    self.platform.timers.swap_remove(timer.what);
+                    self.balancer.on_timer(&mut self.platform);
+                }
+                (_, None) => break,
             }
         }
         self.platform.now = end;
     }
 
+    /// Checks that no rule was broken so far.
     pub(crate) fn check_rules(&self) -> Result<(), String> {
         self.platform.check_rules()
     }
--- a/tests/common/rule_model.rs
+++ b/tests/common/rule_model.rs
@@ -170,24 +170,28 @@
 
     /// Checks an attempt that is about to start.
     fn check_attempt(&self, rpc: &RpcRecord, backend: u32) -> Result<(), &'static str> {
-        let draining_since = self.draining_since.get(&backend);
         self.check_repeated_run(rpc, backend)?;
         self.check_key_order(rpc)?;
-        match () {
-            () if rpc.is_finished() => Err("sent after the final answer"),
-            () if self.now >= rpc.deadline => Err("sent after the deadline"),
-            () if rpc.attempts.len() >= self.settings.max_attempts => {
-                Err("more attempts than allowed")
-            }
-            () if rpc.attempts_in_flight() > 0 && !self.settings.can_hedge => {
-                Err("two attempts in flight")
-            }
-            () if draining_since.is_some_and(|at| self.now > at + self.settings.drain_grace) => {
-                Err("sent to a draining backend")
-            }
-            () if !self.endpoints.contains_key(&backend) => Err("sent to a backend never listed"),
-            () => Ok(()),
+        if rpc.is_finished() {
+            return Err("sent after the final answer");
+        }
+        if self.now >= rpc.deadline {
+            return Err("sent after the deadline");
+        }
+        if rpc.attempts.len() >= self.settings.max_attempts {
+            return Err("more attempts than allowed");
         }
+        if rpc.attempts_in_flight() > 0 && !self.settings.can_hedge {
+            return Err("two attempts in flight");
+        }
+        let draining_since = self.draining_since.get(&backend);
+        if draining_since.is_some_and(|at| self.now > at + self.settings.drain_grace) {
+            return Err("sent to a draining backend");
+        }
+        if !self.endpoints.contains_key(&backend) {
+            return Err("sent to a backend that was never listed");
+        }
+        Ok(())
     }
 
     /// Records a final answer, and whether it breaks a rule.
