--- a/tests/slow_start/main.rs
+++ b/tests/slow_start/main.rs
@@ -10,6 +10,7 @@
 mod fleets;
 mod measurement;
 mod proxy;
+mod proxy_group;
 mod restarts;
 mod rpcs;
 mod scenario;
