--- a/crates/daemon/tests/crowd.rs
+++ b/crates/daemon/tests/crowd.rs
@@ -1,25 +1,25 @@
-//! Thousands of client connections under tight limits, over loopback sockets.
+//! Thousands of client connections with tight limits of sockets and memory, over loopback sockets.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
     Client, Daemon, EVENT_TIMEOUT, Log, Shared, echo, endpoint_entry, eventually, rpc,
-    without_health_checks,
+    with_descriptor_limit, without_health_checks,
 };
 use serde_json::Value;
 use std::collections::VecDeque;
-use std::fs::Permissions;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
-use std::os::unix::fs::PermissionsExt;
-use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
-const UPDATE_LIMIT: Duration = Duration::from_secs(6); // from the return of discovery until its list must apply
+/// Time from the recovery of the discovery service within which its endpoint list must be applied.
+const UPDATE_TIMEOUT: Duration = Duration::from_secs(6);
+/// A limit of sockets that leaves ten for clients.
+const SOCKETS_FOR_TEN_CLIENTS: u64 = 74;
 
-fn limited(sockets: u64, memory_mb: u64, log: &Log) -> Daemon {
+/// Starts the program with one backend and these limits.
+fn start_with_limits(sockets: u64, memory_mb: u64, log: &Log) -> Daemon {
     Daemon::start_with(PROGRAM, &[("s-1", echo("b1", log))], |config| {
         without_health_checks(config);
         config["limits"]["sockets"] = sockets.into();
@@ -27,6 +27,7 @@
     })
 }
 
+/// Whether the proxy has not closed the connection.
 fn is_open(client: &Client) -> bool {
     let stream = client.stream();
     stream.set_nonblocking(true).expect("a socket");
@@ -37,7 +38,8 @@
     open
 }
 
-fn ask(daemon: &Daemon, id: &str) -> Client {
+/// Opens a connection, and checks that an RPC on it is served.
+fn served_client(daemon: &Daemon, id: &str) -> Client {
     let mut client = daemon.client();
     assert_eq!(
         client
@@ -49,16 +51,18 @@
     client
 }
 
-/// Thousands of connections without a request or with half of one: an RPC on a new one is served promptly, limits hold
-/// all the time, and SIGTERM works meanwhile.
+/// Thousands of connections are silent or have sent a part of a request: an RPC on a new one is served promptly, the
+/// limits are never exceeded, and SIGTERM ends the process.
 #[test]
 fn thousands_of_idle_connections_delay_no_rpc_and_exceed_no_limit() {
     let log = Log::new(vec![]);
-    let mut daemon = limited(192, 24, &log);
+    let mut daemon = start_with_limits(192, 24, &log);
     let half_body =
         rpc("POST", "/book", "half", "body").replace("Content-Length: 4", "Content-Length: 9");
     let mut crowd = VecDeque::new();
-    let (mut descriptors, mut memory, mut slowest) = (0, 0, Duration::ZERO);
+    let mut descriptors = 0;
+    let mut memory = 0;
+    let mut slowest = Duration::ZERO;
     for n in 0..2000 {
         let mut client = daemon.client();
         match n % 3 {
@@ -71,9 +75,9 @@
             crowd.pop_front();
         }
         if n % 20 == 0 {
-            let begun = Instant::now();
-            ask(&daemon, &format!("n{n}"));
-            slowest = slowest.max(begun.elapsed());
+            let started = Instant::now();
+            served_client(&daemon, &format!("n{n}"));
+            slowest = slowest.max(started.elapsed());
             descriptors = descriptors.max(daemon.descriptors());
             memory = memory.max(daemon.memory());
         }
@@ -84,80 +88,67 @@
         "{descriptors} descriptors, {memory} bytes"
     );
     daemon.signal("TERM");
-    let begun = Instant::now();
+    let signalled_at = Instant::now();
     assert!(daemon.await_exit().success());
-    assert!(begun.elapsed() < Duration::from_secs(5));
+    assert!(signalled_at.elapsed() < Duration::from_secs(5));
 }
 
-/// A birchhubd with this limit of descriptors.
-fn capped(descriptors: u64) -> PathBuf {
-    static NEXT: AtomicUsize = AtomicUsize::new(0);
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let path =
-        std::env::temp_dir().join(format!("birchhubd-capped-{}-{number}", std::process::id()));
-    let text = format!("#!/bin/sh\nulimit -n {descriptors}\nexec {PROGRAM} \"$@\"\n");
-    std::fs::write(&path, text).expect("a file");
-    std::fs::set_permissions(&path, Permissions::from_mode(0o755)).expect("a program");
-    path
-}
-
-/// The program before one backend, with a budget of so many sockets.
-fn start_with_sockets(program: &Path, backend: SocketAddr, sockets: u64) -> Daemon {
-    let program = program.to_str().expect("a path");
+/// Starts the program with one backend and this limit of sockets.
+fn start_with_sockets(program: &str, backend: SocketAddr, sockets: u64) -> Daemon {
     Daemon::start_with(program, &[("s-1", backend)], |config| {
         without_health_checks(config);
         config["limits"]["sockets"] = sockets.into();
     })
 }
 
-/// How far idle clients have got on their connections.
+/// The state of idle clients' connections.
 #[derive(Clone, Copy, Debug)]
 enum Idle {
-    /// They have had a response.
+    /// They have received a response.
     BetweenRequests,
-    /// They have sent half a head.
-    HalfHead,
+    /// They have sent a part of a head.
+    IncompleteHead,
     /// They have sent nothing.
-    Fresh,
+    Silent,
 }
 
-const IDLE_STATES: [Idle; 3] = [Idle::BetweenRequests, Idle::HalfHead, Idle::Fresh];
+const IDLE_STATES: [Idle; 3] = [Idle::BetweenRequests, Idle::IncompleteHead, Idle::Silent];
 
-/// So many idle clients, as far as they are accepted.
+/// Opens this number of idle connections, as far as the proxy accepts them.
 fn crowd(daemon: &Daemon, idle: Idle, clients: usize, name: &str) -> Vec<Client> {
     let mut all: Vec<_> = (0..clients).map(|_| daemon.client()).collect();
     for (n, client) in all.iter_mut().enumerate() {
-        // Connections that were evicted meanwhile say nothing.
+        // Failures are ignored: the connection may have been evicted meanwhile.
         match idle {
             Idle::BetweenRequests => {
                 drop(client.call(&rpc("POST", "/book", &format!("{name}{n}"), "")))
             }
-            Idle::HalfHead => drop(client.send("POST /book HTTP/1.1\r\nRequest-")),
-            Idle::Fresh => {}
+            Idle::IncompleteHead => drop(client.send("POST /book HTTP/1.1\r\nRequest-")),
+            Idle::Silent => {}
         }
     }
     all
 }
 
-/// Idle clients use up the descriptors before an outage of discovery and during it. Once discovery is back its list and
-/// the new backends are reached in time; clients with an RPC are served all the time.
-fn check_with_descriptors_used_up(allowed: u64, sockets: u64, idle: Idle) {
+/// Idle clients exhaust the descriptors before and during an outage of the discovery service. After its recovery, the
+/// proxy applies its endpoint list in time and reaches the new backends; clients with an RPC are served all the time.
+fn check_with_exhausted_descriptors(allowed: u64, sockets: u64, idle: Idle) {
     let log = Log::new(vec![]);
-    let program = capped(allowed);
+    let program = with_descriptor_limit(PROGRAM, allowed);
     let at = echo("b1", &log);
     let daemon = start_with_sockets(&program, at, sockets);
-    ask(&daemon, "begins");
+    served_client(&daemon, "begins");
     let clients = allowed as usize * 6 / 5;
     let mut all = crowd(&daemon, idle, clients, "before");
-    ask(&daemon, "before-it");
+    served_client(&daemon, "before-it");
     daemon.discovery.respond_with(None);
     all.extend(crowd(&daemon, idle, clients, "while"));
-    ask(&daemon, "meanwhile");
-    let back = Instant::now();
+    served_client(&daemon, "meanwhile");
+    let recovered_at = Instant::now();
     daemon
         .discovery
         .publish_and_wait(&[endpoint_entry("s-2", echo("b2", &log), "Ready")]);
-    let took = back.elapsed();
+    let took = recovered_at.elapsed();
     let mut client = daemon.client();
     assert_eq!(
         client
@@ -167,7 +158,7 @@
         Some("b2:")
     );
     assert!(
-        took < UPDATE_LIMIT,
+        took < UPDATE_TIMEOUT,
         "{idle:?}: the list was applied after {took:?}"
     );
     let open = daemon.descriptors();
@@ -183,30 +174,30 @@
 }
 
 #[test]
-fn idle_clients_use_up_256_descriptors() {
+fn idle_clients_exhaust_256_descriptors() {
     for idle in IDLE_STATES {
-        check_with_descriptors_used_up(256, 256, idle);
+        check_with_exhausted_descriptors(256, 256, idle);
     }
 }
 
 #[test]
-fn idle_clients_use_up_1024_descriptors() {
+fn idle_clients_exhaust_1024_descriptors() {
     for idle in IDLE_STATES {
-        check_with_descriptors_used_up(1024, 1024, idle);
+        check_with_exhausted_descriptors(1024, 1024, idle);
     }
 }
 
-/// The limit of the machine is below that of the configuration.
+/// The system permits fewer descriptors than the configuration.
 #[test]
-fn idle_clients_use_up_fewer_descriptors_than_configured() {
+fn idle_clients_exhaust_fewer_descriptors_than_configured() {
     for idle in IDLE_STATES {
-        check_with_descriptors_used_up(128, 1024, idle);
+        check_with_exhausted_descriptors(128, 1024, idle);
     }
 }
 
-/// A new process starts without a list and without discovery; it is ready in time after the return of discovery.
+/// A process that starts without an endpoint list and without the discovery service is ready in time after its recovery.
 #[test]
-fn a_new_process_starts_among_many_idle_clients() {
+fn process_starts_in_time_with_many_idle_clients() {
     let log = Log::new(vec![]);
     let at = echo("b1", &log);
     let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], |config| {
@@ -222,33 +213,35 @@
         .expect("the end of birchhubd");
     daemon.start_again(PROGRAM);
     daemon.await_ready(503);
-    let crowds = [Idle::Fresh, Idle::HalfHead].map(|idle| crowd(&daemon, idle, 300, "first"));
-    let back = Instant::now();
+    let crowds =
+        [Idle::Silent, Idle::IncompleteHead].map(|idle| crowd(&daemon, idle, 300, "first"));
+    let recovered_at = Instant::now();
     daemon
         .discovery
         .publish(&[endpoint_entry("s-1", at, "Ready")]);
     daemon.await_ready(200);
     assert!(
-        back.elapsed() < UPDATE_LIMIT,
+        recovered_at.elapsed() < UPDATE_TIMEOUT,
         "ready after {:?}",
-        back.elapsed()
+        recovered_at.elapsed()
     );
-    ask(&daemon, "after");
+    served_client(&daemon, "after");
     drop(crowds);
 }
 
-/// New connections arrive all the time, before, during and after an outage of discovery.
+/// New connections arrive before, during and after an outage of the discovery service.
 #[test]
-fn a_flood_of_connections_does_not_delay_the_endpoint_list() {
+fn flood_of_connections_does_not_delay_the_endpoint_list() {
     let log = Log::new(vec![]);
-    let program = capped(256);
+    let program = with_descriptor_limit(PROGRAM, 256);
     let daemon = start_with_sockets(&program, echo("b1", &log), 256);
-    let (ends, at) = (Shared::new(false), daemon.at);
-    let ended = ends.clone();
+    let is_over = Shared::new(false);
+    let at = daemon.at;
+    let ended = is_over.clone();
     let flood = spawn(move || {
         let mut all = VecDeque::new();
         let mut opened = 0;
-        // A thousand or two in a second.
+        // One to two thousand connections a second.
         while !ended.wait(Duration::from_micros(500), |ended| *ended) {
             all.extend(Client::open(at));
             opened += 1;
@@ -258,31 +251,31 @@
         }
         opened
     });
-    (0..20).for_each(|n| drop(ask(&daemon, &format!("before{n}"))));
+    (0..20).for_each(|n| drop(served_client(&daemon, &format!("before{n}"))));
     daemon.discovery.respond_with(None);
-    (0..20).for_each(|n| drop(ask(&daemon, &format!("while{n}"))));
-    let back = Instant::now();
+    (0..20).for_each(|n| drop(served_client(&daemon, &format!("while{n}"))));
+    let recovered_at = Instant::now();
     daemon
         .discovery
         .publish_and_wait(&[endpoint_entry("s-2", echo("b2", &log), "Ready")]);
-    let took = back.elapsed();
-    (0..20).for_each(|n| drop(ask(&daemon, &format!("after{n}"))));
-    ends.change(|ends| *ends = true);
+    let took = recovered_at.elapsed();
+    (0..20).for_each(|n| drop(served_client(&daemon, &format!("after{n}"))));
+    is_over.change(|is_over| *is_over = true);
     let opened = flood.join().expect("a flood");
     assert!(
-        took < UPDATE_LIMIT && opened > 256,
+        took < UPDATE_TIMEOUT && opened > 256,
         "{opened} connections, the list was applied after {took:?}"
     );
     assert!(log.count("b2 got POST /book HTTP/1.1 after") > 0);
     std::fs::remove_file(program).expect("the program");
 }
 
-/// Many more connections than the budget has sockets, seen at once: clients with an RPC are served among idle ones.
+/// Many more connections than the socket budget permits arrive at once: clients with an RPC are served among idle ones.
 #[test]
-fn a_burst_of_idle_connections_evicts_no_client_with_an_rpc() {
+fn burst_of_idle_connections_evicts_no_client_with_an_rpc() {
     let log = Log::new(vec![]);
-    let daemon = limited(256, 1024, &log);
-    ask(&daemon, "before");
+    let daemon = start_with_limits(256, 1024, &log);
+    served_client(&daemon, "before");
     daemon.signal("STOP");
     let mut silent = Vec::new();
     let mut busy = Vec::new();
@@ -301,14 +294,16 @@
     assert_eq!(answers, busy.len());
 }
 
-/// RPCs on all idle connections, seen at once with as many new clients that need their sockets. None is lost, whichever
-/// came first.
+/// RPCs on all idle connections arrive together with as many new clients that need the sockets. No RPC is lost, whichever
+/// arrives first.
 #[test]
-fn rpcs_that_cross_with_the_eviction_of_their_connections_are_answered() {
+fn rpcs_that_race_with_the_eviction_of_their_connections_get_a_response() {
     for rpcs_first in [true, false] {
         let log = Log::new(vec![]);
-        let daemon = limited(74, 1024, &log); // ten for clients
-        let mut idle: Vec<_> = (0..10).map(|n| ask(&daemon, &format!("idle{n}"))).collect();
+        let daemon = start_with_limits(SOCKETS_FOR_TEN_CLIENTS, 1024, &log);
+        let mut idle: Vec<_> = (0..10)
+            .map(|n| served_client(&daemon, &format!("idle{n}")))
+            .collect();
         let send = |name: &str, n: usize, client: &mut Client| {
             client.send(&rpc("POST", "/book", &format!("{name}{n}"), "").replace("3000", "20000"))
         };
@@ -339,16 +334,16 @@
     }
 }
 
-/// New connections do not evict one another while others have been idle for longer.
+/// New connections don't evict each other while others have been idle for longer.
 #[test]
 fn new_connections_evict_idle_ones_and_not_each_other() {
-    for idle in [Idle::BetweenRequests, Idle::HalfHead] {
+    for idle in [Idle::BetweenRequests, Idle::IncompleteHead] {
         let log = Log::new(vec![]);
-        let daemon = limited(74, 1024, &log); // ten for clients
+        let daemon = start_with_limits(SOCKETS_FOR_TEN_CLIENTS, 1024, &log);
         let _crowd = crowd(&daemon, idle, 10, "crowd");
-        ask(&daemon, "before");
+        served_client(&daemon, "before");
         let mut new: Vec<_> = (0..5).map(|_| daemon.client()).collect();
-        ask(&daemon, "after-those");
+        served_client(&daemon, "after-those");
         for (n, client) in new.iter_mut().enumerate() {
             let answer = client.call(&rpc("POST", "/book", &format!("new{n}"), ""));
             assert_eq!(
@@ -360,30 +355,36 @@
     }
 }
 
-/// The order of eviction: fresh connections, then those between requests, then those with half a head.
+/// Silent connections are evicted first, then those between requests, then those with a part of a head.
 #[test]
 fn connections_are_evicted_in_order() {
     let log = Log::new(vec![]);
-    let daemon = limited(74, 1024, &log); // ten for clients
+    let daemon = start_with_limits(SOCKETS_FOR_TEN_CLIENTS, 1024, &log);
     let between: Vec<_> = (0..3)
-        .map(|n| ask(&daemon, &format!("between{n}")))
+        .map(|n| served_client(&daemon, &format!("between{n}")))
         .collect();
-    let fresh: Vec<_> = (0..4).map(|_| daemon.client()).collect();
-    sleep(Duration::from_millis(500)); // longer than a new connection is spared
-    let mut half: Vec<_> = (0..3).map(|_| daemon.client()).collect();
-    half.iter_mut()
+    let silent: Vec<_> = (0..4).map(|_| daemon.client()).collect();
+    // Longer than the settle period of new connections.
+    sleep(Duration::from_millis(500));
+    let mut incomplete: Vec<_> = (0..3).map(|_| daemon.client()).collect();
+    incomplete
+        .iter_mut()
         .for_each(|client| assert!(client.send("POST /book HTTP/1.1\r\nRequest-")));
     let open = |clients: &[Client]| clients.iter().filter(|client| is_open(client)).count();
-    let mut served: Vec<_> = (0..4).map(|n| ask(&daemon, &format!("first{n}"))).collect();
-    eventually(EVENT_TIMEOUT, "the fresh connections stay", || {
-        open(&fresh) == 0
-    });
-    assert_eq!((open(&between), open(&half)), (3, 3));
-    served.extend((0..3).map(|n| ask(&daemon, &format!("second{n}"))));
+    let mut served: Vec<_> = (0..4)
+        .map(|n| served_client(&daemon, &format!("first{n}")))
+        .collect();
+    eventually(
+        EVENT_TIMEOUT,
+        "the silent connections were not evicted",
+        || open(&silent) == 0,
+    );
+    assert_eq!((open(&between), open(&incomplete)), (3, 3));
+    served.extend((0..3).map(|n| served_client(&daemon, &format!("second{n}"))));
     eventually(
         EVENT_TIMEOUT,
-        "the connections between requests stay",
+        "the connections between requests were not evicted",
         || open(&between) == 0,
     );
-    assert_eq!((open(&half), open(&served)), (3, 7));
+    assert_eq!((open(&incomplete), open(&served)), (3, 7));
 }
--- a/crates/daemon/tests/forwarding.rs
+++ b/crates/daemon/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! RPCs of each kind over loopback sockets: what is forwarded, what is retried and which outcomes a backend's faults have.
+//! Forwarding of RPCs over loopback sockets: what reaches a backend, what is retried, and the outcomes of backends' faults.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
@@ -10,19 +10,38 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// Method and verb of each idempotency: idempotent, non-idempotent, deduplicated.
-const KINDS: [(&str, &str); 3] = [("read", "GET"), ("book", "POST"), ("log", "POST")];
+/// A method of the usual configuration.
+struct Method {
+    name: &'static str,
+    verb: &'static str,
+}
+
+/// A method of each idempotency: idempotent, non-idempotent, with an idempotency key.
+const METHODS: [Method; 3] = [
+    Method {
+        name: "read",
+        verb: "GET",
+    },
+    Method {
+        name: "book",
+        verb: "POST",
+    },
+    Method {
+        name: "log",
+        verb: "POST",
+    },
+];
 
 #[test]
-fn an_rpc_of_each_kind_is_forwarded_unchanged() {
+fn rpcs_of_each_idempotency_are_forwarded_unchanged() {
     let log = Log::new(vec![]);
     let daemon = Daemon::start(PROGRAM, &[("s-1", echo("b1", &log))]);
     let mut client = daemon.client();
-    for (n, (method, verb)) in KINDS.iter().enumerate() {
+    for (n, Method { name, verb }) in METHODS.iter().enumerate() {
         let body = if *verb == "POST" { "x\0y" } else { "" };
         let answer = client.call(&rpc(
             verb,
-            &format!("/{method}/7?a=%20b"),
+            &format!("/{name}/7?a=%20b"),
             &format!("id{n}"),
             body,
         ));
@@ -31,12 +50,12 @@
             (answer.status(), answer.text()),
             (200, format!("b1:{body}"))
         );
-        log.await_event(&format!("b1 got {verb} /{method}/7?a=%20b HTTP/1.1 id{n}"));
+        log.await_event(&format!("b1 got {verb} /{name}/7?a=%20b HTTP/1.1 id{n}"));
     }
 }
 
 #[test]
-fn the_headers_that_a_backend_needs_are_forwarded() {
+fn idempotency_key_and_timeout_are_forwarded() {
     let log = Log::new(vec![]);
     let noted = log.clone();
     let at = backend("b1", &log, move |m| {
@@ -55,41 +74,47 @@
     log.await_event("k1 4");
 }
 
-/// Rule 2: an attempt that may have run is retried only where its method allows it.
+/// Rule 2: an attempt that may have run is retried only if the method is idempotent.
 #[test]
-fn a_reset_attempt_is_retried_only_where_the_method_allows_it() {
+fn reset_attempt_is_retried_only_if_the_method_is_idempotent() {
     let log = Log::new(vec![]);
     let first = Shared::new(true);
-    let bad = |name| {
+    let resetting = |name| {
         let first = first.clone();
         backend(name, &log, move |m| {
-            let cut = m.header("request-id").starts_with("cut") && first.change(std::mem::take);
-            if cut {
+            let is_reset =
+                m.header("request-id").starts_with("cut") && first.change(std::mem::take);
+            if is_reset {
                 BackendAction::RespondAndClose(vec![])
             } else {
                 BackendAction::Respond(reply("200 OK", name))
             }
         })
     };
-    let daemon = Daemon::start(PROGRAM, &[("s-1", bad("b1")), ("s-2", bad("b2"))]);
+    let daemon = Daemon::start(
+        PROGRAM,
+        &[("s-1", resetting("b1")), ("s-2", resetting("b2"))],
+    );
     daemon.fill_retry_budget();
     let mut client = daemon.client();
-    for ((method, verb), (status, sent)) in KINDS.iter().zip([(200, 2), (502, 1), (200, 2)]) {
+    for (Method { name, verb }, (status, attempts)) in
+        METHODS.iter().zip([(200, 2), (502, 1), (200, 2)])
+    {
         first.change(|f| *f = true);
-        let id = format!("cut-{method}");
+        let id = format!("cut-{name}");
         assert_eq!(
-            client.status_of(&rpc(verb, &format!("/{method}"), &id, "")),
+            client.status_of(&rpc(verb, &format!("/{name}"), &id, "")),
             status,
-            "{method}"
+            "{name}"
         );
-        assert_eq!(log.count(&id), sent, "{method}");
+        assert_eq!(log.count(&id), attempts, "{name}");
         daemon.fill_retry_budget();
     }
 }
 
-/// An attempt without a connection never ran: even a non-idempotent RPC is retried elsewhere.
+/// An attempt without a connection never ran, so that even a non-idempotent RPC is retried.
 #[test]
-fn an_attempt_without_a_connection_is_retried_at_another_backend() {
+fn attempt_without_a_connection_is_retried_at_another_backend() {
     let log = Log::new(vec![]);
     let good = echo("b1", &log);
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", good)], without_health_checks);
@@ -112,7 +137,7 @@
 }
 
 #[test]
-fn malformed_responses_of_a_backend_fail_the_attempt() {
+fn malformed_response_fails_the_attempt() {
     let log = Log::new(vec![]);
     let at = backend("b1", &log, |m| match m.header("request-id") {
         "garbage" => BackendAction::Respond(b"what?\r\n\r\n".to_vec()),
@@ -126,7 +151,7 @@
     let daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
     let mut client = daemon.client();
     for id in ["garbage", "half", "error", "refuses"] {
-        // Only the decisions answer 429 or 503, and they may not reject what may have run.
+        // A backend's 503 is not forwarded, and the proxy must not reject what may have run.
         assert_eq!(client.status_of(&rpc("POST", "/book", id, "")), 502, "{id}");
     }
     assert_eq!(
@@ -140,7 +165,7 @@
 }
 
 #[test]
-fn an_rpc_that_never_started_is_rejected() {
+fn rpc_that_no_backend_started_is_rejected() {
     let log = Log::new(vec![]);
     let full = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
     let daemon = Daemon::start(
@@ -156,9 +181,9 @@
     );
 }
 
-/// An attempt that timed out closes its connection, and its RPC is answered before the client's deadline.
+/// An attempt that times out closes its connection, and the client gets a response before its deadline.
 #[test]
-fn a_timed_out_attempt_closes_its_socket() {
+fn timed_out_attempt_closes_its_socket() {
     let log = Log::new(vec![]);
     let daemon = Daemon::start(
         PROGRAM,
@@ -172,7 +197,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_cancels_the_attempt() {
+fn disconnect_of_the_client_cancels_the_attempt() {
     let log = Log::new(vec![]);
     // The attempt would not time out within the test.
     let long =
@@ -189,9 +214,9 @@
     log.await_event("b1 closed gone");
 }
 
-/// What a backend sends after its response is no response to the next RPC, also where it arrives a moment later.
+/// Bytes that a backend sends after a response are not the response to the next RPC, even if they arrive a moment later.
 #[test]
-fn bytes_after_a_response_answer_no_rpc() {
+fn bytes_after_a_response_are_not_the_next_response() {
     let log = Log::new(vec![]);
     let copy = |m: &Message| reply("200 OK", &m.text());
     let at = backend("b1", &log, move |m| {
@@ -220,13 +245,13 @@
     daemon
         .discovery
         .publish_and_wait(&[endpoint_entry("s-2", late, "Ready")]);
-    let mut tries = 0..;
-    // The second may arrive too late on a slow machine; the connection of the first is in use again by then.
+    let mut rounds = 0..;
+    // On a slow machine the extra bytes may arrive after the connection is in use again.
     eventually(
         EVENT_TIMEOUT,
-        "the second response answered the RPC of the first",
+        "extra bytes were taken for the response to the next RPC",
         || {
-            let n = tries.next().expect("one more");
+            let n = rounds.next().expect("another round");
             let [first, second] = ["first", "second"].map(|name| {
                 let text = format!("{name}{n}");
                 client
@@ -238,7 +263,7 @@
     );
 }
 
-/// Many RPCs at once on many connections: each gets its own response.
+/// Each of many concurrent RPCs on many connections gets its own response.
 #[test]
 fn responses_of_concurrent_rpcs_are_not_mixed_up() {
     let log = Log::new(vec![]);
@@ -266,7 +291,7 @@
         .for_each(|thread| thread.join().expect("a client without a failure"));
 }
 
-/// Prevents the key of a client from being ignored: no backend would have it cached.
+/// Prevents the entity key of an RPC from being ignored, which would leave no backend with a warm cache for it.
 #[test]
 fn rpcs_with_a_key_go_to_few_backends() {
     let log = Log::new(vec![]);
@@ -302,9 +327,12 @@
         );
         assert_eq!(client.status_of(&keyed), 200);
     }
-    let met = names
+    let backends_with_the_key = names
         .iter()
         .filter(|name| log.count(&format!("{name} got GET /read")) > 0)
         .count();
-    assert!((1..=3).contains(&met), "{met} of ten backends got the key");
+    assert!(
+        (1..=3).contains(&backends_with_the_key),
+        "{backends_with_the_key} of ten backends got the key"
+    );
 }
--- a/crates/daemon/tests/long.rs
+++ b/crates/daemon/tests/long.rs
@@ -1,4 +1,4 @@
-//! Streaming: long, slow and truncated bodies, in all framings of HTTP/1.1, over loopback sockets.
+//! Streaming of long, slow and truncated bodies with all framings of HTTP/1.1, over loopback sockets.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
@@ -12,17 +12,19 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
+/// Starts the program with these backends and without health checks.
 fn start(backends: &[(&str, SocketAddr)]) -> Daemon {
     Daemon::start_with(PROGRAM, backends, without_health_checks)
 }
 
+/// Creates a text of this length.
 fn text(bytes: usize) -> String {
     (0..bytes)
         .map(|n| char::from(b'a' + (n % 23 + n / 1000 % 3) as u8))
         .collect()
 }
 
-/// The same RPC with its body in chunks, with an extension and a trailer.
+/// Encodes the same RPC with the chunked transfer coding, a chunk extension and a trailer.
 fn chunked(message: &str) -> String {
     let (head, body) = message.split_once("\r\n\r\n").expect("a head");
     let head: Vec<_> = head
@@ -59,14 +61,14 @@
             assert_eq!(answer.status(), 200);
             assert!(
                 answer.text().strip_prefix("b1:") == Some(&body),
-                "{bytes} bytes came back otherwise"
+                "a body of {bytes} bytes was changed"
             );
         }
     }
 }
 
 #[test]
-fn a_body_over_the_limit_is_refused() {
+fn body_over_the_limit_is_rejected() {
     let log = Log::new(vec![]);
     let daemon = start(&[(
         "s-1",
@@ -80,10 +82,10 @@
     assert_eq!(client.response().map(|answer| answer.status()), Some(413));
     drop(client);
     let _ = sending.join();
-    assert_eq!(log.count("chunked"), 0, "a backend had all of it");
+    assert_eq!(log.count("chunked"), 0, "a backend received all of it");
 }
 
-/// More at once than memory holds, both ways, with peers that pause: none is cut off, and memory stays within its limit.
+/// Concurrent bodies exceed the memory limit in total, and their peers pause: none is truncated, and the limit is kept.
 #[test]
 fn bodies_larger_than_memory_are_streamed() {
     let log = Log::new(vec![]);
@@ -113,28 +115,29 @@
                         writer.write_all(chunk).is_ok()
                     })
                 });
-                sleep(Duration::from_millis(1500)); // nothing is read at first
+                // The client reads nothing at first.
+                sleep(Duration::from_millis(1500));
                 let answer = client.response().expect("an answer");
                 assert!(sending.join().expect("a sender"));
                 (answer.status(), answer.body.len()) == (200, bytes)
             })
         })
         .collect();
-    let mut most = 0;
+    let mut peak_memory = 0;
     while rpcs.iter().any(|rpc| !rpc.is_finished()) {
-        most = most.max(daemon.memory());
+        peak_memory = peak_memory.max(daemon.memory());
         sleep(Duration::from_millis(2));
     }
     assert!(
         rpcs.into_iter().all(|rpc| rpc.join().expect("a client")),
-        "one was cut off"
+        "a body was truncated"
     );
-    assert!(most <= limit, "{} MiB of memory", most >> 20);
+    assert!(peak_memory <= limit, "{} MiB of memory", peak_memory >> 20);
 }
 
-/// The deadline of a request counts from its last byte, and a response that is being sent is not cut off.
+/// The deadline of a request counts from its last byte, and a response that is being sent is not truncated.
 #[test]
-fn slow_clients_lose_no_rpc() {
+fn rpcs_of_slow_clients_are_served() {
     let log = Log::new(vec![]);
     let daemon = start(&[("s-1", echo("b1", &log))]);
     let body = text(250_000);
@@ -147,7 +150,7 @@
     sleep(Duration::from_millis(800));
     let answer = client.response().expect("an answer");
     assert!(answer.status() == 200 && answer.body.len() == 250_003);
-    // A pipeline of requests whose bytes take two seconds.
+    // Two pipelined requests whose bytes take two seconds.
     let two = [
         rpc("POST", "/book", "one", "x"),
         rpc("POST", "/book", "two", "yz"),
@@ -163,7 +166,7 @@
 }
 
 #[test]
-fn a_truncated_response_does_not_look_complete() {
+fn truncated_response_is_not_forwarded_as_complete() {
     let log = Log::new(vec![]);
     let cut = |head: &str| {
         let head = format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n");
@@ -180,16 +183,19 @@
         let daemon = start(&[("s-1", cut(head))]);
         let mut client = daemon.client();
         client.send(&rpc("POST", "/book", "cut", ""));
-        assert!(client.response().is_none(), "{head}: it looks complete");
+        assert!(
+            client.response().is_none(),
+            "{head}: the client received a complete response"
+        );
         assert!(client.is_closed());
     }
 }
 
 #[test]
-fn a_client_that_disconnects_during_a_response_cancels_the_attempt() {
+fn disconnect_during_a_response_cancels_the_attempt() {
     let log = Log::new(vec![]);
-    let left = Shared::new(false);
-    let noted = left.clone();
+    let is_closed = Shared::new(false);
+    let closed = is_closed.clone();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address");
     spawn(move || {
@@ -197,7 +203,7 @@
         let _ = stream.read(&mut [0; 4096]);
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n");
         while stream.write_all(&[b'x'; 65536]).is_ok() {}
-        noted.change(|left| *left = true);
+        closed.change(|is_closed| *is_closed = true);
     });
     let daemon = start(&[("s-1", at)]);
     let mut client = daemon.client();
@@ -209,16 +215,16 @@
         .expect("the first of it");
     drop(client);
     assert!(
-        left.wait(EVENT_TIMEOUT, |left| *left),
+        is_closed.wait(EVENT_TIMEOUT, |is_closed| *is_closed),
         "the backend's connection was never closed"
     );
     assert_eq!(log.all().len(), 0);
 }
 
-/// A request that was not written completely has not run: it is rejected, and once a part that is not buffered was sent
-/// it is not retried at another backend.
+/// A request that was not written completely has not run, so it is rejected. It is not retried once bytes that are not
+/// buffered were sent.
 #[test]
-fn an_incomplete_request_has_not_run() {
+fn incomplete_request_is_rejected_without_a_retry() {
     let log = Log::new(vec![]);
     let breaks = |take: usize| {
         let (listener, log) = (
@@ -284,14 +290,14 @@
     });
     let daemon = start(&[("s-1", at)]);
     let mut client = daemon.client();
-    // Expect: the body is asked for, then sent.
+    // With `Expect` the body is sent after the interim response.
     let expecting =
         rpc("POST", "/book", "expects", "body").replace("Tenant", "Expect: 100-continue\r\nTenant");
     let (head, body) = expecting.split_once("\r\n\r\n").expect("a head");
     client.send(&format!("{head}\r\n\r\n"));
     assert_eq!(client.response().expect("an interim answer").status(), 100);
     assert_eq!(client.text_of(body), "body");
-    // HTTP/1.0, kept alive where it asks for that.
+    // HTTP/1.0, with a connection that is kept alive on request.
     let old = rpc("POST", "/book", "old-1", "1.0").replace("HTTP/1.1", "HTTP/1.0");
     let kept = old
         .replace("old-1", "old-2")
@@ -299,7 +305,7 @@
     assert_eq!(client.text_of(&kept), "1.0");
     assert_eq!(client.text_of(&old), "1.0");
     assert!(client.is_closed());
-    // A GET whose body is empty in chunks, and one addressed in full.
+    // A GET with an empty chunked body, and one with an absolute URI.
     let mut client = daemon.client();
     let get =
         rpc("GET", "/read", "get", "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
@@ -309,9 +315,9 @@
     log.await_event("b1 got GET /read HTTP/1.1 full");
 }
 
-/// A client that is slow to read a short response keeps its connection until it has all of it.
+/// A client that reads a short response slowly keeps its connection until it has read all of it.
 #[test]
-fn a_connection_with_an_unread_response_is_not_evicted() {
+fn connection_with_an_unread_response_is_not_evicted() {
     let log = Log::new(vec![]);
     let at = backend("b1", &log, |_| {
         BackendAction::Respond(reply("200 OK", &text(60_000)))
--- a/crates/daemon/tests/stalled_clients.rs
+++ b/crates/daemon/tests/stalled_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that stop in the middle of a request and stay: each gets an error or a close in time, whatever it stopped in
-//! and whatever the backends do.
+//! Clients that stall inside a request without closing the connection: each gets an error or a close in time, wherever it
+//! stalls and whatever the backends do.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{Client, Daemon, HEALTH, Log, echo, eventually, rpc};
@@ -10,84 +10,90 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// By when a client that stopped is owed an error or a close, counted from its last byte.
-const OWED_WITHIN: Duration = Duration::from_secs(3);
-/// After which a test stops waiting for a client's end.
+/// Time within which a stalled client gets an error or a close, counted from its last byte.
+const REQUIRED_WITHIN: Duration = Duration::from_secs(3);
+/// Time after which a test stops waiting for an error or a close.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(9);
-/// Between the bytes of a client that sends the end of its request one by one.
-const DRIBBLE_INTERVAL: Duration = Duration::from_millis(300);
+/// Interval between the bytes of a client that trickles the end of its request.
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What a stalled client does.
+/// The behaviour of a stalled client.
 struct Stall {
     name: &'static str,
-    /// Complete RPCs that are answered on the connection first.
-    answered_before: usize,
-    /// Sent at once; nothing follows.
+    /// RPCs that are served on the connection first.
+    served_before: usize,
+    /// Bytes that are sent at once.
     sent: String,
-    /// Complete RPCs in `sent`: their answers come before the end that is waited for.
-    complete: usize,
+    /// Complete requests in `sent`, whose responses precede the error or close.
+    complete_requests: usize,
     /// Further bytes, sent one by one.
-    dribbled: usize,
+    trickled_bytes: usize,
 }
 
 impl Stall {
     fn new(name: &'static str, sent: impl Into<String>) -> Self {
         Self {
             name,
-            answered_before: 0,
+            served_before: 0,
             sent: sent.into(),
-            complete: 0,
-            dribbled: 0,
+            complete_requests: 0,
+            trickled_bytes: 0,
         }
     }
 
-    fn after_answers(self, answered_before: usize) -> Self {
+    fn after_served(self, served_before: usize) -> Self {
         Self {
-            answered_before,
+            served_before,
             ..self
         }
     }
 
-    fn with_complete(self, complete: usize) -> Self {
-        Self { complete, ..self }
+    fn with_complete_requests(self, complete_requests: usize) -> Self {
+        Self {
+            complete_requests,
+            ..self
+        }
     }
 
-    fn dribbling(self, dribbled: usize) -> Self {
-        Self { dribbled, ..self }
+    fn trickling(self, trickled_bytes: usize) -> Self {
+        Self {
+            trickled_bytes,
+            ..self
+        }
     }
 
-    /// Plays the client and returns how long after its last byte it was answered with an error or closed; none if
-    /// neither happened.
-    fn play(&self, at: SocketAddr) -> Option<Duration> {
+    /// Runs the client and returns the time from its last byte to an error or a close; none if neither happened.
+    fn run(&self, at: SocketAddr) -> Option<Duration> {
         let mut client = Client::open(at).expect("a connection");
-        for number in 0..self.answered_before {
+        for number in 0..self.served_before {
             let id = format!("before-{number}-{}", self.name.replace(' ', "-"));
             assert_eq!(client.status_of(&rpc("GET", "/read", &id, "")), 200);
         }
         let mut stream = client.stream();
-        // Where the proxy has answered already, the rest can't be sent.
+        // The write fails if the proxy has already responded and closed the connection.
         let _ = stream.write_all(self.sent.as_bytes());
-        for _ in 0..self.complete {
+        for _ in 0..self.complete_requests {
             assert_eq!(client.response().expect("an answer").status(), 200);
         }
-        let stopped = Instant::now();
-        if self.dribbled > 0 {
-            let (mut stream, count) = (client.stream(), self.dribbled);
+        let stalled_at = Instant::now();
+        if self.trickled_bytes > 0 {
+            let mut stream = client.stream();
+            let count = self.trickled_bytes;
             thread::spawn(move || {
                 for _ in 0..count {
-                    sleep(DRIBBLE_INTERVAL);
+                    sleep(TRICKLE_INTERVAL);
                     if stream.write_all(b"x").is_err() {
                         return;
                     }
                 }
             });
         }
-        is_ended(&stream).then(|| stopped.elapsed())
+        gets_error_or_close(&stream).then(|| stalled_at.elapsed())
     }
 }
 
-/// Waits for an error or a close; false if neither comes.
-fn is_ended(mut stream: &TcpStream) -> bool {
+/// Waits for an error or a close; false if there is neither before the timeout.
+fn gets_error_or_close(mut stream: &TcpStream) -> bool {
     let deadline = Instant::now() + EVENT_TIMEOUT;
     let mut received = Vec::new();
     let mut chunk = [0; 4096];
@@ -112,52 +118,58 @@
     }
 }
 
-/// An RPC whose body is declared longer than what is sent of it.
-fn cut_body(id: &str, declared: usize, sent: usize) -> String {
+/// Encodes an RPC whose declared length exceeds the bytes that are sent.
+fn truncated_body(id: &str, declared: usize, sent: usize) -> String {
     rpc("POST", "/book", id, &"x".repeat(sent)).replace(
         &format!("Content-Length: {sent}"),
         &format!("Content-Length: {declared}"),
     )
 }
 
-/// An RPC whose body is sent in chunks; `body` is what stands behind the head.
+/// Encodes an RPC with the chunked transfer coding; `body` follows the head.
 fn chunked(id: &str, body: &str) -> String {
     let head = rpc("POST", "/book", id, "");
     head.replace("Content-Length: 0", "Transfer-Encoding: chunked") + body
 }
 
+/// Encodes one chunk.
 fn chunk(length: usize) -> String {
     format!("{length:x}\r\n{}\r\n", "x".repeat(length))
 }
 
 const HALF_HEAD: &str = "GET /read HTTP/1.1\r\nHost: api.internal\r\nRequest-";
 
-/// Clients that stop before their head is complete.
+/// Clients that stall before their head is complete.
 fn stalls_in_a_head() -> Vec<Stall> {
     vec![
         Stall::new("nothing", ""),
         Stall::new("an empty line", "\r\n"),
         Stall::new("one byte", "G"),
         Stall::new("half a head", HALF_HEAD),
-        Stall::new("half a head, dribbled", HALF_HEAD).dribbling(40),
+        Stall::new("half a head, trickled", HALF_HEAD).trickling(40),
         Stall::new("a head without its end", {
             let head = rpc("GET", "/read", "endless", "");
             head[..head.len() - 2].to_owned()
         }),
-        Stall::new("one byte, kept", "G").after_answers(1),
-        Stall::new("half a head, kept", HALF_HEAD).after_answers(2),
-        Stall::new("half a head after health", format!("{HEALTH}{HALF_HEAD}")).with_complete(1),
+        Stall::new("one byte, kept", "G").after_served(1),
+        Stall::new("half a head, kept", HALF_HEAD).after_served(2),
+        Stall::new("half a head after health", format!("{HEALTH}{HALF_HEAD}"))
+            .with_complete_requests(1),
     ]
 }
 
-/// Clients that stop in a body that is short enough to be buffered.
+/// Clients that stall in a body that is short enough to be buffered.
 fn stalls_in_a_short_body() -> Vec<Stall> {
     vec![
-        Stall::new("no body", cut_body("short-none", 9, 0)),
-        Stall::new("half a body", cut_body("short-half", 9, 4)),
-        Stall::new("a byte missing", cut_body("short-1", 60_000, 59_999)),
-        Stall::new("half a body, kept", cut_body("short-kept", 9, 4)).after_answers(1),
-        Stall::new("half a body, dribbled", cut_body("short-dribble", 900, 4)).dribbling(40),
+        Stall::new("no body", truncated_body("short-none", 9, 0)),
+        Stall::new("half a body", truncated_body("short-half", 9, 4)),
+        Stall::new("a byte missing", truncated_body("short-1", 60_000, 59_999)),
+        Stall::new("half a body, kept", truncated_body("short-kept", 9, 4)).after_served(1),
+        Stall::new(
+            "half a body, trickled",
+            truncated_body("short-trickle", 900, 4),
+        )
+        .trickling(40),
         Stall::new("no chunk", chunked("chunk-none", "")),
         Stall::new("half a chunk", chunked("chunk-half", "9\r\nhalf")),
         Stall::new("half a chunk size", chunked("chunk-size", "9")),
@@ -165,14 +177,14 @@
         Stall::new("half the trailers", chunked("trailers", "0\r\nX-A: ")),
         Stall::new(
             "expects to be asked",
-            cut_body("expect", 9, 0).replace("Host:", "Expect: 100-continue\r\nHost:"),
+            truncated_body("expect", 9, 0).replace("Host:", "Expect: 100-continue\r\nHost:"),
         ),
     ]
 }
 
-/// Clients that stop in a body that is too long to be buffered.
+/// Clients that stall in a body that is too long to be buffered.
 fn stalls_in_a_long_body() -> Vec<Stall> {
-    let half = || cut_body("long-half", 140_000, 70_000);
+    let half = || truncated_body("long-half", 140_000, 70_000);
     vec![
         Stall::new("half a long body", half()),
         Stall::new("little time", {
@@ -183,66 +195,99 @@
         }),
         Stall::new(
             "a byte of a long body missing",
-            cut_body("long-1", 70_000, 69_999),
+            truncated_body("long-1", 70_000, 69_999),
         ),
         Stall::new(
             "a megabyte and no more",
-            cut_body("long-mb", 2 << 20, 1 << 20),
+            truncated_body("long-mb", 2 << 20, 1 << 20),
         ),
-        Stall::new("half a long body, kept", cut_body("kept", 140_000, 70_000)).after_answers(1),
+        Stall::new(
+            "half a long body, kept",
+            truncated_body("kept", 140_000, 70_000),
+        )
+        .after_served(1),
         Stall::new("no last long chunk", chunked("long-c", &chunk(70_000))),
         Stall::new(
             "half a long chunk",
             chunked("long-hc", &chunk(140_000)[..100_000]),
         ),
-        Stall::new("a long body, dribbled", cut_body("drip", 70_000, 69_900)).dribbling(40),
+        Stall::new(
+            "a long body, trickled",
+            truncated_body("drip", 70_000, 69_900),
+        )
+        .trickling(40),
     ]
 }
 
-/// Clients that stop in a message behind a complete one.
+/// Clients that stall in a message that follows a complete one.
 fn stalls_behind_a_request() -> Vec<Stall> {
-    let whole = |id: &str| rpc("GET", "/read", id, "");
+    let complete = |id: &str| rpc("GET", "/read", id, "");
     let book = |id: &str| rpc("POST", "/book", id, "body");
     vec![
-        Stall::new("half a second head", whole("p1") + HALF_HEAD).with_complete(1),
-        Stall::new("one byte behind", whole("p2") + "G").with_complete(1),
-        Stall::new("half a head behind a body", book("p3") + HALF_HEAD).with_complete(1),
+        Stall::new("half a second head", complete("p1") + HALF_HEAD).with_complete_requests(1),
+        Stall::new("one byte behind", complete("p2") + "G").with_complete_requests(1),
+        Stall::new("half a head behind a body", book("p3") + HALF_HEAD).with_complete_requests(1),
         Stall::new(
             "half a head behind chunks",
             chunked("p4", "4\r\nbody\r\n0\r\n\r\n") + HALF_HEAD,
         )
-        .with_complete(1),
-        Stall::new("half a third head", whole("p5") + &whole("p6") + HALF_HEAD).with_complete(2),
-        Stall::new("half a body behind", whole("p7") + &cut_body("p8", 9, 4)).with_complete(1),
+        .with_complete_requests(1),
+        Stall::new(
+            "half a third head",
+            complete("p5") + &complete("p6") + HALF_HEAD,
+        )
+        .with_complete_requests(2),
+        Stall::new(
+            "half a body behind",
+            complete("p7") + &truncated_body("p8", 9, 4),
+        )
+        .with_complete_requests(1),
         Stall::new(
             "half a long body behind",
-            whole("p9") + &cut_body("p10", 140_000, 70_000),
+            complete("p9") + &truncated_body("p10", 140_000, 70_000),
         )
-        .with_complete(1),
+        .with_complete_requests(1),
     ]
 }
 
-/// Plays all clients at once; the names of those that were not ended in time, with the time.
-fn late(at: SocketAddr, stalls: Vec<Stall>) -> Vec<(&'static str, Option<Duration>)> {
-    let players: Vec<JoinHandle<_>> = stalls
+/// A client that got no error or close in time.
+#[derive(Debug)]
+struct LateClient {
+    #[expect(dead_code, reason = "shown by a failed assertion")]
+    name: &'static str,
+    /// Time from the last byte to the error or close; none if neither happened.
+    ended_after: Option<Duration>,
+}
+
+/// Runs all clients concurrently, and returns those that got no error or close in time.
+fn late_clients(at: SocketAddr, stalls: Vec<Stall>) -> Vec<LateClient> {
+    let run = move |stall: Stall| LateClient {
+        name: stall.name,
+        ended_after: stall.run(at),
+    };
+    let clients: Vec<JoinHandle<_>> = stalls
         .into_iter()
-        .map(|stall| thread::spawn(move || (stall.name, stall.play(at))))
+        .map(|stall| thread::spawn(move || run(stall)))
         .collect();
-    players
+    clients
         .into_iter()
-        .map(|player| player.join().expect("a player"))
-        .filter(|(_, ended)| ended.is_none_or(|ended| ended > OWED_WITHIN))
+        .map(|client| client.join().expect("a client"))
+        .filter(|client| {
+            client
+                .ended_after
+                .is_none_or(|ended_after| ended_after > REQUIRED_WITHIN)
+        })
         .collect()
 }
 
-/// A backend that takes connections and never reads from them.
-fn deaf_backend() -> (SocketAddr, TcpListener) {
+/// Starts a backend that accepts connections and never reads from them. It ends when the listener is dropped.
+fn unresponsive_backend() -> (SocketAddr, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     (listener.local_addr().expect("an address"), listener)
 }
 
 #[test]
-fn clients_that_stop_in_a_request_are_answered_or_closed_in_time() {
+fn clients_that_stall_in_a_request_get_an_error_or_a_close_in_time() {
     let log = Log::new(vec![]);
     let daemon = Daemon::start(PROGRAM, &[("s-1", echo("b1", &log))]);
     let stalls = [
@@ -251,26 +296,26 @@
         stalls_in_a_long_body(),
         stalls_behind_a_request(),
     ];
-    let late = late(daemon.at, stalls.into_iter().flatten().collect());
+    let late = late_clients(daemon.at, stalls.into_iter().flatten().collect());
     assert!(late.is_empty(), "{} are late: {late:#?}", late.len());
 }
 
 #[test]
-fn clients_that_stop_in_a_long_body_are_answered_in_time_while_the_backend_hangs() {
-    let (at, _listener) = deaf_backend();
+fn clients_that_stall_in_a_long_body_get_an_error_in_time_while_the_backend_hangs() {
+    let (at, _listener) = unresponsive_backend();
     let daemon = Daemon::start_with(
         PROGRAM,
         &[("s-1", at)],
         common::sockets::without_health_checks,
     );
-    // Nothing is answered on a connection before, as nothing is answered at all.
+    // This backend serves nothing, so no RPC can be served on the connection before.
     let stalls = stalls_in_a_long_body().into_iter();
-    let stalls = stalls.filter(|stall| stall.answered_before == 0).collect();
-    let late = late(daemon.at, stalls);
+    let stalls = stalls.filter(|stall| stall.served_before == 0).collect();
+    let late = late_clients(daemon.at, stalls);
     assert!(late.is_empty(), "{} are late: {late:#?}", late.len());
 }
 
-/// Sends the pieces with a pause ahead of each but the first, and returns the status of the answer.
+/// Sends the pieces with a pause between them, and returns the status of the response.
 fn status_in_pieces(daemon: &Daemon, pieces: &[&str], pause: Duration) -> u16 {
     let mut client = daemon.client();
     for (number, piece) in pieces.iter().enumerate() {
@@ -280,10 +325,9 @@
     client.response().expect("an answer").status()
 }
 
-/// What stopped clients are owed takes nothing from usual ones: they take 2 s for a head, and send a body at 64 kB a
-/// second in pieces of any size.
+/// The timeouts permit what the protocol does: 2 s for a head, and a body at 64 kB/s in pieces of any size.
 #[test]
-fn usual_slow_clients_are_served() {
+fn slow_clients_within_the_limits_are_served() {
     let log = Log::new(vec![]);
     let daemon = Daemon::start(PROGRAM, &[("s-1", echo("b1", &log))]);
     let slow_head = rpc("GET", "/read", "slow-head", "");
@@ -291,11 +335,11 @@
     let slow_body = rpc("POST", "/book", "slow-body", &"x".repeat(300_000));
     let (burst, rest) = slow_body.split_at(128_000);
     let (second_burst, last) = rest.split_at(128_000);
-    let dribbled = rpc("POST", "/book", "dribbled", &"x".repeat(100_000));
+    let trickled = rpc("POST", "/book", "trickled", &"x".repeat(100_000));
     let text = |piece| str::from_utf8(piece).expect("plain text");
-    let small_pieces: Vec<_> = dribbled.as_bytes().chunks(1280).map(text).collect();
+    let small_pieces: Vec<_> = trickled.as_bytes().chunks(1280).map(text).collect();
     thread::scope(|scope| {
-        let played = [
+        let clients = [
             scope.spawn(|| status_in_pieces(&daemon, &[head, end], Duration::from_secs(2))),
             scope.spawn(|| {
                 let pieces = [burst, second_burst, last];
@@ -303,23 +347,23 @@
             }),
             scope.spawn(|| status_in_pieces(&daemon, &small_pieces, Duration::from_millis(20))),
         ];
-        let statuses = played.map(|client| client.join().expect("a client"));
+        let statuses = clients.map(|client| client.join().expect("a client"));
         assert_eq!(statuses, [200; 3]);
     });
 }
 
-/// The log tells why a connection was closed and in which phase it was, and names a request that failed.
+/// The log has the reason and the phase of a closed connection, and the status of an invalid request.
 #[test]
-fn the_log_tells_why_a_connection_and_a_request_ended() {
+fn end_reasons_of_connections_and_requests_are_logged() {
     let log = Log::new(vec![]);
     let daemon = Daemon::start(PROGRAM, &[("s-1", echo("b1", &log))]);
-    let mut stopped = daemon.client();
-    assert!(stopped.send(HALF_HEAD));
+    let mut stalled = daemon.client();
+    assert!(stalled.send(HALF_HEAD));
     assert_eq!(
         daemon.client().status_of(&rpc("GET", "/nothing", "id", "")),
         404
     );
-    assert!(stopped.is_closed());
+    assert!(stalled.is_closed());
     let is_logged = |words: &[&str]| {
         let logged = daemon.logged();
         logged
--- a/crates/daemon/tests/system_calls.rs
+++ b/crates/daemon/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail, are interrupted or do less than asked, as Linux documents: no RPC is lost for that, no other
-//! client's connection is closed, and the process ends when it is told to.
+//! System calls that fail, are interrupted or transfer fewer bytes than requested, as Linux documents: no RPC is lost, no
+//! other client's connection is closed, and SIGTERM ends the process.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
@@ -10,49 +10,64 @@
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
+/// Concurrent clients.
 const CLIENTS: usize = 8;
+/// RPCs of each client.
 const RPCS: usize = 60;
-/// Longer than a process may take to end after SIGTERM.
-const SHUTDOWN: Duration = Duration::from_secs(5);
+/// Timeout for the exit of the process after SIGTERM.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Several clients with a connection each send RPCs one after another, with a body that takes several reads; the
-/// statuses of those that were not served.
-fn failures_of_clients(daemon: &Daemon) -> Vec<(String, Option<u16>)> {
-    let play = |client: usize| {
+/// An RPC that was not served completely.
+#[derive(Debug)]
+#[expect(dead_code, reason = "shown by a failed assertion")]
+struct FailedRpc {
+    id: String,
+    /// The status of the response; none if the connection was lost.
+    status: Option<u16>,
+}
+
+/// Runs concurrent clients with a connection each, which send RPCs whose bodies take several reads. Returns the RPCs that
+/// were not served.
+fn run_clients(daemon: &Daemon) -> Vec<FailedRpc> {
+    let run = |client: usize| {
         let mut connection = daemon.client();
         let mut failures = Vec::new();
         for number in 0..RPCS {
             let id = format!("c{client}-{number}");
             let length = 200 * number;
-            let answer = connection.call(&rpc("POST", "/log", &id, &"x".repeat(length)));
-            let is_whole = answer
+            let response = connection.call(&rpc("POST", "/log", &id, &"x".repeat(length)));
+            let is_complete = response
                 .as_ref()
-                .is_some_and(|answer| answer.body.len() == length + "b1:".len());
-            if !is_whole {
-                failures.push((id, answer.map(|answer| answer.status())));
+                .is_some_and(|response| response.body.len() == length + "b1:".len());
+            if !is_complete {
+                failures.push(FailedRpc {
+                    id,
+                    status: response.map(|response| response.status()),
+                });
                 connection = daemon.client();
             }
         }
         failures
     };
     thread::scope(|scope| {
-        let clients: Vec<_> = (0..CLIENTS).map(|n| scope.spawn(move || play(n))).collect();
-        let played = clients.into_iter();
-        played
+        let clients: Vec<_> = (0..CLIENTS).map(|n| scope.spawn(move || run(n))).collect();
+        let clients = clients.into_iter();
+        clients
             .flat_map(|client| client.join().expect("a client"))
             .collect()
     })
 }
 
-fn end(daemon: &mut Daemon) -> ExitStatus {
+/// Shuts the process down.
+fn shut_down(daemon: &mut Daemon) -> ExitStatus {
     daemon.signal("TERM");
-    eventually(SHUTDOWN, "it did not end after SIGTERM", || {
+    eventually(SHUTDOWN_TIMEOUT, "it did not end after SIGTERM", || {
         daemon.child.try_wait().expect("its state").is_some()
     });
     daemon.await_exit()
 }
 
-/// All RPCs are served under these faults, and the process ends well.
+/// Checks that all RPCs are served with these faults, and that the process exits without an error.
 fn check_that_all_are_served(faults: &str) {
     let log = Log::new(vec![]);
     let program = with_faults(PROGRAM, faults);
@@ -61,19 +76,23 @@
         &[("s-1", echo("b1", &log))],
         without_health_checks,
     );
-    let failures = failures_of_clients(&daemon);
+    let failures = run_clients(&daemon);
     assert!(failures.is_empty(), "{faults}: {failures:?}");
-    assert!(end(&mut daemon).success(), "{faults}: {}", daemon.logged());
+    assert!(
+        shut_down(&mut daemon).success(),
+        "{faults}: {}",
+        daemon.logged()
+    );
     std::fs::remove_file(program).expect("the program");
 }
 
 #[test]
-fn interrupted_reads_and_writes_are_made_again() {
+fn interrupted_reads_and_writes_are_repeated() {
     check_that_all_are_served("seed=1,recv=EINTR@0.2,send=EINTR@0.2");
 }
 
 #[test]
-fn short_reads_and_writes_with_more_to_come_are_followed_by_others() {
+fn short_reads_and_writes_are_continued() {
     check_that_all_are_served("seed=2,recv=short@0.5,send=short@0.5");
 }
 
@@ -85,19 +104,19 @@
 }
 
 #[test]
-fn connections_that_end_before_they_are_accepted_delay_no_other() {
+fn connections_that_end_before_their_accept_delay_no_other() {
     check_that_all_are_served("seed=4,accept=ECONNABORTED@0.3,accept=EPROTO@0.1");
 }
 
 #[test]
-fn all_of_these_faults_together_lose_nothing() {
+fn combined_faults_lose_no_rpc() {
     check_that_all_are_served(
         "seed=5,recv=EINTR@0.1,recv=short@0.2,send=EINTR@0.1,send=short@0.2,accept=EMFILE@0.1,\
          accept=ECONNABORTED@0.1,socket=EMFILE@0.1,connect=EADDRNOTAVAIL@0.1,epoll_wait=EINTR@0.1",
     );
 }
 
-/// A failed accept says nothing about the clients that are there: their connections stay.
+/// A failed accept doesn't close the connections of other clients.
 #[test]
 fn a_failed_accept_closes_no_idle_connection() {
     let log = Log::new(vec![]);
--- a/tests/common/sockets/faults.rs
+++ b/tests/common/sockets/faults.rs
@@ -1,4 +1,4 @@
-//! Runs programs with failing system calls or a stepping wall clock.
+//! Runs programs with failing system calls, a stepping wall clock or a limit of descriptors.
 use std::fs::Permissions;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -29,15 +29,24 @@
 
 /// Writes a script that runs the program with these faults, in the syntax of `birchhub-fault-shim`, and returns its path.
 pub(crate) fn with_faults(program: &str, faults: &str) -> String {
+    let shim = fault_shim().display();
+    write_script(&format!(
+        "export BIRCHHUB_FAULTS='{faults}'\nLD_PRELOAD='{shim}' exec {program} \"$@\"\n"
+    ))
+}
+
+/// Writes a script that runs the program with this limit of descriptors, and returns its path.
+pub(crate) fn with_descriptor_limit(program: &str, descriptors: u64) -> String {
+    write_script(&format!("ulimit -n {descriptors}\nexec {program} \"$@\"\n"))
+}
+
+/// Writes an executable shell script, and returns its path.
+fn write_script(commands: &str) -> String {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let name = format!("birchhubd-faults-{}-{number}", std::process::id());
+    let name = format!("birchhubd-script-{}-{number}", std::process::id());
     let path = std::env::temp_dir().join(name);
-    let shim = fault_shim().display();
-    let text = format!(
-        "#!/bin/sh\nexport BIRCHHUB_FAULTS='{faults}'\nLD_PRELOAD='{shim}' exec {program} \"$@\"\n"
-    );
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, format!("#!/bin/sh\n{commands}")).expect("a file");
     std::fs::set_permissions(&path, Permissions::from_mode(0o755)).expect("a program");
     path.to_str().expect("a path").to_owned()
 }
