--- a/crates/daemon/src/downstream/head_scan/tests.rs
+++ b/crates/daemon/src/downstream/head_scan/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 #[test]
-fn framings_are_counted_in_any_pieces() {
+fn framings_are_counted_in_pieces_of_any_size() {
     let head = b"\r\nPOST /content-length: HTTP/1.1\r\nCONTENT-Length: 4\r\nx: content-length: 5\r\n\
                  Transfer-encoding:chunked\r\ncontent-length:4\r\nContent-Length-X: 1\r\n\r\ncontent-length: 9\r\n";
-    let behind = "content-length: 9\r\n".len();
+    let bytes_after_head = "content-length: 9\r\n".len();
     for size in 1..head.len() {
         let mut scan = HeadScan::default();
         let mut found = None;
-        let mut left = 0;
+        let mut bytes_left = 0;
         for mut piece in head.chunks(size) {
             if found.is_none() {
                 found = scan.feed(&mut piece);
             }
-            left += if found.is_some() { piece.len() } else { 0 };
+            bytes_left += if found.is_some() { piece.len() } else { 0 };
         }
         let expected = ScannedHead {
             framings: Framings {
@@ -23,12 +23,12 @@
             body: BodyFraming::Ambiguous,
         };
         assert_eq!(found, Some(expected), "pieces of {size}");
-        assert_eq!(left, behind, "pieces of {size}");
+        assert_eq!(bytes_left, bytes_after_head, "pieces of {size}");
     }
 }
 
 #[test]
-fn the_framing_of_a_body_is_read_from_its_head() {
+fn framing_of_a_body_is_parsed_from_the_head() {
     let body = |fields: &str| {
         let head = format!("POST /book HTTP/1.1\r\nHost: a\r\n{fields}\r\n");
         let found = HeadScan::default().feed(&mut head.as_bytes());
--- a/crates/daemon/src/downstream/message_scan/tests.rs
+++ b/crates/daemon/src/downstream/message_scan/tests.rs
@@ -7,17 +7,27 @@
 const TWICE: &str =
     "POST /book HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// The messages of these bytes, fed in pieces of every size: whether the scan stands inside one at the end, and what
-/// their heads declare.
-fn scan(bytes: &str) -> (bool, Vec<Framings>) {
+/// The result of a scan.
+#[derive(Debug, PartialEq)]
+struct Scanned {
+    /// Whether the last message is incomplete.
+    is_inside_message: bool,
+    /// The framings of all complete heads.
+    framings: Vec<Framings>,
+}
+
+/// Scans these bytes in pieces of every size, and checks that the result is always the same.
+fn scan(bytes: &str) -> Scanned {
     let mut results = (1..=bytes.len()).map(|size| {
         let mut scan = MessageScan::default();
         let pieces = bytes.as_bytes().chunks(size);
         pieces.for_each(|piece| scan.feed(piece));
-        let framings = std::iter::from_fn(|| scan.take_framings()).collect();
-        (scan.is_inside_message(), framings)
+        Scanned {
+            framings: std::iter::from_fn(|| scan.take_framings()).collect(),
+            is_inside_message: scan.is_inside_message(),
+        }
     });
-    let first: (bool, Vec<Framings>) = results.next().expect("bytes to scan");
+    let first = results.next().expect("bytes to scan");
     assert!(results.all(|result| result == first), "{bytes:?}");
     first
 }
@@ -30,36 +40,42 @@
         CHUNKED.to_owned(),
         [GET, CHUNKED, POST, GET].concat(),
     ] {
-        assert!(!scan(&messages).0, "{messages:?}");
+        assert!(!scan(&messages).is_inside_message, "{messages:?}");
     }
-    assert_eq!(scan(&[GET, CHUNKED, POST, GET].concat()).1.len(), 4);
+    let scanned = scan(&[GET, CHUNKED, POST, GET].concat());
+    assert_eq!(scanned.framings.len(), 4);
 }
 
 #[test]
-fn every_cut_message_is_seen_as_begun() {
+fn every_truncated_message_is_incomplete() {
     for message in [GET, POST, CHUNKED] {
         for length in 1..message.len() {
-            let cut = &message[..length];
-            assert!(scan(cut).0, "{cut:?}");
-            assert!(scan(&[POST, cut].concat()).0, "behind another: {cut:?}");
+            let truncated = &message[..length];
+            assert!(scan(truncated).is_inside_message, "{truncated:?}");
+            let pipelined = scan(&[POST, truncated].concat());
+            assert!(pipelined.is_inside_message, "after another: {truncated:?}");
         }
     }
 }
 
-/// Prevents a smuggled request behind another one: the framing of each head counts, wherever it stands.
+/// Prevents request smuggling in a pipelined message: the framing of each head is checked.
 #[test]
-fn the_framing_of_a_message_behind_another_is_counted() {
-    let (is_inside, framings) = scan(&[GET, TWICE].concat());
-    assert!(is_inside, "nothing behind it can be told apart");
-    let clear: Vec<_> = framings
+fn framings_of_a_pipelined_message_are_counted() {
+    let scanned = scan(&[GET, TWICE].concat());
+    assert!(
+        scanned.is_inside_message,
+        "the end of an ambiguous message can't be found"
+    );
+    let are_unambiguous: Vec<_> = scanned
+        .framings
         .iter()
-        .map(|found| found.is_unambiguous())
+        .map(|framings| framings.is_unambiguous())
         .collect();
-    assert_eq!(clear, [true, false]);
+    assert_eq!(are_unambiguous, [true, false]);
 }
 
 #[test]
-fn a_chunk_size_beyond_all_limits_ends_the_scan() {
+fn chunk_size_overflow_ends_the_scan() {
     let endless = CHUNKED.replace("0A\r\n", "FFFFFFFFFFFFFFFFF\r\n");
-    assert!(scan(&endless).0);
+    assert!(scan(&endless).is_inside_message);
 }
--- a/crates/daemon/src/net/socket_budget/tests.rs
+++ b/crates/daemon/src/net/socket_budget/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Small enough for every class to get its minimum.
+/// A configured limit that leaves each class its minimum.
 const CONFIGURED: usize = 1;
 const CLASS_LIMIT: usize = MIN_SOCKETS / 2;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// A budget of which all client permits are in use.
+/// Creates a budget whose client permits are all in use.
 fn exhausted() -> (Rc<SocketBudget>, Vec<SocketPermit>) {
     let budget = SocketBudget::new(CONFIGURED);
     let permits = (0..CLASS_LIMIT)
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_permit_is_given_back_when_it_is_dropped() {
+fn dropped_permit_is_returned_to_the_budget() {
     let (budget, mut permits) = exhausted();
     assert!(budget.acquire(SocketClass::Clients).is_none());
     assert!(budget.acquire(SocketClass::Backends).is_some());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_lowest_rank_is_evicted_first_and_the_earliest_registered_of_it() {
+fn candidates_are_evicted_by_rank_then_by_registration() {
     let (budget, _permits) = exhausted();
     let idle: Vec<Rc<Idle>> = (0..3).map(|_| Rc::default()).collect();
     let ranks = [1, 0, 0];
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_candidate_is_withdrawn_when_it_is_dropped() {
+fn dropped_registration_is_withdrawn() {
     let (budget, _permits) = exhausted();
     let idle = Rc::<Idle>::default();
     drop(budget.register_evictable(SocketClass::Clients, 0, &idle));
--- a/crates/daemon/tests/forwarding.rs
+++ b/crates/daemon/tests/forwarding.rs
@@ -57,9 +57,9 @@
 #[test]
 fn idempotency_key_and_timeout_are_forwarded() {
     let log = Log::new(vec![]);
-    let noted = log.clone();
+    let headers = log.clone();
     let at = backend("b1", &log, move |m| {
-        noted.record(format!(
+        headers.record(format!(
             "{} {}",
             m.header("idempotency-key"),
             m.header("request-timeout-ms").len()
@@ -230,12 +230,12 @@
             .unwrap();
         assert_eq!((answer.status(), answer.text()), (200, format!("body{n}")));
     }
-    let (seen, noted) = (log.clone(), log.clone());
-    let late = backend("b2", &noted, move |m| {
+    let awaited_log = log.clone();
+    let late = backend("b2", &log, move |m| {
         match m.header("request-id").strip_prefix("first") {
             Some(n) => BackendAction::RespondLater {
                 first: copy(m),
-                log: seen.clone(),
+                log: awaited_log.clone(),
                 event: format!("second{n}"),
                 rest: copy(m),
             },
--- a/crates/daemon/tests/long.rs
+++ b/crates/daemon/tests/long.rs
@@ -207,7 +207,7 @@
     });
     let daemon = start(&[("s-1", at)]);
     let mut client = daemon.client();
-    client.send(&rpc("POST", "/book", "leaves", ""));
+    client.send(&rpc("POST", "/book", "disconnects", ""));
     let mut first = [0; 100_000];
     client
         .stream()
@@ -226,22 +226,20 @@
 #[test]
 fn incomplete_request_is_rejected_without_a_retry() {
     let log = Log::new(vec![]);
-    let breaks = |take: usize| {
-        let (listener, log) = (
-            TcpListener::bind("127.0.0.1:0").expect("a port"),
-            log.clone(),
-        );
+    let closing_backend = |read_bytes: usize| {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let log = log.clone();
         let at = listener.local_addr().expect("an address");
         spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                log.record(format!("met {take}"));
-                let _ = stream.read_exact(&mut vec![0; take]);
+                log.record(format!("read {read_bytes}"));
+                let _ = stream.read_exact(&mut vec![0; read_bytes]);
             }
         });
         at
     };
-    for (take, met) in [(200, 1), (300_000, 1)] {
-        let daemon = start(&[("s-1", breaks(take))]);
+    for read_bytes in [200, 300_000] {
+        let daemon = start(&[("s-1", closing_backend(read_bytes))]);
         let mut client = daemon.client();
         let mut writer = client.stream();
         let message = rpc("POST", "/book", "breaks", &text(4 << 20));
@@ -249,9 +247,9 @@
         assert_eq!(
             client.response().map(|answer| answer.status()),
             Some(503),
-            "after {take} bytes"
+            "after {read_bytes} bytes"
         );
-        assert_eq!(log.count(&format!("met {take}")), met);
+        assert_eq!(log.count(&format!("read {read_bytes}")), 1);
     }
 }
 
