--- /dev/null
+++ b/crates/audit/tests/audit/builder.rs
@@ -0,0 +1,199 @@
+//! Ledgers written by hand, event by event.
+use birchhub_audit::event::{Admission, AttemptEnd, End};
+use birchhub_audit::head::{Backend, ServiceTargets};
+use birchhub_audit::{
+    Answer, Audit, DeduplicationScope, Entry, Event, Findings, Head, Idempotency, Method, Rule,
+    Rules,
+};
+
+pub(crate) const READ: u8 = 0;
+pub(crate) const BOOK: u8 = 1;
+pub(crate) const LOG: u8 = 2;
+
+pub(crate) fn head() -> Head {
+    let method = |name: &str, kind| Method {
+        name: name.into(),
+        kind,
+        target: 0.2,
+        deadline: 0.5,
+        utility: 2.0,
+        late_utility: 0.25,
+    };
+    let backend = |name: &str, rack| Backend {
+        name: name.into(),
+        zone: 0,
+        rack,
+    };
+    Head {
+        scenario: "by hand".into(),
+        seed: 1,
+        plan: "0".into(),
+        length: 30.0,
+        rules: Rules {
+            drain_grace: 0.3,
+            slack: 0.05,
+            overload_window: 1.0,
+            max_attempts: 3,
+            hedging_allowed: false,
+            over_quota_utility: 0.1,
+            max_lateness: 0.01,
+        },
+        targets: ServiceTargets::default(),
+        methods: vec![
+            method("read", Idempotency::Idempotent),
+            method("book", Idempotency::NonIdempotent),
+            method(
+                "log",
+                Idempotency::Deduplicated {
+                    group: DeduplicationScope::Rack,
+                    window: 1.0,
+                },
+            ),
+        ],
+        tenants: vec!["acme".into()],
+        proxies: vec!["p0".into(), "p1".into()],
+        backends: vec![backend("n0", 0), backend("n1", 0), backend("n2", 1)],
+        faults: vec![],
+    }
+}
+
+/// A ledger under construction.
+#[derive(Default)]
+pub(crate) struct LedgerBuilder(pub(crate) Vec<Entry>);
+
+impl LedgerBuilder {
+    /// Three backends, each with a process of the same number that started warm.
+    pub(crate) fn new() -> Self {
+        let mut builder = Self::default();
+        for incarnation in 0..3 {
+            builder.at(
+                0.0,
+                Event::BackendStarted {
+                    incarnation,
+                    backend: incarnation,
+                    cold: false,
+                    warm_capacity: 2.0,
+                },
+            );
+        }
+        builder
+    }
+
+    pub(crate) fn at(&mut self, at: f64, event: Event) -> &mut Self {
+        self.0.push(Entry { at, event });
+        self
+    }
+
+    /// An RPC that is due, within its tenant's quota.
+    pub(crate) fn arrival(&mut self, at: f64, rpc: u32, method: u8) -> &mut Self {
+        self.at(
+            at,
+            Event::Arrival {
+                rpc,
+                method,
+                tenant: 0,
+                within_quota: true,
+            },
+        )
+    }
+
+    /// An RPC and its first request, with the same number.
+    pub(crate) fn request(&mut self, at: f64, rpc: u32, method: u8) -> &mut Self {
+        self.arrival(at, rpc, method);
+        self.retry(at, u64::from(rpc), rpc)
+    }
+
+    /// Another request for an RPC.
+    pub(crate) fn retry(&mut self, at: f64, request_id: u64, rpc: u32) -> &mut Self {
+        self.at(
+            at,
+            Event::RequestSent {
+                request_id,
+                rpc,
+                proxy: 0,
+                client_timeout: 0.5,
+            },
+        )
+    }
+
+    /// An attempt of proxy 0 at a backend's process.
+    pub(crate) fn attempt(
+        &mut self,
+        at: f64,
+        request_id: u64,
+        attempt_id: u64,
+        incarnation: u32,
+        admission: Admission,
+    ) -> &mut Self {
+        self.at(
+            at,
+            Event::AttemptReceived {
+                incarnation,
+                attempt_id,
+                request_id,
+                proxy: 0,
+                first_byte_at: at,
+                work: 0.1,
+                overload: 0.0,
+                admission,
+            },
+        )
+    }
+
+    /// An execution of 50 ms.
+    pub(crate) fn executes(&mut self, at: f64, attempt_id: u64) -> &mut Self {
+        self.at(at, Event::ExecutionStarted { attempt_id })
+            .at(at + 0.05, Event::ExecutionFinished { attempt_id })
+    }
+
+    pub(crate) fn attempt_ends(&mut self, at: f64, attempt_id: u64, how: AttemptEnd) -> &mut Self {
+        self.at(at, Event::AttemptEnded { attempt_id, how })
+    }
+
+    pub(crate) fn answered(&mut self, at: f64, request_id: u64, answer: Answer) -> &mut Self {
+        self.at(at, Event::RequestAnswered { request_id, answer })
+    }
+
+    /// An RPC that succeeds.
+    pub(crate) fn succeeds(&mut self, at: f64, rpc: u32, method: u8) -> &mut Self {
+        let request_id = u64::from(rpc);
+        let attempt_id = request_id + 1000;
+        self.request(at, rpc, method)
+            .attempt(at + 0.001, request_id, attempt_id, 0, Admission::Admitted)
+            .executes(at + 0.001, attempt_id);
+        self.attempt_ends(at + 0.06, attempt_id, AttemptEnd::Replied)
+            .answered(at + 0.061, request_id, Answer::Ok)
+    }
+
+    /// Audits the ledger, whose proxies end after 40 s.
+    pub(crate) fn audit(&mut self) -> Findings {
+        self.at(
+            40.0,
+            Event::ProxyEnded {
+                proxy: 0,
+                how: End::Over,
+            },
+        );
+        self.0.sort_by(|a, b| a.at.total_cmp(&b.at));
+        Audit::of(&head(), &self.0)
+    }
+
+    /// Asserts that the audit finds one violation, with this rule and subject.
+    pub(crate) fn assert_violation(&mut self, rule: Rule, subject: &str, what: &str) {
+        let found = self.audit().violations;
+        assert_eq!(found.len(), 1, "{found:?}");
+        assert_eq!(
+            (found[0].rule, found[0].subject.as_str()),
+            (rule, subject),
+            "{found:?}"
+        );
+        assert!(found[0].description.contains(what), "{found:?}");
+    }
+
+    /// Asserts that the audit finds no violation.
+    pub(crate) fn assert_no_violations(&mut self) -> Findings {
+        let findings = self.audit();
+        assert_eq!(findings.violations, []);
+        findings
+    }
+}
--- /dev/null
+++ b/crates/audit/tests/audit/draining.rs
@@ -0,0 +1,49 @@
+//! Rule 3: no new work for a draining backend.
+use crate::builder::{LedgerBuilder, READ};
+use birchhub_audit::{EndpointState, Event, Rule};
+
+#[test]
+fn an_attempt_at_a_draining_backend_is_found_once_its_proxy_was_notified() {
+    let notified = |state, incarnation, proxy| Event::ProxyNotified {
+        proxy,
+        backend: 0,
+        incarnation,
+        state,
+    };
+    for state in [EndpointState::Draining, EndpointState::Gone] {
+        let mut builder = LedgerBuilder::new();
+        // A notification without a change: the grace runs from the first one.
+        builder
+            .at(1.0, notified(state, 0, 0))
+            .at(2.0, notified(state, 0, 0))
+            .succeeds(1.3, 7, READ);
+        let findings = builder.assert_no_violations();
+        assert!((findings.latest_after_notification - 0.301).abs() < 1e-9);
+        builder.0.pop();
+        builder.succeeds(2.1, 8, READ).assert_violation(
+            Rule::Draining,
+            "rpc 8",
+            "sent to n0 1101 ms after p0",
+        );
+    }
+    // Another proxy was notified; or this one, of an earlier incarnation; or it has restarted since.
+    LedgerBuilder::new()
+        .at(1.0, notified(EndpointState::Gone, 0, 1))
+        .succeeds(3.0, 7, READ)
+        .assert_no_violations();
+    LedgerBuilder::new()
+        .at(1.0, notified(EndpointState::Gone, 5, 0))
+        .succeeds(3.0, 7, READ)
+        .assert_no_violations();
+    LedgerBuilder::new()
+        .at(1.0, notified(EndpointState::Gone, 0, 0))
+        .at(1.1, notified(EndpointState::Ready, 0, 0))
+        .succeeds(3.0, 7, READ)
+        .assert_no_violations();
+    let mut restarted = LedgerBuilder::new();
+    restarted
+        .at(1.0, notified(EndpointState::Gone, 0, 0))
+        .at(1.1, Event::ProxyStarted { proxy: 0 })
+        .succeeds(3.0, 7, READ)
+        .assert_no_violations();
+}
--- /dev/null
+++ b/crates/audit/tests/audit/no_duplicate_effect.rs
@@ -0,0 +1,129 @@
+//! Rule 2: no effect happens twice.
+use crate::builder::{BOOK, LOG, LedgerBuilder, READ};
+use birchhub_audit::event::{Admission, AttemptEnd};
+use birchhub_audit::{Answer, Event, Rule};
+
+/// Two attempts for one RPC, the first admitted in this way, the second at this time and incarnation; then success.
+fn attempted_twice(method: u8, first: Admission, second: f64, incarnation: u32) -> LedgerBuilder {
+    let mut builder = LedgerBuilder::new();
+    builder
+        .request(1.0, 7, method)
+        .attempt(1.001, 7, 100, 0, first)
+        .attempt_ends(1.01, 100, AttemptEnd::Broken);
+    builder
+        .attempt(second, 7, 101, incarnation, Admission::Admitted)
+        .attempt_ends(second + 0.01, 101, AttemptEnd::Replied);
+    builder.answered(second + 0.02, 7, Answer::Ok);
+    builder
+}
+
+#[test]
+fn a_retry_that_may_run_twice_is_found() {
+    attempted_twice(READ, Admission::Admitted, 1.1, 2).assert_no_violations();
+    attempted_twice(BOOK, Admission::Rejected, 1.1, 2).assert_no_violations();
+    for first in [Admission::Admitted, Admission::Dropped, Admission::Failed] {
+        attempted_twice(BOOK, first, 1.1, 0).assert_violation(
+            Rule::NoDuplicateEffect,
+            "rpc 7",
+            "may have run: n0 at 1.001, n0 at 1.100",
+        );
+    }
+    attempted_twice(LOG, Admission::Admitted, 1.1, 1).assert_no_violations();
+    attempted_twice(LOG, Admission::Rejected, 1.1, 2).assert_no_violations();
+    attempted_twice(LOG, Admission::Admitted, 1.1, 2).assert_violation(
+        Rule::NoDuplicateEffect,
+        "rpc 7",
+        "outside the group",
+    );
+}
+
+#[test]
+fn a_retry_after_the_deduplication_window_is_found() {
+    let retried_at = |second: f64| {
+        let mut builder = LedgerBuilder::new();
+        builder.arrival(1.0, 7, LOG);
+        builder.at(
+            1.0,
+            Event::RequestSent {
+                request_id: 7,
+                rpc: 7,
+                proxy: 0,
+                client_timeout: 5.0,
+            },
+        );
+        builder
+            .attempt(1.001, 7, 100, 0, Admission::Admitted)
+            .attempt_ends(1.01, 100, AttemptEnd::Broken);
+        builder
+            .attempt(second, 7, 101, 1, Admission::Admitted)
+            .attempt_ends(second + 0.01, 101, AttemptEnd::Replied);
+        builder.answered(second + 0.02, 7, Answer::Ok);
+        builder
+    };
+    retried_at(2.0).assert_no_violations();
+    retried_at(2.1).assert_violation(Rule::NoDuplicateEffect, "rpc 7", "repeats are forgotten");
+}
+
+#[test]
+fn a_second_execution_across_client_retries_is_found() {
+    let mut builder = LedgerBuilder::new();
+    builder
+        .request(1.0, 7, BOOK)
+        .attempt(1.001, 7, 100, 0, Admission::Admitted)
+        .executes(1.01, 100);
+    builder
+        .attempt_ends(1.1, 100, AttemptEnd::Broken)
+        .answered(1.1, 7, Answer::Unreachable);
+    builder
+        .retry(1.2, 70, 7)
+        .attempt(1.201, 70, 101, 2, Admission::Admitted)
+        .executes(1.21, 101)
+        .attempt_ends(1.3, 101, AttemptEnd::Replied);
+    builder.answered(1.31, 70, Answer::Ok);
+    builder.assert_violation(Rule::NoDuplicateEffect, "rpc 7", "ran 2 times");
+}
+
+#[test]
+fn hedged_and_too_many_attempts_are_found() {
+    let mut hedged = LedgerBuilder::new();
+    hedged
+        .request(1.0, 7, READ)
+        .attempt(1.001, 7, 100, 0, Admission::Admitted)
+        .attempt(1.1, 7, 101, 1, Admission::Admitted);
+    hedged
+        .attempt_ends(1.2, 100, AttemptEnd::Cancelled)
+        .attempt_ends(1.2, 101, AttemptEnd::Replied)
+        .answered(1.2, 7, Answer::Ok);
+    hedged.assert_violation(Rule::NoDuplicateEffect, "rpc 7", "second copy");
+    let mut too_many = LedgerBuilder::new();
+    too_many.request(1.0, 7, BOOK);
+    for n in 0..4 {
+        too_many.attempt(1.01 + 0.01 * n as f64, 7, 100 + n, 0, Admission::Rejected);
+    }
+    too_many
+        .answered(1.1, 7, Answer::Rejected(None))
+        .assert_violation(Rule::NoDuplicateEffect, "rpc 7", "4 picks, 3 are allowed");
+}
+
+#[test]
+fn a_rejection_of_what_may_have_run_is_found() {
+    for (method, admission, harmful) in [
+        (READ, Admission::Admitted, false),
+        (BOOK, Admission::Rejected, false),
+        (BOOK, Admission::Admitted, true),
+        (LOG, Admission::Dropped, true),
+    ] {
+        let mut builder = LedgerBuilder::new();
+        builder
+            .request(1.0, 7, method)
+            .attempt(1.01, 7, 100, 0, admission)
+            .attempt_ends(1.2, 100, AttemptEnd::Cancelled);
+        builder.answered(1.2, 7, Answer::Rejected(Some(0.1)));
+        match harmful {
+            true => {
+                builder.assert_violation(Rule::NoDuplicateEffect, "rpc 7", "pushed back although")
+            }
+            false => drop(builder.assert_no_violations()),
+        }
+    }
+}
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -1,5 +1,5 @@
 //! The stored form of a ledger. `fixtures/ledger-1` and `fixtures/records.jsonl` were written by the code of
-//! 2026-12-02; ledgers of that time are read, and new ones are written, exactly as they were.
+//! 2026-12-02; ledgers of that time can be read, and new ones have the same bytes.
 use birchhub_audit::event::{Admission, AttemptEnd, End};
 use birchhub_audit::head::{Backend, Fault, ServiceTargets};
 use birchhub_audit::timeline::Timeline;
@@ -15,7 +15,8 @@
 const MAGIC: &str = "birchhub-ledger 1";
 const EVENT_KINDS: u8 = 21;
 const ANSWER_KINDS: u8 = 8;
-const ANSWERED: u8 = 2; // number of the kind of record that holds an answer
+/// Number of the kind of record that holds an answer.
+const REQUEST_ANSWERED: u8 = 2;
 
 fn method(name: &str, kind: Idempotency) -> Method {
     Method {
@@ -97,7 +98,7 @@
 }
 
 fn backend_events() -> Vec<Event> {
-    let got = |admission| Event::AttemptReceived {
+    let received = |admission| Event::AttemptReceived {
         incarnation: 3,
         attempt_id: 4,
         request_id: 5,
@@ -107,7 +108,7 @@
         overload: 0.0625,
         admission,
     };
-    let left = |how| Event::AttemptEnded { attempt_id: 4, how };
+    let ended = |how| Event::AttemptEnded { attempt_id: 4, how };
     vec![
         Event::BackendStarted {
             incarnation: 3,
@@ -118,16 +119,16 @@
         Event::BackendDraining { incarnation: 3 },
         Event::BackendEnded { incarnation: 3 },
         Event::BackendCollapsed { incarnation: 3 },
-        got(Admission::Admitted),
-        got(Admission::Rejected),
-        got(Admission::Dropped),
-        got(Admission::Failed),
+        received(Admission::Admitted),
+        received(Admission::Rejected),
+        received(Admission::Dropped),
+        received(Admission::Failed),
         Event::ExecutionStarted { attempt_id: 4 },
         Event::DuplicateDropped { attempt_id: 4 },
         Event::ExecutionFinished { attempt_id: 4 },
-        left(AttemptEnd::Replied),
-        left(AttemptEnd::Cancelled),
-        left(AttemptEnd::Broken),
+        ended(AttemptEnd::Replied),
+        ended(AttemptEnd::Cancelled),
+        ended(AttemptEnd::Broken),
     ]
 }
 
@@ -142,13 +143,13 @@
         incarnation: 3,
         state,
     });
-    let told = states.map(|state| Event::ProxyNotified {
+    let notified = states.map(|state| Event::ProxyNotified {
         proxy: 1,
         backend: 2,
         incarnation: 3,
         state,
     });
-    changed.into_iter().chain(told).collect()
+    changed.into_iter().chain(notified).collect()
 }
 
 fn proxy_events() -> Vec<Event> {
@@ -219,7 +220,7 @@
 }
 
 #[test]
-fn a_stored_ledger_is_read_as_it_was_meant() {
+fn a_stored_ledger_is_read_with_its_meaning() {
     let stored = ledger::read(LEDGER).expect("a ledger");
     assert!(!stored.truncated, "the fixture is complete");
     assert_eq!(stored.head, head());
@@ -286,8 +287,8 @@
     assert_eq!(answer_kinds, (0..ANSWER_KINDS).collect());
     let zeros = [0; 32];
     assert!(with_record(&[&[EVENT_KINDS], &zeros[..]].concat()).is_err());
-    assert!(with_record(&[&[ANSWERED, 5, ANSWER_KINDS], &zeros[..]].concat()).is_err());
-    assert!(with_record(&[ANSWERED, 5, ANSWER_KINDS - 1]).is_ok());
+    assert!(with_record(&[&[REQUEST_ANSWERED, 5, ANSWER_KINDS], &zeros[..]].concat()).is_err());
+    assert!(with_record(&[REQUEST_ANSWERED, 5, ANSWER_KINDS - 1]).is_ok());
 }
 
 /// The bytes of an event as the ledger has them behind its length and time.
