--- a/crates/audit/src/audit/draining.rs
+++ b/crates/audit/src/audit/draining.rs
@@ -1,7 +1,7 @@
 //! Rule 3: a draining or removed backend gets no new work later than the grace period after its proxy was notified.
 use super::tracker::Tracker;
 use super::violations::{Violations, rpc_subject};
-use crate::event::{Entry, Event};
+use crate::event::{Entry, Event, ReceivedAttempt};
 use crate::findings::{Rule, Violation};
 
 /// State of rule 3.
@@ -19,16 +19,15 @@
         tracker: &Tracker<'_>,
         violations: &mut Violations,
     ) {
-        let Event::AttemptReceived {
+        let Event::AttemptReceived(received) = entry.event else {
+            return;
+        };
+        let ReceivedAttempt {
             incarnation,
-            request_id,
             proxy,
             first_byte_at,
             ..
-        } = entry.event
-        else {
-            return;
-        };
+        } = received;
         let Some(known) = tracker.incarnations.get(&incarnation) else {
             return;
         };
@@ -41,7 +40,7 @@
         if late > rules.drain_grace + rules.slack {
             let rpc = tracker
                 .requests
-                .get(&request_id)
+                .get(&received.request_id)
                 .map_or(u32::MAX, |request| request.rpc);
             let description = format!(
                 "sent to {} {:.0} ms after {} was told that it takes nothing new",
--- a/crates/audit/src/audit/mod.rs
+++ b/crates/audit/src/audit/mod.rs
@@ -93,9 +93,9 @@
             Event::RequestAnswered { request_id, answer } => {
                 self.count_answer(entry.at, request_id, answer)
             }
-            Event::AttemptReceived { admission, .. } => {
+            Event::AttemptReceived(received) => {
                 counts.attempts += 1;
-                counts.attempts_rejected += usize::from(admission == Admission::Rejected);
+                counts.attempts_rejected += usize::from(received.admission == Admission::Rejected);
             }
             Event::ExecutionStarted { .. } => counts.executions += 1,
             Event::DuplicateDropped { .. } => counts.duplicates_dropped += 1,
--- a/crates/audit/src/audit/slow_start.rs
+++ b/crates/audit/src/audit/slow_start.rs
@@ -1,7 +1,7 @@
 //! Rule 4: proxies that know of a backend's cold start do not overload it, all together, until it collapses.
 use super::tracker::{Incarnation, Tracker};
 use super::violations::Violations;
-use crate::event::{Entry, Event};
+use crate::event::{Entry, Event, ReceivedAttempt};
 use crate::findings::{ColdStart, Rule, Violation};
 use std::collections::{HashMap, VecDeque};
 
@@ -59,23 +59,7 @@
             Event::BackendStarted { incarnation, .. } => {
                 self.loads.insert(incarnation, Load::default());
             }
-            Event::AttemptReceived {
-                incarnation,
-                proxy,
-                work,
-                overload,
-                ..
-            } => {
-                if let Some(known) = tracker.incarnations.get(&incarnation) {
-                    let received = ReceivedWork {
-                        at: entry.at,
-                        work: f64::from(work),
-                        informed: tracker.knows_incarnation(proxy, known.backend, incarnation),
-                    };
-                    let window = tracker.head.rules.overload_window;
-                    self.record_work(incarnation, *known, received, f64::from(overload), window);
-                }
-            }
+            Event::AttemptReceived(received) => self.record_work(entry.at, received, tracker),
             Event::BackendCollapsed { incarnation } => {
                 if let Some(known) = tracker.incarnations.get(&incarnation) {
                     self.check_collapse(entry.at, incarnation, *known, tracker, violations);
@@ -85,22 +69,21 @@
         }
     }
 
-    /// Adds work for a cold backend, and drops what is older than `window` seconds.
-    fn record_work(
-        &mut self,
-        incarnation: u32,
-        known: Incarnation,
-        received: ReceivedWork,
-        overload: f64,
-        window: f64,
-    ) {
-        if !known.cold {
+    /// Adds work for a cold backend, and drops what is older than the window.
+    fn record_work(&mut self, at: f64, received: ReceivedAttempt, tracker: &Tracker<'_>) {
+        let incarnation = received.incarnation;
+        let known = tracker.incarnations.get(&incarnation);
+        let Some(known) = known.filter(|known| known.cold) else {
             return;
-        }
+        };
         let load = self.loads.entry(incarnation).or_default();
-        load.peak_overload = load.peak_overload.max(overload);
-        load.recent.push_back(received);
-        let oldest = received.at - window;
+        load.peak_overload = load.peak_overload.max(f64::from(received.overload));
+        load.recent.push_back(ReceivedWork {
+            at,
+            work: f64::from(received.work),
+            informed: tracker.knows_incarnation(received.proxy, known.backend, incarnation),
+        });
+        let oldest = at - tracker.head.rules.overload_window;
         while load.recent.front().is_some_and(|first| first.at < oldest) {
             load.recent.pop_front();
         }
--- a/crates/audit/src/audit/tracker.rs
+++ b/crates/audit/src/audit/tracker.rs
@@ -1,5 +1,5 @@
 //! Shared state of the rules: RPCs, client requests and their attempts, backends, and what proxies know of them.
-use crate::event::{Admission, Answer, EndpointState, Entry, Event};
+use crate::event::{Admission, Answer, EndpointState, Entry, Event, ReceivedAttempt};
 use crate::head::{Head, Idempotency};
 use std::collections::{BTreeMap, HashMap};
 
@@ -219,25 +219,7 @@
 
     fn record_attempt_event(&mut self, entry: &Entry) {
         match entry.event {
-            Event::AttemptReceived {
-                incarnation,
-                attempt_id,
-                request_id,
-                first_byte_at,
-                admission,
-                ..
-            } => {
-                let ended_at = (admission == Admission::Rejected).then_some(first_byte_at);
-                let attempt = Attempt {
-                    attempt_id,
-                    incarnation,
-                    first_byte_at,
-                    admission,
-                    ended_at,
-                    forwarded_timeout: None,
-                };
-                self.record_attempt(request_id, attempt);
-            }
+            Event::AttemptReceived(received) => self.record_attempt(received),
             Event::AttemptEnded { attempt_id, .. } => {
                 if let Some(attempt) = self.attempt_mut(attempt_id) {
                     attempt.ended_at.get_or_insert(entry.at);
@@ -256,15 +238,25 @@
     }
 
     /// Adds an attempt to its request, or to a placeholder for a request that is not recorded yet.
-    fn record_attempt(&mut self, request_id: u64, attempt: Attempt) {
-        self.request_ids.insert(attempt.attempt_id, request_id);
+    fn record_attempt(&mut self, received: ReceivedAttempt) {
+        let rejected = received.admission == Admission::Rejected;
+        let attempt = Attempt {
+            attempt_id: received.attempt_id,
+            incarnation: received.incarnation,
+            first_byte_at: received.first_byte_at,
+            admission: received.admission,
+            ended_at: rejected.then_some(received.first_byte_at),
+            forwarded_timeout: None,
+        };
+        self.request_ids
+            .insert(received.attempt_id, received.request_id);
         let request = self
             .requests
-            .entry(request_id)
+            .entry(received.request_id)
             .or_insert_with(|| ClientRequest {
                 rpc: u32::MAX,
                 proxy: u16::MAX,
-                sent_at: attempt.first_byte_at,
+                sent_at: received.first_byte_at,
                 client_timeout: f64::INFINITY,
                 answer: None,
                 answer_count: 0,
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -131,6 +131,33 @@
     Over,
 }
 
+/// An attempt as its backend received it.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct ReceivedAttempt {
+    /// The backend's process.
+    #[serde(rename = "life")]
+    pub incarnation: u32,
+    /// The attempt.
+    #[serde(rename = "job")]
+    pub attempt_id: u64,
+    /// The client request that it serves.
+    #[serde(rename = "attempt")]
+    pub request_id: u64,
+    /// The proxy that made it.
+    pub proxy: u16,
+    /// When its first byte arrived, in seconds.
+    #[serde(rename = "begun")]
+    pub first_byte_at: f64,
+    /// Its work, in seconds of a standard core.
+    pub work: f32,
+    /// Recent work for the cold backend as a share of the work at which it collapses; 0 for a warm one.
+    #[serde(rename = "pushed")]
+    pub overload: f32,
+    /// What the backend did with it.
+    #[serde(rename = "taken")]
+    pub admission: Admission,
+}
+
 /// An event of a rehearsal.
 ///
 /// - `request_id` identifies one request of a client for an RPC: its first one or a retry.
@@ -213,30 +240,7 @@
     },
     /// A backend received a complete attempt.
     #[serde(rename = "Got")]
-    AttemptReceived {
-        /// The backend's process.
-        #[serde(rename = "life")]
-        incarnation: u32,
-        /// The attempt.
-        #[serde(rename = "job")]
-        attempt_id: u64,
-        /// The client request that it serves.
-        #[serde(rename = "attempt")]
-        request_id: u64,
-        /// The proxy that made it.
-        proxy: u16,
-        /// When its first byte arrived, in seconds.
-        #[serde(rename = "begun")]
-        first_byte_at: f64,
-        /// Its work, in seconds of a standard core.
-        work: f32,
-        /// Recent work for the cold backend as a share of the work at which it collapses; 0 for a warm one.
-        #[serde(rename = "pushed")]
-        overload: f32,
-        /// What the backend did with it.
-        #[serde(rename = "taken")]
-        admission: Admission,
-    },
+    AttemptReceived(ReceivedAttempt),
     /// A backend began to execute an attempt: its effect counts from now on.
     #[serde(rename = "Started")]
     ExecutionStarted {
--- a/crates/audit/src/timeline.rs
+++ b/crates/audit/src/timeline.rs
@@ -1,5 +1,5 @@
 //! The timeline of a rehearsal or of one RPC: one line of text for each entry of the ledger.
-use crate::event::{Entry, Event};
+use crate::event::{Entry, Event, ReceivedAttempt};
 use crate::head::Head;
 use std::collections::HashMap;
 
@@ -36,12 +36,9 @@
             } => {
                 self.rpcs.insert(request_id, rpc);
             }
-            Event::AttemptReceived {
-                attempt_id,
-                request_id,
-                ..
-            } => {
-                self.request_ids.insert(attempt_id, request_id);
+            Event::AttemptReceived(received) => {
+                self.request_ids
+                    .insert(received.attempt_id, received.request_id);
             }
             Event::BackendStarted {
                 incarnation,
@@ -58,8 +55,8 @@
     pub fn rpc(&self, event: &Event) -> Option<u32> {
         match event {
             Event::Arrival { rpc, .. } | Event::RequestSent { rpc, .. } => Some(*rpc),
-            Event::RequestAnswered { request_id, .. }
-            | Event::AttemptReceived { request_id, .. } => self.rpcs.get(request_id).copied(),
+            Event::RequestAnswered { request_id, .. } => self.rpcs.get(request_id).copied(),
+            Event::AttemptReceived(received) => self.rpcs.get(&received.request_id).copied(),
             Event::ExecutionStarted { attempt_id }
             | Event::DuplicateDropped { attempt_id }
             | Event::ExecutionFinished { attempt_id }
@@ -131,23 +128,7 @@
     /// Describes an event of an attempt.
     fn attempt_text(&self, event: &Event) -> Option<String> {
         Some(match event {
-            Event::AttemptReceived {
-                incarnation,
-                attempt_id,
-                request_id,
-                proxy,
-                first_byte_at,
-                work,
-                overload,
-                admission,
-            } => format!(
-                "try {request_id:016x} pick {attempt_id} at {} from {}, first byte at {first_byte_at:.4}, \
-                 work {:.1} ms, pushed {:.0}%: {admission}",
-                self.incarnation(*incarnation),
-                self.head.proxy_name(*proxy),
-                work * 1e3,
-                overload * 1e2
-            ),
+            Event::AttemptReceived(received) => self.received_text(received),
             Event::ExecutionStarted { attempt_id } => format!("pick {attempt_id} runs"),
             Event::DuplicateDropped { attempt_id } => {
                 format!("pick {attempt_id} dropped as a repeat")
@@ -162,6 +143,20 @@
         })
     }
 
+    fn received_text(&self, received: &ReceivedAttempt) -> String {
+        format!(
+            "try {:016x} pick {} at {} from {}, first byte at {:.4}, work {:.1} ms, pushed {:.0}%: {}",
+            received.request_id,
+            received.attempt_id,
+            self.incarnation(received.incarnation),
+            self.head.proxy_name(received.proxy),
+            received.first_byte_at,
+            received.work * 1e3,
+            received.overload * 1e2,
+            received.admission
+        )
+    }
+
     /// Describes an event of a backend's process.
     fn backend_text(&self, event: &Event) -> Option<String> {
         Some(match event {
--- a/crates/audit/tests/audit/builder.rs
+++ b/crates/audit/tests/audit/builder.rs
@@ -1,5 +1,5 @@
 //! Ledgers written by hand, event by event.
-use birchhub_audit::event::{Admission, AttemptEnd, End};
+use birchhub_audit::event::{Admission, AttemptEnd, End, ReceivedAttempt};
 use birchhub_audit::head::{Backend, ServiceTargets};
 use birchhub_audit::{
     Answer, Audit, DeduplicationScope, Entry, Event, Findings, Head, Idempotency, Method, Rule,
@@ -127,7 +127,7 @@
     ) -> &mut Self {
         self.at(
             at,
-            Event::AttemptReceived {
+            Event::AttemptReceived(ReceivedAttempt {
                 incarnation,
                 attempt_id,
                 request_id,
@@ -136,7 +136,7 @@
                 work: 0.1,
                 overload: 0.0,
                 admission,
-            },
+            }),
         )
     }
 
--- a/crates/audit/tests/audit/slow_start.rs
+++ b/crates/audit/tests/audit/slow_start.rs
@@ -1,6 +1,6 @@
 //! Rule 4: no overload of a backend in slow start.
 use crate::builder::{LedgerBuilder, READ};
-use birchhub_audit::event::Admission;
+use birchhub_audit::event::{Admission, ReceivedAttempt};
 use birchhub_audit::{Answer, EndpointState, Event, Rule};
 
 const INCARNATION: u32 = 9;
@@ -14,7 +14,7 @@
         proxy,
         client_timeout: 0.5,
     };
-    let received = Event::AttemptReceived {
+    let received = Event::AttemptReceived(ReceivedAttempt {
         incarnation: INCARNATION,
         attempt_id: request_id,
         request_id,
@@ -23,7 +23,7 @@
         work: 1.0,
         overload,
         admission: Admission::Admitted,
-    };
+    });
     ledger
         .arrival(at, rpc, READ)
         .at(at, sent)
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -1,6 +1,6 @@
 //! The stored form of a ledger. `fixtures/ledger-1` and `fixtures/records.jsonl` were written by the code of
 //! 2026-12-02; ledgers of that time can be read, and new ones have the same bytes.
-use birchhub_audit::event::{Admission, AttemptEnd, End};
+use birchhub_audit::event::{Admission, AttemptEnd, End, ReceivedAttempt};
 use birchhub_audit::head::{Backend, Fault, ServiceTargets};
 use birchhub_audit::timeline::Timeline;
 use birchhub_audit::{
@@ -98,15 +98,17 @@
 }
 
 fn backend_events() -> Vec<Event> {
-    let received = |admission| Event::AttemptReceived {
-        incarnation: 3,
-        attempt_id: 4,
-        request_id: 5,
-        proxy: 1,
-        first_byte_at: 0.75,
-        work: 0.125,
-        overload: 0.0625,
-        admission,
+    let received = |admission| {
+        Event::AttemptReceived(ReceivedAttempt {
+            incarnation: 3,
+            attempt_id: 4,
+            request_id: 5,
+            proxy: 1,
+            first_byte_at: 0.75,
+            work: 0.125,
+            overload: 0.0625,
+            admission,
+        })
     };
     let ended = |how| Event::AttemptEnded { attempt_id: 4, how };
     vec![
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Fleet;
 use crate::wire::{Kind, Message, Peer, listen, response};
 use birchhub_audit::Event;
-use birchhub_audit::event::{Admission, AttemptEnd};
+use birchhub_audit::event::{Admission, AttemptEnd, ReceivedAttempt};
 use birchhub_backend_model::{
     AttemptId, Backend, BackendEvent, IncomingWork, LoadReport, RejectionReason, Spec, Start,
 };
@@ -604,22 +604,20 @@
         };
         let attempt_id = fleet.new_attempt_id();
         let got = |admission, overload: f64| {
-            let (first_byte_at, work, overload) =
-                (message.first_byte_at, work as f32, overload as f32);
             // A pick that was given up before the node could take it had come by then.
             let at = closed_at.unwrap_or_else(|| fleet.notes.clock.now());
             fleet.notes.tell_at(
                 at,
-                Event::AttemptReceived {
+                Event::AttemptReceived(ReceivedAttempt {
                     incarnation,
                     attempt_id,
                     request_id,
                     proxy,
-                    first_byte_at,
-                    work,
-                    overload,
+                    first_byte_at: message.first_byte_at,
+                    work: work as f32,
+                    overload: overload as f32,
                     admission,
-                },
+                }),
             );
             if let Some(seconds) = time_told(message) {
                 fleet.notes.tell(Event::TimeoutForwarded {
--- a/crates/emulator/tests/stand_ins.rs
+++ b/crates/emulator/tests/stand_ins.rs
@@ -1,5 +1,5 @@
 //! Stand-ins over loopback sockets: each fault shows on the connection as a proxy would see it, and in the ledger.
-use birchhub_audit::event::{Admission, AttemptEnd};
+use birchhub_audit::event::{Admission, AttemptEnd, ReceivedAttempt};
 use birchhub_audit::{Answer, DeduplicationScope, EndpointState, Entry, Event, Idempotency};
 use birchhub_backend_model::{Spec, Start, Work, work::Spread};
 use birchhub_emulator::fleet::request_id_of;
@@ -161,12 +161,12 @@
         );
         let events = events_so_far(&entries, |_| true);
         let got = events.iter().find_map(|e| match e {
-            Event::AttemptReceived {
+            Event::AttemptReceived(ReceivedAttempt {
                 proxy,
                 request_id,
                 admission,
                 ..
-            } => Some((*proxy, *request_id, *admission)),
+            }) => Some((*proxy, *request_id, *admission)),
             _ => None,
         });
         assert_eq!(got, Some((1, 0x700, Admission::Admitted)));
@@ -369,10 +369,10 @@
         await_event(&entries, |e| {
             matches!(
                 e,
-                Event::AttemptReceived {
+                Event::AttemptReceived(ReceivedAttempt {
                     admission: Admission::Dropped,
                     ..
-                }
+                })
             )
         })
         .await;
@@ -458,7 +458,7 @@
         assert_eq!(connection.answer().await.expect("an answer").status, 200);
         let got = await_event(&entries, |e| matches!(e, Event::AttemptReceived { .. })).await;
         assert!(
-            matches!(got, Event::AttemptReceived { first_byte_at, .. } if first_byte_at >= before && first_byte_at < ended),
+            matches!(got, Event::AttemptReceived(ReceivedAttempt { first_byte_at, .. }) if first_byte_at >= before && first_byte_at < ended),
             "{got:?}"
         );
     });
--- a/crates/rehearsal/src/page.rs
+++ b/crates/rehearsal/src/page.rs
@@ -148,17 +148,13 @@
                 backend: node,
                 ..
             } => drop(nodes.insert(incarnation, node as usize)),
-            Event::AttemptReceived {
-                incarnation,
-                attempt_id,
-                ..
-            } => {
+            Event::AttemptReceived(received) => {
                 if let Some(node) = nodes
-                    .get(&incarnation)
+                    .get(&received.incarnation)
                     .copied()
                     .filter(|node| *node < now.len())
                 {
-                    attempt_ids.insert(attempt_id, node);
+                    attempt_ids.insert(received.attempt_id, node);
                     now[node] += 1;
                     most[node][second] = most[node][second].max(now[node]);
                 }
--- a/crates/rehearsal/tests/verdicts.rs
+++ b/crates/rehearsal/tests/verdicts.rs
@@ -1,5 +1,5 @@
 //! The verdict: rules, bars, and whether the kit itself was on time.
-use birchhub_audit::event::Admission;
+use birchhub_audit::event::{Admission, ReceivedAttempt};
 use birchhub_audit::{Answer, Entry, Event, Head};
 use birchhub_rehearsal::{Plan, Report, Scenario, Verdict, settings, shipped};
 
@@ -63,26 +63,22 @@
 
 /// A second attempt of an RPC that must not run twice.
 fn second_attempt(rpc: u32) -> Vec<Entry> {
-    let got = |at: f64, attempt_id| {
-        let (incarnation, request_id, proxy, first_byte_at, work, overload) =
-            (1, u64::from(rpc) << 8, 0, at, 0.0, 0.0);
-        Entry {
-            at,
-            event: Event::AttemptReceived {
-                incarnation,
-                attempt_id,
-                request_id,
-                proxy,
-                first_byte_at,
-                work,
-                overload,
-                admission: Admission::Admitted,
-            },
-        }
+    let received = |at: f64, attempt_id| Entry {
+        at,
+        event: Event::AttemptReceived(ReceivedAttempt {
+            incarnation: 1,
+            attempt_id,
+            request_id: u64::from(rpc) << 8,
+            proxy: 0,
+            first_byte_at: at,
+            work: 0.0,
+            overload: 0.0,
+            admission: Admission::Admitted,
+        }),
     };
     [
         asked(20.0, rpc, 1, Some(20.2)),
-        vec![got(20.01, 1), got(20.1, 2)],
+        vec![received(20.01, 1), received(20.1, 2)],
     ]
     .concat()
 }
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -4,7 +4,7 @@
 use super::process::ProcessId;
 use super::{NETWORK_DELAY, World};
 use birchhub::interface::{AttemptOutcome, LoadReport};
-use birchhub_audit::event::{Admission, AttemptEnd};
+use birchhub_audit::event::{Admission, AttemptEnd, ReceivedAttempt};
 use birchhub_audit::{Answer, Event, Idempotency};
 use birchhub_backend_model::{IdempotencyKey, IncomingWork, RejectionReason};
 use birchhub_rehearsal::plan::Trick;
@@ -27,7 +27,7 @@
 }
 
 /// An attempt that a running backend has received.
-struct ReceivedAttempt {
+struct ArrivingAttempt {
     attempt_id: u64,
     request_id: u64,
     proxy: u16,
@@ -39,10 +39,10 @@
     work: f64,
 }
 
-impl ReceivedAttempt {
+impl ArrivingAttempt {
     /// The ledger's record of what the backend did with it; `overload` is the load that the backend reports.
     fn record(&self, admission: Admission, overload: f64) -> Event {
-        Event::AttemptReceived {
+        Event::AttemptReceived(ReceivedAttempt {
             incarnation: self.incarnation,
             attempt_id: self.attempt_id,
             request_id: self.request_id,
@@ -51,7 +51,7 @@
             work: self.work as f32,
             overload: overload as f32,
             admission,
-        }
+        })
     }
 }
 
@@ -163,7 +163,7 @@
             return self.send_outcome(attempt_id, AttemptOutcome::ConnectFailed, 0.0);
         };
         let arrival = &self.plan.arrivals[rpc_of_request(request_id) as usize];
-        let received = ReceivedAttempt {
+        let received = ArrivingAttempt {
             attempt_id,
             request_id,
             proxy,
@@ -180,13 +180,13 @@
     }
 
     /// The backend holds the attempt and never answers.
-    fn swallow(&mut self, received: &ReceivedAttempt) {
+    fn swallow(&mut self, received: &ArrivingAttempt) {
         self.hold(received, None);
         self.record(received.record(Admission::Dropped, 0.0));
     }
 
     /// The backend answers with an error at once.
-    fn reply_error(&mut self, received: &ReceivedAttempt) {
+    fn reply_error(&mut self, received: &ArrivingAttempt) {
         let attempt_id = received.attempt_id;
         self.record(received.record(Admission::Failed, 0.0));
         self.record(Event::AttemptEnded {
@@ -197,7 +197,7 @@
     }
 
     /// The backend takes the attempt in, or turns it away.
-    fn start_work(&mut self, received: &ReceivedAttempt, fault: Option<Trick>) {
+    fn start_work(&mut self, received: &ArrivingAttempt, fault: Option<Trick>) {
         let incoming = IncomingWork {
             attempt_id: received.attempt_id,
             work: received.work,
@@ -238,7 +238,7 @@
     }
 
     /// The key by which a group of backends drops a repeat of this RPC, where its method has one.
-    fn deduplication_key(&self, received: &ReceivedAttempt) -> Option<IdempotencyKey> {
+    fn deduplication_key(&self, received: &ArrivingAttempt) -> Option<IdempotencyKey> {
         let rpc = rpc_of_request(received.request_id);
         let method = self.plan.arrivals[rpc as usize].method;
         let machine = &self.machines[received.node as usize];
@@ -252,7 +252,7 @@
         }
     }
 
-    fn hold(&mut self, received: &ReceivedAttempt, fault: Option<Trick>) {
+    fn hold(&mut self, received: &ArrivingAttempt, fault: Option<Trick>) {
         let machine = &mut self.machines[received.node as usize];
         machine.held_attempts.insert(received.attempt_id);
         if let Some(entry) = self.proxy_attempts.get_mut(&received.attempt_id) {
