--- a/crates/capacity/src/backends.rs
+++ b/crates/capacity/src/backends.rs
@@ -1,7 +1,7 @@
 //! Hollow backends: a few listeners that stand for as many backends as the list names. Their work is waited for, and each
 //! answer says how long it took, so that it can be taken off what a client waited.
 use birchhub_emulator::Clock;
-use birchhub_emulator::wire::{Kind, Peer, listen, response};
+use birchhub_emulator::wire::{MessageKind, Peer, listen, response};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -141,7 +141,7 @@
 }
 
 async fn connection(counts: Arc<Counts>, mut peer: Peer, clock: Clock, idle: Duration) {
-    while let Ok(Ok(message)) = timeout(idle, peer.read(Kind::Request, &clock)).await {
+    while let Ok(Ok(message)) = timeout(idle, peer.read(MessageKind::Request, &clock)).await {
         let begun = Instant::now();
         let body = if message.path == "/stats" {
             counts.probes.fetch_add(1, Relaxed);
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -5,7 +5,7 @@
 use birchhub::balancer::Balancer;
 use birchhub::interface::{Endpoint, EndpointUpdateKind, Platform, Readiness};
 use birchhub_emulator::Clock;
-use birchhub_emulator::wire::{Kind, Peer};
+use birchhub_emulator::wire::{MessageKind, Peer};
 use serde::Deserialize;
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -113,7 +113,7 @@
             peer.write(request.as_bytes())
                 .await
                 .map_err(|e| e.to_string())?;
-            let answer = timeout(PATIENCE, peer.read(Kind::Response, &self.clock)).await;
+            let answer = timeout(PATIENCE, peer.read(MessageKind::Response, &self.clock)).await;
             let answer = answer
                 .map_err(|_| "no answer in time")?
                 .map_err(|stop| format!("{stop:?}"))?;
--- a/crates/capacity/src/list.rs
+++ b/crates/capacity/src/list.rs
@@ -2,7 +2,7 @@
 //! for the same.
 use crate::usage;
 use birchhub_emulator::Clock;
-use birchhub_emulator::wire::{Kind, Message, Peer, listen, response};
+use birchhub_emulator::wire::{Message, MessageKind, Peer, listen, response};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -253,7 +253,7 @@
 
 async fn connection(shared: Arc<Shared>, mut peer: Peer, clock: Clock) {
     let mut changed = shared.changed.subscribe();
-    while let Ok(message) = peer.read(Kind::Request, &clock).await {
+    while let Ok(message) = peer.read(MessageKind::Request, &clock).await {
         let Some((from, hold)) = asked(&message) else {
             let _ = peer.write(&response(404, &[], b"no such list\n")).await;
             return;
@@ -266,7 +266,7 @@
                 select! {
                     _ = changed.changed() => {}
                     () = sleep_until(until) => break,
-                    () = peer.ended() => return,
+                    () = peer.closed() => return,
                 }
             }
         }
--- a/crates/capacity/src/load.rs
+++ b/crates/capacity/src/load.rs
@@ -1,7 +1,7 @@
 //! Clients of one proxy: RPCs at a rate, by chance, on connections that are kept.
 use crate::backends::served;
 use birchhub_emulator::Clock;
-use birchhub_emulator::wire::{Kind, Peer};
+use birchhub_emulator::wire::{MessageKind, Peer};
 use hdrhistogram::Histogram;
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp};
@@ -53,7 +53,7 @@
             // A connection to the proxy is no part of what is asked: its clients keep theirs.
             let begun = Instant::now();
             peer.write(request.as_bytes()).await.ok()?;
-            let answer = peer.read(Kind::Response, &self.clock).await.ok()?;
+            let answer = peer.read(MessageKind::Response, &self.clock).await.ok()?;
             Some((peer, answer, begun.elapsed()))
         };
         let answered = timeout(WAITS, call).await.ok().flatten();
--- a/crates/capacity/src/proxy.rs
+++ b/crates/capacity/src/proxy.rs
@@ -1,7 +1,7 @@
 //! A real `birchhubd` before hollow backends: its process has one owner here.
 use crate::usage;
 use birchhub_emulator::Clock;
-use birchhub_emulator::wire::{Kind, Peer};
+use birchhub_emulator::wire::{MessageKind, Peer};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::{Value, json};
@@ -168,7 +168,7 @@
                 .await
                 .ok()?;
             Some(
-                peer.read(Kind::Response, &Clock::starting_in(Duration::ZERO))
+                peer.read(MessageKind::Response, &Clock::starting_in(Duration::ZERO))
                     .await
                     .ok()?
                     .status,
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/backend.rs
@@ -1,9 +1,9 @@
 //! One api node on sockets: the model behind a door for each proxy, so that it knows who sends what. Each incarnation of the node
 //! has tasks of its own (one that accepts at each door, one a connection, and the one that drives the model), and
 //! all of them end with it.
-use crate::faults::{Fault, Faults};
+use crate::faults::{ActiveFaults, Fault};
 use crate::fleet::Fleet;
-use crate::wire::{Kind, Message, Peer, listen, response};
+use crate::wire::{Message, MessageKind, Peer, listen, response};
 use birchhub_audit::Event;
 use birchhub_audit::event::{Admission, AttemptEnd};
 use birchhub_backend_model::{
@@ -28,52 +28,53 @@
 
 /// What a node is and where.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct BackendSpec {
     pub index: u32,
     pub name: String,
     pub zone: u32,
     pub rack: u32,
-    pub spec: Spec,
+    /// Capacity, queue and slow start of its model.
+    pub model: Spec,
     /// A connection that stood idle for so long is closed, s.
-    pub idle_limit: f64,
+    pub idle_timeout_seconds: f64,
 }
 
 /// How an incarnation ends for those who are connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Over {
-    Not,
+enum Shutdown {
+    Running,
     /// Connections are closed.
     Stopped,
     /// Connections are reset.
     Crashed,
 }
 
-/// How a pick ended at the node.
+/// How an attempt ended at the node.
 #[derive(Clone, Copy, Debug)]
-struct Done;
+struct Completion;
 
 struct Incarnation {
     number: u32,
     node: Backend,
-    waiting: HashMap<AttemptId, oneshot::Sender<Done>>,
-    over: watch::Sender<Over>,
+    waiting: HashMap<AttemptId, oneshot::Sender<Completion>>,
+    shutdown: watch::Sender<Shutdown>,
     /// Stalls that last, by their numbers.
     stalls: BTreeSet<u64>,
 }
 
 /// The node. Its addresses stay the same over all its incarnations.
-pub struct NodeHost {
-    pub place: Place,
+pub struct EmulatedBackend {
+    pub spec: BackendSpec,
     fleet: Rc<Fleet>,
-    pub faults: Faults,
-    doors: Vec<SocketAddr>,
+    pub faults: ActiveFaults,
+    addresses: Vec<SocketAddr>,
     incarnation: RefCell<Option<Incarnation>>,
     /// Part of the machine that neighbours leave.
     machine: Cell<f64>,
-    /// The model's next event may have moved.
-    moved: Notify,
-    /// Faults or stalls have changed.
-    weather: watch::Sender<u64>,
+    /// The model's next event may have timer_changed.
+    timer_changed: Notify,
+    /// ActiveFaults or stalls have changed.
+    fault_state: watch::Sender<u64>,
 }
 
 /// What a connection does next.
@@ -84,9 +85,9 @@
     Reset,
 }
 
-/// A connection's place among those that the node holds, given back when it is dropped.
+/// A connection's spec among those that the node holds, given back when it is dropped.
 struct Slot {
-    host: Rc<NodeHost>,
+    host: Rc<EmulatedBackend>,
     incarnation: u32,
     held: bool,
 }
@@ -101,9 +102,9 @@
     }
 }
 
-/// A pick that the node holds; however it ends, that is told once.
-struct Pick<'a> {
-    host: &'a NodeHost,
+/// An attempt that the node holds; however it ends, that is told once.
+struct Attempt<'a> {
+    host: &'a EmulatedBackend,
     incarnation: u32,
     attempt_id: AttemptId,
     how: AttemptEnd,
@@ -111,7 +112,7 @@
     closed_at: Option<f64>,
 }
 
-impl Pick<'_> {
+impl Attempt<'_> {
     /// The proxy no longer waits: the work is dropped where the model says so.
     fn withdrawn(mut self) {
         self.how = AttemptEnd::Cancelled;
@@ -128,37 +129,38 @@
     }
 }
 
-impl Drop for Pick<'_> {
+impl Drop for Attempt<'_> {
     fn drop(&mut self) {
-        let notes = &self.host.fleet.notes;
-        let at = self.closed_at.unwrap_or_else(|| notes.clock.now());
+        let event_log = &self.host.fleet.event_log;
+        let at = self.closed_at.unwrap_or_else(|| event_log.clock.now());
         let (attempt_id, how) = (self.attempt_id, self.how);
-        notes.tell_at(at, Event::AttemptEnded { attempt_id, how });
+        event_log.record_at(at, Event::AttemptEnded { attempt_id, how });
     }
 }
 
-impl NodeHost {
+impl EmulatedBackend {
     /// Reserves an address for each proxy, on the IP that is given for it.
-    pub fn new(place: Place, fleet: Rc<Fleet>, doors: &[IpAddr]) -> io::Result<Rc<Self>> {
+    pub fn new(spec: BackendSpec, fleet: Rc<Fleet>, addresses: &[IpAddr]) -> io::Result<Rc<Self>> {
         let reserve = |ip: &IpAddr| std::net::TcpListener::bind((*ip, 0))?.local_addr();
-        let doors = doors.iter().map(reserve).collect::<io::Result<_>>()?;
-        let (incarnation, faults, moved) = (RefCell::new(None), Faults::default(), Notify::new());
+        let addresses = addresses.iter().map(reserve).collect::<io::Result<_>>()?;
+        let (incarnation, faults, timer_changed) =
+            (RefCell::new(None), ActiveFaults::default(), Notify::new());
         let machine = Cell::new(1.0);
         Ok(Rc::new(Self {
-            place,
+            spec,
             fleet,
             faults,
-            doors,
+            addresses,
             incarnation,
             machine,
-            moved,
-            weather: watch::channel(0).0,
+            timer_changed,
+            fault_state: watch::channel(0).0,
         }))
     }
 
     /// Its address for a proxy.
-    pub fn door(&self, proxy: u16) -> Option<SocketAddr> {
-        self.doors.get(proxy as usize).copied()
+    pub fn address(&self, proxy: u16) -> Option<SocketAddr> {
+        self.addresses.get(proxy as usize).copied()
     }
 
     /// Number of the incarnation it is in.
@@ -187,13 +189,13 @@
     /// Begins an incarnation; the one before must have ended.
     pub fn start(self: &Rc<Self>, start: Start) -> io::Result<u32> {
         let listeners = self
-            .doors
+            .addresses
             .iter()
             .map(|at| listen(*at, BACKLOG))
             .collect::<io::Result<Vec<_>>>()?;
         let number = self.fleet.new_incarnation();
-        let now = self.fleet.notes.clock.now();
-        let spec = &self.place.spec;
+        let now = self.fleet.event_log.clock.now();
+        let spec = &self.spec.model;
         let warm_capacity = (spec.cores as f64 * spec.speed) as f32;
         let mut node = Backend::new(spec.clone(), now, start);
         node.scale(
@@ -202,10 +204,10 @@
             &mut self.fleet.deduplication.borrow_mut(),
             &mut Vec::new(),
         );
-        let (over, seen) = watch::channel(Over::Not);
-        self.fleet.notes.tell(Event::BackendStarted {
+        let (shutdown, seen) = watch::channel(Shutdown::Running);
+        self.fleet.event_log.record(Event::BackendStarted {
             incarnation: number,
-            backend: self.place.index,
+            backend: self.spec.index,
             cold: start == Start::Cold,
             warm_capacity,
         });
@@ -213,7 +215,7 @@
             number,
             node,
             waiting: HashMap::new(),
-            over,
+            shutdown,
             stalls: BTreeSet::new(),
         });
         for (proxy, listener) in listeners.into_iter().enumerate() {
@@ -228,21 +230,21 @@
 
     /// Its process dies: all it held is lost, connections are reset.
     pub fn crash(&self) {
-        self.end(Over::Crashed);
+        self.end(Shutdown::Crashed);
     }
 
     /// Its process ends; what it still holds is lost.
     pub fn stop(&self) {
-        self.end(Over::Stopped);
+        self.end(Shutdown::Stopped);
     }
 
-    fn end(&self, how: Over) {
+    fn end(&self, how: Shutdown) {
         if let Some(mut incarnation) = self.incarnation.borrow_mut().take() {
             incarnation.node.crash();
-            self.fleet.notes.tell(Event::BackendEnded {
+            self.fleet.event_log.record(Event::BackendEnded {
                 incarnation: incarnation.number,
             });
-            incarnation.over.send_replace(how);
+            incarnation.shutdown.send_replace(how);
         }
     }
 
@@ -250,7 +252,7 @@
     pub fn drain(&self) {
         if let Some(incarnation) = self.incarnation.borrow_mut().as_mut() {
             incarnation.node.drain();
-            self.fleet.notes.tell(Event::BackendDraining {
+            self.fleet.event_log.record(Event::BackendDraining {
                 incarnation: incarnation.number,
             });
         }
@@ -279,11 +281,11 @@
                     .stall(now, stands, &mut fleet.deduplication.borrow_mut(), out);
             }
         });
-        self.weather.send_modify(|n| *n += 1);
+        self.fault_state.send_modify(|n| *n += 1);
     }
 
     /// Its machine does `factor` of what it did; processes that start later find it so.
-    pub fn scale(&self, factor: f64) {
+    pub fn scale_machine_speed(&self, factor: f64) {
         self.machine.set(self.machine.get() * factor);
         if let Some(number) = self.incarnation() {
             self.change(number, |incarnation, now, fleet, out| {
@@ -296,12 +298,12 @@
 
     pub fn begin_fault(&self, number: u64, fault: Fault) {
         self.faults.begin(number, fault);
-        self.weather.send_modify(|n| *n += 1);
+        self.fault_state.send_modify(|n| *n += 1);
     }
 
     pub fn end_fault(&self, number: u64) {
         self.faults.end(number);
-        self.weather.send_modify(|n| *n += 1);
+        self.fault_state.send_modify(|n| *n += 1);
     }
 
     /// Looks into an incarnation, if it is still this one.
@@ -319,65 +321,67 @@
         number: u32,
         change: impl FnOnce(&mut Incarnation, f64, &Fleet, &mut Vec<BackendEvent>) -> R,
     ) -> Option<R> {
-        let (now, mut out) = (self.fleet.notes.clock.now(), Vec::new());
+        let (now, mut out) = (self.fleet.event_log.clock.now(), Vec::new());
         let result = self.with(number, |incarnation| {
             change(incarnation, now, &self.fleet, &mut out)
         });
-        self.tell(number, out);
-        self.moved.notify_one();
+        self.record(number, out);
+        self.timer_changed.notify_one();
         result
     }
 
-    fn tell(&self, number: u32, happened: Vec<BackendEvent>) {
-        let notes = &self.fleet.notes;
+    fn record(&self, number: u32, happened: Vec<BackendEvent>) {
+        let event_log = &self.fleet.event_log;
         for event in happened {
-            let over = match event {
+            let attempt_id = match event {
                 BackendEvent::Started(attempt_id) => {
-                    notes.tell(Event::ExecutionStarted { attempt_id });
+                    event_log.record(Event::ExecutionStarted { attempt_id });
                     continue;
                 }
                 BackendEvent::Finished(attempt_id) => {
-                    notes.tell(Event::ExecutionFinished { attempt_id });
+                    event_log.record(Event::ExecutionFinished { attempt_id });
                     attempt_id
                 }
                 BackendEvent::DuplicateDropped(attempt_id) => {
-                    notes.tell(Event::DuplicateDropped { attempt_id });
+                    event_log.record(Event::DuplicateDropped { attempt_id });
                     attempt_id
                 }
                 BackendEvent::Collapsed => {
-                    notes.tell(Event::BackendCollapsed {
+                    event_log.record(Event::BackendCollapsed {
                         incarnation: number,
                     });
-                    self.end(Over::Crashed);
+                    self.end(Shutdown::Crashed);
                     continue;
                 }
             };
             // Nobody waits for the work of a health check, nor for a cancelled attempt.
             if let Some(waiter) = self
-                .with(number, |incarnation| incarnation.waiting.remove(&over))
+                .with(number, |incarnation| {
+                    incarnation.waiting.remove(&attempt_id)
+                })
                 .flatten()
             {
-                let _ = waiter.send(Done);
+                let _ = waiter.send(Completion);
             }
         }
     }
 
     /// Lets the model's events happen when they are due.
-    async fn drive(self: Rc<Self>, number: u32, mut over: watch::Receiver<Over>) {
-        let clock = self.fleet.notes.clock;
+    async fn drive(self: Rc<Self>, number: u32, mut shutdown: watch::Receiver<Shutdown>) {
+        let clock = self.fleet.event_log.clock;
         loop {
             let next = self
                 .with(number, |incarnation| incarnation.node.next_event())
                 .flatten();
             select! {
                 biased;
-                _ = over.changed() => return,
+                _ = shutdown.changed() => return,
                 () = clock.sleep_until(next.unwrap_or(f64::MAX)), if next.is_some() => {}
-                () = self.moved.notified() => continue,
+                () = self.timer_changed.notified() => continue,
             }
             let (now, mut out) = (clock.now(), Vec::new());
             if let Some(due) = next {
-                self.fleet.notes.tell(Event::EmulatorLate {
+                self.fleet.event_log.record(Event::EmulatorLate {
                     by: (now - due).max(0.0) as f32,
                 });
             }
@@ -386,30 +390,30 @@
                     .node
                     .advance(now, &mut self.fleet.deduplication.borrow_mut(), &mut out)
             });
-            self.tell(number, out);
+            self.record(number, out);
         }
     }
 
     /// Waits until this proxy is cut off, or no longer.
-    async fn until_cut_off(&self, proxy: u16, cut: bool) {
-        let mut weather = self.weather.subscribe();
-        while self.faults.cut_off(proxy) != cut {
-            let _ = weather.changed().await;
+    async fn until_partitioned(&self, proxy: u16, cut: bool) {
+        let mut fault_state = self.fault_state.subscribe();
+        while self.faults.is_partitioned(proxy) != cut {
+            let _ = fault_state.changed().await;
         }
     }
 
     /// Waits until the process no longer stands still; tells when the peer closed the connection meanwhile, if it did.
     async fn until_awake(&self, peer: &mut Peer, number: u32) -> Option<f64> {
-        let mut weather = self.weather.subscribe();
+        let mut fault_state = self.fault_state.subscribe();
         let mut closed_at = None;
         while self
             .with(number, |incarnation| !incarnation.stalls.is_empty())
             .unwrap_or(false)
         {
             select! {
-                _ = weather.changed() => {}
-                () = peer.ended(), if closed_at.is_none() => {
-                    closed_at = Some(self.fleet.notes.clock.now());
+                _ = fault_state.changed() => {}
+                () = peer.closed(), if closed_at.is_none() => {
+                    closed_at = Some(self.fleet.event_log.clock.now());
                 }
             }
         }
@@ -421,14 +425,14 @@
         number: u32,
         proxy: u16,
         listener: TcpListener,
-        mut over: watch::Receiver<Over>,
+        mut shutdown: watch::Receiver<Shutdown>,
     ) {
         loop {
             let accepted = select! {
                 biased;
-                _ = over.changed() => return,
-                () = self.until_cut_off(proxy, true) => {
-                    self.until_cut_off(proxy, false).await;
+                _ = shutdown.changed() => return,
+                () = self.until_partitioned(proxy, true) => {
+                    self.until_partitioned(proxy, false).await;
                     // What came up while it was cut off never did.
                     while let Poll::Ready(Ok((stream, _))) = poll_fn(|cx| Poll::Ready(listener.poll_accept(cx))).await {
                         Peer::new(stream).reset();
@@ -452,11 +456,11 @@
                         Peer::new(stream),
                         proxy,
                         slot,
-                        over.clone(),
+                        shutdown.clone(),
                     ));
                 }
                 Err(fault) => {
-                    log::warn!("{}: no connection accepted: {fault}", self.place.name);
+                    log::warn!("{}: no connection accepted: {fault}", self.spec.name);
                     sleep(BUSY).await;
                 }
             }
@@ -470,17 +474,17 @@
         mut peer: Peer,
         proxy: u16,
         slot: Slot,
-        mut over: watch::Receiver<Over>,
+        mut shutdown: watch::Receiver<Shutdown>,
     ) {
         let ended = async {
-            let how = over.wait_for(|over| *over != Over::Not).await;
-            how.map_or(Over::Crashed, |how| *how)
+            let how = shutdown.wait_for(|state| *state != Shutdown::Running).await;
+            how.map_or(Shutdown::Crashed, |how| *how)
         };
         let reset = select! {
             biased;
-            how = ended => how == Over::Crashed,
-            () = self.until_cut_off(proxy, true) => {
-                self.until_cut_off(proxy, false).await;
+            how = ended => how == Shutdown::Crashed,
+            () = self.until_partitioned(proxy, true) => {
+                self.until_partitioned(proxy, false).await;
                 true
             }
             next = self.serve(&mut peer, proxy, &slot) => next == Next::Reset,
@@ -491,10 +495,11 @@
     }
 
     async fn serve(&self, peer: &mut Peer, proxy: u16, slot: &Slot) -> Next {
-        let clock = self.fleet.notes.clock;
-        let idle = Duration::from_secs_f64(self.place.idle_limit);
+        let clock = self.fleet.event_log.clock;
+        let idle = Duration::from_secs_f64(self.spec.idle_timeout_seconds);
         loop {
-            let Ok(Ok(message)) = timeout(idle, peer.read(Kind::Request, &clock)).await else {
+            let Ok(Ok(message)) = timeout(idle, peer.read(MessageKind::Request, &clock)).await
+            else {
                 return Next::Close;
             };
             let closed_at = self.until_awake(peer, slot.incarnation).await;
@@ -513,7 +518,7 @@
     }
 
     fn report(&self, incarnation: u32) -> LoadReport {
-        let now = self.fleet.notes.clock.now();
+        let now = self.fleet.event_log.clock.now();
         self.with(incarnation, |incarnation| incarnation.node.report(now))
             .unwrap_or_default()
     }
@@ -538,22 +543,22 @@
     fn encode(&self, incarnation: u32, status: u16, more: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
         let load = load_text(&self.report(incarnation));
         let mut headers = more.to_vec();
-        if self.fleet.reports_in_answers {
+        if self.fleet.reports_in_responses {
             headers.push(("Server-Load", &load));
         }
         response(status, &headers, body)
     }
 
     async fn probe(&self, peer: &mut Peer, message: &Message, incarnation: u32) -> Next {
-        if !self.fleet.probes {
+        if !self.fleet.answers_probes {
             return self
                 .answer(peer, incarnation, 404, &[], b"no probes here\n")
                 .await;
         }
-        if self.fleet.probe_work > 0.0 {
+        if self.fleet.probe_work_seconds > 0.0 {
             let incoming = IncomingWork {
                 attempt_id: self.fleet.new_attempt_id(),
-                work: self.fleet.probe_work,
+                work: self.fleet.probe_work_seconds,
                 idempotency_key: None,
                 first_on_connection: false,
             };
@@ -594,7 +599,7 @@
                 .await;
         };
         let key = message.header("idempotency-key");
-        let (zone, rack) = (self.place.zone, self.place.rack);
+        let (zone, rack) = (self.spec.zone, self.spec.rack);
         let Some((work, idempotency_key)) =
             fleet.cost(message.class(), request_id, key, zone, rack)
         else {
@@ -606,9 +611,9 @@
         let got = |admission, overload: f64| {
             let (first_byte_at, work, overload) =
                 (message.first_byte_at, work as f32, overload as f32);
-            // A pick that was given up before the node could take it had come by then.
-            let at = closed_at.unwrap_or_else(|| fleet.notes.clock.now());
-            fleet.notes.tell_at(
+            // An attempt that was given up before the node could take it had come by then.
+            let at = closed_at.unwrap_or_else(|| fleet.event_log.clock.now());
+            fleet.event_log.record_at(
                 at,
                 Event::AttemptReceived {
                     incarnation,
@@ -622,7 +627,7 @@
                 },
             );
             if let Some(seconds) = time_told(message) {
-                fleet.notes.tell(Event::TimeoutForwarded {
+                fleet.event_log.record(Event::TimeoutForwarded {
                     attempt_id,
                     seconds,
                 });
@@ -630,8 +635,8 @@
         };
         let fault = self
             .faults
-            .for_rpc(|number, share| fleet.hits(number, request_id, share));
-        let mut pick = Pick {
+            .select(|number, share| fleet.is_selected(number, request_id, share));
+        let mut attempt = Attempt {
             host: self,
             incarnation,
             attempt_id,
@@ -639,15 +644,15 @@
             closed_at,
         };
         match fault {
-            Some(Fault::Mute { .. }) => {
+            Some(Fault::NoResponse { .. }) => {
                 got(Admission::Dropped, 0.0);
-                peer.ended().await;
-                pick.how = AttemptEnd::Cancelled;
+                peer.closed().await;
+                attempt.how = AttemptEnd::Cancelled;
                 return Next::Close;
             }
-            Some(Fault::Error { .. }) => {
+            Some(Fault::ErrorResponse { .. }) => {
                 got(Admission::Failed, 0.0);
-                pick.how = AttemptEnd::Replied;
+                attempt.how = AttemptEnd::Replied;
                 return self.answer(peer, incarnation, 500, &[], b"failed\n").await;
             }
             _ => {}
@@ -659,7 +664,7 @@
             idempotency_key,
             first_on_connection: peer.messages == 1,
         };
-        let (now, mut out) = (fleet.notes.clock.now(), Vec::new());
+        let (now, mut out) = (fleet.event_log.clock.now(), Vec::new());
         let admission = self.with(incarnation, |incarnation| {
             if !slot.held {
                 return (Err(RejectionReason::QueueFull), incarnation.node.overload());
@@ -685,13 +690,13 @@
             },
             overload,
         );
-        self.tell(incarnation, out);
-        self.moved.notify_one();
+        self.record(incarnation, out);
+        self.timer_changed.notify_one();
         match admission {
             Ok(()) => {}
             Err(RejectionReason::Down) => return Next::Reset,
             Err(_) => {
-                pick.how = AttemptEnd::Replied;
+                attempt.how = AttemptEnd::Replied;
                 let next = self
                     .answer(
                         peer,
@@ -708,15 +713,15 @@
             biased;
             // An incarnation that has ended takes the connection with it.
             done = &mut ended => if done.is_err() { return Next::Reset },
-            () = peer.ended() => {
-                pick.withdrawn();
+            () = peer.closed() => {
+                attempt.withdrawn();
                 return Next::Close;
             }
         }
-        let body = format!("{request_id:016x} {}\n", self.place.name);
+        let body = format!("{request_id:016x} {}\n", self.spec.name);
         let bytes = self.encode(incarnation, 200, &[], body.as_bytes());
         let (next, how) = write_with(peer, &bytes, fault).await;
-        pick.how = how;
+        attempt.how = how;
         next
     }
 }
@@ -741,17 +746,17 @@
         Err(_) => (Next::Close, AttemptEnd::Broken),
     };
     match fault {
-        Some(Fault::Reset { .. }) => (Next::Reset, AttemptEnd::Broken),
-        Some(Fault::Half { .. }) => {
+        Some(Fault::ConnectionReset { .. }) => (Next::Reset, AttemptEnd::Broken),
+        Some(Fault::TruncatedResponse { .. }) => {
             let _ = peer.write(&bytes[..bytes.len() - bytes.len() / 8]).await;
             (Next::Close, AttemptEnd::Broken)
         }
-        Some(Fault::Garbage { .. }) => {
+        Some(Fault::MalformedResponse { .. }) => {
             let _ = peer.write(b"\x00\x01 what?\r\n\r\n").await;
             (Next::Close, AttemptEnd::Broken)
         }
-        Some(Fault::Trickle { over, .. }) => {
-            let pause = Duration::from_secs_f64(over / bytes.len() as f64);
+        Some(Fault::SlowResponse { extra_seconds, .. }) => {
+            let pause = Duration::from_secs_f64(extra_seconds / bytes.len() as f64);
             for byte in bytes {
                 if peer.write(std::slice::from_ref(byte)).await.is_err() {
                     return (Next::Close, AttemptEnd::Broken);
--- /dev/null
+++ b/crates/emulator/src/client.rs
@@ -0,0 +1,222 @@
+//! Emulated clients: a pool of connections to proxies, with one request at a time on each.
+mod request;
+
+use crate::clock::Clock;
+use crate::event_log::EventLog;
+use crate::wire::{ConnectionState, Message, MessageKind, Peer, ReadError};
+use birchhub_audit::{Answer, Event};
+pub use request::{ClientRequest, SlowSend};
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::select;
+use tokio::time::timeout;
+
+/// Time for which a client still reads after its timeout, so that a late response is recorded as late.
+const LATE_RESPONSE_SECONDS: f64 = 0.25;
+/// Time after a send within which the proxy's close may have crossed the request. No proxy restarts as fast.
+const CROSSED_CLOSE_SECONDS: f64 = 0.005;
+/// Limit for connecting to a proxy, which runs on this machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// The emulated clients of one thread, with a pool of idle connections to each proxy.
+pub struct Client {
+    event_log: EventLog,
+    idle: RefCell<HashMap<SocketAddr, Vec<Peer>>>,
+}
+
+impl Client {
+    /// Creates a client without connections.
+    pub fn new(event_log: EventLog) -> Self {
+        Self {
+            event_log,
+            idle: RefCell::default(),
+        }
+    }
+
+    /// Sends a request to the proxy at this address and waits for the response. Records both.
+    pub async fn send(&self, request: &ClientRequest, address: SocketAddr) -> Answer {
+        let mut exchange = Exchange {
+            client: self,
+            request,
+            address,
+            is_recorded: false,
+        };
+        let answer = exchange.run().await;
+        self.event_log.record(Event::RequestAnswered {
+            request_id: request.request_id,
+            answer,
+        });
+        answer
+    }
+
+    fn clock(&self) -> &Clock {
+        &self.event_log.clock
+    }
+
+    /// Takes an idle connection out of the pool.
+    fn pooled_connection(&self, address: SocketAddr) -> Option<Peer> {
+        let mut idle = self.idle.borrow_mut();
+        let peers = idle.get_mut(&address)?;
+        // A connection that was closed or received bytes while it was idle can't be used.
+        while let Some(mut peer) = peers.pop() {
+            if peer.state() == ConnectionState::Open {
+                return Some(peer);
+            }
+        }
+        None
+    }
+}
+
+/// Result of a request on one connection.
+enum ConnectionOutcome {
+    /// The request has its answer, or will have none.
+    Answered(Answer),
+    /// A pooled connection was closed while the request was written: the proxy never read it.
+    ClosedBeforeRead,
+}
+
+/// One request on its way, over a pooled connection, a new one or both.
+struct Exchange<'a> {
+    client: &'a Client,
+    request: &'a ClientRequest,
+    address: SocketAddr,
+    /// Whether the request is recorded as sent. It is recorded once, even if two connections are used.
+    is_recorded: bool,
+}
+
+impl Exchange<'_> {
+    async fn run(&mut self) -> Answer {
+        if let Some(peer) = self.client.pooled_connection(self.address)
+            && let ConnectionOutcome::Answered(answer) = self.send_on(peer, true).await
+        {
+            return answer;
+        }
+        let connecting = timeout(CONNECT_TIMEOUT, Peer::connect(self.address));
+        let Ok(Ok(peer)) = connecting.await else {
+            // A proxy that closed the pooled connection is gone; what it had read is unknown.
+            let answer = match self.is_recorded {
+                true => Answer::Lost,
+                false => Answer::Unreachable,
+            };
+            self.record_sent();
+            return answer;
+        };
+        match self.send_on(peer, false).await {
+            ConnectionOutcome::Answered(answer) => answer,
+            ConnectionOutcome::ClosedBeforeRead => Answer::Lost,
+        }
+    }
+
+    fn record_sent(&mut self) {
+        if std::mem::replace(&mut self.is_recorded, true) {
+            return;
+        }
+        self.client.event_log.record(Event::RequestSent {
+            request_id: self.request.request_id,
+            rpc: self.request.rpc,
+            proxy: self.request.proxy,
+            client_timeout: self.request.client_timeout as f32,
+        });
+    }
+
+    /// Sends all pieces of a slow request but the last, which it returns. Of other requests it returns all bytes.
+    async fn send_early_pieces<'b>(&self, peer: &mut Peer, bytes: &'b [u8]) -> &'b [u8] {
+        let Some(slow_send) = self.request.slow_send else {
+            return bytes;
+        };
+        let clock = self.client.clock();
+        let size = bytes.len().div_ceil(slow_send.pieces.max(1)).max(1);
+        let (early, last) = bytes.split_at((bytes.len() - 1) / size * size);
+        for piece in early.chunks(size) {
+            let _ = peer.write(piece).await;
+            let next_piece_at = clock.now() + slow_send.pause_seconds;
+            clock.sleep_until(next_piece_at).await;
+        }
+        last
+    }
+
+    /// Sends the request on a connection and reads the response.
+    async fn send_on(&mut self, mut peer: Peer, is_pooled: bool) -> ConnectionOutcome {
+        let bytes = self.request.encode();
+        let last_piece = self.send_early_pieces(&mut peer, &bytes).await;
+        // A proxy that closed the connection meanwhile never received the complete request.
+        let is_closed = self.request.slow_send.is_some() && peer.state() == ConnectionState::Closed;
+        // Recorded before the last bytes leave: no attempt at a backend may precede its request in the log.
+        self.record_sent();
+        if is_closed {
+            return ConnectionOutcome::Answered(Answer::Unreachable);
+        }
+        let sent_at = self.client.clock().now();
+        // An error of the write shows when the response is read.
+        let _ = peer.write(last_piece).await;
+        match self.read_response(&mut peer, sent_at).await {
+            Err(answer) => ConnectionOutcome::Answered(answer),
+            Ok(Ok(message)) => ConnectionOutcome::Answered(self.finish(peer, &message)),
+            Ok(Err(ReadError::Malformed)) => ConnectionOutcome::Answered(Answer::Malformed),
+            // The proxy closed an idle connection at the moment of the send. After that time it may have read the
+            // request, and only the client's retry rules say whether it is sent again.
+            Ok(Err(ReadError::Closed | ReadError::Broken))
+                if is_pooled
+                    && peer.has_no_buffered_bytes()
+                    && self.client.clock().now() < sent_at + CROSSED_CLOSE_SECONDS =>
+            {
+                ConnectionOutcome::ClosedBeforeRead
+            }
+            Ok(Err(_)) => ConnectionOutcome::Answered(Answer::Lost),
+        }
+    }
+
+    /// Reads the response; an error is the answer of a client that stopped waiting for it.
+    async fn read_response(
+        &self,
+        peer: &mut Peer,
+        sent_at: f64,
+    ) -> Result<Result<Message, ReadError>, Answer> {
+        let clock = self.client.clock();
+        let cancel_at = self
+            .request
+            .cancel_after
+            .map_or(f64::INFINITY, |after| sent_at + after);
+        let give_up_at = sent_at + self.request.client_timeout + LATE_RESPONSE_SECONDS;
+        select! {
+            biased;
+            read = peer.read(MessageKind::Response, clock) => Ok(read),
+            () = clock.sleep_until(give_up_at.min(cancel_at)) => {
+                Err(if cancel_at <= give_up_at { Answer::Cancelled } else { Answer::TimedOut })
+            }
+        }
+    }
+
+    /// Classifies a response and returns the connection to the pool if it can be used again.
+    fn finish(&self, mut peer: Peer, message: &Message) -> Answer {
+        match peer.state() {
+            ConnectionState::UnexpectedBytes => return Answer::Malformed,
+            ConnectionState::Open if !message.is_last() => {
+                let mut idle = self.client.idle.borrow_mut();
+                idle.entry(self.address).or_default().push(peer);
+            }
+            ConnectionState::Open | ConnectionState::Closed => {}
+        }
+        classify(self.request, message)
+    }
+}
+
+/// The answer that a response stands for. A response with status 200 must carry the id of its own request.
+fn classify(request: &ClientRequest, message: &Message) -> Answer {
+    match message.status {
+        200 => {
+            let expected = format!("{:016x} ", request.request_id);
+            match message.body.starts_with(expected.as_bytes()) {
+                true => Answer::Ok,
+                false => Answer::Malformed,
+            }
+        }
+        429 | 503 => {
+            let retry_after = message.header("retry-after");
+            Answer::Rejected(retry_after.and_then(|value| value.parse().ok()))
+        }
+        status => Answer::Aborted(status),
+    }
+}
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/discovery_service.rs
@@ -1,7 +1,7 @@
 //! The list service: which nodes there are and how they do, told whole or as changes, to each proxy at an address of its
 //! own, so that it knows to whom it has told what.
-use crate::notes::Notes;
-use crate::wire::{Kind, Message, Peer, listen, response};
+use crate::event_log::EventLog;
+use crate::wire::{Message, MessageKind, Peer, listen, response};
 use birchhub_audit::{EndpointState, Event};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -22,30 +22,30 @@
 
 /// What the list says of a node.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct Endpoint {
     pub name: String,
     pub zone: String,
     pub rack: u64,
     pub machine: String,
     pub capacity: f64,
     /// Its address for each proxy.
-    pub doors: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     pub state: EndpointState,
     pub incarnation: u32,
     /// When it last started, Unix time in ms; 0 for long ago.
     pub boot_ms: f64,
 }
 
-impl Line {
+impl Endpoint {
     /// As it is told to a proxy.
-    pub fn told(&self, proxy: u16) -> Value {
+    pub fn to_json(&self, proxy: u16) -> Value {
         let state = match self.state {
             EndpointState::Ready => "Ready",
             EndpointState::Draining => "Terminating",
             EndpointState::Gone => "Gone",
         };
         let endpoint = self
-            .doors
+            .addresses
             .get(proxy as usize)
             .map(ToString::to_string)
             .unwrap_or_default();
@@ -56,30 +56,30 @@
 
 /// The list at one version.
 #[derive(Clone, Debug, Default)]
-struct Copy {
+struct EndpointListSnapshot {
     version: u64,
     /// Every node that ever was, with the version at which it last changed.
-    lines: BTreeMap<u32, (u64, Line)>,
+    lines: BTreeMap<u32, (u64, Endpoint)>,
 }
 
 /// How the service fares, for all proxies or for one.
 #[derive(Default)]
-struct Weather {
+struct FaultState {
     down: usize,
     /// Proxies that get an old copy, each with the copy and how often that was asked for.
-    stale: HashMap<u16, (usize, Copy)>,
+    stale: HashMap<u16, (usize, EndpointListSnapshot)>,
 }
 
 /// How many calls the service works on at a time, and how long on each. It refuses more with 503; a watch that waits
 /// for something new is none of them, and is answered in its turn.
 #[derive(Clone, Debug)]
-pub struct Capacity {
+pub struct ServiceCapacity {
     slots: Rc<Semaphore>,
     call: Duration,
     line: Duration,
 }
 
-impl Capacity {
+impl ServiceCapacity {
     /// `calls` at a time, of `call` each and `line` more for each line that is told.
     pub fn new(calls: usize, call: Duration, line: Duration) -> Self {
         Self {
@@ -90,35 +90,35 @@
     }
 }
 
-pub struct ListService {
-    notes: Notes,
-    doors: Vec<SocketAddr>,
-    now: RefCell<Copy>,
-    weather: RefCell<Weather>,
+pub struct DiscoveryService {
+    event_log: EventLog,
+    addresses: Vec<SocketAddr>,
+    now: RefCell<EndpointListSnapshot>,
+    fault_state: RefCell<FaultState>,
     /// What each proxy was told last of each node.
     told: RefCell<HashMap<(u16, u32), (u32, EndpointState)>>,
     changed: watch::Sender<u64>,
     calls: Cell<u64>,
     refused: Cell<u64>,
-    capacity: RefCell<Option<Capacity>>,
+    capacity: RefCell<Option<ServiceCapacity>>,
 }
 
-impl ListService {
+impl DiscoveryService {
     /// Begins to listen, on the IP that is given for each proxy.
-    pub fn start(notes: Notes, doors: &[IpAddr]) -> io::Result<Rc<Self>> {
-        let listeners = doors
+    pub fn start(event_log: EventLog, addresses: &[IpAddr]) -> io::Result<Rc<Self>> {
+        let listeners = addresses
             .iter()
             .map(|ip| listen((*ip, 0).into(), BACKLOG))
             .collect::<io::Result<Vec<_>>>()?;
-        let doors = listeners
+        let addresses = listeners
             .iter()
             .map(TcpListener::local_addr)
             .collect::<io::Result<_>>()?;
         let service = Rc::new(Self {
-            notes,
-            doors,
+            event_log,
+            addresses,
             now: RefCell::default(),
-            weather: RefCell::default(),
+            fault_state: RefCell::default(),
             told: RefCell::default(),
             changed: watch::channel(0).0,
             calls: Cell::new(0),
@@ -131,22 +131,22 @@
         Ok(service)
     }
 
-    pub fn door(&self, proxy: u16) -> Option<SocketAddr> {
-        self.doors.get(proxy as usize).copied()
+    pub fn address(&self, proxy: u16) -> Option<SocketAddr> {
+        self.addresses.get(proxy as usize).copied()
     }
 
     /// Calls answered so far.
-    pub fn calls(&self) -> u64 {
+    pub fn answered_calls(&self) -> u64 {
         self.calls.get()
     }
 
     /// Calls refused so far for want of room.
-    pub fn refused(&self) -> u64 {
+    pub fn rejected_calls(&self) -> u64 {
         self.refused.get()
     }
 
     /// It takes only so many calls at a time from now on.
-    pub fn limit(&self, capacity: Capacity) {
+    pub fn set_capacity(&self, capacity: ServiceCapacity) {
         self.capacity.replace(Some(capacity));
     }
 
@@ -155,8 +155,8 @@
     }
 
     /// A node is now so. Proxies that watch are told.
-    pub fn change(&self, node: u32, line: Line) {
-        self.notes.tell(Event::EndpointChanged {
+    pub fn update_endpoint(&self, node: u32, line: Endpoint) {
+        self.event_log.record(Event::EndpointChanged {
             backend: node,
             incarnation: line.incarnation,
             state: line.state,
@@ -171,46 +171,46 @@
 
     /// It fails every call from now on, or answers again.
     pub fn set_down(&self, down: bool) {
-        let mut weather = self.weather.borrow_mut();
-        weather.down = if down {
-            weather.down + 1
+        let mut fault_state = self.fault_state.borrow_mut();
+        fault_state.down = if down {
+            fault_state.down + 1
         } else {
-            weather.down.saturating_sub(1)
+            fault_state.down.saturating_sub(1)
         };
-        drop(weather);
+        drop(fault_state);
         self.wake();
     }
 
     /// A proxy gets the copy of this moment from now on, or the true list again.
     pub fn set_stale(&self, proxy: u16, stale: bool) {
-        let mut weather = self.weather.borrow_mut();
+        let mut fault_state = self.fault_state.borrow_mut();
         if stale {
             let copy = self.now.borrow().clone();
-            weather.stale.entry(proxy).or_insert((0, copy)).0 += 1;
-        } else if let Some(slot) = weather.stale.get_mut(&proxy) {
+            fault_state.stale.entry(proxy).or_insert((0, copy)).0 += 1;
+        } else if let Some(slot) = fault_state.stale.get_mut(&proxy) {
             slot.0 -= 1;
             if slot.0 == 0 {
-                weather.stale.remove(&proxy);
+                fault_state.stale.remove(&proxy);
             }
         }
-        drop(weather);
+        drop(fault_state);
         self.wake();
     }
 
     fn is_down(&self) -> bool {
-        self.weather.borrow().down > 0
+        self.fault_state.borrow().down > 0
     }
 
     /// The list as a proxy gets it.
-    fn copy<R>(&self, proxy: u16, look: impl FnOnce(&Copy) -> R) -> R {
-        match self.weather.borrow().stale.get(&proxy) {
+    fn copy<R>(&self, proxy: u16, look: impl FnOnce(&EndpointListSnapshot) -> R) -> R {
+        match self.fault_state.borrow().stale.get(&proxy) {
             Some((_, copy)) => look(copy),
             None => look(&self.now.borrow()),
         }
     }
 
     /// The whole list for a proxy that starts, noted as told.
-    pub fn known(&self, proxy: u16) -> Value {
+    pub fn initial_snapshot(&self, proxy: u16) -> Value {
         let (body, told) = self.body(proxy, None);
         self.note(proxy, true, told);
         body
@@ -219,14 +219,14 @@
     /// What an answer to a proxy says: all of it, or what has changed since a version.
     fn body(&self, proxy: u16, from: Option<u64>) -> (Value, Vec<(u32, u32, EndpointState)>) {
         self.copy(proxy, |copy| {
-            let wanted = |(_, (version, line)): &(&u32, &(u64, Line))| match from {
+            let wanted = |(_, (version, line)): &(&u32, &(u64, Endpoint))| match from {
                 None => line.state != EndpointState::Gone,
                 Some(from) => *version > from,
             };
             let lines: Vec<_> = copy.lines.iter().filter(wanted).collect();
             let targets: Vec<_> = lines
                 .iter()
-                .map(|(_, (_, line))| line.told(proxy))
+                .map(|(_, (_, line))| line.to_json(proxy))
                 .collect();
             let told = lines
                 .iter()
@@ -253,7 +253,7 @@
         }
         for (node, incarnation, state) in news {
             if known.insert((proxy, node), (incarnation, state)) != Some((incarnation, state)) {
-                self.notes.tell(Event::ProxyNotified {
+                self.event_log.record(Event::ProxyNotified {
                     proxy,
                     backend: node,
                     incarnation,
@@ -264,7 +264,7 @@
     }
 
     /// A proxy starts again and remembers nothing.
-    pub fn forget(&self, proxy: u16) {
+    pub fn forget_proxy(&self, proxy: u16) {
         self.told.borrow_mut().retain(|(p, _), _| *p != proxy);
     }
 
@@ -285,10 +285,10 @@
 
     #[expect(clippy::too_many_lines)]
     async fn connection(self: Rc<Self>, proxy: u16, mut peer: Peer) {
-        let clock = self.notes.clock;
+        let clock = self.event_log.clock;
         loop {
             let message = select! {
-                message = peer.read(Kind::Request, &clock) => message,
+                message = peer.read(MessageKind::Request, &clock) => message,
                 () = self.until_down() => return peer.reset(),
             };
             let Ok(message) = message else { return };
@@ -321,7 +321,7 @@
                 select! {
                     () = self.until_newer(proxy, from, hold) => {}
                     () = self.until_down() => return peer.reset(),
-                    () = peer.ended() => return,
+                    () = peer.closed() => return,
                 }
             }
             // A version it never gave is one of another service, or of the future: then all is told.
--- a/crates/emulator/src/notes.rs
+++ b/crates/emulator/src/event_log.rs
@@ -8,23 +8,23 @@
 /// A way into the ledger, one for each thread or task. When the ledger can't keep up, telling waits, and the kit's own
 /// lateness shows it.
 #[derive(Clone)]
-pub struct Notes {
+pub struct EventLog {
     pub clock: Clock,
     to: SyncSender<Entry>,
 }
 
-impl Notes {
+impl EventLog {
     pub fn new(clock: Clock) -> (Self, Receiver<Entry>) {
         let (to, entries) = sync_channel(WAITING);
         (Self { clock, to }, entries)
     }
 
     /// It happens now.
-    pub fn tell(&self, event: Event) {
-        self.tell_at(self.clock.now(), event);
+    pub fn record(&self, event: Event) {
+        self.record_at(self.clock.now(), event);
     }
 
-    pub fn tell_at(&self, at: f64, event: Event) {
+    pub fn record_at(&self, at: f64, event: Event) {
         // A ledger that has ended keeps nothing more; what ends with it need not know.
         let _ = self.to.send(Entry { at, event });
     }
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,5 +1,5 @@
 //! What the nodes of a fleet share: what RPCs cost, which keys have run, and numbers for picks and incarnations.
-use crate::notes::Notes;
+use crate::event_log::EventLog;
 use birchhub_audit::Idempotency;
 use birchhub_backend_model::{DeduplicationCache, IdempotencyKey, Work, work};
 use rand::Rng;
@@ -7,10 +7,10 @@
 
 /// What a method costs at a node, and which nodes drop its repeats.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Cost {
+pub struct MethodCost {
     pub name: String,
     pub work: Work,
-    pub kind: Idempotency,
+    pub idempotency: Idempotency,
 }
 
 /// The RPC behind a client's try: its tries have ids that differ in the last byte.
@@ -25,14 +25,14 @@
 
 /// Shared by all nodes of one thread.
 pub struct Fleet {
-    pub notes: Notes,
+    pub event_log: EventLog,
     pub seed: u64,
-    pub costs: Vec<Cost>,
+    pub costs: Vec<MethodCost>,
     /// Work of a probe, s of a standard core.
-    pub probe_work: f64,
+    pub probe_work_seconds: f64,
     /// Whether answers, probes, or neither carry reports.
-    pub reports_in_answers: bool,
-    pub probes: bool,
+    pub reports_in_responses: bool,
+    pub answers_probes: bool,
     pub deduplication: RefCell<DeduplicationCache>,
     /// How much slower each method is now: 1 is as usual.
     slow: RefCell<Vec<f64>>,
@@ -41,15 +41,15 @@
 }
 
 impl Fleet {
-    pub fn new(notes: Notes, seed: u64, costs: Vec<Cost>) -> Self {
+    pub fn new(event_log: EventLog, seed: u64, costs: Vec<MethodCost>) -> Self {
         let slow = RefCell::new(vec![1.0; costs.len()]);
         Self {
-            notes,
+            event_log,
             seed,
             costs,
-            probe_work: 0.0,
-            reports_in_answers: true,
-            probes: true,
+            probe_work_seconds: 0.0,
+            reports_in_responses: true,
+            answers_probes: true,
             deduplication: RefCell::default(),
             slow,
             next_attempt_id: Cell::new(1),
@@ -85,7 +85,7 @@
         let method = self.costs.iter().position(|c| c.name == class)?;
         let cost = &self.costs[method];
         let drawn = cost.work.sample(self.seed, u64::from(rpc_of(request_id)));
-        let idempotency_key = match (cost.kind, key) {
+        let idempotency_key = match (cost.idempotency, key) {
             (Idempotency::Deduplicated { group, window }, Some(key)) => {
                 // FNV-1a: keys are texts of the client's own.
                 let fold =
@@ -100,7 +100,7 @@
     }
 
     /// Chance that depends on the seed, a purpose and an RPC's try alone: whether a share is hit.
-    pub fn hits(&self, purpose: u64, request_id: u64, share: f64) -> bool {
+    pub fn is_selected(&self, purpose: u64, request_id: u64, share: f64) -> bool {
         share > 0.0 && work::generator(self.seed ^ purpose, request_id).random::<f64>() < share
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,26 +1,27 @@
-//! Stand-ins on loopback sockets for what stands around a proxy: api nodes (the model of `birchhub-backend-model`, served
-//! over HTTP/1.1), the list service, and clients' connections, with faults at the socket on demand. Everything
-//! runs on one thread's runtime, many nodes to a thread; work is waited for, not burnt. What happens is told
-//! to a `Notes`, which keeps it for the ledger.
+//! Emulates the environment of a proxy on loopback sockets, for tests and rehearsals.
+//!
+//! It has backends (the model of `birchhub-backend-model` served over HTTP/1.1), the discovery service, clients and a
+//! fault-injecting relay. All emulated backends share one thread: an execution waits on a timer and uses no processor time.
+//! Every event is recorded in an [`EventLog`], from which the ledger is written.
 #![expect(
     missing_docs,
     reason = "docs/ROADMAP.md lists the crates that are not documented yet"
 )]
 
-pub mod caller;
+pub mod backend;
+pub mod client;
 pub mod clock;
+pub mod discovery_service;
+pub mod event_log;
 pub mod faults;
 pub mod fleet;
-pub mod list;
-pub mod node;
-pub mod notes;
 pub mod relay;
 pub mod wire;
 
-pub use caller::{Call, Caller};
+pub use backend::{BackendSpec, EmulatedBackend};
+pub use client::{Client, ClientRequest, SlowSend};
 pub use clock::Clock;
-pub use faults::{Fault, Faults};
-pub use fleet::{Cost, Fleet};
-pub use list::ListService;
-pub use node::{NodeHost, Place};
-pub use notes::Notes;
+pub use discovery_service::DiscoveryService;
+pub use event_log::EventLog;
+pub use faults::{ActiveFaults, Fault};
+pub use fleet::{Fleet, MethodCost};
--- a/crates/emulator/src/wire.rs
+++ b/crates/emulator/src/wire.rs
@@ -16,9 +16,9 @@
 pub struct Message {
     /// When its first byte came, and its last, s.
     pub first_byte_at: f64,
-    pub whole: f64,
+    pub complete_at: f64,
     /// Of a request.
-    pub verb: String,
+    pub http_method: String,
     pub path: String,
     /// Of a response.
     pub status: u16,
@@ -52,57 +52,57 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     Request,
     Response,
 }
 
 /// How reading ended without a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum ReadError {
     /// Closed between messages.
     Closed,
     /// Broken in the middle of one, or by a reset.
     Broken,
     /// What came is no HTTP/1.1 message, or too large.
-    Garbled,
+    Malformed,
 }
 
 /// What stands behind the last message on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rest {
+pub enum ConnectionState {
     Open,
-    Ended,
+    Closed,
     /// Bytes that no message accounts for.
-    Bytes,
+    UnexpectedBytes,
 }
 
-/// A connection, and what was read ahead on it.
+/// One side of an HTTP/1.1 connection with its read buffer.
 #[derive(Debug)]
 pub struct Peer {
     stream: TcpStream,
-    ahead: Vec<u8>,
-    /// When the first byte of `ahead` came.
-    since: f64,
+    buffer: Vec<u8>,
+    /// When the first byte of `buffer` came.
+    first_byte_at: f64,
     /// Messages read so far.
     pub messages: usize,
 }
 
 /// Reads a head; `None` while it is not whole. The length of the head and of the body go with it.
-fn parse(kind: Kind, bytes: &[u8]) -> Result<Option<(Message, usize, usize)>, Stop> {
+fn parse(kind: MessageKind, bytes: &[u8]) -> Result<Option<(Message, usize, usize)>, ReadError> {
     let mut slots = [httparse::EMPTY_HEADER; HEADERS_MOST];
     let mut message = Message::default();
     let (status, headers) = match kind {
-        Kind::Request => {
+        MessageKind::Request => {
             let mut head = httparse::Request::new(&mut slots);
-            let status = head.parse(bytes).map_err(|_| Stop::Garbled)?;
-            message.verb = head.method.unwrap_or_default().to_owned();
+            let status = head.parse(bytes).map_err(|_| ReadError::Malformed)?;
+            message.http_method = head.method.unwrap_or_default().to_owned();
             message.path = head.path.unwrap_or_default().to_owned();
             (status, head.headers)
         }
-        Kind::Response => {
+        MessageKind::Response => {
             let mut head = httparse::Response::new(&mut slots);
-            let status = head.parse(bytes).map_err(|_| Stop::Garbled)?;
+            let status = head.parse(bytes).map_err(|_| ReadError::Malformed)?;
             message.status = head.code.unwrap_or_default();
             (status, head.headers)
         }
@@ -119,7 +119,7 @@
     let body = message
         .header("content-length")
         .map_or(Ok(0), str::parse)
-        .map_err(|_| Stop::Garbled)?;
+        .map_err(|_| ReadError::Malformed)?;
     Ok(Some((message, length, body)))
 }
 
@@ -129,8 +129,8 @@
         let _ = stream.set_nodelay(true);
         Self {
             stream,
-            ahead: Vec::new(),
-            since: 0.0,
+            buffer: Vec::new(),
+            first_byte_at: 0.0,
             messages: 0,
         }
     }
@@ -140,74 +140,74 @@
     }
 
     /// Reads more; `Closed` at the end of the stream.
-    async fn fill(&mut self, clock: &Clock) -> Result<(), Stop> {
-        let empty = self.ahead.is_empty();
-        let read = self.stream.read_buf(&mut self.ahead).await;
+    async fn fill(&mut self, clock: &Clock) -> Result<(), ReadError> {
+        let empty = self.buffer.is_empty();
+        let read = self.stream.read_buf(&mut self.buffer).await;
         if empty {
-            self.since = clock.now();
+            self.first_byte_at = clock.now();
         }
         match read {
-            Ok(0) if empty => Err(Stop::Closed),
-            Ok(0) | Err(_) => Err(Stop::Broken),
+            Ok(0) if empty => Err(ReadError::Closed),
+            Ok(0) | Err(_) => Err(ReadError::Broken),
             Ok(_) => Ok(()),
         }
     }
 
     /// Reads a message whole.
-    pub async fn read(&mut self, kind: Kind, clock: &Clock) -> Result<Message, Stop> {
+    pub async fn read(&mut self, kind: MessageKind, clock: &Clock) -> Result<Message, ReadError> {
         let (mut message, head, body) = loop {
-            if let Some(parsed) = parse(kind, &self.ahead)? {
+            if let Some(parsed) = parse(kind, &self.buffer)? {
                 break parsed;
             }
-            if self.ahead.len() > HEAD_MOST {
-                return Err(Stop::Garbled);
+            if self.buffer.len() > HEAD_MOST {
+                return Err(ReadError::Malformed);
             }
             self.fill(clock).await?;
         };
         if body > BODY_MOST {
-            return Err(Stop::Garbled);
+            return Err(ReadError::Malformed);
         }
-        message.first_byte_at = self.since;
-        while self.ahead.len() < head + body {
+        message.first_byte_at = self.first_byte_at;
+        while self.buffer.len() < head + body {
             self.fill(clock).await?;
         }
-        message.whole = clock.now();
-        message.body = self.ahead[head..head + body].to_vec();
-        self.ahead.drain(..head + body);
-        self.since = message.whole;
+        message.complete_at = clock.now();
+        message.body = self.buffer[head..head + body].to_vec();
+        self.buffer.drain(..head + body);
+        self.first_byte_at = message.complete_at;
         self.messages += 1;
         Ok(message)
     }
 
-    /// Waits until the other side ends the connection; what it sends meanwhile is kept.
-    pub async fn ended(&mut self) {
+    /// Waits until the peer closes the connection. Bytes received meanwhile are buffered.
+    pub async fn closed(&mut self) {
         loop {
-            match self.stream.read_buf(&mut self.ahead).await {
+            match self.stream.read_buf(&mut self.buffer).await {
                 Ok(0) | Err(_) => return,
-                // More than one message ahead is no peer of ours.
-                Ok(_) if self.ahead.len() > HEAD_MOST + BODY_MOST => return,
+                // A peer that sends more than one message ahead violates the protocol.
+                Ok(_) if self.buffer.len() > HEAD_MOST + BODY_MOST => return,
                 Ok(_) => {}
             }
         }
     }
 
     /// What stands behind the last message, as far as it has come.
-    pub fn rest(&mut self) -> Rest {
-        if !self.ahead.is_empty() {
-            return Rest::Bytes;
+    pub fn state(&mut self) -> ConnectionState {
+        if !self.buffer.is_empty() {
+            return ConnectionState::UnexpectedBytes;
         }
         // Asks the system itself: the runtime's word may be older than an end that has come.
         match socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
-            Ok(0) => Rest::Ended,
-            Ok(_) => Rest::Bytes,
-            Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => Rest::Open,
-            Err(_) => Rest::Ended,
+            Ok(0) => ConnectionState::Closed,
+            Ok(_) => ConnectionState::UnexpectedBytes,
+            Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => ConnectionState::Open,
+            Err(_) => ConnectionState::Closed,
         }
     }
 
-    /// No byte of a message has come since the last one.
-    pub fn is_blank(&self) -> bool {
-        self.ahead.is_empty()
+    /// Whether no byte was received since the last message.
+    pub fn has_no_buffered_bytes(&self) -> bool {
+        self.buffer.is_empty()
     }
 
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
--- a/crates/emulator/tests/stand_ins.rs
+++ b/crates/emulator/tests/emulator.rs
@@ -2,11 +2,12 @@
 use birchhub_audit::event::{Admission, AttemptEnd};
 use birchhub_audit::{Answer, DeduplicationScope, EndpointState, Entry, Event, Idempotency};
 use birchhub_backend_model::{Spec, Start, Work, work::Spread};
+use birchhub_emulator::discovery_service::{Endpoint, ServiceCapacity};
 use birchhub_emulator::fleet::request_id_of;
-use birchhub_emulator::list::{Capacity, Line};
-use birchhub_emulator::wire::{self, Kind, Message, Peer, Stop};
+use birchhub_emulator::wire::{self, Message, MessageKind, Peer, ReadError};
 use birchhub_emulator::{
-    Call, Caller, Clock, Cost, Fault, Fleet, ListService, NodeHost, Notes, Place,
+    BackendSpec, Client, ClientRequest, Clock, DiscoveryService, EmulatedBackend, EventLog, Fault,
+    Fleet, MethodCost,
 };
 use serde_json::Value;
 use std::future::Future;
@@ -21,27 +22,27 @@
 const HOME: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
 
 /// Runs a test on one thread, as stand-ins run.
-fn on_one_thread<F: Future<Output = ()>>(test: impl FnOnce(Notes, Receiver<Entry>) -> F) {
+fn on_one_thread<F: Future<Output = ()>>(test: impl FnOnce(EventLog, Receiver<Entry>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let (notes, entries) = Notes::new(Clock::starting_in(Duration::ZERO));
-        timeout(PATIENCE, test(notes, entries))
+        let (event_log, entries) = EventLog::new(Clock::starting_in(Duration::ZERO));
+        timeout(PATIENCE, test(event_log, entries))
             .await
             .expect("in time");
     });
 }
 
-fn node(notes: &Notes, work: f64) -> Rc<NodeHost> {
-    let constant = |name: &str, kind| Cost {
+fn node(event_log: &EventLog, work: f64) -> Rc<EmulatedBackend> {
+    let constant = |name: &str, kind| MethodCost {
         name: name.into(),
         work: Work {
             mean: work,
             spread: Spread::Constant,
         },
-        kind,
+        idempotency: kind,
     };
     let log = Idempotency::Deduplicated {
         group: DeduplicationScope::All,
@@ -51,7 +52,7 @@
         constant("read", Idempotency::Idempotent),
         constant("log", log),
     ];
-    let fleet = Rc::new(Fleet::new(notes.clone(), 1, costs));
+    let fleet = Rc::new(Fleet::new(event_log.clone(), 1, costs));
     let spec = Spec {
         cores: 1,
         speed: 1.0,
@@ -65,27 +66,29 @@
         connections: 4,
         connection_work: 0.0,
     };
-    let place = Place {
+    let place = BackendSpec {
         index: 0,
         name: "n0".into(),
         zone: 0,
         rack: 0,
-        spec,
-        idle_limit: 30.0,
+        model: spec,
+        idle_timeout_seconds: 30.0,
     };
-    NodeHost::new(place, fleet, &[HOME, HOME]).expect("addresses")
+    EmulatedBackend::new(place, fleet, &[HOME, HOME]).expect("addresses")
 }
 
 /// A node that has started and is warm.
-fn warm_node(notes: &Notes, work: f64) -> Rc<NodeHost> {
-    let node = node(notes, work);
+fn warm_node(event_log: &EventLog, work: f64) -> Rc<EmulatedBackend> {
+    let node = node(event_log, work);
     node.start(Start::Warm).expect("a start");
     node
 }
 
-fn request(verb: &str, path: &str, request_id: u64, more: &str) -> Vec<u8> {
-    format!("{verb} {path} HTTP/1.1\r\nHost: n\r\nRequest-Id: {request_id:016x}\r\n{more}\r\n")
-        .into_bytes()
+fn request(http_method: &str, path: &str, request_id: u64, more: &str) -> Vec<u8> {
+    format!(
+        "{http_method} {path} HTTP/1.1\r\nHost: n\r\nRequest-Id: {request_id:016x}\r\n{more}\r\n"
+    )
+    .into_bytes()
 }
 
 /// A proxy's connection to a node.
@@ -95,13 +98,13 @@
 }
 
 impl Connection {
-    async fn open(node: &NodeHost, notes: &Notes, proxy: u16) -> Self {
-        let peer = Peer::connect(node.door(proxy).expect("a door"))
+    async fn open(node: &EmulatedBackend, event_log: &EventLog, proxy: u16) -> Self {
+        let peer = Peer::connect(node.address(proxy).expect("an address"))
             .await
             .expect("a connection");
         Self {
             peer,
-            clock: notes.clock,
+            clock: event_log.clock,
         }
     }
     async fn send(&mut self, request_id: u64) {
@@ -110,10 +113,10 @@
             .await
             .expect("a send");
     }
-    async fn answer(&mut self) -> Result<Message, Stop> {
-        self.peer.read(Kind::Response, &self.clock).await
+    async fn answer(&mut self) -> Result<Message, ReadError> {
+        self.peer.read(MessageKind::Response, &self.clock).await
     }
-    async fn call(&mut self, request_id: u64) -> Result<Message, Stop> {
+    async fn call(&mut self, request_id: u64) -> Result<Message, ReadError> {
         self.send(request_id).await;
         self.answer().await
     }
@@ -144,9 +147,9 @@
 
 #[test]
 fn an_rpc_runs_and_its_response_reports_the_load() {
-    on_one_thread(|notes, entries| async move {
-        let node = warm_node(&notes, 0.005);
-        let mut connection = Connection::open(&node, &notes, 1).await;
+    on_one_thread(|event_log, entries| async move {
+        let node = warm_node(&event_log, 0.005);
+        let mut connection = Connection::open(&node, &event_log, 1).await;
         let answer = connection
             .call(request_id_of(7, 0))
             .await
@@ -185,9 +188,9 @@
 
 #[test]
 fn calls_other_than_rpcs_have_their_status() {
-    on_one_thread(|notes, _entries| async move {
-        let node = warm_node(&notes, 0.005);
-        let mut connection = Connection::open(&node, &notes, 1).await;
+    on_one_thread(|event_log, _entries| async move {
+        let node = warm_node(&event_log, 0.005);
+        let mut connection = Connection::open(&node, &event_log, 1).await;
         for (path, status) in [("/stats", 200), ("/health/live", 200), ("/nothing", 404)] {
             connection
                 .peer
@@ -211,11 +214,11 @@
 
 #[test]
 fn a_full_or_draining_node_responds_not_started() {
-    on_one_thread(|notes, _entries| async move {
-        let node = warm_node(&notes, 60.0);
+    on_one_thread(|event_log, _entries| async move {
+        let node = warm_node(&event_log, 60.0);
         let mut connections = Vec::new();
         for request_id in 0..4 {
-            let mut connection = Connection::open(&node, &notes, 0).await;
+            let mut connection = Connection::open(&node, &event_log, 0).await;
             connection.send(request_id).await;
             while request_id < 2 && node.in_flight() <= request_id as usize {
                 sleep(Duration::from_millis(1)).await;
@@ -231,7 +234,7 @@
             );
         }
         // A fifth connection is one too many, and is refused.
-        let mut fifth = Connection::open(&node, &notes, 0).await;
+        let mut fifth = Connection::open(&node, &event_log, 0).await;
         assert_eq!(
             fifth
                 .call(9)
@@ -240,13 +243,13 @@
                 .header("not-started"),
             Some("1")
         );
-        assert_eq!(fifth.answer().await.err(), Some(Stop::Closed));
+        assert_eq!(fifth.answer().await.err(), Some(ReadError::Closed));
         drop(connections);
         while !node.is_idle() {
             sleep(Duration::from_millis(1)).await;
         }
         node.drain();
-        let mut connection = Connection::open(&node, &notes, 0).await;
+        let mut connection = Connection::open(&node, &event_log, 0).await;
         assert_eq!(
             connection
                 .call(10)
@@ -260,9 +263,9 @@
 
 #[test]
 fn a_cancelled_attempt_is_noticed_and_its_work_stops() {
-    on_one_thread(|notes, entries| async move {
-        let node = warm_node(&notes, 60.0);
-        let mut connection = Connection::open(&node, &notes, 0).await;
+    on_one_thread(|event_log, entries| async move {
+        let node = warm_node(&event_log, 60.0);
+        let mut connection = Connection::open(&node, &event_log, 0).await;
         connection.send(1).await;
         await_event(&entries, |e| matches!(e, Event::ExecutionStarted { .. })).await;
         drop(connection);
@@ -282,18 +285,18 @@
 /// A crashed process resets its connections and refuses new ones; it restarts at the same address.
 #[test]
 fn a_crashed_node_resets_and_refuses_until_its_restart() {
-    on_one_thread(|notes, entries| async move {
-        let node = warm_node(&notes, 60.0);
+    on_one_thread(|event_log, entries| async move {
+        let node = warm_node(&event_log, 60.0);
         let (mut busy, mut idle) = (
-            Connection::open(&node, &notes, 0).await,
-            Connection::open(&node, &notes, 0).await,
+            Connection::open(&node, &event_log, 0).await,
+            Connection::open(&node, &event_log, 0).await,
         );
         busy.send(1).await;
         await_event(&entries, |e| matches!(e, Event::ExecutionStarted { .. })).await;
         node.crash();
         assert_eq!(
             (busy.answer().await.err(), idle.answer().await.is_err()),
-            (Some(Stop::Broken), true)
+            (Some(ReadError::Broken), true)
         );
         let left = await_event(&entries, is_left).await;
         assert!(
@@ -306,38 +309,58 @@
             ),
             "{left:?}"
         );
-        while Peer::connect(node.door(0).expect("a door")).await.is_ok() {
+        while Peer::connect(node.address(0).expect("an address"))
+            .await
+            .is_ok()
+        {
             sleep(Duration::from_millis(1)).await;
         }
         node.start(Start::Warm).expect("an incarnation");
-        Connection::open(&node, &notes, 0).await.send(2).await;
+        Connection::open(&node, &event_log, 0).await.send(2).await;
         await_event(&entries, |e| matches!(e, Event::ExecutionStarted { .. })).await;
     });
 }
 
+/// Faults, whether the RPC runs under them, and what the proxy reads.
+fn faults_and_effects() -> [(Fault, bool, Result<u16, ReadError>); 6] {
+    [
+        (
+            Fault::ConnectionReset { share: 1.0 },
+            true,
+            Err(ReadError::Broken),
+        ),
+        (
+            Fault::TruncatedResponse { share: 1.0 },
+            true,
+            Err(ReadError::Broken),
+        ),
+        (
+            Fault::MalformedResponse { share: 1.0 },
+            true,
+            Err(ReadError::Malformed),
+        ),
+        (Fault::ErrorResponse { share: 1.0 }, false, Ok(500)),
+        (
+            Fault::SlowResponse {
+                share: 1.0,
+                extra_seconds: 0.05,
+            },
+            true,
+            Ok(200),
+        ),
+        (Fault::ConnectionReset { share: 0.0 }, true, Ok(200)),
+    ]
+}
+
 #[test]
 fn each_fault_has_its_effect_on_the_connection() {
-    on_one_thread(|notes, entries| async move {
-        let node = warm_node(&notes, 0.001);
+    on_one_thread(|event_log, entries| async move {
+        let node = warm_node(&event_log, 0.001);
         let mut request_id = 0;
-        for (fault, runs, expected) in [
-            (Fault::Reset { share: 1.0 }, true, Err(Stop::Broken)),
-            (Fault::Half { share: 1.0 }, true, Err(Stop::Broken)),
-            (Fault::Garbage { share: 1.0 }, true, Err(Stop::Garbled)),
-            (Fault::Error { share: 1.0 }, false, Ok(500)),
-            (
-                Fault::Trickle {
-                    share: 1.0,
-                    over: 0.05,
-                },
-                true,
-                Ok(200),
-            ),
-            (Fault::Reset { share: 0.0 }, true, Ok(200)),
-        ] {
+        for (fault, runs, expected) in faults_and_effects() {
             request_id += 1;
             node.begin_fault(request_id, fault);
-            let mut connection = Connection::open(&node, &notes, 0).await;
+            let mut connection = Connection::open(&node, &event_log, 0).await;
             let got = connection
                 .call(request_id_of(request_id as u32, 0))
                 .await
@@ -361,10 +384,10 @@
 
 #[test]
 fn a_mute_node_answers_health_checks_only() {
-    on_one_thread(|notes, entries| async move {
-        let node = warm_node(&notes, 0.001);
-        node.begin_fault(1, Fault::Mute { share: 1.0 });
-        let mut connection = Connection::open(&node, &notes, 0).await;
+    on_one_thread(|event_log, entries| async move {
+        let node = warm_node(&event_log, 0.001);
+        node.begin_fault(1, Fault::NoResponse { share: 1.0 });
+        let mut connection = Connection::open(&node, &event_log, 0).await;
         connection.send(1).await;
         await_event(&entries, |e| {
             matches!(
@@ -376,7 +399,7 @@
             )
         })
         .await;
-        let mut probe = Connection::open(&node, &notes, 0).await;
+        let mut probe = Connection::open(&node, &event_log, 0).await;
         probe
             .peer
             .write(&request("GET", "/stats", 0, ""))
@@ -398,18 +421,18 @@
 /// Partitioned from one proxy: no answer there, service elsewhere, and a reset of all open connections at the end.
 #[test]
 fn a_partition_drops_packets_and_ends_with_resets() {
-    on_one_thread(|notes, _entries| async move {
-        let node = warm_node(&notes, 0.001);
-        let mut before = Connection::open(&node, &notes, 0).await;
+    on_one_thread(|event_log, _entries| async move {
+        let node = warm_node(&event_log, 0.001);
+        let mut before = Connection::open(&node, &event_log, 0).await;
         before.call(1).await.expect("an answer");
-        node.begin_fault(1, Fault::Partition { from: Some(0) });
+        node.begin_fault(1, Fault::Partition { proxy: Some(0) });
         before.send(2).await;
-        let mut during = Connection::open(&node, &notes, 0).await;
+        let mut during = Connection::open(&node, &event_log, 0).await;
         during.send(3).await;
         let silent = timeout(Duration::from_millis(100), during.answer()).await;
         assert!(silent.is_err(), "it answered: {silent:?}");
         assert_eq!(
-            Connection::open(&node, &notes, 1)
+            Connection::open(&node, &event_log, 1)
                 .await
                 .call(4)
                 .await
@@ -420,7 +443,7 @@
         node.end_fault(1);
         assert!(before.answer().await.is_err() && during.answer().await.is_err());
         assert_eq!(
-            Connection::open(&node, &notes, 0)
+            Connection::open(&node, &event_log, 0)
                 .await
                 .call(5)
                 .await
@@ -434,12 +457,12 @@
 /// A stopped process answers nothing; requests of that time are served afterwards, with their time of arrival.
 #[test]
 fn a_stalled_node_serves_requests_after_the_stall() {
-    on_one_thread(|notes, entries| async move {
-        let node = warm_node(&notes, 0.001);
+    on_one_thread(|event_log, entries| async move {
+        let node = warm_node(&event_log, 0.001);
         node.begin_stall(1);
         node.begin_stall(2);
-        let mut connection = Connection::open(&node, &notes, 0).await;
-        let before = notes.clock.now();
+        let mut connection = Connection::open(&node, &event_log, 0).await;
+        let before = event_log.clock.now();
         connection.send(1).await;
         assert!(
             timeout(Duration::from_millis(100), connection.answer())
@@ -453,7 +476,7 @@
                 .is_err(),
             "the other stall lasts"
         );
-        let ended = notes.clock.now();
+        let ended = event_log.clock.now();
         node.end_stall(2);
         assert_eq!(connection.answer().await.expect("an answer").status, 200);
         let got = await_event(&entries, |e| matches!(e, Event::AttemptReceived { .. })).await;
@@ -466,18 +489,21 @@
 
 #[test]
 fn a_node_overloaded_in_slow_start_stays_down() {
-    on_one_thread(|notes, entries| async move {
-        let node = node(&notes, 0.5);
+    on_one_thread(|event_log, entries| async move {
+        let node = node(&event_log, 0.5);
         node.start(Start::Cold).expect("an incarnation");
         // Its capacity is half of a core, and it fails at three times that within a second.
         for request_id in 0..4 {
-            Connection::open(&node, &notes, 0)
+            Connection::open(&node, &event_log, 0)
                 .await
                 .send(request_id)
                 .await;
         }
         await_event(&entries, |e| matches!(e, Event::BackendCollapsed { .. })).await;
-        while Peer::connect(node.door(0).expect("a door")).await.is_ok() {
+        while Peer::connect(node.address(0).expect("an address"))
+            .await
+            .is_ok()
+        {
             sleep(Duration::from_millis(1)).await;
         }
         assert_eq!(node.incarnation(), None);
@@ -486,9 +512,9 @@
 
 #[test]
 fn a_deduplicated_repeat_is_answered_without_a_run() {
-    on_one_thread(|notes, entries| async move {
-        let node = warm_node(&notes, 0.001);
-        let mut connection = Connection::open(&node, &notes, 0).await;
+    on_one_thread(|event_log, entries| async move {
+        let node = warm_node(&event_log, 0.001);
+        let mut connection = Connection::open(&node, &event_log, 0).await;
         for request_id in [request_id_of(3, 0), request_id_of(3, 1)] {
             let bytes = request(
                 "POST",
@@ -518,43 +544,48 @@
     });
 }
 
-fn line(state: EndpointState, incarnation: u32) -> Line {
+fn line(state: EndpointState, incarnation: u32) -> Endpoint {
     let (name, zone, machine) = ("n0".to_owned(), "a".to_owned(), "m".to_owned());
-    let doors = vec![
+    let addresses = vec![
         "127.0.0.1:1".parse().unwrap(),
         "127.0.0.1:2".parse().unwrap(),
     ];
-    Line {
+    Endpoint {
         name,
         zone,
         rack: 0,
         machine,
         capacity: 1.0,
-        doors,
+        addresses,
         state,
         incarnation,
         boot_ms: 5.0,
     }
 }
 
-async fn ask(list: &ListService, proxy: u16, query: &str, clock: &Clock) -> Result<Value, Stop> {
-    let mut peer = Peer::connect(list.door(proxy).expect("a door"))
+async fn ask(
+    list: &DiscoveryService,
+    proxy: u16,
+    query: &str,
+    clock: &Clock,
+) -> Result<Value, ReadError> {
+    let mut peer = Peer::connect(list.address(proxy).expect("an address"))
         .await
-        .map_err(|_| Stop::Closed)?;
+        .map_err(|_| ReadError::Closed)?;
     let text = format!("GET /registry/instances{query} HTTP/1.1\r\nHost: l\r\n\r\n");
     peer.write(text.as_bytes())
         .await
-        .map_err(|_| Stop::Closed)?;
-    let message = peer.read(Kind::Response, clock).await?;
+        .map_err(|_| ReadError::Closed)?;
+    let message = peer.read(MessageKind::Response, clock).await?;
     Ok(serde_json::from_slice(&message.body).expect("JSON"))
 }
 
 #[test]
 fn the_list_is_sent_in_full_or_as_changes_with_addresses_for_each_proxy() {
-    on_one_thread(|notes, entries| async move {
-        let clock = notes.clock;
-        let list = ListService::start(notes, &[HOME, HOME]).expect("a list service");
-        list.change(0, line(EndpointState::Ready, 1));
+    on_one_thread(|event_log, entries| async move {
+        let clock = event_log.clock;
+        let list = DiscoveryService::start(event_log, &[HOME, HOME]).expect("a list service");
+        list.update_endpoint(0, line(EndpointState::Ready, 1));
         let whole = ask(&list, 1, "", &clock).await.expect("a list");
         assert_eq!((&whole["rev"], &whole["all"]), (&1.into(), &true.into()));
         assert_eq!(whole["targets"][0]["endpoint"], "127.0.0.1:2");
@@ -570,12 +601,12 @@
             spawn_local(async move { ask(&watching, 1, "?from=1&hold_ms=20000", &clock).await });
         while !watch.is_finished() {
             // However late the watch begins, the change is newer than what it has.
-            list.change(0, line(EndpointState::Draining, 1));
+            list.update_endpoint(0, line(EndpointState::Draining, 1));
             sleep(Duration::from_millis(5)).await;
         }
         let changes = watch.await.expect("a task").expect("changes");
         assert_eq!(changes["targets"][0]["state"], "Terminating");
-        list.change(0, line(EndpointState::Gone, 1));
+        list.update_endpoint(0, line(EndpointState::Gone, 1));
         let whole = ask(&list, 1, "", &clock).await.expect("a list");
         assert_eq!(whole["targets"].as_array().map(Vec::len), Some(0));
         let states = notified_states(&entries, 1);
@@ -602,46 +633,54 @@
     states.collect()
 }
 
+/// Polls the whole list for proxy 1 and returns the response's status.
+async fn list_call_status(list: &DiscoveryService, clock: &Clock) -> u16 {
+    let mut peer = Peer::connect(list.address(1).expect("an address"))
+        .await
+        .expect("a connection");
+    peer.write(b"GET /registry/instances HTTP/1.1\r\nHost: l\r\n\r\n")
+        .await
+        .expect("a call");
+    let answer = peer.read(MessageKind::Response, clock).await;
+    answer.expect("an answer").status
+}
+
 /// It serves one call at a time and refuses the others; a watch that waits uses no capacity.
 #[test]
 fn a_list_service_of_small_capacity_refuses_further_calls() {
-    on_one_thread(|notes, _entries| async move {
-        let clock = notes.clock;
-        let list = ListService::start(notes, &[HOME, HOME]).expect("a list service");
-        list.change(0, line(EndpointState::Ready, 1));
-        list.limit(Capacity::new(1, Duration::from_millis(300), Duration::ZERO));
+    on_one_thread(|event_log, _entries| async move {
+        let clock = event_log.clock;
+        let list = DiscoveryService::start(event_log, &[HOME, HOME]).expect("a list service");
+        list.update_endpoint(0, line(EndpointState::Ready, 1));
+        list.set_capacity(ServiceCapacity::new(
+            1,
+            Duration::from_millis(300),
+            Duration::ZERO,
+        ));
         let watching = list.clone();
         let watch = spawn_local(async move {
             loop {
-                let mut peer = Peer::connect(watching.door(0).expect("a door"))
+                let mut peer = Peer::connect(watching.address(0).expect("an address"))
                     .await
                     .expect("a connection");
                 let call =
                     b"GET /registry/instances?from=1&hold_ms=20000 HTTP/1.1\r\nHost: l\r\n\r\n";
                 peer.write(call).await.expect("a call");
-                let answer = peer.read(Kind::Response, &clock).await.expect("an answer");
+                let answer = peer
+                    .read(MessageKind::Response, &clock)
+                    .await
+                    .expect("an answer");
                 if answer.status == 200 {
                     return serde_json::from_slice::<Value>(&answer.body).expect("JSON");
                 }
                 sleep(Duration::from_millis(5)).await;
             }
         });
-        let call = async || {
-            let mut peer = Peer::connect(list.door(1).expect("a door"))
-                .await
-                .expect("a connection");
-            peer.write(b"GET /registry/instances HTTP/1.1\r\nHost: l\r\n\r\n")
-                .await
-                .expect("a call");
-            peer.read(Kind::Response, &clock)
-                .await
-                .expect("an answer")
-                .status
-        };
+        let call = async || list_call_status(&list, &clock).await;
         // Until two have met; each alone is answered.
         while !matches!(tokio::join!(call(), call()), (200, 503) | (503, 200)) {}
-        assert!(list.refused() > 0 && !watch.is_finished());
-        list.change(0, line(EndpointState::Draining, 1));
+        assert!(list.rejected_calls() > 0 && !watch.is_finished());
+        list.update_endpoint(0, line(EndpointState::Draining, 1));
         assert_eq!(
             watch.await.expect("a task")["targets"][0]["state"],
             "Terminating"
@@ -651,10 +690,10 @@
 
 #[test]
 fn a_list_service_that_is_down_resets_and_a_stale_one_does_not_change() {
-    on_one_thread(|notes, _entries| async move {
-        let clock = notes.clock;
-        let list = ListService::start(notes, &[HOME, HOME]).expect("a list service");
-        list.change(0, line(EndpointState::Ready, 1));
+    on_one_thread(|event_log, _entries| async move {
+        let clock = event_log.clock;
+        let list = DiscoveryService::start(event_log, &[HOME, HOME]).expect("a list service");
+        list.update_endpoint(0, line(EndpointState::Ready, 1));
         let watching = list.clone();
         let watch =
             spawn_local(async move { ask(&watching, 0, "?from=1&hold_ms=20000", &clock).await });
@@ -663,7 +702,7 @@
         assert!(watch.await.expect("a task").is_err() && ask(&list, 0, "", &clock).await.is_err());
         list.set_down(false);
         list.set_stale(0, true);
-        list.change(0, line(EndpointState::Gone, 1));
+        list.update_endpoint(0, line(EndpointState::Gone, 1));
         let count = |list: Value| list["targets"].as_array().map(Vec::len);
         assert_eq!(
             count(ask(&list, 0, "", &clock).await.expect("a list")),
@@ -687,22 +726,21 @@
     });
 }
 
-fn call(request_id: u64, client_timeout: f64) -> Call {
-    let (path, body) = ("/read/1".into(), 0);
-    let (tenant, key, leaves_after) = (None, None, None);
-    Call {
+fn request_of(request_id: u64, client_timeout: f64) -> ClientRequest {
+    let path = "/read/1".into();
+    ClientRequest {
         request_id,
         rpc: 1,
         proxy: 0,
-        verb: "GET",
+        http_method: "GET",
         path,
-        tenant,
-        key,
-        retry: false,
+        tenant: None,
+        idempotency_key: None,
+        is_retry: false,
         client_timeout,
-        leaves_after,
-        body,
-        pieces: None,
+        cancel_after: None,
+        body_bytes: 0,
+        slow_send: None,
     }
 }
 
@@ -713,7 +751,9 @@
     spawn_local(async move {
         let (stream, _) = listener.accept().await.expect("a client");
         let mut peer = Peer::new(stream);
-        peer.read(Kind::Request, &clock).await.expect("an RPC");
+        peer.read(MessageKind::Request, &clock)
+            .await
+            .expect("an RPC");
         peer.write(&bytes).await.expect("an answer");
     });
     at
@@ -722,7 +762,7 @@
 /// What a client records of each response of a proxy.
 #[test]
 fn a_client_distinguishes_the_answers() {
-    on_one_thread(|notes, _entries| async move {
+    on_one_thread(|event_log, _entries| async move {
         let ok =
             |request_id: u64| wire::response(200, &[], format!("{request_id:016x} n\n").as_bytes());
         let retry_after = [("Retry-After", "0.5")];
@@ -741,8 +781,10 @@
             (vec![], Answer::Lost),
         ];
         for (bytes, expected) in cases {
-            let at = answer_once(notes.clock, bytes);
-            let answer = Caller::new(notes.clone()).call(&call(1, 5.0), at).await;
+            let at = answer_once(event_log.clock, bytes);
+            let answer = Client::new(event_log.clone())
+                .send(&request_of(1, 5.0), at)
+                .await;
             assert_eq!(answer, expected);
         }
     });
@@ -750,19 +792,19 @@
 
 #[test]
 fn a_client_without_an_answer_distinguishes_the_reasons() {
-    on_one_thread(|notes, _entries| async move {
+    on_one_thread(|event_log, _entries| async move {
         let silent = wire::listen((HOME, 0).into(), 8).expect("a listener");
         let at = silent.local_addr().expect("an address");
-        let caller = || Caller::new(notes.clone());
-        let answer = caller().call(&call(1, 0.05), at).await;
+        let client = || Client::new(event_log.clone());
+        let answer = client().send(&request_of(1, 0.05), at).await;
         assert_eq!(answer, Answer::TimedOut);
-        let leaving = Call {
-            leaves_after: Some(0.01),
-            ..call(1, 5.0)
+        let cancelling = ClientRequest {
+            cancel_after: Some(0.01),
+            ..request_of(1, 5.0)
         };
-        assert_eq!(caller().call(&leaving, at).await, Answer::Cancelled);
+        assert_eq!(client().send(&cancelling, at).await, Answer::Cancelled);
         drop(silent);
-        let answer = caller().call(&call(1, 5.0), at).await;
+        let answer = client().send(&request_of(1, 5.0), at).await;
         assert_eq!(answer, Answer::Unreachable);
     });
 }
@@ -770,23 +812,25 @@
 /// A pooled connection that was closed while idle is not used, and no RPC is lost by it.
 #[test]
 fn a_pooled_connection_that_was_closed_is_not_used() {
-    on_one_thread(|notes, entries| async move {
+    on_one_thread(|event_log, entries| async move {
         let listener = wire::listen((HOME, 0).into(), 8).expect("a listener");
-        let (at, clock) = (listener.local_addr().expect("an address"), notes.clock);
+        let (at, clock) = (listener.local_addr().expect("an address"), event_log.clock);
         spawn_local(async move {
             loop {
                 let (stream, _) = listener.accept().await.expect("a client");
                 let mut peer = Peer::new(stream);
-                peer.read(Kind::Request, &clock).await.expect("an RPC");
+                peer.read(MessageKind::Request, &clock)
+                    .await
+                    .expect("an RPC");
                 peer.write(&wire::response(200, &[], b"0000000000000001 n\n"))
                     .await
                     .expect("an answer");
                 // Closed here, between two RPCs.
             }
         });
-        let caller = Caller::new(notes);
+        let client = Client::new(event_log);
         for _ in 0..3 {
-            assert_eq!(caller.call(&call(1, 5.0), at).await, Answer::Ok);
+            assert_eq!(client.send(&request_of(1, 5.0), at).await, Answer::Ok);
             sleep(Duration::from_millis(5)).await;
         }
         assert_eq!(
--- a/crates/rehearsal/src/bin/birchhub-faulty-proxy.rs
+++ b/crates/rehearsal/src/bin/birchhub-faulty-proxy.rs
@@ -3,7 +3,7 @@
 //! start), `floods-cold` (sends everything to the node that started last); by any other name it keeps the rules.
 //! It takes the platform's configuration like birchhubd, and is no use for anything else.
 use birchhub_emulator::Clock;
-use birchhub_emulator::wire::{Kind, Message, Peer, listen, response};
+use birchhub_emulator::wire::{Message, MessageKind, Peer, listen, response};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -75,7 +75,7 @@
                     "GET /registry/instances?from={from}&hold_ms=2000 HTTP/1.1\r\nHost: list\r\n\r\n"
                 );
                 peer.write(text.as_bytes()).await.ok()?;
-                let message = peer.read(Kind::Response, &self.clock).await.ok()?;
+                let message = peer.read(MessageKind::Response, &self.clock).await.ok()?;
                 serde_json::from_slice::<Value>(&message.body).ok()
             };
             match call.await {
@@ -112,7 +112,7 @@
         let until = self.clock.now() + left;
         let mut text = format!(
             "{} {} HTTP/1.1\r\nHost: node\r\n",
-            message.verb, message.path
+            message.http_method, message.path
         );
         for name in ["request-id", "idempotency-key"] {
             if let Some(value) = message.header(name) {
@@ -130,7 +130,7 @@
             let left = Duration::from_secs_f64((until - self.clock.now()).max(0.0));
             let pick = async {
                 peer.write(&bytes).await.ok()?;
-                peer.read(Kind::Response, &self.clock).await.ok()
+                peer.read(MessageKind::Response, &self.clock).await.ok()
             };
             match timeout(left, pick).await {
                 Ok(Some(answer)) if answer.status == 200 => {
@@ -149,7 +149,7 @@
     }
 
     async fn client(self: Rc<Self>, mut peer: Peer) {
-        while let Ok(message) = peer.read(Kind::Request, &self.clock).await {
+        while let Ok(message) = peer.read(MessageKind::Request, &self.clock).await {
             let answer = match message.path.as_str() {
                 "/health/ready" => response(200, &[], b"ready\n"),
                 _ => self.rpc(&message).await,
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::scenario::{Clients, Method, MethodKind, Scenario};
 use birchhub_audit::{Answer, DeduplicationScope, Event, Idempotency};
 use birchhub_emulator::fleet::request_id_of;
-use birchhub_emulator::{Call, Caller, Notes};
+use birchhub_emulator::{Client, ClientRequest, EventLog};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -32,13 +32,13 @@
 pub fn start(
     scenario: Scenario,
     plan: Plan,
-    notes: Notes,
+    event_log: EventLog,
     front: Arc<Front>,
     progress: Arc<Progress>,
     extras: Extras,
 ) -> std::io::Result<Vec<JoinHandle<()>>> {
     let (due, arrivals) = mpsc::channel(AHEAD);
-    let (times, clock, stop) = (plan.arrivals.clone(), notes.clock, progress.clone());
+    let (times, clock, stop) = (plan.arrivals.clone(), event_log.clock, progress.clone());
     // A thread that sleeps is on time to a tenth of a millisecond; an event loop's timers only to one.
     let pacer = Builder::new().name("pacer".into()).spawn(move || {
         for (rpc, arrival) in times.into_iter().enumerate() {
@@ -64,12 +64,12 @@
         else {
             return;
         };
-        let caller = Caller::new(notes.clone());
+        let client = Client::new(event_log.clone());
         let clients = Rc::new(Callers {
             scenario,
             seed: plan.seed,
-            notes,
-            caller,
+            event_log,
+            client,
             front,
             progress,
             extras,
@@ -82,8 +82,8 @@
 struct Callers {
     scenario: Scenario,
     seed: u64,
-    notes: Notes,
-    caller: Caller,
+    event_log: EventLog,
+    client: Client,
     front: Arc<Front>,
     progress: Arc<Progress>,
     extras: Extras,
@@ -93,11 +93,11 @@
     async fn run(self: Rc<Self>, mut due: mpsc::Receiver<(u32, Arrival)>) {
         let mut open = JoinSet::new();
         while let Some((rpc, arrival)) = due.recv().await {
-            let by = (self.notes.clock.now() - arrival.due) as f32;
-            self.notes.tell(Event::ClientLate { by });
+            let by = (self.event_log.clock.now() - arrival.due) as f32;
+            self.event_log.record(Event::ClientLate { by });
             let (method, tenant, within_quota) =
                 (arrival.method, arrival.tenant, arrival.within_quota);
-            self.notes.tell_at(
+            self.event_log.record_at(
                 arrival.due,
                 Event::Arrival {
                     rpc,
@@ -121,14 +121,14 @@
     async fn rpc(self: Rc<Self>, rpc: u32, arrival: Arrival) {
         let method = &self.scenario.method[arrival.method as usize];
         let clients = &self.scenario.clients;
-        let (clock, until) = (self.notes.clock, arrival.due + method.deadline.0);
+        let (clock, until) = (self.event_log.clock, arrival.due + method.deadline.0);
         let mut wait = clients.wait.0;
         for number in 0..=clients.retries {
             let left = until - clock.now();
             let Some(client_timeout) = client_timeout(clients, method, left) else {
                 break;
             };
-            let leaves_after = arrival
+            let cancel_after = arrival
                 .leaves
                 .filter(|_| number == 0)
                 .map(|part| part * client_timeout);
@@ -136,11 +136,11 @@
                 arrival.zone,
                 arrival.deal.rotate_left(u32::from(number) * 8),
             );
-            let call = Call {
+            let request = ClientRequest {
                 request_id: request_id_of(rpc, number),
                 rpc,
                 proxy,
-                verb: if method.kind == MethodKind::Idempotent {
+                http_method: if method.kind == MethodKind::Idempotent {
                     "GET"
                 } else {
                     "POST"
@@ -151,15 +151,15 @@
                     .tenant
                     .get(arrival.tenant as usize)
                     .map(|t| t.name.clone()),
-                key: (method.kind == MethodKind::Deduplicated)
+                idempotency_key: (method.kind == MethodKind::Deduplicated)
                     .then(|| format!("{:016x}{rpc:08x}", self.seed)),
-                retry: number > 0 && clients.marks_retries,
+                is_retry: number > 0 && clients.marks_retries,
                 client_timeout,
-                leaves_after,
-                body: method.body,
-                pieces: self.extras.pieces_of(arrival.deal),
+                cancel_after,
+                body_bytes: method.body,
+                slow_send: self.extras.slow_send_of(arrival.deal),
             };
-            let answer = self.caller.call(&call, at).await;
+            let answer = self.client.send(&request, at).await;
             let counter = match answer {
                 Answer::Ok => &self.progress.ok,
                 Answer::Rejected(_) => &self.progress.pushed_back,
--- a/crates/rehearsal/src/extras.rs
+++ b/crates/rehearsal/src/extras.rs
@@ -1,12 +1,15 @@
 //! What a soak adds to a rehearsal: faults that no scenario has.
-use birchhub_emulator::Clock;
 use birchhub_emulator::relay::Window;
+use birchhub_emulator::{Clock, SlowSend};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
 
-/// Pieces in which a slow client sends its request, and the time between them, s: half a second in all.
-const SLOW_PIECES: (usize, f64) = (6, 0.1);
+/// How a slow client sends its request: half a second in all.
+const SLOW_SEND: SlowSend = SlowSend {
+    pieces: 6,
+    pause_seconds: 0.1,
+};
 
 /// Plays beside the clients; it is given the clock and where the proxies listen, and ends by itself.
 pub type Companion = Box<dyn FnOnce(Clock, Vec<SocketAddr>) -> JoinHandle<()>>;
@@ -26,9 +29,9 @@
 
 impl Extras {
     /// How a request with this chance is sent, if slowly.
-    pub(crate) fn pieces_of(&self, chance: u64) -> Option<(usize, f64)> {
+    pub(crate) fn slow_send_of(&self, chance: u64) -> Option<SlowSend> {
         // Its lower bits deal it out among the proxies.
         let part = (chance >> 32) as f64 / f64::from(u32::MAX);
-        (part < self.slow).then_some(SLOW_PIECES)
+        (part < self.slow).then_some(SLOW_SEND)
     }
 }
--- a/crates/rehearsal/src/proxies.rs
+++ b/crates/rehearsal/src/proxies.rs
@@ -9,8 +9,8 @@
 use birchhub_audit::Event;
 use birchhub_audit::event::End;
 use birchhub_backend_model::work::generator;
-use birchhub_emulator::Notes;
-use birchhub_emulator::wire::{Kind, Peer};
+use birchhub_emulator::EventLog;
+use birchhub_emulator::wire::{MessageKind, Peer};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use rand::Rng;
@@ -107,7 +107,7 @@
     scenario: Scenario,
     options: Options,
     extras: Extras,
-    notes: Notes,
+    event_log: EventLog,
     stage: StageDoor,
     pub front: Arc<Front>,
     processes: Vec<RefCell<Option<Process>>>,
@@ -118,7 +118,7 @@
         scenario: &Scenario,
         options: &Options,
         extras: &Extras,
-        notes: Notes,
+        event_log: EventLog,
         stage: StageDoor,
         block: Block,
     ) -> Result<Rc<Self>, String> {
@@ -141,7 +141,7 @@
             scenario: scenario.clone(),
             options: options.clone(),
             extras: extras.clone(),
-            notes,
+            event_log,
             stage,
             front,
             processes: (0..count).map(|_| RefCell::new(None)).collect(),
@@ -165,7 +165,7 @@
             .ok_or("the stage has ended")?;
         let at = self.front.doors[proxy as usize];
         // New with each start, as the platform does it, yet drawn from the rehearsal's own seed.
-        let start = (self.notes.clock.now().max(0.0) * 1e3) as u64;
+        let start = (self.event_log.clock.now().max(0.0) * 1e3) as u64;
         let seed: u64 = generator(self.options.seed, u64::from(proxy) << 48 | start).random();
         let config = json!({
             "name": name, "listen": at.to_string(), "discovery": discovery.to_string(), "seed": format!("{seed:016x}"),
@@ -217,7 +217,7 @@
             }
             sleep(LOOK).await;
         }
-        self.notes.tell(Event::ProxyReady { proxy });
+        self.event_log.record(Event::ProxyReady { proxy });
         self.front.set(proxy, true);
         Ok(())
     }
@@ -229,7 +229,7 @@
                 .await
                 .ok()?;
             Some(
-                peer.read(Kind::Response, &self.notes.clock)
+                peer.read(MessageKind::Response, &self.event_log.clock)
                     .await
                     .ok()?
                     .status,
@@ -271,7 +271,7 @@
     }
 
     fn ended(self: &Rc<Self>, proxy: u16, how: End) {
-        self.notes.tell(Event::ProxyEnded { proxy, how });
+        self.event_log.record(Event::ProxyEnded { proxy, how });
         self.notice(proxy, self.scenario.proxies.front_notices.0);
     }
 
@@ -292,7 +292,7 @@
             }
         });
         for (at, act) in acts.into_iter().filter(|(_, act)| act.is_of_proxies()) {
-            self.notes.clock.sleep_until(at).await;
+            self.event_log.clock.sleep_until(at).await;
             self.act(act);
         }
     }
@@ -380,7 +380,7 @@
     pub fn end(&self) {
         for (proxy, slot) in self.processes.iter().enumerate() {
             if let Some(mut process) = slot.borrow_mut().take() {
-                self.notes.tell(Event::ProxyEnded {
+                self.event_log.record(Event::ProxyEnded {
                     proxy: proxy as u16,
                     how: End::Over,
                 });
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -9,7 +9,7 @@
 use crate::settings;
 use crate::stage::{self, Block};
 use birchhub_audit::{Entry, Head, ledger};
-use birchhub_emulator::{Clock, Notes};
+use birchhub_emulator::{Clock, EventLog};
 use nix::sys::resource::{UsageWho, getrusage};
 use std::fs::File;
 use std::io::{BufReader, BufWriter, IsTerminal, Write};
@@ -67,7 +67,7 @@
     let writer = ledger::Writer::new(BufWriter::new(file), &head).map_err(|e| e.to_string())?;
     let lead = LEAD + LEAD_EACH * scenario.proxies.count as f64;
     let clock = Clock::starting_in(Duration::from_secs_f64(lead));
-    let (notes, entries) = Notes::new(clock);
+    let (event_log, entries) = EventLog::new(clock);
     let keeper = keep(writer, entries)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -75,7 +75,7 @@
     let runtime = runtime.map_err(|e| format!("no event loop: {e}"))?;
     let played = LocalSet::new().block_on(
         &runtime,
-        play(scenario, plan, options, extras, companion, notes),
+        play(scenario, plan, options, extras, companion, event_log),
     );
     // The tasks that are left hold ways into the ledger: it ends when the last of them does.
     drop(runtime);
@@ -153,26 +153,26 @@
     options: &Options,
     extras: &Extras,
     companion: Option<Companion>,
-    notes: Notes,
+    event_log: EventLog,
 ) -> Result<bool, String> {
     let catch = |kind| signal(kind).map_err(|e| format!("no signals: {e}"));
     let (mut interrupt, mut terminate) = (
         catch(SignalKind::interrupt())?,
         catch(SignalKind::terminate())?,
     );
-    let (clock, block) = (notes.clock, Block::new());
+    let (clock, block) = (event_log.clock, Block::new());
     let (door, stage) = stage::start(
         scenario.clone(),
         plan.clone(),
         extras.clone(),
-        notes.clone(),
+        event_log.clone(),
         block,
     )?;
     let proxies = Proxies::new(
         scenario,
         options,
         extras,
-        notes.clone(),
+        event_log.clone(),
         door.clone(),
         block,
     )?;
@@ -188,7 +188,7 @@
         let threads = clients::start(
             scenario.clone(),
             plan.clone(),
-            notes.clone(),
+            event_log.clone(),
             front,
             progress.clone(),
             extras.clone(),
--- a/crates/rehearsal/src/stage.rs
+++ b/crates/rehearsal/src/stage.rs
@@ -9,9 +9,11 @@
 use crate::span::Span;
 use birchhub_audit::{EndpointState, Event};
 use birchhub_backend_model::{Start, Work};
-use birchhub_emulator::list::{Capacity, Line};
+use birchhub_emulator::discovery_service::{Endpoint, ServiceCapacity};
 use birchhub_emulator::relay::{Relay, Window};
-use birchhub_emulator::{Clock, Cost, Fault, Fleet, ListService, NodeHost, Notes, Place};
+use birchhub_emulator::{
+    BackendSpec, Clock, DiscoveryService, EmulatedBackend, EventLog, Fault, Fleet, MethodCost,
+};
 use serde_json::Value;
 use std::cell::Cell;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -83,7 +85,7 @@
     scenario: Scenario,
     plan: Plan,
     extras: Extras,
-    notes: Notes,
+    event_log: EventLog,
     block: Block,
 ) -> Result<(StageDoor, std::thread::JoinHandle<()>), String> {
     let (ask, asked) = mpsc::channel(64);
@@ -97,7 +99,7 @@
             Err(fault) => return drop(ready.send(Err(format!("no event loop: {fault}")))),
         };
         LocalSet::new().block_on(&runtime, async move {
-            match Stage::set(&scenario, &plan, &extras, notes, block) {
+            match Stage::set(&scenario, &plan, &extras, event_log, block) {
                 Ok(stage) => {
                     let _ = ready.send(Ok(()));
                     stage.play(plan.acts, asked).await;
@@ -118,12 +120,12 @@
 
 /// Where the proxies find a node: at its own addresses, or at those of the relays before them.
 fn doors(
-    host: &NodeHost,
+    host: &EmulatedBackend,
     ips: &[IpAddr],
     windows: Option<&Vec<Window>>,
     clock: Clock,
 ) -> std::io::Result<Vec<SocketAddr>> {
-    let own = (0..ips.len() as u16).filter_map(|proxy| host.door(proxy));
+    let own = (0..ips.len() as u16).filter_map(|proxy| host.address(proxy));
     let Some(windows) = windows else {
         return Ok(own.collect());
     };
@@ -133,11 +135,11 @@
 }
 
 struct Stage {
-    notes: Notes,
+    event_log: EventLog,
     fleet: Rc<Fleet>,
-    hosts: Vec<Rc<NodeHost>>,
-    list: Rc<ListService>,
-    lines: Vec<Line>,
+    hosts: Vec<Rc<EmulatedBackend>>,
+    list: Rc<DiscoveryService>,
+    lines: Vec<Endpoint>,
     lag: f64,
     notices: f64,
     /// How much later than usual the list service tells.
@@ -150,46 +152,46 @@
         scenario: &Scenario,
         plan: &Plan,
         extras: &Extras,
-        notes: Notes,
+        event_log: EventLog,
         block: Block,
     ) -> std::io::Result<Rc<Self>> {
         let proxies = scenario.proxies.count as u16;
-        let costs = scenario.method.iter().map(|m| Cost {
+        let costs = scenario.method.iter().map(|m| MethodCost {
             name: m.name.clone(),
             work: Work {
                 mean: m.work.0,
                 spread: m.spread,
             },
-            kind: m.idempotency(),
+            idempotency: m.idempotency(),
         });
-        let mut fleet = Fleet::new(notes.clone(), plan.seed, costs.collect());
-        fleet.probe_work = scenario.fleet.probe_work.0;
-        fleet.reports_in_answers = scenario.fleet.reports == Reports::Answers;
-        fleet.probes = scenario.rules.probes;
+        let mut fleet = Fleet::new(event_log.clone(), plan.seed, costs.collect());
+        fleet.probe_work_seconds = scenario.fleet.probe_work.0;
+        fleet.reports_in_responses = scenario.fleet.reports == Reports::Answers;
+        fleet.answers_probes = scenario.rules.probes;
         let fleet = Rc::new(fleet);
         let (mut hosts, mut lines) = (Vec::new(), Vec::new());
         for (index, planned) in (0..).zip(&plan.nodes) {
             let machine = &scenario.fleet.machine[planned.machine];
             let spec = settings::spec(scenario, planned);
             let (zone, rack) = (planned.zone, planned.rack);
-            let idle_limit = scenario.fleet.idle_limit.0;
-            let place = Place {
+            let idle_timeout_seconds = scenario.fleet.idle_limit.0;
+            let backend_spec = BackendSpec {
                 index,
                 name: planned.name.clone(),
                 zone,
                 rack,
-                spec,
-                idle_limit,
+                model: spec,
+                idle_timeout_seconds,
             };
             let ips: Vec<_> = (0..proxies).map(|proxy| block.door(proxy, index)).collect();
-            let host = NodeHost::new(place, fleet.clone(), &ips)?;
-            lines.push(Line {
+            let host = EmulatedBackend::new(backend_spec, fleet.clone(), &ips)?;
+            lines.push(Endpoint {
                 name: planned.name.clone(),
                 zone: scenario.fleet.zones[zone as usize].clone(),
                 rack: u64::from(zone) << 16 | u64::from(rack),
                 machine: machine.name.clone(),
                 capacity: 1.0,
-                doors: doors(&host, &ips, extras.links.get(&index), notes.clock)?,
+                addresses: doors(&host, &ips, extras.links.get(&index), event_log.clock)?,
                 state: EndpointState::Ready,
                 incarnation: 0,
                 boot_ms: 0.0,
@@ -197,10 +199,10 @@
             hosts.push(host);
         }
         let doors: Vec<_> = (0..proxies).map(|proxy| block.list(proxy)).collect();
-        let list = ListService::start(notes.clone(), &doors)?;
+        let list = DiscoveryService::start(event_log.clone(), &doors)?;
         if let Some(calls) = scenario.list.calls {
             let time = |span: Span| Duration::from_secs_f64(span.0);
-            list.limit(Capacity::new(
+            list.set_capacity(ServiceCapacity::new(
                 calls,
                 time(scenario.list.call_takes),
                 time(scenario.list.line_takes),
@@ -208,7 +210,7 @@
         }
         let (lag, notices) = (scenario.list.lag.0, scenario.list.notices.0);
         let stage = Self {
-            notes,
+            event_log,
             fleet,
             hosts,
             list,
@@ -219,9 +221,9 @@
         };
         for n in 0..plan.first_nodes() {
             let incarnation = stage.hosts[n].start(Start::Warm)?;
-            stage.list.change(
+            stage.list.update_endpoint(
                 n as u32,
-                Line {
+                Endpoint {
                     incarnation,
                     ..stage.lines[n].clone()
                 },
@@ -235,17 +237,17 @@
         let player = self.clone();
         let acts = spawn_local(async move {
             for (at, act) in acts.into_iter().filter(|(_, act)| !act.is_of_proxies()) {
-                player.notes.clock.sleep_until(at).await;
+                player.event_log.clock.sleep_until(at).await;
                 player.act(act);
             }
         });
         while let Some(ask) = asked.recv().await {
             match ask {
                 Ask::ProxyStarts { proxy, reply } => {
-                    self.list.forget(proxy);
-                    self.notes.tell(Event::ProxyStarted { proxy });
-                    if let Some(door) = self.list.door(proxy) {
-                        let _ = reply.send((door, self.list.known(proxy)));
+                    self.list.forget_proxy(proxy);
+                    self.event_log.record(Event::ProxyStarted { proxy });
+                    if let Some(door) = self.list.address(proxy) {
+                        let _ = reply.send((door, self.list.initial_snapshot(proxy)));
                     }
                 }
                 Ask::End => break,
@@ -254,32 +256,32 @@
         acts.abort();
     }
 
-    fn host(&self, node: u32) -> Option<&Rc<NodeHost>> {
+    fn host(&self, node: u32) -> Option<&Rc<EmulatedBackend>> {
         self.hosts.get(node as usize)
     }
 
     /// The list service knows it after so long, unless something newer of the same node came first.
     fn tell(self: &Rc<Self>, node: u32, incarnation: u32, state: EndpointState, after: f64) {
         let stage = self.clone();
-        let now = self.notes.clock.now();
+        let now = self.event_log.clock.now();
         let (at, line) = (
             now + after + self.late.get().max(0.0),
             &self.lines[node as usize],
         );
         let boot_ms = if state == EndpointState::Ready {
-            self.notes.clock.unix_ms(now)
+            self.event_log.clock.unix_ms(now)
         } else {
             0.0
         };
-        let line = Line {
+        let line = Endpoint {
             state,
             incarnation,
             boot_ms,
             ..line.clone()
         };
         spawn_local(async move {
-            stage.notes.clock.sleep_until(at).await;
-            stage.list.change(node, line);
+            stage.event_log.clock.sleep_until(at).await;
+            stage.list.update_endpoint(node, line);
         });
     }
 
@@ -289,7 +291,7 @@
         };
         match host.start(Start::Cold) {
             Ok(incarnation) => self.tell(node, incarnation, EndpointState::Ready, self.lag),
-            Err(fault) => log::error!("{} can't start: {fault}", host.place.name),
+            Err(fault) => log::error!("{} can't start: {fault}", host.spec.name),
         }
     }
 
@@ -297,11 +299,11 @@
     fn act(self: &Rc<Self>, act: Act) {
         let host = |node| self.host(node);
         match act {
-            Act::Begin { trouble } => self.notes.tell(Event::Fault {
+            Act::Begin { trouble } => self.event_log.record(Event::Fault {
                 number: trouble,
                 begins: true,
             }),
-            Act::End { trouble } => self.notes.tell(Event::Fault {
+            Act::End { trouble } => self.event_log.record(Event::Fault {
                 number: trouble,
                 begins: false,
             }),
@@ -315,7 +317,9 @@
                 number,
                 on: false,
             } => host(node).into_iter().for_each(|h| h.end_stall(number)),
-            Act::Scale { node, factor } => host(node).into_iter().for_each(|h| h.scale(factor)),
+            Act::Scale { node, factor } => host(node)
+                .into_iter()
+                .for_each(|h| h.scale_machine_speed(factor)),
             Act::Slow { method, factor } => self.fleet.slow_down(method, factor),
             Act::Crash { node } => {
                 if let Some((host, incarnation)) =
@@ -345,13 +349,16 @@
                 on,
             } => {
                 let fault = match fault {
-                    Trick::Reset(share) => Fault::Reset { share },
-                    Trick::Half(share) => Fault::Half { share },
-                    Trick::Garbage(share) => Fault::Garbage { share },
-                    Trick::Mute(share) => Fault::Mute { share },
-                    Trick::Error(share) => Fault::Error { share },
-                    Trick::Trickle(share, over) => Fault::Trickle { share, over },
-                    Trick::Partition(from) => Fault::Partition { from },
+                    Trick::Reset(share) => Fault::ConnectionReset { share },
+                    Trick::Half(share) => Fault::TruncatedResponse { share },
+                    Trick::Garbage(share) => Fault::MalformedResponse { share },
+                    Trick::Mute(share) => Fault::NoResponse { share },
+                    Trick::Error(share) => Fault::ErrorResponse { share },
+                    Trick::Trickle(share, extra_seconds) => Fault::SlowResponse {
+                        share,
+                        extra_seconds,
+                    },
+                    Trick::Partition(proxy) => Fault::Partition { proxy },
                 };
                 match host(node) {
                     Some(host) if on => host.begin_fault(number, fault),
@@ -372,7 +379,7 @@
 
     /// A node that drains ends when it is empty, at the latest at a time, and its successor starts.
     async fn retire(self: Rc<Self>, node: u32, by: f64, successor: u32, after: f64) {
-        let clock = self.notes.clock;
+        let clock = self.event_log.clock;
         if let Some(host) = self.host(node) {
             while !host.is_idle() && clock.now() < by {
                 clock.sleep_until(clock.now() + LOOK).await;
