--- a/crates/audit/src/audit/mod.rs
+++ b/crates/audit/src/audit/mod.rs
@@ -1,6 +1,6 @@
 //! The audit: folds the entries of a ledger, in the order of time, into the findings of the four rules.
 //!
-//! [`Tracker`] keeps the state that several rules need. Each rule has a module with a fold of its own, which sees each
+//! The `tracker` keeps the state that several rules need. Each rule has a module with a fold of its own, which sees each
 //! event after the tracker has recorded it.
 mod draining;
 mod no_duplicate_effect;
--- a/crates/audit/src/audit/tracker.rs
+++ b/crates/audit/src/audit/tracker.rs
@@ -154,10 +154,7 @@
                 client_timeout,
             } => self.record_request(at, request_id, rpc, proxy, client_timeout),
             Event::RequestAnswered { request_id, answer } => {
-                if let Some(request) = self.requests.get_mut(&request_id) {
-                    request.answer.get_or_insert((at, answer));
-                    request.answer_count += 1;
-                }
+                self.record_answer(at, request_id, answer);
             }
             Event::BackendStarted {
                 incarnation,
@@ -165,9 +162,12 @@
                 cold,
                 ..
             } => self.record_start(at, incarnation, backend, cold),
-            Event::AttemptReceived { .. }
-            | Event::AttemptEnded { .. }
-            | Event::TimeoutForwarded { .. } => self.record_attempt_event(entry),
+            Event::AttemptReceived(received) => self.record_attempt(received),
+            Event::AttemptEnded { attempt_id, .. } => self.record_attempt_end(at, attempt_id),
+            Event::TimeoutForwarded {
+                attempt_id,
+                seconds,
+            } => self.record_forwarded_timeout(attempt_id, seconds),
             Event::ProxyNotified {
                 proxy,
                 backend,
@@ -208,6 +208,13 @@
         self.requests.insert(request_id, request);
     }
 
+    fn record_answer(&mut self, at: f64, request_id: u64, answer: Answer) {
+        if let Some(request) = self.requests.get_mut(&request_id) {
+            request.answer.get_or_insert((at, answer));
+            request.answer_count += 1;
+        }
+    }
+
     fn record_start(&mut self, started_at: f64, incarnation: u32, backend: u32, cold: bool) {
         let started = Incarnation {
             backend,
@@ -217,23 +224,15 @@
         self.incarnations.insert(incarnation, started);
     }
 
-    fn record_attempt_event(&mut self, entry: &Entry) {
-        match entry.event {
-            Event::AttemptReceived(received) => self.record_attempt(received),
-            Event::AttemptEnded { attempt_id, .. } => {
-                if let Some(attempt) = self.attempt_mut(attempt_id) {
-                    attempt.ended_at.get_or_insert(entry.at);
-                }
-            }
-            Event::TimeoutForwarded {
-                attempt_id,
-                seconds,
-            } => {
-                if let Some(attempt) = self.attempt_mut(attempt_id) {
-                    attempt.forwarded_timeout = Some(f64::from(seconds));
-                }
-            }
-            _ => {}
+    fn record_attempt_end(&mut self, at: f64, attempt_id: u64) {
+        if let Some(attempt) = self.attempt_mut(attempt_id) {
+            attempt.ended_at.get_or_insert(at);
+        }
+    }
+
+    fn record_forwarded_timeout(&mut self, attempt_id: u64, seconds: f32) {
+        if let Some(attempt) = self.attempt_mut(attempt_id) {
+            attempt.forwarded_timeout = Some(f64::from(seconds));
         }
     }
 
