--- a/crates/audit/src/audit/mod.rs
+++ b/crates/audit/src/audit/mod.rs
@@ -1,7 +1,7 @@
 //! The audit: folds the entries of a ledger, in the order of time, into the findings of the four rules.
 //!
-//! The `tracker` keeps the state that several rules need. Each rule has a module with a fold of its own, which sees each
-//! event after the tracker has recorded it.
+//! The `tracker` keeps the state that several rules need. Each rule has a module with a fold of its own, which sees
+//! each event after the tracker has recorded it.
 mod draining;
 mod no_duplicate_effect;
 mod one_answer;
@@ -66,7 +66,8 @@
     pub fn feed(&mut self, entry: &Entry) {
         self.tracker.record(entry);
         self.count(entry);
-        let (tracker, violations) = (&self.tracker, &mut self.violations);
+        let tracker = &self.tracker;
+        let violations = &mut self.violations;
         self.one_answer.observe(entry, tracker, violations);
         self.no_duplicate_effect.observe(entry, tracker, violations);
         self.draining.observe(entry, tracker, violations);
@@ -132,7 +133,8 @@
 
     /// Checks what needs the complete ledger, and returns the findings.
     pub fn finish(mut self) -> Findings {
-        let (tracker, violations) = (&self.tracker, &mut self.violations);
+        let tracker = &self.tracker;
+        let violations = &mut self.violations;
         self.one_answer.finish(tracker, violations);
         NoDuplicateEffect::finish(tracker, violations);
         let counts = Counts {
--- a/crates/audit/tests/audit/ledger_file.rs
+++ b/crates/audit/tests/audit/ledger_file.rs
@@ -1,18 +1,35 @@
 //! The ledger file read back, and the timeline of one RPC.
 use crate::builder::{BOOK, LOG, LedgerBuilder, head};
-use birchhub_audit::ledger;
 use birchhub_audit::timeline::Timeline;
+use birchhub_audit::{Entry, ledger};
 
-#[test]
-fn a_truncated_ledger_is_read_and_damage_is_located() {
+/// Two RPCs in the order of writing, which is not that of time.
+fn two_rpcs() -> LedgerBuilder {
     let mut builder = LedgerBuilder::new();
     builder.succeeds(2.0, 7, BOOK).succeeds(1.0, 8, LOG);
+    builder
+}
+
+fn written(entries: &[Entry]) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut writer = ledger::Writer::new(&mut bytes, &head()).expect("a head");
-    builder
-        .0
-        .iter()
-        .for_each(|entry| writer.write(entry).expect("a record"));
+    for entry in entries {
+        writer.write(entry).expect("a record");
+    }
+    bytes
+}
+
+/// Position of the first record: behind the second line.
+fn first_record(bytes: &[u8]) -> usize {
+    let mut line_ends = bytes.iter().enumerate().filter(|(_, byte)| **byte == b'\n');
+    let (head_end, _) = line_ends.nth(1).expect("a head");
+    head_end + 1
+}
+
+#[test]
+fn a_truncated_ledger_is_read_and_damage_is_located() {
+    let mut builder = two_rpcs();
+    let bytes = written(&builder.0);
     let read = ledger::read(bytes.as_slice()).expect("a ledger");
     builder.0.sort_by(|a, b| a.at.total_cmp(&b.at));
     assert_eq!(
@@ -24,16 +41,8 @@
         (truncated.entries.len(), truncated.truncated),
         (builder.0.len() - 1, true)
     );
-    let first = bytes
-        .iter()
-        .enumerate()
-        .filter(|(_, b)| **b == b'\n')
-        .nth(1)
-        .expect("a head")
-        .0
-        + 1;
     let mut damaged = bytes.clone();
-    damaged[first + 1] = 0xff;
+    damaged[first_record(&bytes) + 1] = 0xff;
     let error = ledger::read(damaged.as_slice())
         .expect_err("damage")
         .to_string();
@@ -46,16 +55,15 @@
 
 #[test]
 fn the_timeline_of_one_rpc_is_in_order() {
-    let mut builder = LedgerBuilder::new();
-    builder.succeeds(2.0, 7, BOOK).succeeds(1.0, 8, LOG);
+    let mut builder = two_rpcs();
     builder.0.sort_by(|a, b| a.at.total_cmp(&b.at));
     let head = head();
     let timeline = Timeline::new(&head, &builder.0);
     let lines: Vec<_> = builder
         .0
         .iter()
-        .filter(|e| timeline.rpc(&e.event) == Some(7))
-        .map(|e| timeline.line(e))
+        .filter(|entry| timeline.rpc(&entry.event) == Some(7))
+        .map(|entry| timeline.line(entry))
         .collect();
     assert_eq!(lines.len(), 7, "{lines:#?}");
     assert!(
--- a/crates/audit/tests/audit/service.rs
+++ b/crates/audit/tests/audit/service.rs
@@ -30,18 +30,21 @@
     for rpc in 0..30 {
         builder.succeeds(f64::from(rpc), rpc, READ);
     }
+    // In time, counted from its first request.
     builder
         .request(12.0, 100, BOOK)
         .answered(12.05, 100, Answer::Rejected(None));
     builder
         .retry(12.1, 101, 100)
-        .answered(12.19, 101, Answer::Ok); // in time from its first request
+        .answered(12.19, 101, Answer::Ok);
+    // Late: a quarter of its utility.
     builder
         .request(13.0, 200, BOOK)
         .answered(13.05, 200, Answer::Rejected(None));
     builder
         .retry(13.2, 201, 200)
-        .answered(13.3, 201, Answer::Ok); // late: a quarter
+        .answered(13.3, 201, Answer::Ok);
+    // Over quota: a tenth of its utility of 2, which is not obtained.
     builder.at(
         14.0,
         Event::Arrival {
@@ -50,7 +53,7 @@
             tenant: 0,
             within_quota: false,
         },
-    ); // a tenth of 2, not gained
+    );
     let service = builder.assert_no_violations().service;
     assert!((service.overall - (60.0 + 2.0 + 0.5) / (60.0 + 2.0 + 2.0 + 0.2)).abs() < 1e-9);
     // The worst ten seconds begin at 13: the late RPC and the unanswered one, and ten reads.
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -313,7 +313,8 @@
 /// `fixtures/timeline.txt` is what `birchhub ledger show` printed of the stored ledger on 2026-12-03.
 #[test]
 fn the_timeline_of_a_stored_ledger_keeps_its_text() {
-    let (head, entries) = (head(), entries());
+    let head = head();
+    let entries = entries();
     let timeline = Timeline::new(&head, &entries);
     let lines: Vec<_> = entries.iter().map(|entry| timeline.line(entry)).collect();
     assert_eq!(lines, TIMELINE.lines().collect::<Vec<_>>());
--- a/crates/backend-model/src/capacity_model.rs
+++ b/crates/backend-model/src/capacity_model.rs
@@ -1,8 +1,8 @@
 //! Speed of a backend's cores over time, and the clock of the work that they do.
 //!
-//! All cores have the same speed, so one clock tells when each execution ends. The speed rises linearly from the initial
-//! to the full capacity while the backend warms up, and is scaled by stalls and by what neighbours on the machine take.
-//! Its integral is a parabola and then a line, so both directions are solved exactly.
+//! All cores have the same speed, so one clock tells when each execution ends. The speed rises linearly from the
+//! initial to the full capacity while the backend warms up, and is scaled by stalls and by what neighbours on the
+//! machine take. Its integral is a parabola and then a line, so both directions are solved exactly.
 
 /// The work clock of one core.
 #[derive(Clone, Debug)]
