--- a/crates/daemon/tests/attempts/races.rs
+++ b/crates/daemon/tests/attempts/races.rs
@@ -29,7 +29,7 @@
 fn nothing_is_sent_to_an_address_that_changes_during_the_connect() {
     let log = Log::new(vec![]);
     let slow = SlowAccept::start();
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", slow.at)], without_connect_timeouts);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", slow.address)], without_connect_timeouts);
     let before = daemon.descriptors();
     let mut client = daemon.client();
     client.send(&rpc("POST", "/book", "id", "").replace("3000", "60000"));
@@ -73,7 +73,7 @@
     log.await_event("b1 got POST /log HTTP/1.1 id");
     daemon.discovery.publish_and_wait(&[
         endpoint_entry("s-1", at, "Ready"),
-        endpoint_entry("s-2", slow.at, "Ready"),
+        endpoint_entry("s-2", slow.address, "Ready"),
     ]);
     gate.change(|open| *open = true);
     sleep(LONGER_THAN_THE_WINDOW);
--- a/crates/daemon/tests/client_disconnects/connecting.rs
+++ b/crates/daemon/tests/client_disconnects/connecting.rs
@@ -20,7 +20,7 @@
     let complaint = "the connection of the client or of its attempt is still open";
     await_descriptors(&daemon, before, complaint);
     daemon.discovery.publish_and_wait(&[
-        endpoint_entry("s-1", slow.at, "Terminating"),
+        endpoint_entry("s-1", slow.address, "Terminating"),
         endpoint_entry("s-2", echo("b2", &log), "Ready"),
     ]);
     assert_eq!(
--- a/crates/daemon/tests/client_disconnects/harness.rs
+++ b/crates/daemon/tests/client_disconnects/harness.rs
@@ -145,7 +145,7 @@
     slow: &SlowAccept,
     change: impl Fn(&mut Value),
 ) -> Daemon {
-    Daemon::start_with(PROGRAM, &[("s-1", slow.at)], |config| {
+    Daemon::start_with(PROGRAM, &[("s-1", slow.address)], |config| {
         config["settings"]["methods"][1]["latency-target-ns"] = 60e9.into();
         config["settings"]["ceilings"]["connect-timeout-ns"] = 60e9.into();
         without_health_checks(config);
--- a/crates/daemon/tests/crowd.rs
+++ b/crates/daemon/tests/crowd.rs
@@ -236,7 +236,7 @@
     let program = with_descriptor_limit(PROGRAM, 256);
     let daemon = start_with_sockets(&program, echo("b1", &log), 256);
     let is_over = Shared::new(false);
-    let at = daemon.at;
+    let at = daemon.address;
     let ended = is_over.clone();
     let flood = spawn(move || {
         let mut all = VecDeque::new();
--- a/crates/daemon/tests/discovery/failed_polls.rs
+++ b/crates/daemon/tests/discovery/failed_polls.rs
@@ -137,7 +137,7 @@
     let log = Log::new(vec![]);
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], without_health_checks);
     let slow = SlowAccept::start();
-    switch_discovery(&daemon, slow.at, |_| {});
+    switch_discovery(&daemon, slow.address, |_| {});
     // Three connects of 0.75 s; with the timeouts of the polls it would be 6 s.
     eventually(
         Duration::from_secs(4),
--- a/crates/daemon/tests/discovery/harness.rs
+++ b/crates/daemon/tests/discovery/harness.rs
@@ -36,7 +36,7 @@
 
 /// Reloads the configuration with this discovery service.
 pub(crate) fn switch_discovery(daemon: &Daemon, at: SocketAddr, change: impl FnOnce(&mut Value)) {
-    let mut config = config(daemon.at, at, &[]);
+    let mut config = config(daemon.address, at, &[]);
     change(&mut config);
     daemon.reload(&config.to_string());
 }
--- a/crates/daemon/tests/ending.rs
+++ b/crates/daemon/tests/ending.rs
@@ -301,7 +301,7 @@
         .count();
     assert_eq!(ended, 1);
     eventually(EVENT_TIMEOUT, "the process still listens", || {
-        Client::open(daemon.at).is_none()
+        Client::open(daemon.address).is_none()
     });
 }
 
--- a/crates/daemon/tests/endpoint_changes.rs
+++ b/crates/daemon/tests/endpoint_changes.rs
@@ -26,7 +26,7 @@
     daemon.fill_retry_budget();
     daemon.discovery.publish_and_wait(&[
         endpoint_entry("s-1", good, "Terminating"),
-        endpoint_entry("s-2", slow.at, "Ready"),
+        endpoint_entry("s-2", slow.address, "Ready"),
     ]);
     let mut client = daemon.client();
     client.send(&rpc("POST", "/book", "waits", "").replace("3000", "60000"));
@@ -35,7 +35,7 @@
     assert_eq!(log.count("waits"), 0, "sent to the draining backend");
     daemon.discovery.publish(&[
         endpoint_entry("s-1", good, "Ready"),
-        endpoint_entry("s-2", slow.at, "Terminating"),
+        endpoint_entry("s-2", slow.address, "Terminating"),
     ]);
     assert_eq!(client.response().unwrap().text(), "b1:");
 }
@@ -146,7 +146,7 @@
     let mut daemon = Daemon::start(PROGRAM, &[("s-1", echo("b1", &log))]);
     let next = DiscoveryService::without_response_to(0);
     next.publish(&[endpoint_entry("s-2", echo("b2", &log), "Ready")]);
-    daemon.reload(&config(daemon.at, next.at, &[]).to_string());
+    daemon.reload(&config(daemon.address, next.address, &[]).to_string());
     daemon.discovery = next;
     let mut client = daemon.client();
     let mut is_applied = || client.text_of(&rpc("GET", "/read", "id", "")) == "b2:";
--- a/crates/daemon/tests/forwarding.rs
+++ b/crates/daemon/tests/forwarding.rs
@@ -271,7 +271,7 @@
         PROGRAM,
         &[("s-1", echo("b1", &log)), ("s-2", echo("b2", &log))],
     );
-    let at = daemon.at;
+    let at = daemon.address;
     let run = move |c: usize| {
         let mut client = Client::open(at).expect("a connection");
         for n in 0..50 {
--- a/crates/daemon/tests/in_force/load.rs
+++ b/crates/daemon/tests/in_force/load.rs
@@ -86,7 +86,7 @@
     });
     let over = Shared::new(false);
     let responses = AtomicUsize::new(0);
-    let at = proxy.daemon.at;
+    let at = proxy.daemon.address;
     std::thread::scope(|threads| {
         let _guard = SetOnDrop(over.clone());
         for number in 0..4 {
--- a/crates/daemon/tests/in_force/planned_size.rs
+++ b/crates/daemon/tests/in_force/planned_size.rs
@@ -105,7 +105,7 @@
     let log = Log::new(vec![]);
     let mut proxy = start(&log);
     let over = Shared::new(false);
-    let at = proxy.daemon.at;
+    let at = proxy.daemon.address;
     let (mut reloads, mut calls) = std::thread::scope(|threads| {
         let calls = threads.spawn(|| call_until(at, &over));
         let guard = SetOnDrop(over.clone());
--- a/crates/daemon/tests/long.rs
+++ b/crates/daemon/tests/long.rs
@@ -102,7 +102,7 @@
     let rpcs: Vec<_> = (0..16)
         .map(|n| {
             let (at, message, bytes) = (
-                daemon.at,
+                daemon.address,
                 rpc("POST", "/log", &format!("n{n}"), &body),
                 body.len(),
             );
@@ -332,7 +332,7 @@
     });
     let begun = Instant::now();
     let crowd: Vec<_> = (0..100)
-        .filter_map(|_| TcpStream::connect(daemon.at).ok())
+        .filter_map(|_| TcpStream::connect(daemon.address).ok())
         .collect();
     let mut client = daemon.client();
     assert_eq!(client.status_of(&rpc("POST", "/book", "prompt", "")), 200);
--- a/crates/daemon/tests/operations.rs
+++ b/crates/daemon/tests/operations.rs
@@ -150,7 +150,7 @@
         config["limits"]["sockets"] = 96.into()
     });
     let clients: Vec<_> = (0..200)
-        .filter_map(|_| TcpStream::connect(daemon.at).ok())
+        .filter_map(|_| TcpStream::connect(daemon.address).ok())
         .collect();
     let mut unfinished: Vec<_> = (0..20)
         .map(|_| Client::open(at).expect("a connection"))
@@ -158,7 +158,7 @@
     for client in &mut unfinished {
         assert!(client.send("POST /standby HTTP/1.1\r\n"));
     }
-    let load = start_load(daemon.at, Instant::now() + Duration::from_secs(2));
+    let load = start_load(daemon.address, Instant::now() + Duration::from_secs(2));
     let mut slowest = Duration::ZERO;
     for _ in 0..5 {
         for (change, expected) in [
--- a/crates/daemon/tests/overloaded_discovery.rs
+++ b/crates/daemon/tests/overloaded_discovery.rs
@@ -64,7 +64,7 @@
         .map(|_| Daemon::start(PROGRAM, &[("s-1", node)]))
         .collect();
     for daemon in &daemons {
-        daemon.reload(&config(daemon.at, address, &[]).to_string());
+        daemon.reload(&config(daemon.address, address, &[]).to_string());
     }
     log.await_event(WATCH);
     let silent_since = Instant::now();
--- a/crates/daemon/tests/process.rs
+++ b/crates/daemon/tests/process.rs
@@ -84,7 +84,7 @@
         (1..version).for_each(|_| next.publish(&[]));
         now = endpoint_entry("s-2", echo(name, &log), "Ready");
         next.publish(std::slice::from_ref(&now));
-        daemon.reload(&config(daemon.at, next.at, &[]).to_string());
+        daemon.reload(&config(daemon.address, next.address, &[]).to_string());
         eventually(EVENT_TIMEOUT, "the new list was never applied", || {
             ask(name) == format!("{name}:")
         });
--- a/crates/daemon/tests/replacing.rs
+++ b/crates/daemon/tests/replacing.rs
@@ -79,7 +79,7 @@
             .iter()
             .map(|(uid, at)| endpoint_entry(uid, *at, "Ready"))
             .collect();
-        let mut config = config(self.at(), self.discovery.at, &known);
+        let mut config = config(self.at(), self.discovery.address, &known);
         without_health_checks(&mut config);
         config["management"] = management.to_string().into();
         config["limits"]["sockets"] = self.max_sockets.into();
--- a/crates/daemon/tests/stalled_clients.rs
+++ b/crates/daemon/tests/stalled_clients.rs
@@ -296,7 +296,7 @@
         stalls_in_a_long_body(),
         stalls_behind_a_request(),
     ];
-    let late = late_clients(daemon.at, stalls.into_iter().flatten().collect());
+    let late = late_clients(daemon.address, stalls.into_iter().flatten().collect());
     assert!(late.is_empty(), "{} are late: {late:#?}", late.len());
 }
 
@@ -311,7 +311,7 @@
     // This backend serves nothing, so no RPC can be served on the connection before.
     let stalls = stalls_in_a_long_body().into_iter();
     let stalls = stalls.filter(|stall| stall.served_before == 0).collect();
-    let late = late_clients(daemon.at, stalls);
+    let late = late_clients(daemon.address, stalls);
     assert!(late.is_empty(), "{} are late: {late:#?}", late.len());
 }
 
--- a/tests/common/sockets/backend.rs
+++ b/tests/common/sockets/backend.rs
@@ -34,10 +34,10 @@
 
 /// Listens on this address, and serves each connection on a thread of its own.
 pub(super) fn serve(
-    at: &str,
+    address: &str,
     serve_connection: impl Fn(TcpStream) + Send + Sync + 'static,
 ) -> SocketAddr {
-    let listener = TcpListener::bind(at).expect("a free port");
+    let listener = TcpListener::bind(address).expect("a free port");
     let address = listener.local_addr().expect("an address");
     let serve_connection = Arc::new(serve_connection);
     spawn(move || {
--- a/tests/common/sockets/client.rs
+++ b/tests/common/sockets/client.rs
@@ -10,8 +10,8 @@
 
 impl Client {
     /// Connects to this address; none if the connection fails.
-    pub(crate) fn open(at: SocketAddr) -> Option<Self> {
-        let stream = TcpStream::connect(at).ok()?;
+    pub(crate) fn open(address: SocketAddr) -> Option<Self> {
+        let stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(EVENT_TIMEOUT)).ok()?;
         Some(Self(BufReader::new(stream)))
     }
--- a/tests/common/sockets/daemon.rs
+++ b/tests/common/sockets/daemon.rs
@@ -18,7 +18,7 @@
     /// The process.
     pub child: Child,
     /// The address for clients.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Its discovery service.
     pub discovery: DiscoveryService,
     folder: PathBuf,
@@ -42,12 +42,12 @@
 }
 
 /// Creates the usual configuration, with the addresses for clients and of the discovery service and the cached endpoints.
-pub(crate) fn config(at: SocketAddr, discovery: SocketAddr, known: &[Value]) -> Value {
+pub(crate) fn config(address: SocketAddr, discovery: SocketAddr, known: &[Value]) -> Value {
     let method = |name: &str, kind: &str| {
         json!({"name": name, "idempotency": kind, "dedup-scope": "cell", "window-ns": 4e9, "utility": 1.0,
             "latency-target-ns": 3e9, "hard-limit-ns": 3e9})
     };
-    json!({"name": "n0", "listen": at.to_string(), "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
+    json!({"name": "n0", "listen": address.to_string(), "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 1024}, "known": {"rev": 0, "all": true, "targets": known}, "settings": {
         "balancers": 1, "membership-mode": "on_request", "failure-domains": ["a"], "my-zone": "a",
         "methods": [method("read", "read_like"), method("book", "non_idempotent"),
@@ -92,19 +92,19 @@
         let folder =
             std::env::temp_dir().join(format!("birchhubd-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let at = unused_address();
+        let address = unused_address();
         let discovery = DiscoveryService::start();
         let known: Vec<_> = backends
             .iter()
-            .map(|(uid, at)| endpoint_entry(uid, *at, "Ready"))
+            .map(|(uid, address)| endpoint_entry(uid, *address, "Ready"))
             .collect();
         discovery.publish(&known);
-        let mut config = config(at, discovery.at, &known);
+        let mut config = config(address, discovery.address, &known);
         change(&mut config);
         std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
         let daemon = Self {
             child: spawn_daemon(program, &folder),
-            at,
+            address,
             discovery,
             folder,
         };
@@ -129,7 +129,7 @@
 
     /// Waits until the readiness check has this status.
     pub(crate) fn await_ready(&self, status: u16) {
-        let current = || Some(Client::open(self.at)?.call(HEALTH)?.status());
+        let current = || Some(Client::open(self.address)?.call(HEALTH)?.status());
         eventually(EVENT_TIMEOUT, &format!("never {status}"), || {
             sleep(Duration::from_millis(2));
             current() == Some(status)
@@ -138,7 +138,7 @@
 
     /// Opens a client's connection.
     pub(crate) fn client(&self) -> Client {
-        Client::open(self.at).expect("a connection")
+        Client::open(self.address).expect("a connection")
     }
 
     /// Sends RPCs whose responses fill the retry budget.
--- a/tests/common/sockets/discovery.rs
+++ b/tests/common/sockets/discovery.rs
@@ -24,7 +24,7 @@
 #[derive(Clone)]
 pub(crate) struct DiscoveryService {
     /// The address that it listens on.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     publication: Shared<Publication>,
     /// The version that the latest call has already.
     requested_after: Shared<u64>,
@@ -53,9 +53,9 @@
             calls: calls.clone(),
             ignored_call,
         };
-        let at = serve("127.0.0.1:0", move |stream| connections.serve(stream));
+        let address = serve("127.0.0.1:0", move |stream| connections.serve(stream));
         Self {
-            at,
+            address,
             publication,
             requested_after,
             answered,
--- a/tests/common/sockets/slow_accept.rs
+++ b/tests/common/sockets/slow_accept.rs
@@ -6,7 +6,7 @@
 /// An address whose connections are established only once the test accepts them.
 pub(crate) struct SlowAccept {
     /// The address that it listens on.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     listener: socket2::Socket,
     /// Connections that fill the kernel's queue.
     fillers: Vec<socket2::Socket>,
@@ -21,21 +21,21 @@
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .expect("a free port");
         listener.listen(0).expect("a listener");
-        let at = listener
+        let address = listener
             .local_addr()
             .ok()
-            .and_then(|at| at.as_socket())
+            .and_then(|address| address.as_socket())
             .expect("an address");
         let fillers = std::iter::from_fn(|| {
             let filler = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
             filler
-                .connect_timeout(&at.into(), Duration::from_millis(300))
+                .connect_timeout(&address.into(), Duration::from_millis(300))
                 .ok()
                 .map(|()| filler)
         });
         let fillers = fillers.collect();
         Self {
-            at,
+            address,
             listener,
             fillers,
         }
@@ -43,13 +43,13 @@
 
     /// Returns the number of connects that wait, without the fillers.
     pub(crate) fn pending_connects(&self) -> usize {
-        let SocketAddr::V4(at) = self.at else {
-            panic!("no such address: {}", self.at)
+        let SocketAddr::V4(address) = self.address else {
+            panic!("no such address: {}", self.address)
         };
         let to = format!(
             "{:08X}:{:04X}",
-            u32::from_ne_bytes(at.ip().octets()),
-            at.port()
+            u32::from_ne_bytes(address.ip().octets()),
+            address.port()
         );
         let all = std::fs::read_to_string("/proc/net/tcp").expect("connections");
         let is = |line: &&str| {
