--- a/crates/audit/src/audit/one_answer.rs
+++ b/crates/audit/src/audit/one_answer.rs
@@ -2,7 +2,7 @@
 //! after that.
 use super::tracker::{Attempt, ClientRequest, Tracker};
 use super::violations::{Violations, rpc_subject};
-use crate::event::{Answer, End, Entry, Event};
+use crate::event::{Answer, Entry, Event, ProxyEnd};
 use crate::findings::{Rule, Violation};
 use std::collections::HashMap;
 
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub(super) struct OneAnswer {
     /// When and how the processes of each proxy ended.
-    process_ends: HashMap<u16, Vec<(f64, End)>>,
+    process_ends: HashMap<u16, Vec<(f64, ProxyEnd)>>,
     /// Requests that got no answer because their proxy was killed.
     pub(super) lost_with_proxy: usize,
 }
@@ -36,7 +36,7 @@
                 }
             }
             Event::ProxyEnded { proxy, how } => {
-                if how == End::Crashed {
+                if how == ProxyEnd::Crashed {
                     let name = tracker.head.proxy_name(proxy);
                     violations.add(Violation {
                         rule: Rule::OneAnswer,
@@ -111,7 +111,7 @@
     fn was_killed(&self, request: &ClientRequest, until: f64, slack: f64) -> bool {
         let ends = self.process_ends.get(&request.proxy);
         ends.into_iter().flatten().any(|(at, how)| {
-            matches!(how, End::Killed | End::Forced | End::Over)
+            matches!(how, ProxyEnd::Killed | ProxyEnd::Forced | ProxyEnd::Over)
                 && *at >= request.sent_at - slack
                 && *at <= until + slack
         })
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -118,7 +118,7 @@
 
 /// How a proxy's process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum ProxyEnd {
     /// The scenario killed it.
     Killed,
     /// It exited after SIGTERM.
@@ -312,7 +312,7 @@
         /// The proxy.
         proxy: u16,
         /// How it ended.
-        how: End,
+        how: ProxyEnd,
     },
     /// A planned fault began or ended.
     #[serde(rename = "Trouble")]
--- a/crates/audit/tests/audit/builder.rs
+++ b/crates/audit/tests/audit/builder.rs
@@ -1,5 +1,5 @@
 //! Ledgers written by hand, event by event.
-use birchhub_audit::event::{Admission, AttemptEnd, End, ReceivedAttempt};
+use birchhub_audit::event::{Admission, AttemptEnd, ProxyEnd, ReceivedAttempt};
 use birchhub_audit::head::{Backend, ServiceTargets};
 use birchhub_audit::{
     Answer, Audit, DeduplicationScope, Entry, Event, Findings, Head, Idempotency, Method, Rule,
@@ -171,7 +171,7 @@
             40.0,
             Event::ProxyEnded {
                 proxy: 0,
-                how: End::Over,
+                how: ProxyEnd::Over,
             },
         );
         self.0.sort_by(|a, b| a.at.total_cmp(&b.at));
--- a/crates/audit/tests/audit/one_answer.rs
+++ b/crates/audit/tests/audit/one_answer.rs
@@ -1,6 +1,6 @@
 //! Rule 1: one final answer before the deadline, and no attempt after it.
 use crate::builder::{BOOK, LedgerBuilder, READ};
-use birchhub_audit::event::{Admission, AttemptEnd, End};
+use birchhub_audit::event::{Admission, AttemptEnd, ProxyEnd};
 use birchhub_audit::{Answer, Event, Rule};
 
 #[test]
@@ -63,7 +63,7 @@
         .request(1.0, 7, BOOK)
         .answered(1.2, 7, Answer::Lost)
         .assert_violation(Rule::OneAnswer, "rpc 7", "ended without");
-    for (how, excused) in [(End::Killed, true), (End::Stopped, false)] {
+    for (how, excused) in [(ProxyEnd::Killed, true), (ProxyEnd::Stopped, false)] {
         let mut builder = LedgerBuilder::new();
         builder
             .request(1.0, 7, BOOK)
@@ -92,7 +92,7 @@
             3.0,
             Event::ProxyEnded {
                 proxy: 1,
-                how: End::Crashed,
+                how: ProxyEnd::Crashed,
             },
         )
         .assert_violation(Rule::OneAnswer, "proxy p1", "unasked");
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -1,6 +1,6 @@
 //! The stored form of a ledger. `fixtures/ledger-1` and `fixtures/records.jsonl` were written by the code of
 //! 2026-12-02; ledgers of that time can be read, and new ones have the same bytes.
-use birchhub_audit::event::{Admission, AttemptEnd, End, ReceivedAttempt};
+use birchhub_audit::event::{Admission, AttemptEnd, ProxyEnd, ReceivedAttempt};
 use birchhub_audit::head::{Backend, Fault, ServiceTargets};
 use birchhub_audit::timeline::Timeline;
 use birchhub_audit::{
@@ -156,11 +156,11 @@
 
 fn proxy_events() -> Vec<Event> {
     let ends = [
-        End::Killed,
-        End::Stopped,
-        End::Forced,
-        End::Crashed,
-        End::Over,
+        ProxyEnd::Killed,
+        ProxyEnd::Stopped,
+        ProxyEnd::Forced,
+        ProxyEnd::Crashed,
+        ProxyEnd::Over,
     ];
     let mut events = vec![
         Event::ProxyStarted { proxy: 1 },
--- a/crates/rehearsal/src/proxies.rs
+++ b/crates/rehearsal/src/proxies.rs
@@ -7,7 +7,7 @@
 use crate::settings;
 use crate::stage::{Block, StageDoor};
 use birchhub_audit::Event;
-use birchhub_audit::event::End;
+use birchhub_audit::event::ProxyEnd;
 use birchhub_backend_model::work::generator;
 use birchhub_emulator::EventLog;
 use birchhub_emulator::wire::{MessageKind, Peer};
@@ -239,16 +239,16 @@
     }
 
     /// Takes note of a process that has ended by itself; tells how.
-    fn reap(&self, proxy: u16) -> Option<End> {
+    fn reap(&self, proxy: u16) -> Option<ProxyEnd> {
         let mut slot = self.processes[proxy as usize].borrow_mut();
         let process = slot.as_mut()?;
         if !matches!(process.child.try_wait(), Ok(Some(_))) {
             return None;
         }
         let how = if process.stopping {
-            End::Stopped
+            ProxyEnd::Stopped
         } else {
-            End::Crashed
+            ProxyEnd::Crashed
         };
         *slot = None;
         Some(how)
@@ -270,7 +270,7 @@
         });
     }
 
-    fn ended(self: &Rc<Self>, proxy: u16, how: End) {
+    fn ended(self: &Rc<Self>, proxy: u16, how: ProxyEnd) {
         self.event_log.record(Event::ProxyEnded { proxy, how });
         self.notice(proxy, self.scenario.proxies.front_notices.0);
     }
@@ -283,7 +283,7 @@
                 sleep(LOOK).await;
                 for proxy in 0..watcher.processes.len() as u16 {
                     if let Some(how) = watcher.reap(proxy) {
-                        if how == End::Crashed {
+                        if how == ProxyEnd::Crashed {
                             log::error!("{} ended by itself", proxy_name(proxy));
                         }
                         watcher.ended(proxy, how);
@@ -304,7 +304,7 @@
             }
         };
         match act {
-            Act::KillProxy { proxy } => self.kill(proxy, End::Killed),
+            Act::KillProxy { proxy } => self.kill(proxy, ProxyEnd::Killed),
             Act::PauseProxy { proxy, on } => {
                 signal(proxy, if on { Signal::SIGSTOP } else { Signal::SIGCONT })
             }
@@ -323,7 +323,7 @@
     }
 
     /// Ends its process at once, and notes it before anybody can see it gone.
-    fn kill(self: &Rc<Self>, proxy: u16, how: End) {
+    fn kill(self: &Rc<Self>, proxy: u16, how: ProxyEnd) {
         let process = self.processes[proxy as usize].borrow_mut().take();
         if let Some(mut process) = process {
             self.ended(proxy, how);
@@ -336,7 +336,7 @@
         let until = Instant::now() + self.longest_stop();
         while self.processes[proxy as usize].borrow().is_some() {
             if Instant::now() > until {
-                self.kill(proxy, End::Forced);
+                self.kill(proxy, ProxyEnd::Forced);
                 break;
             }
             sleep(LOOK).await;
@@ -366,7 +366,7 @@
             sleep(LOOK).await;
         }
         for proxy in 0..self.processes.len() as u16 {
-            self.kill(proxy, End::Forced);
+            self.kill(proxy, ProxyEnd::Forced);
         }
     }
 
@@ -382,7 +382,7 @@
             if let Some(mut process) = slot.borrow_mut().take() {
                 self.event_log.record(Event::ProxyEnded {
                     proxy: proxy as u16,
-                    how: End::Over,
+                    how: ProxyEnd::Over,
                 });
                 process.end();
             }
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -5,7 +5,7 @@
 use super::machine::InjectedFault;
 use super::{NETWORK_DELAY, World};
 use birchhub::interface::AttemptOutcome;
-use birchhub_audit::event::End;
+use birchhub_audit::event::ProxyEnd;
 use birchhub_audit::{EndpointState, Event};
 use birchhub_backend_model::work::generator;
 use birchhub_rehearsal::plan::{Act, Trick};
@@ -47,7 +47,7 @@
             Act::ListLate { by } => self.list_delay += by,
             Act::ListDown { down } => self.set_list_down(down),
             Act::ListStale { proxy, stale } => self.set_list_stale(proxy, stale),
-            Act::KillProxy { proxy } => self.kill_proxy(proxy, End::Killed),
+            Act::KillProxy { proxy } => self.kill_proxy(proxy, ProxyEnd::Killed),
             Act::TermProxy { proxy } => self.terminate_proxy(proxy),
             Act::StartProxy { proxy } => self.schedule_proxy_start(proxy, self.now),
             Act::PauseProxy { proxy, on: true } => self.pause_proxy(proxy),
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -16,7 +16,7 @@
 use crate::queue::Queue;
 use attempts::ProxyAttempt;
 use birchhub::interface::Settings;
-use birchhub_audit::event::End;
+use birchhub_audit::event::ProxyEnd;
 use birchhub_audit::{Answer, EndpointState, Entry, Event, Head};
 use birchhub_backend_model::{DeduplicationCache, Start};
 use birchhub_rehearsal::plan::Plan;
@@ -183,7 +183,7 @@
             if self.proxies[proxy as usize].take().is_some() {
                 self.record(Event::ProxyEnded {
                     proxy,
-                    how: End::Over,
+                    how: ProxyEnd::Over,
                 });
             }
         }
--- a/crates/simulation/src/world/proxies.rs
+++ b/crates/simulation/src/world/proxies.rs
@@ -5,7 +5,7 @@
 use super::{NETWORK_DELAY, POLL_INTERVAL, World};
 use birchhub::balancer::Balancer;
 use birchhub::interface::EndpointUpdateKind;
-use birchhub_audit::event::End;
+use birchhub_audit::event::ProxyEnd;
 use birchhub_audit::{Answer, Event};
 use birchhub_backend_model::work::generator;
 use rand::Rng;
@@ -84,7 +84,7 @@
     }
 
     /// Ends the process of a proxy: its clients and backends find their connections closed.
-    pub(super) fn kill_proxy(&mut self, proxy: u16, how: End) {
+    pub(super) fn kill_proxy(&mut self, proxy: u16, how: ProxyEnd) {
         let Some(ended) = self.proxies[proxy as usize].take() else {
             return;
         };
@@ -146,7 +146,7 @@
             return;
         };
         if running.in_flight.is_empty() {
-            self.kill_proxy(process.proxy, End::Stopped);
+            self.kill_proxy(process.proxy, ProxyEnd::Stopped);
         } else {
             let retry = SimulationEvent::StopProxyWhenIdle(process);
             self.schedule(POLL_INTERVAL, retry);
@@ -164,7 +164,7 @@
         if self.proxies[proxy as usize].is_none() {
             self.start_proxy(proxy);
         } else if self.now > since + self.longest_deadline + SHUTDOWN_MARGIN {
-            self.kill_proxy(proxy, End::Forced);
+            self.kill_proxy(proxy, ProxyEnd::Forced);
             self.schedule_proxy_start(proxy, since);
         } else {
             let retry = SimulationEvent::StartProxy { proxy, since };
