--- /dev/null
+++ b/crates/soak/tests/plan_file.rs
@@ -0,0 +1,21 @@
+//! The form of a plan's file, pinned by a plan with every kind of fault and every disturbance of connections.
+use birchhub_soak::SoakPlan;
+use std::path::Path;
+
+const FIXTURE: &str = include_str!("fixtures/plan-seed-3.toml");
+const SEED: u64 = 3;
+const SECONDS: f64 = 120.0;
+const PROXIES: usize = 24;
+
+#[test]
+fn a_stored_plan_is_written_back_to_the_same_bytes() {
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/plan-seed-3.toml");
+    let plan = SoakPlan::read(&file).expect("a plan");
+    assert_eq!(plan.to_text(), FIXTURE);
+}
+
+#[test]
+fn a_seed_generates_the_stored_plan() {
+    let plan = SoakPlan::draw(SEED, SECONDS, PROXIES);
+    assert_eq!(plan.to_text(), FIXTURE);
+}
