--- /dev/null
+++ b/crates/emulator/src/backend/connections.rs
@@ -0,0 +1,187 @@
+//! Connections of proxies to an emulated backend: accepting, partitions, stalls and the order of requests.
+use super::EmulatedBackend;
+use super::incarnation::Shutdown;
+use super::requests::ReceivedRequest;
+use crate::wire::{MessageKind, Peer};
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::task::Poll;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::select;
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+
+/// Pause before accepting again after an error, such as a lack of file descriptors.
+const ACCEPT_RETRY: Duration = Duration::from_millis(5);
+
+/// What a connection does after a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum NextStep {
+    /// Reads the next request.
+    Read,
+    /// Closes the connection.
+    Close,
+    /// Resets the connection.
+    Reset,
+}
+
+/// A connection's place among those that the backend accepts, released when it is dropped.
+pub(super) struct ConnectionSlot {
+    backend: Rc<EmulatedBackend>,
+    /// Number of the incarnation that accepted the connection.
+    pub incarnation: u32,
+    /// Whether the backend had a place left. A connection without one gets a rejection.
+    pub is_granted: bool,
+}
+
+impl Drop for ConnectionSlot {
+    fn drop(&mut self) {
+        if self.is_granted {
+            self.backend.with(self.incarnation, |incarnation| {
+                incarnation.model.disconnect()
+            });
+        }
+    }
+}
+
+impl EmulatedBackend {
+    /// Accepts the connections of one proxy until the incarnation ends.
+    pub(super) async fn accept(
+        self: Rc<Self>,
+        number: u32,
+        proxy: u16,
+        listener: TcpListener,
+        mut shutdown: watch::Receiver<Shutdown>,
+    ) {
+        loop {
+            let accepted = select! {
+                biased;
+                _ = shutdown.changed() => return,
+                () = self.until_partitioned(proxy, true) => {
+                    self.until_partitioned(proxy, false).await;
+                    reset_pending(&listener).await;
+                    continue;
+                }
+                // Also while the process is stalled: the operating system completes connections for it.
+                accepted = listener.accept() => accepted,
+            };
+            match accepted {
+                Ok((stream, _)) => {
+                    let slot = self.clone().slot(number);
+                    let peer = Peer::new(stream);
+                    spawn_local(self.clone().connection(peer, proxy, slot, shutdown.clone()));
+                }
+                Err(error) => {
+                    log::warn!("{}: accept failed, retrying: {error}", self.spec.name);
+                    sleep(ACCEPT_RETRY).await;
+                }
+            }
+        }
+    }
+
+    /// Takes a place for a connection, if the model has one left.
+    fn slot(self: Rc<Self>, number: u32) -> ConnectionSlot {
+        let is_granted = self
+            .with(number, |incarnation| incarnation.model.connect())
+            .unwrap_or(false);
+        ConnectionSlot {
+            backend: self,
+            incarnation: number,
+            is_granted,
+        }
+    }
+
+    /// Serves one connection until it or the incarnation ends. During a partition nothing is read or written; at its
+    /// end the connection is reset.
+    async fn connection(
+        self: Rc<Self>,
+        mut peer: Peer,
+        proxy: u16,
+        slot: ConnectionSlot,
+        mut shutdown: watch::Receiver<Shutdown>,
+    ) {
+        let ended = async {
+            let shutdown = shutdown.wait_for(|state| *state != Shutdown::Running).await;
+            shutdown.map_or(Shutdown::Crashed, |shutdown| *shutdown)
+        };
+        let is_reset = select! {
+            biased;
+            shutdown = ended => shutdown == Shutdown::Crashed,
+            () = self.until_partitioned(proxy, true) => {
+                self.until_partitioned(proxy, false).await;
+                true
+            }
+            next = self.serve(&mut peer, proxy, &slot) => next == NextStep::Reset,
+        };
+        if is_reset {
+            peer.reset();
+        }
+    }
+
+    /// Serves the requests of a connection, one after another.
+    async fn serve(&self, peer: &mut Peer, proxy: u16, slot: &ConnectionSlot) -> NextStep {
+        let clock = self.fleet.event_log.clock;
+        let idle_timeout = Duration::from_secs_f64(self.spec.idle_timeout_seconds);
+        loop {
+            let read = timeout(idle_timeout, peer.read(MessageKind::Request, &clock));
+            let Ok(Ok(message)) = read.await else {
+                return NextStep::Close;
+            };
+            let request = ReceivedRequest {
+                closed_at: self.until_not_stalled(peer, slot.incarnation).await,
+                message,
+                proxy,
+            };
+            let next = match request.message.path.as_str() {
+                "/health/live" | "/stats" => {
+                    let incarnation = slot.incarnation;
+                    self.serve_health_check(peer, &request.message, incarnation)
+                        .await
+                }
+                _ => self.serve_rpc(peer, &request, slot).await,
+            };
+            match next {
+                NextStep::Read if !request.message.is_last() => {}
+                NextStep::Reset => return NextStep::Reset,
+                NextStep::Read | NextStep::Close => return NextStep::Close,
+            }
+        }
+    }
+
+    /// Waits until this proxy is partitioned from the backend, or no longer is.
+    async fn until_partitioned(&self, proxy: u16, expected: bool) {
+        let mut fault_state = self.fault_state.subscribe();
+        while self.faults.is_partitioned(proxy) != expected {
+            let _ = fault_state.changed().await;
+        }
+    }
+
+    /// Waits until the process is not stalled. Returns when the peer closed the connection, if it did meanwhile.
+    async fn until_not_stalled(&self, peer: &mut Peer, number: u32) -> Option<f64> {
+        let mut fault_state = self.fault_state.subscribe();
+        let mut closed_at = None;
+        while self
+            .with(number, |incarnation| incarnation.is_stalled())
+            .unwrap_or(false)
+        {
+            select! {
+                _ = fault_state.changed() => {}
+                () = peer.closed(), if closed_at.is_none() => {
+                    closed_at = Some(self.fleet.event_log.clock.now());
+                }
+            }
+        }
+        closed_at
+    }
+}
+
+/// Resets the connections that were opened during a partition.
+async fn reset_pending(listener: &TcpListener) {
+    while let Poll::Ready(Ok((stream, _))) =
+        poll_fn(|context| Poll::Ready(listener.poll_accept(context))).await
+    {
+        Peer::new(stream).reset();
+    }
+}
--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -1,51 +1,56 @@
-//! The one clock of a rehearsal, read alike by all threads.
+//! The clock of a rehearsal, which all its threads share.
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{Instant, sleep_until};
 
-/// Seconds since the rehearsal began, and what wall time that is.
+/// Limit of [`Clock::instant`] on both sides of the start, in seconds: one day.
+const MAX_OFFSET_SECONDS: f64 = 86_400.0;
+
+/// Measures time in seconds since the start of a rehearsal.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    base: Instant,
-    wall: f64,
+    start: Instant,
+    /// Unix time of the start in seconds.
+    start_unix_seconds: f64,
 }
 
 impl Clock {
-    /// A clock that reads 0 after `lead`.
+    /// Creates a clock whose time is 0 after `lead`.
     pub fn starting_in(lead: Duration) -> Self {
-        let wall = SystemTime::now()
+        let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             + lead;
         Self {
-            base: Instant::now() + lead,
-            wall: wall.as_secs_f64(),
+            start: Instant::now() + lead,
+            start_unix_seconds: unix_time.as_secs_f64(),
         }
     }
 
-    /// s; negative before the beginning.
+    /// Seconds since the start; negative before it.
     pub fn now(&self) -> f64 {
         let now = Instant::now();
-        match now.checked_duration_since(self.base) {
+        match now.checked_duration_since(self.start) {
             Some(since) => since.as_secs_f64(),
-            None => -self.base.duration_since(now).as_secs_f64(),
+            None => -self.start.duration_since(now).as_secs_f64(),
         }
     }
 
-    /// The moment at which it reads this; times far off are cut to a day.
+    /// Converts a time in seconds to an instant. Times more than a day from the start are cut to a day.
     pub fn instant(&self, at: f64) -> Instant {
-        let span = Duration::from_secs_f64(at.abs().min(86_400.0));
+        let offset = Duration::from_secs_f64(at.abs().min(MAX_OFFSET_SECONDS));
         if at < 0.0 {
-            self.base.checked_sub(span).unwrap_or(self.base)
+            self.start.checked_sub(offset).unwrap_or(self.start)
         } else {
-            self.base + span
+            self.start + offset
         }
     }
 
-    /// Unix time in ms, as the list tells starts.
+    /// Converts a time in seconds to Unix time in whole milliseconds, as the discovery protocol has it.
     pub fn unix_ms(&self, at: f64) -> f64 {
-        ((self.wall + at) * 1e3).round()
+        ((self.start_unix_seconds + at) * 1e3).round()
     }
 
+    /// Sleeps until this time, in seconds since the start.
     pub async fn sleep_until(&self, at: f64) {
         sleep_until(self.instant(at)).await;
     }
--- a/crates/emulator/src/discovery_service.rs
+++ b/crates/emulator/src/discovery_service.rs
@@ -1,114 +1,73 @@
-//! The list service: which nodes there are and how they do, told whole or as changes, to each proxy at an address of its
-//! own, so that it knows to whom it has told what.
+//! The emulated discovery service: it sends the endpoint list, complete or as changes, to each proxy at an address of
+//! its own, so that it knows which proxy was notified of what.
+mod capacity;
+mod connections;
+mod endpoints;
+
 use crate::event_log::EventLog;
-use crate::wire::{Message, MessageKind, Peer, listen, response};
+use crate::wire::listen;
 use birchhub_audit::{EndpointState, Event};
-use serde_json::{Value, json};
+pub use capacity::ServiceCapacity;
+pub use endpoints::Endpoint;
+use endpoints::{EndpointListSnapshot, ListResponse, Notification};
+use serde_json::Value;
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, HashMap};
+use std::collections::HashMap;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::select;
-use tokio::sync::{Semaphore, watch};
+use tokio::sync::watch;
 use tokio::task::spawn_local;
-use tokio::time::{Instant, sleep, sleep_until};
-
-const BACKLOG: u32 = 64;
-const HOLD_MOST: u64 = 60_000; // ms that a call may wait
-const BUSY: Duration = Duration::from_millis(5); // before accepting again when descriptors are out
-
-/// What the list says of a node.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Endpoint {
-    pub name: String,
-    pub zone: String,
-    pub rack: u64,
-    pub machine: String,
-    pub capacity: f64,
-    /// Its address for each proxy.
-    pub addresses: Vec<SocketAddr>,
-    pub state: EndpointState,
-    pub incarnation: u32,
-    /// When it last started, Unix time in ms; 0 for long ago.
-    pub boot_ms: f64,
-}
 
-impl Endpoint {
-    /// As it is told to a proxy.
-    pub fn to_json(&self, proxy: u16) -> Value {
-        let state = match self.state {
-            EndpointState::Ready => "Ready",
-            EndpointState::Draining => "Terminating",
-            EndpointState::Gone => "Gone",
-        };
-        let endpoint = self
-            .addresses
-            .get(proxy as usize)
-            .map(ToString::to_string)
-            .unwrap_or_default();
-        json!({"uid": self.name, "endpoint": endpoint, "az": self.zone, "model": self.machine,
-            "pod_group": self.rack, "state": state, "capacity_hint": self.capacity, "boot_ms": self.boot_ms})
-    }
-}
+/// Connections that may wait to be accepted at a listener.
+const LISTEN_BACKLOG: u32 = 64;
 
-/// The list at one version.
-#[derive(Clone, Debug, Default)]
-struct EndpointListSnapshot {
-    version: u64,
-    /// Every node that ever was, with the version at which it last changed.
-    lines: BTreeMap<u32, (u64, Endpoint)>,
+/// A snapshot that a proxy receives in place of the present list.
+struct StaleSnapshot {
+    /// Number of faults that demand it.
+    faults: usize,
+    snapshot: EndpointListSnapshot,
 }
 
-/// How the service fares, for all proxies or for one.
+/// Faults of the service, for all proxies or for one.
 #[derive(Default)]
 struct FaultState {
+    /// Number of faults during which the service is down.
     down: usize,
-    /// Proxies that get an old copy, each with the copy and how often that was asked for.
-    stale: HashMap<u16, (usize, EndpointListSnapshot)>,
+    /// Proxies that receive an outdated list.
+    stale: HashMap<u16, StaleSnapshot>,
 }
 
-/// How many calls the service works on at a time, and how long on each. It refuses more with 503; a watch that waits
-/// for something new is none of them, and is answered in its turn.
-#[derive(Clone, Debug)]
-pub struct ServiceCapacity {
-    slots: Rc<Semaphore>,
-    call: Duration,
-    line: Duration,
-}
-
-impl ServiceCapacity {
-    /// `calls` at a time, of `call` each and `line` more for each line that is told.
-    pub fn new(calls: usize, call: Duration, line: Duration) -> Self {
-        Self {
-            slots: Rc::new(Semaphore::new(calls)),
-            call,
-            line,
-        }
-    }
+/// State that a proxy was last notified of for one backend.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct NotifiedState {
+    incarnation: u32,
+    state: EndpointState,
 }
 
+/// The emulated discovery service.
 pub struct DiscoveryService {
     event_log: EventLog,
+    /// Address for each proxy.
     addresses: Vec<SocketAddr>,
-    now: RefCell<EndpointListSnapshot>,
+    list: RefCell<EndpointListSnapshot>,
     fault_state: RefCell<FaultState>,
-    /// What each proxy was told last of each node.
-    told: RefCell<HashMap<(u16, u32), (u32, EndpointState)>>,
+    /// By proxy and backend.
+    notified: RefCell<HashMap<(u16, u32), NotifiedState>>,
+    /// Changes with the list and the fault state.
     changed: watch::Sender<u64>,
-    calls: Cell<u64>,
-    refused: Cell<u64>,
+    answered_calls: Cell<u64>,
+    rejected_calls: Cell<u64>,
     capacity: RefCell<Option<ServiceCapacity>>,
 }
 
 impl DiscoveryService {
-    /// Begins to listen, on the IP that is given for each proxy.
-    pub fn start(event_log: EventLog, addresses: &[IpAddr]) -> io::Result<Rc<Self>> {
-        let listeners = addresses
+    /// Starts the service with an empty list. It listens on the IP that is given for each proxy.
+    pub fn start(event_log: EventLog, ips: &[IpAddr]) -> io::Result<Rc<Self>> {
+        let listeners = ips
             .iter()
-            .map(|ip| listen((*ip, 0).into(), BACKLOG))
+            .map(|ip| listen((*ip, 0).into(), LISTEN_BACKLOG))
             .collect::<io::Result<Vec<_>>>()?;
         let addresses = listeners
             .iter()
@@ -117,12 +76,12 @@
         let service = Rc::new(Self {
             event_log,
             addresses,
-            now: RefCell::default(),
+            list: RefCell::default(),
             fault_state: RefCell::default(),
-            told: RefCell::default(),
+            notified: RefCell::default(),
             changed: watch::channel(0).0,
-            calls: Cell::new(0),
-            refused: Cell::new(0),
+            answered_calls: Cell::new(0),
+            rejected_calls: Cell::new(0),
             capacity: RefCell::default(),
         });
         for (proxy, listener) in listeners.into_iter().enumerate() {
@@ -131,257 +90,137 @@
         Ok(service)
     }
 
+    /// The service's address for a proxy.
     pub fn address(&self, proxy: u16) -> Option<SocketAddr> {
         self.addresses.get(proxy as usize).copied()
     }
 
-    /// Calls answered so far.
+    /// Number of calls that were answered with a list.
     pub fn answered_calls(&self) -> u64 {
-        self.calls.get()
+        self.answered_calls.get()
     }
 
-    /// Calls refused so far for want of room.
+    /// Number of calls that were rejected for lack of capacity.
     pub fn rejected_calls(&self) -> u64 {
-        self.refused.get()
+        self.rejected_calls.get()
     }
 
-    /// It takes only so many calls at a time from now on.
+    /// Limits the capacity of the service. Without a limit it answers every call at once.
     pub fn set_capacity(&self, capacity: ServiceCapacity) {
         self.capacity.replace(Some(capacity));
     }
 
-    fn wake(&self) {
-        self.changed.send_modify(|n| *n += 1);
-    }
-
-    /// A node is now so. Proxies that watch are told.
-    pub fn update_endpoint(&self, node: u32, line: Endpoint) {
+    /// Sets a backend's endpoint and wakes the proxies that watch.
+    pub fn update_endpoint(&self, backend: u32, endpoint: Endpoint) {
         self.event_log.record(Event::EndpointChanged {
-            backend: node,
-            incarnation: line.incarnation,
-            state: line.state,
+            backend,
+            incarnation: endpoint.incarnation,
+            state: endpoint.state,
         });
-        let mut now = self.now.borrow_mut();
-        now.version += 1;
-        let version = now.version;
-        now.lines.insert(node, (version, line));
-        drop(now);
-        self.wake();
+        self.list.borrow_mut().update(backend, endpoint);
+        self.notify_change();
     }
 
-    /// It fails every call from now on, or answers again.
-    pub fn set_down(&self, down: bool) {
-        let mut fault_state = self.fault_state.borrow_mut();
-        fault_state.down = if down {
-            fault_state.down + 1
+    /// Begins or ends a fault during which the service resets all connections. Faults may overlap.
+    pub fn set_down(&self, is_down: bool) {
+        let mut faults = self.fault_state.borrow_mut();
+        faults.down = if is_down {
+            faults.down + 1
         } else {
-            fault_state.down.saturating_sub(1)
+            faults.down.saturating_sub(1)
         };
-        drop(fault_state);
-        self.wake();
-    }
-
-    /// A proxy gets the copy of this moment from now on, or the true list again.
-    pub fn set_stale(&self, proxy: u16, stale: bool) {
-        let mut fault_state = self.fault_state.borrow_mut();
-        if stale {
-            let copy = self.now.borrow().clone();
-            fault_state.stale.entry(proxy).or_insert((0, copy)).0 += 1;
-        } else if let Some(slot) = fault_state.stale.get_mut(&proxy) {
-            slot.0 -= 1;
-            if slot.0 == 0 {
-                fault_state.stale.remove(&proxy);
+        drop(faults);
+        self.notify_change();
+    }
+
+    /// Begins or ends a fault during which a proxy receives the list as it is now. Faults may overlap; the first one's
+    /// list is sent until the last one ends.
+    pub fn set_stale(&self, proxy: u16, is_stale: bool) {
+        let mut faults = self.fault_state.borrow_mut();
+        if is_stale {
+            let stale = faults.stale.entry(proxy).or_insert_with(|| StaleSnapshot {
+                faults: 0,
+                snapshot: self.list.borrow().clone(),
+            });
+            stale.faults += 1;
+        } else if let Some(stale) = faults.stale.get_mut(&proxy) {
+            stale.faults -= 1;
+            if stale.faults == 0 {
+                faults.stale.remove(&proxy);
             }
         }
-        drop(fault_state);
-        self.wake();
+        drop(faults);
+        self.notify_change();
+    }
+
+    /// The complete list for a proxy that starts. It is recorded as sent.
+    pub fn initial_snapshot(&self, proxy: u16) -> Value {
+        let response = self.response(proxy, None);
+        self.record_notifications(proxy, true, response.notifications);
+        response.body
+    }
+
+    /// Forgets what a proxy was notified of, when it restarts.
+    pub fn forget_proxy(&self, proxy: u16) {
+        self.notified.borrow_mut().retain(|(p, _), _| *p != proxy);
+    }
+
+    fn notify_change(&self) {
+        self.changed.send_modify(|changes| *changes += 1);
     }
 
     fn is_down(&self) -> bool {
         self.fault_state.borrow().down > 0
     }
 
-    /// The list as a proxy gets it.
-    fn copy<R>(&self, proxy: u16, look: impl FnOnce(&EndpointListSnapshot) -> R) -> R {
+    /// Gives access to the list that a proxy receives.
+    fn with_snapshot<R>(&self, proxy: u16, access: impl FnOnce(&EndpointListSnapshot) -> R) -> R {
         match self.fault_state.borrow().stale.get(&proxy) {
-            Some((_, copy)) => look(copy),
-            None => look(&self.now.borrow()),
+            Some(stale) => access(&stale.snapshot),
+            None => access(&self.list.borrow()),
         }
     }
 
-    /// The whole list for a proxy that starts, noted as told.
-    pub fn initial_snapshot(&self, proxy: u16) -> Value {
-        let (body, told) = self.body(proxy, None);
-        self.note(proxy, true, told);
-        body
+    fn response(&self, proxy: u16, from: Option<u64>) -> ListResponse {
+        self.with_snapshot(proxy, |list| list.response(proxy, from))
     }
 
-    /// What an answer to a proxy says: all of it, or what has changed since a version.
-    fn body(&self, proxy: u16, from: Option<u64>) -> (Value, Vec<(u32, u32, EndpointState)>) {
-        self.copy(proxy, |copy| {
-            let wanted = |(_, (version, line)): &(&u32, &(u64, Endpoint))| match from {
-                None => line.state != EndpointState::Gone,
-                Some(from) => *version > from,
-            };
-            let lines: Vec<_> = copy.lines.iter().filter(wanted).collect();
-            let targets: Vec<_> = lines
-                .iter()
-                .map(|(_, (_, line))| line.to_json(proxy))
-                .collect();
-            let told = lines
+    /// Records which states are new to a proxy. Backends that a complete list leaves out are gone.
+    fn record_notifications(
+        &self,
+        proxy: u16,
+        is_complete: bool,
+        mut notifications: Vec<Notification>,
+    ) {
+        let mut notified = self.notified.borrow_mut();
+        if is_complete {
+            let is_listed = |backend| notifications.iter().any(|n| n.backend == backend);
+            let gone: Vec<_> = notified
                 .iter()
-                .map(|(node, (_, line))| (**node, line.incarnation, line.state))
+                .filter(|((p, backend), _)| *p == proxy && !is_listed(*backend))
+                .map(|((_, backend), last)| Notification {
+                    backend: *backend,
+                    incarnation: last.incarnation,
+                    state: EndpointState::Gone,
+                })
                 .collect();
-            (
-                json!({"rev": copy.version, "all": from.is_none(), "targets": targets}),
-                told,
-            )
-        })
-    }
-
-    /// The proxy has been told this; what a whole list leaves out is gone.
-    fn note(&self, proxy: u16, whole: bool, told: Vec<(u32, u32, EndpointState)>) {
-        let mut known = self.told.borrow_mut();
-        let mut news = told;
-        if whole {
-            let left_out = |((p, node), (incarnation, _)): (&(u16, u32), &(u32, EndpointState))| {
-                let missing = *p == proxy && news.iter().all(|(n, ..)| n != node);
-                missing.then_some((*node, *incarnation, EndpointState::Gone))
-            };
-            let gone: Vec<_> = known.iter().filter_map(left_out).collect();
-            news.extend(gone);
+            notifications.extend(gone);
         }
-        for (node, incarnation, state) in news {
-            if known.insert((proxy, node), (incarnation, state)) != Some((incarnation, state)) {
+        for Notification {
+            backend,
+            incarnation,
+            state,
+        } in notifications
+        {
+            let current = NotifiedState { incarnation, state };
+            if notified.insert((proxy, backend), current) != Some(current) {
                 self.event_log.record(Event::ProxyNotified {
                     proxy,
-                    backend: node,
+                    backend,
                     incarnation,
                     state,
                 });
             }
         }
     }
-
-    /// A proxy starts again and remembers nothing.
-    pub fn forget_proxy(&self, proxy: u16) {
-        self.told.borrow_mut().retain(|(p, _), _| *p != proxy);
-    }
-
-    async fn accept(self: Rc<Self>, proxy: u16, listener: TcpListener) {
-        loop {
-            match listener.accept().await {
-                Ok((stream, _)) if self.is_down() => Peer::new(stream).reset(),
-                Ok((stream, _)) => drop(spawn_local(
-                    self.clone().connection(proxy, Peer::new(stream)),
-                )),
-                Err(fault) => {
-                    log::warn!("list service: no connection accepted: {fault}");
-                    sleep(BUSY).await;
-                }
-            }
-        }
-    }
-
-    #[expect(clippy::too_many_lines)]
-    async fn connection(self: Rc<Self>, proxy: u16, mut peer: Peer) {
-        let clock = self.event_log.clock;
-        loop {
-            let message = select! {
-                message = peer.read(MessageKind::Request, &clock) => message,
-                () = self.until_down() => return peer.reset(),
-            };
-            let Ok(message) = message else { return };
-            let Some((from, hold)) = asked(&message) else {
-                let _ = peer.write(&response(404, &[], b"no such list\n")).await;
-                return;
-            };
-            let capacity = self.capacity.borrow().clone();
-            let mut slot = match capacity
-                .as_ref()
-                .map(|capacity| capacity.slots.try_acquire())
-            {
-                Some(Err(_)) => {
-                    self.refused.set(self.refused.get() + 1);
-                    if peer
-                        .write(&response(503, &[], b"too many calls\n"))
-                        .await
-                        .is_err()
-                    {
-                        return;
-                    }
-                    continue;
-                }
-                slot => slot.and_then(Result::ok),
-            };
-            if let Some(from) = from {
-                if self.copy(proxy, |copy| copy.version == from) {
-                    slot = None;
-                }
-                select! {
-                    () = self.until_newer(proxy, from, hold) => {}
-                    () = self.until_down() => return peer.reset(),
-                    () = peer.closed() => return,
-                }
-            }
-            // A version it never gave is one of another service, or of the future: then all is told.
-            let from = from.filter(|from| self.copy(proxy, |copy| *from <= copy.version));
-            if let Some(capacity) = &capacity {
-                if slot.is_none() {
-                    slot = capacity.slots.acquire().await.ok();
-                }
-                let lines = self.body(proxy, from).1.len() as u32;
-                select! {
-                    () = sleep(capacity.call + capacity.line * lines) => {}
-                    () = self.until_down() => return peer.reset(),
-                }
-            }
-            let (body, told) = self.body(proxy, from);
-            drop(slot);
-            let bytes = response(
-                200,
-                &[("Content-Type", "application/json")],
-                body.to_string().as_bytes(),
-            );
-            if peer.write(&bytes).await.is_err() {
-                return;
-            }
-            self.calls.set(self.calls.get() + 1);
-            self.note(proxy, from.is_none(), told);
-        }
-    }
-
-    async fn until_down(&self) {
-        let mut changed = self.changed.subscribe();
-        while !self.is_down() {
-            let _ = changed.changed().await;
-        }
-    }
-
-    async fn until_newer(&self, proxy: u16, from: u64, hold: Duration) {
-        let until = Instant::now() + hold;
-        let mut changed = self.changed.subscribe();
-        while self.copy(proxy, |copy| copy.version == from) {
-            select! {
-                _ = changed.changed() => {}
-                () = sleep_until(until) => return,
-            }
-        }
-    }
-}
-
-/// The version a call starts from, if it is a watch, and how long it may wait.
-fn asked(message: &Message) -> Option<(Option<u64>, Duration)> {
-    let (path, query) = message.path.split_once('?').unwrap_or((&message.path, ""));
-    if path != "/registry/instances" {
-        return None;
-    }
-    let number = |name: &str| {
-        let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-        pairs
-            .find(|(key, _)| *key == name)
-            .and_then(|(_, value)| value.parse::<u64>().ok())
-    };
-    let hold = number("hold_ms").unwrap_or(0).min(HOLD_MOST);
-    Some((number("from"), Duration::from_millis(hold)))
 }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -1,65 +1,95 @@
-//! ActiveFaults at a node's sockets, each with a number of its own by which it ends again.
+//! Faults at the sockets of an emulated backend.
 use std::cell::RefCell;
 
-/// What goes wrong with RPCs, or with connections. Shares are parts of the RPCs, 0 to 1.
+/// A fault of RPCs or connections at a backend. `share` is the fraction of RPCs that it affects, 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// The RPC runs, and its connection is reset in place of an answer.
-    ConnectionReset { share: f64 },
-    /// The RPC is taken and never answered; probes are.
-    NoResponse { share: f64 },
-    /// The RPC runs, and half of its answer comes before the connection closes.
-    TruncatedResponse { share: f64 },
-    /// The RPC runs, and what comes is no HTTP.
-    MalformedResponse { share: f64 },
-    /// The RPC runs, and its answer takes this many seconds more, byte by byte.
-    SlowResponse { share: f64, extra_seconds: f64 },
-    /// An error answer at once, without a run.
-    ErrorResponse { share: f64 },
-    /// Cut off from one proxy, or from all: nothing is read, nothing written, nothing closed. When it ends, what
-    /// stood open is reset.
-    Partition { proxy: Option<u16> },
+    /// The RPC is executed, and its connection is reset in place of a response.
+    ConnectionReset {
+        /// Fraction of RPCs.
+        share: f64,
+    },
+    /// The RPC is received and never answered. Health checks are answered.
+    NoResponse {
+        /// Fraction of RPCs.
+        share: f64,
+    },
+    /// The RPC is executed, and the connection is closed before the response is complete.
+    TruncatedResponse {
+        /// Fraction of RPCs.
+        share: f64,
+    },
+    /// The RPC is executed, and the response is no HTTP.
+    MalformedResponse {
+        /// Fraction of RPCs.
+        share: f64,
+    },
+    /// The RPC is executed, and the response is written byte by byte.
+    SlowResponse {
+        /// Fraction of RPCs.
+        share: f64,
+        /// Time that the response takes, in seconds.
+        extra_seconds: f64,
+    },
+    /// The RPC is answered with an error at once and not executed.
+    ErrorResponse {
+        /// Fraction of RPCs.
+        share: f64,
+    },
+    /// The backend neither reads, writes nor closes. Connections that are open at the end are reset.
+    Partition {
+        /// The proxy that is affected; `None` for all proxies.
+        proxy: Option<u16>,
+    },
 }
 
-/// The faults of one node now.
+impl Fault {
+    /// Fraction of RPCs that the fault affects by itself; a partition affects connections.
+    fn share(&self) -> f64 {
+        match *self {
+            Self::ConnectionReset { share }
+            | Self::NoResponse { share }
+            | Self::TruncatedResponse { share }
+            | Self::MalformedResponse { share }
+            | Self::SlowResponse { share, .. }
+            | Self::ErrorResponse { share } => share,
+            Self::Partition { .. } => 0.0,
+        }
+    }
+}
+
+/// The faults of one backend that last, each with the number by which it is ended.
 #[derive(Debug, Default)]
 pub struct ActiveFaults(RefCell<Vec<(u64, Fault)>>);
 
 impl ActiveFaults {
+    /// Begins a fault.
     pub fn begin(&self, number: u64, fault: Fault) {
         self.0.borrow_mut().push((number, fault));
     }
 
+    /// Ends the fault of this number.
     pub fn end(&self, number: u64) {
         self.0.borrow_mut().retain(|(n, _)| *n != number);
     }
 
-    /// Whether this proxy is cut off.
+    /// Whether the backend is partitioned from this proxy.
     pub fn is_partitioned(&self, proxy: u16) -> bool {
-        let cuts = |(_, fault): &(u64, Fault)| match fault {
+        let partitions = |(_, fault): &(u64, Fault)| match fault {
             Fault::Partition { proxy: affected } => {
                 affected.is_none_or(|affected| affected == proxy)
             }
             _ => false,
         };
-        self.0.borrow().iter().any(cuts)
+        self.0.borrow().iter().any(partitions)
     }
 
-    /// The first fault whose share this RPC is_selected.
+    /// The first fault that affects an RPC. `is_selected` decides that from the fault's number and share.
     pub fn select(&self, is_selected: impl Fn(u64, f64) -> bool) -> Option<Fault> {
-        let share = |fault: &Fault| match *fault {
-            Fault::ConnectionReset { share }
-            | Fault::NoResponse { share }
-            | Fault::TruncatedResponse { share }
-            | Fault::MalformedResponse { share }
-            | Fault::SlowResponse { share, .. }
-            | Fault::ErrorResponse { share } => share,
-            Fault::Partition { .. } => 0.0,
-        };
         self.0
             .borrow()
             .iter()
-            .find(|(number, fault)| is_selected(*number, share(fault)))
+            .find(|(number, fault)| is_selected(*number, fault.share()))
             .map(|(_, fault)| *fault)
     }
 }
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,48 +1,71 @@
-//! What the nodes of a fleet share: what RPCs cost, which keys have run, and numbers for picks and incarnations.
+//! State that all emulated backends of a fleet share: costs of methods, deduplication, and numbers for attempts and
+//! incarnations.
 use crate::event_log::EventLog;
 use birchhub_audit::Idempotency;
 use birchhub_backend_model::{DeduplicationCache, IdempotencyKey, Work, work};
 use rand::Rng;
 use std::cell::{Cell, RefCell};
 
-/// What a method costs at a node, and which nodes drop its repeats.
+/// Offset basis and prime of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// What an RPC of a method costs at a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MethodCost {
+    /// Name of the method: the first segment of the path.
     pub name: String,
+    /// Distribution of the work.
     pub work: Work,
+    /// Whether the method may be executed more than once, and which backends deduplicate it.
     pub idempotency: Idempotency,
 }
 
-/// The RPC behind a client's try: its tries have ids that differ in the last byte.
+/// Cost of one RPC at a backend.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RpcCost {
+    /// Work in seconds of a standard core.
+    pub work: f64,
+    /// Key under which the backend deduplicates the RPC, if it does.
+    pub idempotency_key: Option<IdempotencyKey>,
+}
+
+/// Returns the RPC that a client's request is an attempt of.
 pub fn rpc_of(request_id: u64) -> u32 {
     (request_id >> 8) as u32
 }
 
-/// The id of a client's try.
-pub fn request_id_of(rpc: u32, number: u8) -> u64 {
-    u64::from(rpc) << 8 | u64::from(number)
+/// Returns the id of a client's request: the ids of an RPC's attempts differ in the last byte.
+pub fn request_id_of(rpc: u32, attempt: u8) -> u64 {
+    u64::from(rpc) << 8 | u64::from(attempt)
 }
 
-/// Shared by all nodes of one thread.
+/// State that all backends of one thread share.
 pub struct Fleet {
+    /// Records the backends' events.
     pub event_log: EventLog,
+    /// Seed of the work of RPCs and of the choice of RPCs that a fault affects.
     pub seed: u64,
+    /// Costs by method.
     pub costs: Vec<MethodCost>,
-    /// Work of a probe, s of a standard core.
+    /// Work of a health check in seconds of a standard core.
     pub probe_work_seconds: f64,
-    /// Whether answers, probes, or neither carry reports.
+    /// Whether responses carry a load report.
     pub reports_in_responses: bool,
+    /// Whether health checks are answered.
     pub answers_probes: bool,
+    /// Keys of the RPCs that were executed.
     pub deduplication: RefCell<DeduplicationCache>,
-    /// How much slower each method is now: 1 is as usual.
-    slow: RefCell<Vec<f64>>,
+    /// Factor on the work of each method; 1 is usual.
+    slowdown: RefCell<Vec<f64>>,
     next_attempt_id: Cell<u64>,
     next_incarnation: Cell<u32>,
 }
 
 impl Fleet {
+    /// Creates a fleet that answers health checks without work and reports its load in responses.
     pub fn new(event_log: EventLog, seed: u64, costs: Vec<MethodCost>) -> Self {
-        let slow = RefCell::new(vec![1.0; costs.len()]);
+        let slowdown = RefCell::new(vec![1.0; costs.len()]);
         Self {
             event_log,
             seed,
@@ -51,56 +74,65 @@
             reports_in_responses: true,
             answers_probes: true,
             deduplication: RefCell::default(),
-            slow,
+            slowdown,
             next_attempt_id: Cell::new(1),
             next_incarnation: Cell::new(1),
         }
     }
 
+    /// Returns an id that no other attempt at this fleet has.
     pub fn new_attempt_id(&self) -> u64 {
         self.next_attempt_id.replace(self.next_attempt_id.get() + 1)
     }
 
+    /// Returns a number that no other incarnation in this fleet has.
     pub fn new_incarnation(&self) -> u32 {
         self.next_incarnation
             .replace(self.next_incarnation.get() + 1)
     }
 
-    /// From now on a method's work is multiplied by this once more.
+    /// Multiplies the work of a method by `factor` from now on.
     pub fn slow_down(&self, method: usize, factor: f64) {
-        if let Some(slot) = self.slow.borrow_mut().get_mut(method) {
-            *slot *= factor;
+        if let Some(slowdown) = self.slowdown.borrow_mut().get_mut(method) {
+            *slowdown *= factor;
         }
     }
 
-    /// Work of an RPC of this class, and its mark among the nodes of this zone and rack.
+    /// The cost of an RPC at the backends of a zone and rack; `None` if the method is unknown.
     pub fn cost(
         &self,
-        class: &str,
+        method: &str,
         request_id: u64,
         key: Option<&str>,
         zone: u32,
         rack: u32,
-    ) -> Option<(f64, Option<IdempotencyKey>)> {
-        let method = self.costs.iter().position(|c| c.name == class)?;
+    ) -> Option<RpcCost> {
+        let method = self.costs.iter().position(|cost| cost.name == method)?;
         let cost = &self.costs[method];
-        let drawn = cost.work.sample(self.seed, u64::from(rpc_of(request_id)));
+        let usual_work = cost.work.sample(self.seed, u64::from(rpc_of(request_id)));
         let idempotency_key = match (cost.idempotency, key) {
-            (Idempotency::Deduplicated { group, window }, Some(key)) => {
-                // FNV-1a: keys are texts of the client's own.
-                let fold =
-                    |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-                let key = key.bytes().fold(0xcbf2_9ce4_8422_2325, fold);
-                let group = group.number(zone, rack);
-                Some(IdempotencyKey { group, key, window })
-            }
+            (Idempotency::Deduplicated { group, window }, Some(key)) => Some(IdempotencyKey {
+                group: group.number(zone, rack),
+                key: hash(key),
+                window,
+            }),
             _ => None,
         };
-        Some((drawn * self.slow.borrow()[method], idempotency_key))
+        Some(RpcCost {
+            work: usual_work * self.slowdown.borrow()[method],
+            idempotency_key,
+        })
     }
 
-    /// Chance that depends on the seed, a purpose and an RPC's try alone: whether a share is hit.
+    /// Whether a client's request is in the fraction `share` that a purpose selects. Depends on the seed, the purpose and
+    /// the request alone.
     pub fn is_selected(&self, purpose: u64, request_id: u64, share: f64) -> bool {
         share > 0.0 && work::generator(self.seed ^ purpose, request_id).random::<f64>() < share
     }
 }
+
+/// FNV-1a hash of an idempotency key, which is a text of the client's choice.
+fn hash(key: &str) -> u64 {
+    let fold = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+    key.bytes().fold(FNV_OFFSET_BASIS, fold)
+}
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -3,11 +3,6 @@
 //! It has backends (the model of `birchhub-backend-model` served over HTTP/1.1), the discovery service, clients and a
 //! fault-injecting relay. All emulated backends share one thread: an execution waits on a timer and uses no processor time.
 //! Every event is recorded in an [`EventLog`], from which the ledger is written.
-#![expect(
-    missing_docs,
-    reason = "docs/ROADMAP.md lists the crates that are not documented yet"
-)]
-
 pub mod backend;
 pub mod client;
 pub mod clock;
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -1,4 +1,5 @@
-//! A fault proxy: it passes bytes between a proxy and what the proxy connects to, and disturbs them at planned times.
+//! A fault-injecting relay: it forwards bytes between a proxy and the address that the proxy connects to, and disturbs
+//! them at planned times.
 use crate::clock::Clock;
 use crate::wire::listen;
 use serde::{Deserialize, Serialize};
@@ -14,49 +15,49 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
-/// Connections that wait to be accepted.
-const BACKLOG: u32 = 256;
-/// Before accepting again when descriptors are out.
+/// Connections that may wait to be accepted.
+const LISTEN_BACKLOG: u32 = 256;
+/// Pause before accepting again after an error, such as a lack of file descriptors.
 const ACCEPT_RETRY: Duration = Duration::from_millis(5);
-/// Bytes that are passed on at a time.
-const CHUNK: usize = 16 << 10;
-/// Bytes of the segments that a chunk is split into.
-const SEGMENT: usize = 7;
-/// For which bytes are held back to be joined with what follows.
+/// Most bytes that are forwarded at a time.
+const CHUNK_BYTES: usize = 16 << 10;
+/// Length of the segments into which [`Disturbance::Split`] splits a chunk.
+const SEGMENT_BYTES: usize = 7;
+/// Time for which [`Disturbance::Join`] holds bytes back to join them with the next ones.
 const JOIN_TIME: Duration = Duration::from_millis(3);
 
-/// What is done to the bytes of a connection, or to the connection.
+/// A disturbance of a connection or of its bytes. Outward is the direction from the proxy, inward the one to it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Disturbance {
-    /// Every chunk comes so many milliseconds later, either way.
+    /// Delays every chunk in both directions, in milliseconds.
     Delay(u64),
-    /// What the proxy sends is swallowed; the connection is reset once the disturbance is over.
+    /// Drops what the proxy sends. The connection is reset when the disturbance ends.
     SilenceOutward,
-    /// What is sent to the proxy is swallowed, likewise.
+    /// Drops what is sent to the proxy. The connection is reset when the disturbance ends.
     SilenceInward,
-    /// Connections are reset as the disturbance begins.
+    /// Resets the connections that are open when the disturbance begins.
     Reset,
-    /// As it begins the proxy sees the end of what it reads, while it may still write.
+    /// Closes the direction to the proxy, which may still write.
     HalfClose,
-    /// Chunks are split into segments of a few bytes.
+    /// Splits chunks into segments of a few bytes.
     Split,
-    /// Chunks are held back for a moment and joined with what follows.
+    /// Holds chunks back for a moment and joins them with the next ones.
     Join,
 }
 
-/// A disturbance and when it lasts, s.
+/// A disturbance and the time for which it lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Window {
-    /// When it begins.
+    /// When it begins, in seconds of the clock.
     pub from: f64,
-    /// When it ends.
+    /// When it ends, in seconds of the clock.
     pub until: f64,
-    /// What happens meanwhile.
+    /// What it does.
     pub disturbance: Disturbance,
 }
 
-/// The way of the bytes.
+/// Direction in which bytes are forwarded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Direction {
     /// From the proxy.
@@ -65,7 +66,7 @@
     Inward,
 }
 
-/// The fault proxy before one address.
+/// The relay in front of one address.
 pub struct Relay {
     clock: Clock,
     target: SocketAddr,
@@ -73,14 +74,14 @@
 }
 
 impl Relay {
-    /// Listens on this IP and passes connections on to `target`. Returns the address to connect to.
+    /// Listens on an IP and forwards connections to `target`. Returns the address of the relay.
     pub fn start(
         clock: Clock,
         ip: IpAddr,
         target: SocketAddr,
         windows: Vec<Window>,
     ) -> io::Result<SocketAddr> {
-        let listener = listen((ip, 0).into(), BACKLOG)?;
+        let listener = listen((ip, 0).into(), LISTEN_BACKLOG)?;
         let address = listener.local_addr()?;
         let relay = Rc::new(Self {
             clock,
@@ -104,37 +105,38 @@
         let Ok(target) = TcpStream::connect(self.target).await else {
             return reset(&proxy);
         };
-        let _ = (proxy.set_nodelay(true), target.set_nodelay(true));
-        let begun = self.clock.now();
+        let _ = proxy.set_nodelay(true);
+        let _ = target.set_nodelay(true);
+        let opened_at = self.clock.now();
         let (proxy_read, mut proxy_write) = proxy.into_split();
         let (target_read, mut target_write) = target.into_split();
         let is_broken = {
-            let outward = self.pump(Direction::Outward, &proxy_read, &mut target_write);
-            let inward = self.pump(Direction::Inward, &target_read, &mut proxy_write);
+            let outward = self.forward(Direction::Outward, &proxy_read, &mut target_write);
+            let inward = self.forward(Direction::Inward, &target_read, &mut proxy_write);
             let both = async { tokio::join!(outward, inward) };
             select! {
                 _ = both => false,
-                () = self.until_reset(begun) => true,
+                () = self.until_reset(opened_at) => true,
             }
         };
         if is_broken {
             reset(proxy_read.as_ref());
             reset(target_read.as_ref());
-            // Dropped they would send an end ahead of the reset.
+            // Dropping the write halves would close the connections before the reset.
             proxy_write.forget();
             target_write.forget();
         }
     }
 
-    /// Waits until the connection that began then is reset.
-    async fn until_reset(&self, begun: f64) {
+    /// Waits until a connection that was opened at `opened_at` is to be reset.
+    async fn until_reset(&self, opened_at: f64) {
         let resets = self.windows.iter().filter_map(|window| {
             let at = match window.disturbance {
                 Disturbance::Reset => window.from,
                 Disturbance::SilenceOutward | Disturbance::SilenceInward => window.until,
                 _ => return None,
             };
-            Some(at).filter(|at| *at > begun)
+            Some(at).filter(|at| *at > opened_at)
         });
         match resets.min_by(f64::total_cmp) {
             Some(at) => self.clock.sleep_until(at).await,
@@ -142,7 +144,7 @@
         }
     }
 
-    /// What disturbs bytes that go this way now.
+    /// The disturbance of bytes in this direction at the present time.
     fn active(&self, direction: Direction) -> Option<Disturbance> {
         let now = self.clock.now();
         let lasts = |window: &&Window| window.from <= now && now < window.until;
@@ -156,9 +158,9 @@
         active.map(|window| window.disturbance).find(concerns)
     }
 
-    /// Passes bytes on until either side ends; the end is passed on too.
-    async fn pump(&self, direction: Direction, from: &OwnedReadHalf, to: &mut OwnedWriteHalf) {
-        let mut chunk = vec![0; CHUNK];
+    /// Forwards bytes in one direction until either side closes it, and forwards that too.
+    async fn forward(&self, direction: Direction, from: &OwnedReadHalf, to: &mut OwnedWriteHalf) {
+        let mut chunk = vec![0; CHUNK_BYTES];
         let mut is_silent = false;
         loop {
             let Ok(length) = read_some(from, &mut chunk).await else {
@@ -175,12 +177,12 @@
             if disturbance == Some(Disturbance::HalfClose) {
                 break;
             }
-            // Once bytes were swallowed, what follows makes no sense any more.
+            // Bytes after dropped ones would not make sense to the receiver.
             if is_silent {
                 continue;
             }
-            let passed = pass_on(&mut chunk, length, from, to, disturbance).await;
-            if passed.is_err() {
+            let forwarded = forward_chunk(&mut chunk, length, from, to, disturbance).await;
+            if forwarded.is_err() {
                 return;
             }
         }
@@ -188,6 +190,7 @@
     }
 }
 
+/// Reads the bytes that are there, and waits for the first; 0 at the end of the stream.
 async fn read_some(from: &OwnedReadHalf, chunk: &mut [u8]) -> io::Result<usize> {
     loop {
         from.readable().await?;
@@ -198,7 +201,8 @@
     }
 }
 
-async fn pass_on(
+/// Forwards a chunk as the disturbance demands.
+async fn forward_chunk(
     chunk: &mut [u8],
     mut length: usize,
     from: &OwnedReadHalf,
@@ -212,7 +216,7 @@
             length += from.try_read(&mut chunk[length..]).unwrap_or(0);
         }
         Some(Disturbance::Split) => {
-            for segment in chunk[..length].chunks(SEGMENT) {
+            for segment in chunk[..length].chunks(SEGMENT_BYTES) {
                 to.write_all(segment).await?;
                 yield_now().await;
             }
@@ -223,7 +227,7 @@
     to.write_all(&chunk[..length]).await
 }
 
-/// Ends a connection with a reset.
+/// Makes the connection end with a reset when it is dropped.
 fn reset(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/emulator/src/wire.rs
+++ b/crates/emulator/src/wire.rs
@@ -1,5 +1,6 @@
-//! HTTP/1.1 messages on one connection, read whole. Small on purpose: stand-ins need the moments at which bytes
-//! come and go, and ends that a well-behaved library would not make.
+//! A minimal HTTP/1.1 connection that reads complete messages.
+//!
+//! The emulator needs the times at which bytes are received, and connection ends that an HTTP library would not produce.
 use crate::clock::Clock;
 use std::io;
 use std::mem::MaybeUninit;
@@ -7,27 +8,33 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-const HEAD_MOST: usize = 16 << 10; // bytes
-const BODY_MOST: usize = 8 << 20; // bytes: lists of some ten thousand nodes
-const HEADERS_MOST: usize = 32;
+/// Longest head of a message.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Longest body of a message: endpoint lists of some ten thousand backends.
+const MAX_BODY_BYTES: usize = 8 << 20;
+/// Most headers of a message.
+const MAX_HEADERS: usize = 32;
 
-/// A message as it came in.
+/// A message that was received.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// When its first byte came, and its last, s.
+    /// When its first byte was received, in seconds of the clock.
     pub first_byte_at: f64,
+    /// When its last byte was received, in seconds of the clock.
     pub complete_at: f64,
-    /// Of a request.
+    /// HTTP method of a request; empty for a response.
     pub http_method: String,
+    /// Path and query of a request; empty for a response.
     pub path: String,
-    /// Of a response.
+    /// Status of a response; 0 for a request.
     pub status: u16,
     headers: Vec<(String, String)>,
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Its value, by the name in lower case.
+    /// The value of a header, whose name is given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -35,7 +42,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// First part of the path: the method's name.
+    /// The first segment of the path, which names the RPC's method.
     pub fn class(&self) -> &str {
         let path = self.path.split(['?', '#']).next().unwrap_or_default();
         path.trim_start_matches('/')
@@ -44,36 +51,41 @@
             .unwrap_or_default()
     }
 
-    /// The other side closes the connection after it.
+    /// Whether the sender closes the connection after this message.
     pub fn is_last(&self) -> bool {
         self.header("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
+/// The kind of message that is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
+    /// A request.
     Request,
+    /// A response.
     Response,
 }
 
-/// How reading ended without a message.
+/// Why no message was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// Closed between messages.
+    /// The connection was closed between two messages.
     Closed,
-    /// Broken in the middle of one, or by a reset.
+    /// The connection ended within a message, or was reset.
     Broken,
-    /// What came is no HTTP/1.1 message, or too large.
+    /// The received bytes are no HTTP/1.1 message, or the message is too large.
     Malformed,
 }
 
-/// What stands behind the last message on a connection.
+/// State of a connection after the last message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
+    /// Open, with nothing received.
     Open,
+    /// Closed or reset by the peer.
     Closed,
-    /// Bytes that no message accounts for.
+    /// The peer sent bytes that belong to no expected message.
     UnexpectedBytes,
 }
 
@@ -82,15 +94,22 @@
 pub struct Peer {
     stream: TcpStream,
     buffer: Vec<u8>,
-    /// When the first byte of `buffer` came.
+    /// When the first byte of `buffer` was received, in seconds of the clock.
     first_byte_at: f64,
     /// Messages read so far.
     pub messages: usize,
 }
 
-/// Reads a head; `None` while it is not whole. The length of the head and of the body go with it.
-fn parse(kind: MessageKind, bytes: &[u8]) -> Result<Option<(Message, usize, usize)>, ReadError> {
-    let mut slots = [httparse::EMPTY_HEADER; HEADERS_MOST];
+/// A message's head, and the lengths of the message's parts in bytes.
+struct ParsedHead {
+    message: Message,
+    head_bytes: usize,
+    body_bytes: usize,
+}
+
+/// Parses a head; `None` while it is not complete.
+fn parse(kind: MessageKind, bytes: &[u8]) -> Result<Option<ParsedHead>, ReadError> {
+    let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut message = Message::default();
     let (status, headers) = match kind {
         MessageKind::Request => {
@@ -107,7 +126,7 @@
             (status, head.headers)
         }
     };
-    let httparse::Status::Complete(length) = status else {
+    let httparse::Status::Complete(head_bytes) = status else {
         return Ok(None);
     };
     for header in headers.iter() {
@@ -116,16 +135,21 @@
             .headers
             .push((header.name.to_ascii_lowercase(), value));
     }
-    let body = message
+    let body_bytes = message
         .header("content-length")
         .map_or(Ok(0), str::parse)
         .map_err(|_| ReadError::Malformed)?;
-    Ok(Some((message, length, body)))
+    Ok(Some(ParsedHead {
+        message,
+        head_bytes,
+        body_bytes,
+    }))
 }
 
 impl Peer {
+    /// Wraps an open connection.
     pub fn new(stream: TcpStream) -> Self {
-        // Small messages must not wait for each other.
+        // Without this, Nagle's algorithm delays small messages.
         let _ = stream.set_nodelay(true);
         Self {
             stream,
@@ -135,11 +159,12 @@
         }
     }
 
-    pub async fn connect(at: SocketAddr) -> io::Result<Self> {
-        Ok(Self::new(TcpStream::connect(at).await?))
+    /// Connects to an address.
+    pub async fn connect(address: SocketAddr) -> io::Result<Self> {
+        Ok(Self::new(TcpStream::connect(address).await?))
     }
 
-    /// Reads more; `Closed` at the end of the stream.
+    /// Reads more bytes into the buffer.
     async fn fill(&mut self, clock: &Clock) -> Result<(), ReadError> {
         let empty = self.buffer.is_empty();
         let read = self.stream.read_buf(&mut self.buffer).await;
@@ -153,27 +178,31 @@
         }
     }
 
-    /// Reads a message whole.
+    /// Reads a complete message.
     pub async fn read(&mut self, kind: MessageKind, clock: &Clock) -> Result<Message, ReadError> {
-        let (mut message, head, body) = loop {
+        let ParsedHead {
+            mut message,
+            head_bytes,
+            body_bytes,
+        } = loop {
             if let Some(parsed) = parse(kind, &self.buffer)? {
                 break parsed;
             }
-            if self.buffer.len() > HEAD_MOST {
+            if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(ReadError::Malformed);
             }
             self.fill(clock).await?;
         };
-        if body > BODY_MOST {
+        if body_bytes > MAX_BODY_BYTES {
             return Err(ReadError::Malformed);
         }
         message.first_byte_at = self.first_byte_at;
-        while self.buffer.len() < head + body {
+        while self.buffer.len() < head_bytes + body_bytes {
             self.fill(clock).await?;
         }
         message.complete_at = clock.now();
-        message.body = self.buffer[head..head + body].to_vec();
-        self.buffer.drain(..head + body);
+        message.body = self.buffer[head_bytes..head_bytes + body_bytes].to_vec();
+        self.buffer.drain(..head_bytes + body_bytes);
         self.first_byte_at = message.complete_at;
         self.messages += 1;
         Ok(message)
@@ -185,22 +214,22 @@
             match self.stream.read_buf(&mut self.buffer).await {
                 Ok(0) | Err(_) => return,
                 // A peer that sends more than one message ahead violates the protocol.
-                Ok(_) if self.buffer.len() > HEAD_MOST + BODY_MOST => return,
+                Ok(_) if self.buffer.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES => return,
                 Ok(_) => {}
             }
         }
     }
 
-    /// What stands behind the last message, as far as it has come.
+    /// The state of the connection after the last message.
     pub fn state(&mut self) -> ConnectionState {
         if !self.buffer.is_empty() {
             return ConnectionState::UnexpectedBytes;
         }
-        // Asks the system itself: the runtime's word may be older than an end that has come.
+        // Asks the operating system: the runtime may not have seen yet that the peer closed the connection.
         match socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
             Ok(0) => ConnectionState::Closed,
             Ok(_) => ConnectionState::UnexpectedBytes,
-            Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => ConnectionState::Open,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => ConnectionState::Open,
             Err(_) => ConnectionState::Closed,
         }
     }
@@ -210,29 +239,30 @@
         self.buffer.is_empty()
     }
 
+    /// Writes all bytes.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Ends it with a reset, as a process that dies does.
+    /// Ends the connection with a reset, as the crash of a process does.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
 }
 
-/// A listener that takes its address over at once after the one before has ended.
-pub fn listen(at: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
-    let socket = if at.is_ipv4() {
+/// Creates a listener that can take over its address at once after the one before is closed.
+pub fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
     } else {
         TcpSocket::new_v6()
     }?;
     socket.set_reuseaddr(true)?;
-    let listening = socket.bind(at).and_then(|()| socket.listen(backlog));
-    listening.map_err(|fault| io::Error::new(fault.kind(), format!("{at}: {fault}")))
+    let listening = socket.bind(address).and_then(|()| socket.listen(backlog));
+    listening.map_err(|error| io::Error::new(error.kind(), format!("{address}: {error}")))
 }
 
-/// A response, encoded.
+/// Encodes a response.
 pub fn response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut text = format!("HTTP/1.1 {status} -\r\nContent-Length: {}\r\n", body.len());
     for (name, value) in headers {
