--- a/crates/capacity/src/backends.rs
+++ b/crates/capacity/src/backends.rs
@@ -1,5 +1,6 @@
 //! Hollow backends: a few listeners that stand for as many backends as the list names. Their work is waited for, and each
 //! answer says how long it took, so that it can be taken off what a client waited.
+use crate::error::MeasurementError;
 use birchhub_emulator::Clock;
 use birchhub_emulator::wire::{MessageKind, Peer, listen, response};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,6 +18,9 @@
 
 pub const WORK: Duration = Duration::from_millis(10); // that an RPC takes: as a proxy keeps some under way
 
+/// The name of the backends' thread.
+const BACKENDS_THREAD: &str = "backends";
+
 #[derive(Default)]
 struct Counts {
     connections: AtomicU64,
@@ -52,7 +56,7 @@
 
 impl Backends {
     /// They close a connection that has stood idle for so long.
-    pub fn start(idle: Duration) -> Result<Self, String> {
+    pub fn start(idle: Duration) -> Result<Self, MeasurementError> {
         let counts = Arc::new(Counts::default());
         let (end, ended) = oneshot::channel();
         let (tell, told) = std::sync::mpsc::channel();
@@ -73,7 +77,11 @@
                         let _ = tell.send(Ok(at));
                         listeners
                     }
-                    Err(fault) => return drop(tell.send(Err(format!("no listeners: {fault}")))),
+                    Err(source) => {
+                        let owner = BACKENDS_THREAD.to_owned();
+                        let error = MeasurementError::Listener { owner, source };
+                        return drop(tell.send(Err(error)));
+                    }
                 };
                 for listener in listeners {
                     spawn_local(accept(counts.clone(), listener, idle));
@@ -81,10 +89,11 @@
                 let _ = ended.await;
             }
         };
-        let (_, thread) = crate::list::on_thread("backends", serve)?;
-        let endpoints = told
-            .recv()
-            .map_err(|_| "the backends ended at once".to_owned())??;
+        let (_, thread) = crate::list::on_thread(BACKENDS_THREAD, serve)?;
+        let ended_early = |_| MeasurementError::ThreadEnded {
+            name: BACKENDS_THREAD.to_owned(),
+        };
+        let endpoints = told.recv().map_err(ended_early)??;
         Ok(Self {
             counts,
             endpoints,
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -1,11 +1,12 @@
 //! Hollow proxies: each speaks the real protocol to the list service on a connection of its own and decides with the real
 //! module when to ask and what stands in the list; all share a thread.
+use crate::error::MeasurementError;
 use crate::proxy::{Shape, settings};
 use crate::usage;
 use birchhub::balancer::Balancer;
 use birchhub::interface::{Endpoint, EndpointUpdateKind, Platform, Readiness};
 use birchhub_emulator::Clock;
-use birchhub_emulator::wire::{MessageKind, Peer};
+use birchhub_emulator::wire::{MessageKind, Peer, ReadError};
 use serde::Deserialize;
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -71,6 +72,26 @@
     pub at: Instant,
 }
 
+/// The reason for which a watch of the endpoint list ended.
+#[derive(Debug, thiserror::Error)]
+enum WatchError {
+    /// The connection could not be opened or written to.
+    #[error("connection to the discovery service failed: {0}")]
+    Connection(#[from] std::io::Error),
+    /// The discovery service did not respond in time.
+    #[error("the discovery service did not respond in time")]
+    TimedOut,
+    /// The response ended early or was malformed.
+    #[error("response of the discovery service: {0:?}")]
+    Response(ReadError),
+    /// The body is no endpoint list.
+    #[error("endpoint list: {0}")]
+    Json(#[from] serde_json::Error),
+    /// The owner of the simulated proxies has gone.
+    #[error("the run has ended")]
+    RunEnded,
+}
+
 struct Hollow {
     number: u32,
     list: SocketAddr,
@@ -102,22 +123,20 @@
         }
     }
 
-    async fn watch(&mut self) -> Result<(), String> {
-        let mut peer = Peer::connect(self.list).await.map_err(|e| e.to_string())?;
+    async fn watch(&mut self) -> Result<(), WatchError> {
+        let mut peer = Peer::connect(self.list).await?;
         loop {
             let path = match self.version {
                 None => "/registry/instances".to_owned(),
                 Some(from) => format!("/registry/instances?from={from}&hold_ms={HOLD}"),
             };
             let request = format!("GET {path} HTTP/1.1\r\nHost: list\r\n\r\n");
-            peer.write(request.as_bytes())
-                .await
-                .map_err(|e| e.to_string())?;
+            peer.write(request.as_bytes()).await?;
             let answer = timeout(PATIENCE, peer.read(MessageKind::Response, &self.clock)).await;
             let answer = answer
-                .map_err(|_| "no answer in time")?
-                .map_err(|stop| format!("{stop:?}"))?;
-            let list: List = serde_json::from_slice(&answer.body).map_err(|e| e.to_string())?;
+                .map_err(|_| WatchError::TimedOut)?
+                .map_err(WatchError::Response)?;
+            let list: List = serde_json::from_slice(&answer.body)?;
             self.take(&list);
             // A proxy that has gone nowhere to tell it ends with the run.
             let told = InForce {
@@ -125,7 +144,7 @@
                 version: list.rev,
                 at: Instant::now(),
             };
-            self.news.send(told).map_err(|_| "the run is over")?;
+            self.news.send(told).map_err(|_| WatchError::RunEnded)?;
         }
     }
 
@@ -174,12 +193,11 @@
 
 impl HollowProxies {
     #[expect(clippy::too_many_lines)]
-    pub fn start(count: u32, list: SocketAddr, seed: u64) -> Result<Self, String> {
+    pub fn start(count: u32, list: SocketAddr, seed: u64) -> Result<Self, MeasurementError> {
         let (tell, news) = mpsc::unbounded_channel();
         let (end, ended) = oneshot::channel::<()>();
         let processor = Arc::new(AtomicU64::new(0));
-        let conf = birchhub_settings::parse_value(&settings(Shape::default()))
-            .map_err(|error| error.to_string())?;
+        let conf = birchhub_settings::parse_value(&settings(Shape::default()))?;
         let spent = processor.clone();
         let body = move || {
             let runtime = match tokio::runtime::Builder::new_current_thread()
@@ -227,7 +245,10 @@
         let thread = std::thread::Builder::new()
             .name("hollow".into())
             .spawn(body);
-        let thread = thread.map_err(|e| format!("no thread: {e}"))?;
+        let thread = thread.map_err(|source| MeasurementError::ThreadStart {
+            name: "hollow".to_owned(),
+            source,
+        })?;
         Ok(Self {
             count,
             news,
@@ -243,7 +264,11 @@
     }
 
     /// Waits until all have this version or a later one; when the last did.
-    pub async fn all_have(&mut self, version: u64, within: Duration) -> Result<Instant, String> {
+    pub async fn all_have(
+        &mut self,
+        version: u64,
+        within: Duration,
+    ) -> Result<Instant, MeasurementError> {
         let (mut missing, mut last) = (vec![true; self.count as usize], Instant::now());
         let mut left = self.count;
         let wait = async {
@@ -258,11 +283,11 @@
         let had = timeout(within, wait).await;
         match had {
             Ok(Some(())) => Ok(last),
-            Ok(None) => Err("the hollow proxies ended".into()),
-            Err(_) => Err(format!(
-                "{left} of {} hollow proxies were not told in time",
-                self.count
-            )),
+            Ok(None) => Err(MeasurementError::SimulatedProxiesEnded),
+            Err(_) => Err(MeasurementError::EndpointListNotReceived {
+                missing: left,
+                count: self.count,
+            }),
         }
     }
 }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -6,6 +6,7 @@
 )]
 
 pub mod backends;
+pub mod error;
 pub mod fit;
 pub mod hollow;
 pub mod list;
@@ -19,6 +20,7 @@
 pub mod series;
 pub mod usage;
 
+pub use error::{MeasurementError, PageError, ReportFileError, SeriesError};
 pub use plan::Plan;
 pub use report::Report;
 pub use run::{Options, measure};
--- a/crates/capacity/src/list.rs
+++ b/crates/capacity/src/list.rs
@@ -1,5 +1,6 @@
 //! A list service at the size in lines: one thread, one address for all proxies, every answer encoded once for all that ask
 //! for the same.
+use crate::error::MeasurementError;
 use crate::usage;
 use birchhub_emulator::Clock;
 use birchhub_emulator::wire::{Message, MessageKind, Peer, listen, response};
@@ -131,7 +132,11 @@
 
 impl ListService {
     /// A list of so many backends, which share the endpoints in turn and stand in `zones` zones.
-    pub fn start(backends: u32, endpoints: &[SocketAddr], zones: u32) -> Result<Self, String> {
+    pub fn start(
+        backends: u32,
+        endpoints: &[SocketAddr],
+        zones: u32,
+    ) -> Result<Self, MeasurementError> {
         let lines = Lines {
             version: 0,
             endpoints: endpoints.to_vec(),
@@ -204,15 +209,19 @@
 pub(crate) fn on_thread<F: Future<Output = ()>>(
     name: &str,
     serve: impl FnOnce(TcpListener) -> F + Send + 'static,
-) -> Result<(SocketAddr, std::thread::JoinHandle<()>), String> {
+) -> Result<(SocketAddr, std::thread::JoinHandle<()>), MeasurementError> {
     let (tell, told) = std::sync::mpsc::channel();
+    let owner = name.to_owned();
     let body = move || {
         let runtime = match tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
         {
             Ok(runtime) => runtime,
-            Err(fault) => return drop(tell.send(Err(format!("no event loop: {fault}")))),
+            Err(source) => {
+                let error = MeasurementError::EventLoop(source);
+                return drop(tell.send(Err(error)));
+            }
         };
         LocalSet::new().block_on(&runtime, async move {
             let listener = listen((Ipv4Addr::LOCALHOST, 0).into(), BACKLOG);
@@ -221,17 +230,23 @@
                     let _ = tell.send(Ok(at));
                     serve(listener).await;
                 }
-                Err(fault) => drop(tell.send(Err(format!("no listener: {fault}")))),
+                Err(source) => {
+                    drop(tell.send(Err(MeasurementError::Listener { owner, source })));
+                }
             }
         });
     };
     let thread = std::thread::Builder::new()
         .name(name.into())
         .spawn(body)
-        .map_err(|e| e.to_string())?;
-    let at = told
-        .recv()
-        .map_err(|_| format!("the thread {name} ended at once"))??;
+        .map_err(|source| MeasurementError::ThreadStart {
+            name: name.to_owned(),
+            source,
+        })?;
+    let ended_early = |_| MeasurementError::ThreadEnded {
+        name: name.to_owned(),
+    };
+    let at = told.recv().map_err(ended_early)??;
     Ok((at, thread))
 }
 
--- a/crates/capacity/src/load.rs
+++ b/crates/capacity/src/load.rs
@@ -1,5 +1,6 @@
 //! Clients of one proxy: RPCs at a rate, by chance, on connections that are kept.
 use crate::backends::served;
+use crate::error::MeasurementError;
 use birchhub_emulator::Clock;
 use birchhub_emulator::wire::{MessageKind, Peer};
 use hdrhistogram::Histogram;
@@ -78,10 +79,14 @@
 }
 
 /// Sends so many RPCs a second for so long, and waits for the last answer. To be called on a `LocalSet`.
-pub async fn run(at: SocketAddr, rate: f64, length: f64, seed: u64) -> Result<Went, String> {
-    let added =
-        Histogram::new_with_bounds(1, LONGEST, 3).map_err(|e| format!("no histogram: {e}"))?;
-    let gap = Exp::new(rate).map_err(|e| format!("{rate} RPCs a second: {e}"))?;
+pub async fn run(
+    at: SocketAddr,
+    rate: f64,
+    length: f64,
+    seed: u64,
+) -> Result<Went, MeasurementError> {
+    let added = Histogram::new_with_bounds(1, LONGEST, 3)?;
+    let gap = Exp::new(rate).map_err(|source| MeasurementError::RpcRate { rate, source })?;
     let clients = Rc::new(Clients {
         at,
         clock: Clock::starting_in(Duration::ZERO),
@@ -110,7 +115,7 @@
         while out.try_join_next().is_some() {}
     }
     while out.join_next().await.is_some() {}
-    let clients = Rc::into_inner(clients).ok_or("an RPC is still under way")?;
+    let clients = Rc::into_inner(clients).ok_or(MeasurementError::RpcInFlight)?;
     Ok(clients.went.into_inner())
 }
 
@@ -120,7 +125,7 @@
     rate: f64,
     length: f64,
     seed: u64,
-) -> Result<Vec<Went>, String> {
+) -> Result<Vec<Went>, MeasurementError> {
     let tasks: Vec<_> = at
         .iter()
         .zip(0..)
@@ -128,7 +133,11 @@
         .collect();
     let mut all = Vec::new();
     for task in tasks {
-        all.push(task.await.map_err(|e| format!("clients ended: {e}"))??);
+        let went = task.await.map_err(|source| MeasurementError::Task {
+            task: "client",
+            source,
+        })?;
+        all.push(went?);
     }
     Ok(all)
 }
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -1,12 +1,14 @@
 //! The tables of `docs/CAPACITY.md`, made of a result and put between their markers.
+use crate::error::{PageError, SeriesError};
 use crate::reckon::{self, Candidate, Line};
 use crate::report::Report;
 use std::fmt::Write;
 
-type Make = fn(&Report) -> Result<String, String>;
+/// Generates the text of one table.
+type GenerateTable = fn(&Report) -> Result<String, SeriesError>;
 
 /// The tables of the page, by the names in their markers.
-const TABLES: [(&str, Make); 5] = [
+const TABLES: [(&str, GenerateTable); 5] = [
     ("targets", targets),
     ("roles", roles),
     ("hours", hours),
@@ -30,8 +32,8 @@
     }
 }
 
-fn targets(report: &Report) -> Result<String, String> {
-    table(
+fn targets(report: &Report) -> Result<String, SeriesError> {
+    Ok(table(
         &[
             "what, at the planned size",
             "target",
@@ -50,10 +52,10 @@
                 line.of,
             ]
         }),
-    )
+    ))
 }
 
-fn roles(report: &Report) -> Result<String, String> {
+fn roles(report: &Report) -> Result<String, SeriesError> {
     let mut lines = reckon::targets(report)?;
     lines.sort_by_key(|line| line.role);
     let rows = lines.into_iter().map(|line| {
@@ -66,11 +68,14 @@
             line.mechanism.to_owned(),
         ]
     });
-    table(&["role", "what", "reckoning", "of", "carried by"], rows)
+    Ok(table(
+        &["role", "what", "reckoning", "of", "carried by"],
+        rows,
+    ))
 }
 
 /// In the order of the factor by which what each is for misses its target.
-fn candidates(report: &Report) -> Result<String, String> {
+fn candidates(report: &Report) -> Result<String, SeriesError> {
     let lines = reckon::targets(report)?;
     let factor = |candidate: &Candidate| {
         let own = lines
@@ -99,7 +104,7 @@
                 candidate.expected.to_owned(),
             ]
         });
-    table(
+    Ok(table(
         &[
             "",
             "mechanism",
@@ -108,22 +113,22 @@
             "expected (a guess)",
         ],
         rows,
-    )
+    ))
 }
 
-fn hours(report: &Report) -> Result<String, String> {
-    table(
+fn hours(report: &Report) -> Result<String, SeriesError> {
+    Ok(table(
         &["when", "what", "reckoning", "of"],
         reckon::hours(report)?.into_iter().map(|line| {
             let guess = if line.guess { " (guess)" } else { "" };
             let reckoning = format!("{} {}{guess}", figure(line.reckoning), line.unit);
             [line.when.to_owned(), line.what, reckoning, line.of]
         }),
-    )
+    ))
 }
 
 #[expect(clippy::too_many_lines)]
-fn slopes(report: &Report) -> Result<String, String> {
+fn slopes(report: &Report) -> Result<String, SeriesError> {
     let rows = report.series.iter().map(|series| {
         let points = series
             .points
@@ -174,22 +179,20 @@
         report.cores,
         figure(report.took)
     );
-    Ok(run + &table(&head, rows)?)
+    Ok(run + &table(&head, rows))
 }
 
-fn table<const N: usize>(
-    head: &[&str; N],
-    rows: impl Iterator<Item = [String; N]>,
-) -> Result<String, String> {
+fn table<const N: usize>(head: &[&str; N], rows: impl Iterator<Item = [String; N]>) -> String {
     let mut text = format!("| {} |\n|{}\n", head.join(" | "), " --- |".repeat(N));
     for row in rows {
-        writeln!(text, "| {} |", row.join(" | ")).map_err(|e| e.to_string())?;
+        // Writing to a string cannot fail.
+        let _ = writeln!(text, "| {} |", row.join(" | "));
     }
-    Ok(text)
+    text
 }
 
 /// The page with the tables made anew. An error names the marker that is missing or the figure that can't be made.
-pub fn renew(page: &str, report: &Report) -> Result<String, String> {
+pub fn renew(page: &str, report: &Report) -> Result<String, PageError> {
     let mut text = page.to_owned();
     for (name, make) in TABLES {
         let (begin, end) = (
@@ -198,11 +201,11 @@
         );
         let from = text
             .find(&begin)
-            .ok_or_else(|| format!("there is no line {}", begin.trim_end()))?;
+            .ok_or_else(|| PageError::NoBeginMarker(begin.trim_end().to_owned()))?;
         let from = from + begin.len();
         let length = text[from..]
             .find(&end)
-            .ok_or_else(|| format!("there is no line {end} below its begin"))?;
+            .ok_or_else(|| PageError::NoEndMarker(end.clone()))?;
         text.replace_range(from..from + length, &format!("\n{}\n", make(report)?));
     }
     Ok(text)
--- a/crates/capacity/src/proxy.rs
+++ b/crates/capacity/src/proxy.rs
@@ -1,4 +1,5 @@
 //! A real `birchhubd` before hollow backends: its process has one owner here.
+use crate::error::MeasurementError;
 use crate::usage;
 use birchhub_emulator::Clock;
 use birchhub_emulator::wire::{MessageKind, Peer};
@@ -66,12 +67,20 @@
     })
 }
 
+fn file_error(path: &Path, source: std::io::Error) -> MeasurementError {
+    let path = path.to_owned();
+    MeasurementError::File { path, source }
+}
+
 /// A free address on loopback.
-fn free() -> Result<SocketAddr, String> {
+fn free() -> Result<SocketAddr, MeasurementError> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
     listener
         .and_then(|l| l.local_addr())
-        .map_err(|e| format!("no address on loopback: {e}"))
+        .map_err(|source| MeasurementError::Listener {
+            owner: "a proxy".to_owned(),
+            source,
+        })
 }
 
 /// A running proxy. It ends with its owner.
@@ -94,7 +103,7 @@
         list: SocketAddr,
         shape: Shape,
         seed: u64,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, MeasurementError> {
         let at = free()?;
         let file = json!({"name": name, "listen": at.to_string(), "discovery": list.to_string(),
             "seed": format!("{seed:016x}"), "limits": {"cores": 1.0, "memory_mb": MEMORY, "sockets": SOCKETS},
@@ -105,12 +114,16 @@
         Ok(proxy)
     }
 
-    fn spawn(program: &Path, config: PathBuf, file: Value, at: SocketAddr) -> Result<Self, String> {
-        std::fs::write(&config, file.to_string())
-            .map_err(|e| format!("{}: {e}", config.display()))?;
+    fn spawn(
+        program: &Path,
+        config: PathBuf,
+        file: Value,
+        at: SocketAddr,
+    ) -> Result<Self, MeasurementError> {
+        std::fs::write(&config, file.to_string()).map_err(|source| file_error(&config, source))?;
         let path = config.with_extension("log");
         let log = File::options().create(true).append(true).open(&path);
-        let log = log.map_err(|e| format!("{}: {e}", path.display()))?;
+        let log = log.map_err(|source| file_error(&path, source))?;
         let mut command = Command::new(program);
         command
             .env("LB_CONFIG", &config)
@@ -121,7 +134,10 @@
             .stderr(log);
         let child = command
             .spawn()
-            .map_err(|e| format!("{} can't be started: {e}", program.display()))?;
+            .map_err(|source| MeasurementError::ProxyStart {
+                program: program.to_owned(),
+                source,
+            })?;
         let pid = child.id();
         Ok(Self {
             at,
@@ -133,24 +149,24 @@
         })
     }
 
-    async fn until_ready(&mut self) -> Result<(), String> {
+    async fn until_ready(&mut self) -> Result<(), MeasurementError> {
         let begun = Instant::now();
         while self.ask("/health/ready").await != Some(200) {
             if let Ok(Some(status)) = self.child.try_wait() {
                 let log =
                     std::fs::read_to_string(self.config.with_extension("log")).unwrap_or_default();
                 let last = log.lines().last().unwrap_or("it said nothing").to_owned();
-                return Err(format!(
-                    "{} ended as it started ({status}): {last}",
-                    self.config.display()
-                ));
+                return Err(MeasurementError::ProxyExited {
+                    configuration: self.config.clone(),
+                    status,
+                    last_log_line: last,
+                });
             }
             if begun.elapsed() > READY {
-                return Err(format!(
-                    "{} was not ready within {} s",
-                    self.config.display(),
-                    READY.as_secs()
-                ));
+                return Err(MeasurementError::ProxyNotReady {
+                    configuration: self.config.clone(),
+                    seconds: READY.as_secs(),
+                });
             }
             sleep(LOOK).await;
         }
@@ -178,22 +194,24 @@
     }
 
     /// Writes a configuration with one more method, which is not in force by that.
-    pub fn add_method(&mut self, name: &str) -> Result<(), String> {
+    pub fn add_method(&mut self, name: &str) -> Result<(), MeasurementError> {
         let method = json!({"name": name, "idempotency": "read_like", "latency-target-ns": ns(0.25),
             "hard-limit-ns": ns(1.0), "utility": 1.0});
         if let Some(methods) = self.file["settings"]["methods"].as_array_mut() {
             methods.push(method);
         }
         std::fs::write(&self.config, self.file.to_string())
-            .map_err(|e| format!("{}: {e}", self.config.display()))
+            .map_err(|source| file_error(&self.config, source))
     }
 
-    pub fn hang_up(&self) -> Result<(), String> {
-        kill(Pid::from_raw(self.pid as i32), Signal::SIGHUP).map_err(|e| format!("no SIGHUP: {e}"))
+    pub fn hang_up(&self) -> Result<(), MeasurementError> {
+        let pid = self.pid;
+        kill(Pid::from_raw(pid as i32), Signal::SIGHUP)
+            .map_err(|source| MeasurementError::Reload { pid, source })
     }
 
     /// Ends it at once and starts it again where it was; done when it takes clients.
-    pub async fn restart(&mut self, program: &Path) -> Result<(), String> {
+    pub async fn restart(&mut self, program: &Path) -> Result<(), MeasurementError> {
         self.end();
         let next = Self::spawn(program, self.config.clone(), self.file.clone(), self.at)?;
         *self = next;
--- a/crates/capacity/src/reckon.rs
+++ b/crates/capacity/src/reckon.rs
@@ -1,4 +1,5 @@
 //! What the planned size costs, worked out from the lines through measured points. What was not measured is called a guess.
+use crate::error::SeriesError;
 use crate::page::figure;
 use crate::plan::size::*;
 use crate::report::Report;
@@ -122,7 +123,7 @@
 }
 
 /// Processor time of a proxy of the planned size until it is ready, s.
-fn start(report: &Report) -> Result<f64, String> {
+fn start(report: &Report) -> Result<f64, SeriesError> {
     Ok(report.at("start.backends", BACKENDS)?
         + report.slope("start.tenants")? * TENANTS
         + report.slope("start.methods")? * METHODS)
@@ -134,9 +135,9 @@
 }
 
 #[expect(clippy::too_many_lines)]
-pub fn targets(report: &Report) -> Result<Vec<Line>, String> {
+pub fn targets(report: &Report) -> Result<Vec<Line>, SeriesError> {
     let at = |name, x| report.at(name, x);
-    let crowded = |name: &str| Ok::<_, String>(report.get(name)?.load > report.cores as f64);
+    let crowded = |name: &str| Ok::<_, SeriesError>(report.get(name)?.load > report.cores as f64);
     let rate = RPCS / PROXIES;
     let memory = at("memory.busy.backends", BACKENDS)?
         + report.slope("memory.tenants")? * TENANTS
@@ -392,7 +393,7 @@
 }
 
 #[expect(clippy::too_many_lines)]
-pub fn hours(report: &Report) -> Result<Vec<Hour>, String> {
+pub fn hours(report: &Report) -> Result<Vec<Hour>, SeriesError> {
     let at = |name, x| report.at(name, x);
     let hour = |when, what: &str, unit, reckoning, guess, of: &str| Hour {
         when,
--- a/crates/capacity/src/run.rs
+++ b/crates/capacity/src/run.rs
@@ -1,5 +1,6 @@
 //! Plays a plan: each sweep takes the points of a few series.
 use crate::backends::Backends;
+use crate::error::MeasurementError;
 use crate::hollow::HollowProxies;
 use crate::list::ListService;
 use crate::load::{self, Went};
@@ -31,13 +32,15 @@
 }
 
 /// Measures all series of a plan.
-pub fn measure(plan: &Plan, options: &Options) -> Result<Report, String> {
-    std::fs::create_dir_all(&options.folder)
-        .map_err(|e| format!("{}: {e}", options.folder.display()))?;
+pub fn measure(plan: &Plan, options: &Options) -> Result<Report, MeasurementError> {
+    std::fs::create_dir_all(&options.folder).map_err(|source| MeasurementError::File {
+        path: options.folder.clone(),
+        source,
+    })?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| format!("no event loop: {e}"))?;
+    let runtime = runtime.map_err(MeasurementError::EventLoop)?;
     let run = Run {
         plan,
         options,
@@ -52,14 +55,14 @@
         );
         select! {
             report = run.play() => report,
-            _ = interrupt.recv() => Err("stopped by SIGINT: no result is written".into()),
-            _ = term.recv() => Err("stopped by SIGTERM: no result is written".into()),
+            _ = interrupt.recv() => Err(MeasurementError::Stopped { signal: "SIGINT" }),
+            _ = term.recv() => Err(MeasurementError::Stopped { signal: "SIGTERM" }),
         }
     })
 }
 
-fn catch(kind: SignalKind) -> Result<Signal, String> {
-    signal(kind).map_err(|e| format!("no signals: {e}"))
+fn catch(kind: SignalKind) -> Result<Signal, MeasurementError> {
+    signal(kind).map_err(MeasurementError::SignalHandler)
 }
 
 struct Run<'a> {
@@ -89,14 +92,14 @@
 }
 
 impl Meter {
-    fn start(pid: u32) -> Result<Self, String> {
+    fn start(pid: u32) -> Result<Self, MeasurementError> {
         Ok(Self {
             pid,
             processor: usage::processor(pid)?,
             begun: Instant::now(),
         })
     }
-    fn stop(&self) -> Result<Used, String> {
+    fn stop(&self) -> Result<Used, MeasurementError> {
         let processor = usage::processor(self.pid)? - self.processor;
         Ok(Used {
             processor,
@@ -106,7 +109,7 @@
 }
 
 impl Run<'_> {
-    async fn play(mut self) -> Result<Report, String> {
+    async fn play(mut self) -> Result<Report, MeasurementError> {
         let begun = Instant::now();
         self.backends().await?;
         self.tenants().await?;
@@ -136,7 +139,7 @@
         &self.options.folder
     }
 
-    async fn proxy(&mut self, list: &ListService, shape: Shape) -> Result<Proxy, String> {
+    async fn proxy(&mut self, list: &ListService, shape: Shape) -> Result<Proxy, MeasurementError> {
         self.proxies += 1;
         let name = format!("p{}", self.proxies);
         let seed = self.plan.seed.wrapping_add(self.proxies);
@@ -151,14 +154,14 @@
         .await
     }
 
-    async fn idle(&self, proxy: &Proxy) -> Result<Used, String> {
+    async fn idle(&self, proxy: &Proxy) -> Result<Used, MeasurementError> {
         let meter = Meter::start(proxy.pid)?;
         sleep(self.window()).await;
         meter.stop()
     }
 
     /// RPCs at a rate for a window, and what the proxy used meanwhile.
-    async fn rpcs(&mut self, proxy: &Proxy, rate: u32) -> Result<(Went, Used), String> {
+    async fn rpcs(&mut self, proxy: &Proxy, rate: u32) -> Result<(Went, Used), MeasurementError> {
         let meter = Meter::start(proxy.pid)?;
         let went = load::run(proxy.at, rate.into(), self.plan.window, self.plan.seed).await?;
         let used = meter.stop()?;
@@ -178,7 +181,7 @@
         proxy: &Proxy,
         backends: &Backends,
         rate: u32,
-    ) -> Result<f64, String> {
+    ) -> Result<f64, MeasurementError> {
         let (mut least, mut direct) = (f64::INFINITY, f64::INFINITY);
         for _ in 0..if self.plan.quick { 1 } else { 3 } {
             let without = load::run(
@@ -200,7 +203,7 @@
         list: &ListService,
         pid: u32,
         rate: u32,
-    ) -> Result<(u32, Used), String> {
+    ) -> Result<(u32, Used), MeasurementError> {
         let meter = Meter::start(pid)?;
         let mut ticks = interval(Duration::from_secs(1) / rate);
         let mut changes = 0;
@@ -215,7 +218,7 @@
     }
 
     #[expect(clippy::too_many_lines)]
-    async fn backends(&mut self) -> Result<(), String> {
+    async fn backends(&mut self) -> Result<(), MeasurementError> {
         for &listed in &self.plan.backends {
             self.tell(&format!("{listed} backends"));
             let backends = Backends::start(IDLE)?;
@@ -273,7 +276,7 @@
         x: f64,
         idle: &Used,
         [processor, connections, latency]: [&str; 3],
-    ) -> Result<(), String> {
+    ) -> Result<(), MeasurementError> {
         let rate = self.plan.rate;
         // What comes first opens connections that are used again later.
         self.rpcs(proxy, rate).await?;
@@ -289,10 +292,11 @@
             met.connections as f64 / met.requests.max(1) as f64,
         )?;
         let added = self.added(proxy, backends, rate).await?;
-        self.report.add(latency, x, added)
+        self.report.add(latency, x, added)?;
+        Ok(())
     }
 
-    async fn tenants(&mut self) -> Result<(), String> {
+    async fn tenants(&mut self) -> Result<(), MeasurementError> {
         let backends = Backends::start(IDLE)?;
         let list = ListService::start(10, backends.endpoints(), ZONES)?;
         for &tenants in &self.plan.tenants {
@@ -315,7 +319,7 @@
         Ok(())
     }
 
-    async fn methods(&mut self) -> Result<(), String> {
+    async fn methods(&mut self) -> Result<(), MeasurementError> {
         let backends = Backends::start(IDLE)?;
         let list = ListService::start(10, backends.endpoints(), ZONES)?;
         for &methods in &self.plan.methods {
@@ -338,7 +342,7 @@
         Ok(())
     }
 
-    async fn rates(&mut self) -> Result<(), String> {
+    async fn rates(&mut self) -> Result<(), MeasurementError> {
         for &rate in &self.plan.rates {
             self.tell(&format!("{rate} RPCs a second"));
             let backends = Backends::start(IDLE)?;
@@ -362,7 +366,7 @@
         Ok(())
     }
 
-    async fn changes(&mut self) -> Result<(), String> {
+    async fn changes(&mut self) -> Result<(), MeasurementError> {
         let backends = Backends::start(IDLE)?;
         let list = ListService::start(self.plan.most_backends(), backends.endpoints(), ZONES)?;
         let proxy = self.proxy(&list, Shape::default()).await?;
@@ -380,7 +384,7 @@
     }
 
     /// Several real proxies, each of which sends each backend what one does at the planned size.
-    async fn pairs(&mut self) -> Result<(), String> {
+    async fn pairs(&mut self) -> Result<(), MeasurementError> {
         let listed = self.plan.hollow_backends;
         let rate = size::RPCS / size::PROXIES / size::BACKENDS * f64::from(listed);
         for (&count, probes) in self
@@ -427,7 +431,7 @@
     }
 
     #[expect(clippy::too_many_lines)]
-    async fn hollow(&mut self) -> Result<(), String> {
+    async fn hollow(&mut self) -> Result<(), MeasurementError> {
         let backends = Backends::start(IDLE)?;
         let most = self.plan.hollow.iter().copied().max().unwrap_or(1);
         for &count in &self.plan.hollow {
@@ -476,7 +480,7 @@
         Ok(())
     }
 
-    async fn whole_lists(&mut self) -> Result<(), String> {
+    async fn whole_lists(&mut self) -> Result<(), MeasurementError> {
         let backends = Backends::start(IDLE)?;
         for &listed in &self.plan.backends {
             self.tell(&format!("a whole list of {listed}"));
@@ -496,7 +500,7 @@
 
     /// How long a changed configuration takes to be in force at the last of some proxies, one way and the other.
     #[expect(clippy::too_many_lines)]
-    async fn settings(&mut self) -> Result<(), String> {
+    async fn settings(&mut self) -> Result<(), MeasurementError> {
         let backends = Backends::start(IDLE)?;
         let list = ListService::start(10, backends.endpoints(), ZONES)?;
         let most = |sizes: &[u32]| sizes.iter().copied().max().unwrap_or(1);
@@ -537,7 +541,7 @@
                 .iter_mut()
                 .try_for_each(|p| p.add_method("added-by-restart"))?;
             let program = &self.options.program;
-            let mut waiting: tokio::task::JoinSet<Result<Proxy, String>> =
+            let mut waiting: tokio::task::JoinSet<Result<Proxy, MeasurementError>> =
                 tokio::task::JoinSet::new();
             for mut proxy in proxies {
                 let program = program.clone();
@@ -545,11 +549,14 @@
             }
             let mut proxies = Vec::new();
             while let Some(proxy) = waiting.join_next().await {
-                proxies.push(proxy.map_err(|e| format!("a restart ended: {e}"))??);
+                proxies.push(proxy.map_err(|source| MeasurementError::Task {
+                    task: "restart",
+                    source,
+                })??);
             }
             let last = in_force(&proxies, "added-by-restart", self.plan.in_force)
                 .await
-                .ok_or("a restart changed nothing")?;
+                .ok_or(MeasurementError::RestartWithoutEffect)?;
             self.report.add(
                 "settings.restart",
                 count.into(),
--- a/crates/capacity/tests/lists.rs
+++ b/crates/capacity/tests/lists.rs
@@ -74,6 +74,9 @@
             .all_have(7, Duration::from_millis(50))
             .await
             .expect_err("there is no version 7");
-        assert_eq!(fault, "2 of 2 hollow proxies were not told in time");
+        assert_eq!(
+            fault.to_string(),
+            "2 of 2 hollow proxies were not told in time"
+        );
     });
 }
--- a/crates/capacity/tests/pages.rs
+++ b/crates/capacity/tests/pages.rs
@@ -1,6 +1,6 @@
 //! The tables of the page: made of a result, and stale if they are those of another one.
 use birchhub_capacity::plan::size;
-use birchhub_capacity::{Plan, Report, page, reckon};
+use birchhub_capacity::{PageError, Plan, Report, SeriesError, page, reckon};
 
 const MARKS: [&str; 5] = ["targets", "roles", "hours", "candidates", "slopes"];
 
@@ -49,17 +49,17 @@
     let report = made(|_| (1.0, 0.001));
     let fault =
         page::renew(&blank().replace("<!-- scale: hours -->", ""), &report).expect_err("no mark");
-    assert_eq!(fault, "there is no line <!-- scale: hours -->");
+    assert_eq!(fault.to_string(), "there is no line <!-- scale: hours -->");
     let fault =
         page::renew(&blank().replace("<!-- end of hours -->", ""), &report).expect_err("no mark");
     assert_eq!(
-        fault,
+        fault.to_string(),
         "there is no line <!-- end of hours --> below its begin"
     );
     let mut report = report;
     report.series.retain(|s| s.name != "idle.backends");
     let fault = page::renew(&blank(), &report).expect_err("a series less");
-    assert_eq!(fault, "there is no series idle.backends");
+    assert_eq!(fault.to_string(), "there is no series idle.backends");
     report = made(|_| (1.0, 0.001));
     report
         .series
@@ -69,7 +69,9 @@
     report.finish();
     assert_eq!(
         page::renew(&blank(), &report),
-        Err("list.bytes has too few points".into())
+        Err(PageError::Series(SeriesError::TooFewPoints(
+            "list.bytes".into()
+        )))
     );
 }
 
--- a/crates/capacity/tests/stored_form.rs
+++ b/crates/capacity/tests/stored_form.rs
@@ -84,5 +84,6 @@
     std::fs::write(&path, text.replacen("\"form\": 1", "\"form\": 2", 1)).expect("a file");
     let fault = Report::read(&path).expect_err("another form");
     std::fs::remove_file(&path).expect("the file to remove");
+    let fault = fault.to_string();
     assert!(fault.ends_with("form is 2, and only 1 is read"), "{fault}");
 }
--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -47,7 +47,7 @@
         from,
         until,
     } = arguments.verb;
-    let (head, entries) = open(&file).map_err(Fault::Input)?;
+    let (head, entries) = open(&file).map_err(Fault::input)?;
     let timeline = Timeline::new(&head, &entries);
     let mut text = String::new();
     for entry in entries.iter().filter(|e| e.at >= from && e.at <= until) {
@@ -67,7 +67,7 @@
 }
 
 pub(crate) fn audit(arguments: Audit) -> Result<u8, Fault> {
-    let (head, entries) = open(&arguments.file).map_err(Fault::Input)?;
+    let (head, entries) = open(&arguments.file).map_err(Fault::input)?;
     let report = Report::of(&head, &entries, false, None);
     match arguments.json {
         true => print(&(report.json() + "\n")),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -6,6 +6,7 @@
 mod soak;
 
 use clap::{CommandFactory, Parser, Subcommand};
+use std::fmt::Display;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -37,12 +38,26 @@
     },
 }
 
-/// Why a verb ended without its result.
+/// The reason for which a verb ended without its result, as the text that is printed.
 enum Fault {
+    /// The input is invalid.
     Input(String),
+    /// The operation failed with valid input.
     Failed(String),
 }
 
+impl Fault {
+    /// An error that invalid input caused.
+    fn input(error: impl Display) -> Self {
+        Self::Input(error.to_string())
+    }
+
+    /// An error that occurred with valid input.
+    fn failed(error: impl Display) -> Self {
+        Self::Failed(error.to_string())
+    }
+}
+
 fn main() -> ExitCode {
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -35,7 +35,7 @@
 pub(crate) fn run(arguments: Arguments) -> Result<u8, Fault> {
     let found = scenario::find(&arguments.scenario)?;
     let plan = Plan::draw(&found.scenario, arguments.seed, &found.file, &found.text);
-    let plan = plan.map_err(|fault| Fault::Input(fault.to_string()))?;
+    let plan = plan.map_err(Fault::input)?;
     if arguments.simulated {
         return simulated(&found.scenario, &plan, &arguments.out);
     }
@@ -58,7 +58,7 @@
             plan.nodes.len()
         );
     }
-    let report = rehearse(&found.scenario, &plan, &options).map_err(Fault::Failed)?;
+    let report = rehearse(&found.scenario, &plan, &options).map_err(Fault::failed)?;
     print(&report.text());
     print(&format!(
         "  {}\n",
@@ -69,13 +69,13 @@
 
 fn simulated(scenario: &Scenario, plan: &Plan, out: &Path) -> Result<u8, Fault> {
     let begun = Instant::now();
-    let played = simulate(scenario, plan).map_err(Fault::Input)?;
+    let played = simulate(scenario, plan).map_err(Fault::input)?;
     let took = begun.elapsed().as_secs_f64();
     let report = Report::of(&played.head, &played.entries, false, None);
-    keep(&played.head, &played.entries, out).map_err(Fault::Failed)?;
+    write_ledger(&played.head, &played.entries, out).map_err(Fault::failed)?;
     report
         .write(&played.head, &played.entries, out)
-        .map_err(Fault::Failed)?;
+        .map_err(Fault::failed)?;
     print(&report.text());
     print(&format!(
         "  simulated; {}\n",
@@ -89,16 +89,43 @@
     Ok(report.verdict.exit_code())
 }
 
-fn keep(head: &Head, entries: &[Entry], out: &Path) -> Result<(), String> {
-    std::fs::create_dir_all(out).map_err(|e| format!("{}: {e}", out.display()))?;
+/// The reason for which the ledger of a simulated run was not written.
+#[derive(Debug, thiserror::Error)]
+enum LedgerFileError {
+    /// The folder or the file could not be created.
+    #[error("{}: {source}", path.display())]
+    Io {
+        path: PathBuf,
+        source: std::io::Error,
+    },
+    /// An entry could not be written.
+    #[error("{}: {source}", path.display())]
+    Ledger {
+        path: PathBuf,
+        source: ledger::LedgerError,
+    },
+}
+
+/// Writes the ledger into the folder of the run.
+fn write_ledger(head: &Head, entries: &[Entry], out: &Path) -> Result<(), LedgerFileError> {
+    let io_error = |path: &Path, source| LedgerFileError::Io {
+        path: path.to_owned(),
+        source,
+    };
+    std::fs::create_dir_all(out).map_err(|source| io_error(out, source))?;
     let path = out.join("ledger");
-    let told = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-    let file = std::fs::File::create(&path).map_err(|e| told(&e))?;
-    let mut writer =
-        ledger::Writer::new(std::io::BufWriter::new(file), head).map_err(|e| told(&e))?;
-    entries
-        .iter()
-        .try_for_each(|entry| writer.write(entry))
-        .map_err(|e| told(&e))?;
-    writer.flush().map_err(|e| told(&e))
+    let file = std::fs::File::create(&path).map_err(|source| io_error(&path, source))?;
+    write_entries(file, head, entries).map_err(|source| LedgerFileError::Ledger { path, source })
+}
+
+fn write_entries(
+    file: std::fs::File,
+    head: &Head,
+    entries: &[Entry],
+) -> Result<(), ledger::LedgerError> {
+    let mut writer = ledger::Writer::new(std::io::BufWriter::new(file), head)?;
+    for entry in entries {
+        writer.write(entry)?;
+    }
+    writer.flush()
 }
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -99,8 +99,8 @@
             progress: !quiet,
         },
     )
-    .map_err(Fault::Failed)?;
-    report.write(&out).map_err(Fault::Failed)?;
+    .map_err(Fault::failed)?;
+    report.write(&out).map_err(Fault::failed)?;
     print(&format!(
         "{}: {} series in {:.0} s\n",
         out.display(),
@@ -116,7 +116,7 @@
         page: path,
         check,
     } = arguments;
-    let report = Report::read(result).map_err(Fault::Input)?;
+    let report = Report::read(result).map_err(Fault::input)?;
     let told = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| Fault::Input(told(&e)))?;
     let renewed = page::renew(&text, &report).map_err(|e| Fault::Input(told(&e)))?;
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -47,7 +47,7 @@
             )
         }
     };
-    let scenario = Scenario::read(&file, &text).map_err(|fault| Fault::Input(fault.to_string()))?;
+    let scenario = Scenario::read(&file, &text).map_err(Fault::input)?;
     Ok(Found {
         scenario,
         file,
@@ -56,8 +56,7 @@
 }
 
 fn plan(found: &Found, seed: u64) -> Result<Plan, Fault> {
-    Plan::draw(&found.scenario, seed, &found.file, &found.text)
-        .map_err(|fault| Fault::Input(fault.to_string()))
+    Plan::draw(&found.scenario, seed, &found.file, &found.text).map_err(Fault::input)
 }
 
 pub(crate) fn run(arguments: Arguments) -> Result<u8, Fault> {
