--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -2,7 +2,7 @@
 use super::clients::rpc_of_request;
 use super::event::{ProcessEvent, SimulationEvent};
 use super::process::ProcessId;
-use super::{NETWORK_DELAY, World};
+use super::{NETWORK_DELAY_SECONDS, World};
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::event::{Admission, AttemptEnd, ReceivedAttempt};
 use birchhub_audit::{Answer, Event, Idempotency};
@@ -14,15 +14,15 @@
 pub(super) struct ProxyAttempt {
     /// The process that made it.
     pub(super) process: ProcessId,
-    /// The client's request that it serves.
+    /// The client's request that it is for.
     pub(super) request_id: u64,
-    /// Its place among the attempts for that one.
+    /// Its index among the attempts for that request.
     pub(super) attempt_index: usize,
     /// The machine that it was sent to.
     pub(super) node: u32,
-    /// The incarnation of the backend that holds it.
+    /// The backend's incarnation that has it in flight.
     pub(super) incarnation: Option<u32>,
-    /// The fault that its answer will meet.
+    /// The fault that will affect its response.
     pub(super) fault: Option<Trick>,
 }
 
@@ -33,14 +33,14 @@
     proxy: u16,
     node: u32,
     incarnation: u32,
-    /// When its connection was opened, s.
+    /// When its connection was opened, in seconds.
     first_byte_at: f64,
-    /// s of a standard core.
+    /// Work in seconds of a standard core.
     work: f64,
 }
 
 impl ArrivingAttempt {
-    /// The ledger's record of what the backend did with it; `overload` is the load that the backend reports.
+    /// Returns the ledger's event for it; `overload` is that of the backend at this time.
     fn record(&self, admission: Admission, overload: f64) -> Event {
         Event::AttemptReceived(ReceivedAttempt {
             incarnation: self.incarnation,
@@ -56,7 +56,7 @@
 }
 
 impl World<'_> {
-    /// Whether the process that made an attempt still runs and waits for its outcome.
+    /// Returns whether the process that made the attempt still runs and waits for its outcome.
     fn is_attempt_open(&self, attempt_id: u64) -> bool {
         let Some(entry) = self.proxy_attempts.get(&attempt_id) else {
             return false;
@@ -68,7 +68,7 @@
         held.is_some_and(|held| held.open_attempt(entry.attempt_index).is_some())
     }
 
-    /// Gives the outcome of an open attempt to the decision module, and a good one to the client.
+    /// Reports the outcome of an open attempt to the decisions, and a successful response to the client.
     pub(super) fn end_attempt(
         &mut self,
         attempt_id: u64,
@@ -81,7 +81,8 @@
         let Some(entry) = self.proxy_attempts.get(&attempt_id) else {
             return;
         };
-        let (proxy, request_id) = (entry.process.proxy, entry.request_id);
+        let proxy = entry.process.proxy;
+        let request_id = entry.request_id;
         let attempt_index = entry.attempt_index;
         if entry.incarnation.is_none() {
             self.proxy_attempts.remove(&attempt_id);
@@ -100,24 +101,25 @@
         });
     }
 
-    /// Ends an open attempt from the proxy's side, and closes its connection.
+    /// Ends an open attempt at the proxy and closes its connection.
     pub(super) fn abort_attempt(&mut self, attempt_id: u64, outcome: AttemptOutcome) {
         if self.is_attempt_open(attempt_id) {
             self.schedule(
-                NETWORK_DELAY,
+                NETWORK_DELAY_SECONDS,
                 SimulationEvent::ConnectionClosed { attempt_id },
             );
             self.end_attempt(attempt_id, outcome, None);
         }
     }
 
-    /// Sends the outcome of an attempt to its proxy after `delay` s, unless a partition is between them.
+    /// Sends the outcome of an attempt to its proxy after `delay` seconds, unless a partition separates them.
     pub(super) fn send_outcome(&mut self, attempt_id: u64, outcome: AttemptOutcome, delay: f64) {
         let Some(entry) = self.proxy_attempts.get_mut(&attempt_id) else {
             return;
         };
         entry.incarnation = None;
-        let (process, node) = (entry.process, entry.node);
+        let process = entry.process;
+        let node = entry.node;
         if self.is_partitioned(node, process.proxy) {
             return;
         }
@@ -137,17 +139,19 @@
             report,
         };
         self.schedule(
-            NETWORK_DELAY + delay,
+            NETWORK_DELAY_SECONDS + delay,
             SimulationEvent::ToProcess { process, event },
         );
     }
 
-    /// An attempt arrives at its machine: the backend there takes it in, unless a fault keeps it from doing so.
+    /// Delivers an attempt to its machine, where the backend receives it unless a fault prevents that.
     pub(super) fn offer_to_backend(&mut self, attempt_id: u64, first_byte_at: f64) {
         let Some(entry) = self.proxy_attempts.get(&attempt_id) else {
             return;
         };
-        let (proxy, request_id, node) = (entry.process.proxy, entry.request_id, entry.node);
+        let proxy = entry.process.proxy;
+        let request_id = entry.request_id;
+        let node = entry.node;
         if self.is_partitioned(node, proxy) || !self.is_attempt_open(attempt_id) {
             return;
         }
@@ -173,19 +177,19 @@
             work: arrival.work * self.method_slowdown[arrival.method as usize],
         };
         match self.injected_fault(node, request_id) {
-            Some(Trick::Mute(_)) => self.swallow(&received),
+            Some(Trick::Mute(_)) => self.hold_unanswered(&received),
             Some(Trick::Error(_)) => self.reply_error(&received),
             fault => self.start_work(&received, fault),
         }
     }
 
-    /// The backend holds the attempt and never answers.
-    fn swallow(&mut self, received: &ArrivingAttempt) {
+    /// Keeps the attempt in flight at the backend, which never responds.
+    fn hold_unanswered(&mut self, received: &ArrivingAttempt) {
         self.hold(received, None);
         self.record(received.record(Admission::Dropped, 0.0));
     }
 
-    /// The backend answers with an error at once.
+    /// Responds with an error at once.
     fn reply_error(&mut self, received: &ArrivingAttempt) {
         let attempt_id = received.attempt_id;
         self.record(received.record(Admission::Failed, 0.0));
@@ -196,7 +200,7 @@
         self.send_outcome(attempt_id, AttemptOutcome::Failed, 0.0);
     }
 
-    /// The backend takes the attempt in, or turns it away.
+    /// Offers the attempt to the backend, which admits or rejects it.
     fn start_work(&mut self, received: &ArrivingAttempt, fault: Option<Trick>) {
         let incoming = IncomingWork {
             attempt_id: received.attempt_id,
@@ -204,7 +208,8 @@
             idempotency_key: self.deduplication_key(received),
             first_on_connection: false,
         };
-        let (now, mut events) = (self.now, Vec::new());
+        let now = self.now;
+        let mut events = Vec::new();
         let machine = &mut self.machines[received.node as usize];
         let Some(backend) = machine.backend.as_mut() else {
             return;
@@ -237,7 +242,7 @@
         self.apply_backend_events(received.node, events);
     }
 
-    /// The key by which a group of backends drops a repeat of this RPC, where its method has one.
+    /// Returns the key by which a group of backends drops duplicates of this RPC, if its method is deduplicated.
     fn deduplication_key(&self, received: &ArrivingAttempt) -> Option<IdempotencyKey> {
         let rpc = rpc_of_request(received.request_id);
         let method = self.plan.arrivals[rpc as usize].method;
@@ -256,7 +261,8 @@
         let machine = &mut self.machines[received.node as usize];
         machine.held_attempts.insert(received.attempt_id);
         if let Some(entry) = self.proxy_attempts.get_mut(&received.attempt_id) {
-            (entry.incarnation, entry.fault) = (Some(received.incarnation), fault);
+            entry.incarnation = Some(received.incarnation);
+            entry.fault = fault;
         }
     }
 
@@ -265,7 +271,7 @@
         self.send_outcome(attempt_id, outcome, 0.0);
     }
 
-    /// The work on an attempt is done: its answer leaves, altered by the fault that it met.
+    /// Sends the response to a finished attempt, altered by the attempt's fault.
     pub(super) fn send_reply(&mut self, node: u32, attempt_id: u64) {
         if !self.machines[node as usize]
             .held_attempts
@@ -287,7 +293,7 @@
         self.send_outcome(attempt_id, outcome, delay);
     }
 
-    /// The backend withdraws an attempt whose connection the proxy has closed.
+    /// Cancels an attempt at its backend after the proxy closed its connection.
     pub(super) fn close_connection(&mut self, attempt_id: u64) {
         let Some(entry) = self.proxy_attempts.remove(&attempt_id) else {
             return;
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -3,32 +3,33 @@
 use super::event::{ProcessEvent, SimulationEvent};
 use super::machine::BackendProcess;
 use super::process::ProcessId;
-use super::{NETWORK_DELAY, POLL_INTERVAL, World};
+use super::{DRAIN_CHECK_SECONDS, NETWORK_DELAY_SECONDS, World};
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::event::AttemptEnd;
 use birchhub_audit::{EndpointState, Event};
 use birchhub_backend_model::{Backend, BackendEvent, DeduplicationCache, Start};
 
-/// s until a health check without an answer has timed out, by the proxy's own clock.
-const HEALTH_CHECK_TIMEOUT: f64 = 0.1;
+/// Timeout of a health check in seconds, by the proxy's own clock.
+const HEALTH_CHECK_TIMEOUT_SECONDS: f64 = 0.1;
 
 /// The planned replacement of a backend.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Retirement {
     /// The machine whose backend ends once it is idle.
     pub(super) node: u32,
-    /// When it ends at the latest, s.
+    /// When it ends at the latest, in seconds.
     pub(super) by: f64,
     /// The machine on which its successor starts.
     pub(super) successor: u32,
-    /// s from its end to the successor's start.
+    /// Seconds from its end to the successor's start.
     pub(super) after: f64,
 }
 
 impl World<'_> {
-    /// Starts a backend on a machine; returns its incarnation.
+    /// Starts a backend on a machine and returns its incarnation.
     pub(super) fn start_backend(&mut self, node: u32, how: Start) -> u32 {
-        let (now, incarnation) = (self.now, self.next_incarnation);
+        let now = self.now;
+        let incarnation = self.next_incarnation;
         self.next_incarnation += 1;
         let machine = &mut self.machines[node as usize];
         let factor = machine.capacity_factor;
@@ -60,7 +61,7 @@
         self.schedule_publication(node, list_entry, self.scenario.list.lag.0);
     }
 
-    /// Ends the backend of a machine, and breaks the connections of the attempts there; returns its incarnation.
+    /// Ends the backend of a machine and breaks the connections of its attempts. Returns its incarnation.
     fn stop_backend(&mut self, node: u32) -> Option<u32> {
         let machine = &mut self.machines[node as usize];
         let BackendProcess { incarnation, .. } = machine.backend.take()?;
@@ -84,28 +85,28 @@
         Some(incarnation)
     }
 
-    /// Ends the backend of a machine; the endpoint list service knows of it after `delay` s.
+    /// Ends the backend of a machine. The endpoint list service learns of it after `delay` seconds.
     pub(super) fn remove_backend(&mut self, node: u32, delay: f64) {
         if let Some(incarnation) = self.stop_backend(node) {
             self.schedule_publication(node, ListEntry::gone(incarnation), delay);
         }
     }
 
-    /// Ends a backend that is idle or has no more time, and schedules its successor.
+    /// Ends a backend once it is idle, or at its deadline, and schedules the start of its successor.
     pub(super) fn retire_backend(&mut self, retirement: Retirement) {
         let machine = &self.machines[retirement.node as usize];
         let backend = machine.backend.as_ref();
         let is_busy = backend.is_some_and(|backend| backend.model.in_flight() > 0);
         if is_busy && self.now < retirement.by {
             let retry = SimulationEvent::RetireBackend(retirement);
-            return self.schedule(POLL_INTERVAL, retry);
+            return self.schedule(DRAIN_CHECK_SECONDS, retry);
         }
         self.remove_backend(retirement.node, self.scenario.list.lag.0);
         let node = retirement.successor;
         self.schedule(retirement.after, SimulationEvent::StartBackend { node });
     }
 
-    /// The load that a backend reports now.
+    /// Returns the current load report of a machine's backend.
     pub(super) fn load_report(&mut self, node: u32) -> Option<LoadReport> {
         let now = self.now;
         let backend = self.machines[node as usize].backend.as_mut()?;
@@ -117,7 +118,7 @@
         })
     }
 
-    /// Applies a backend's own event that was scheduled, unless another one has taken its place.
+    /// Advances a backend to its scheduled event, unless that was superseded.
     pub(super) fn advance_backend(&mut self, node: u32, version: u64) {
         if self.machines[node as usize].version == version {
             self.change_backend(node, |node, now, deduplication, events| {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Changes the model of a machine's backend, if it has one, and applies what came of it.
+    /// Changes the model of a machine's backend, if there is one, and applies the resulting events.
     pub(super) fn change_backend(
         &mut self,
         node: u32,
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Records what happened at a backend, sends its replies, and schedules its next event.
+    /// Records the events of a backend, sends its responses and schedules its next event.
     pub(super) fn apply_backend_events(&mut self, node: u32, events: Vec<BackendEvent>) {
         for event in events {
             match event {
@@ -183,7 +184,7 @@
         }
     }
 
-    /// A health check arrives at a machine, which answers it if its backend runs.
+    /// Delivers a health check to a machine, which responds if its backend runs.
     pub(super) fn answer_health_check(&mut self, process: ProcessId, node: u32) {
         if self.is_partitioned(node, process.proxy) {
             let event = ProcessEvent::HealthChecked {
@@ -192,7 +193,7 @@
                 report: None,
             };
             let timeout = SimulationEvent::ToProcess { process, event };
-            return self.schedule(HEALTH_CHECK_TIMEOUT, timeout);
+            return self.schedule(HEALTH_CHECK_TIMEOUT_SECONDS, timeout);
         }
         let machine = &mut self.machines[node as usize];
         if machine.is_stalled() {
@@ -210,6 +211,9 @@
             outcome,
             report,
         };
-        self.schedule(NETWORK_DELAY, SimulationEvent::ToProcess { process, event });
+        self.schedule(
+            NETWORK_DELAY_SECONDS,
+            SimulationEvent::ToProcess { process, event },
+        );
     }
 }
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -1,59 +1,59 @@
-//! Clients: their attempts, retries and disconnections.
+//! Clients: their requests, retries and disconnects.
 use super::event::{ProcessEvent, SimulationEvent};
-use super::{NETWORK_DELAY, World};
+use super::{NETWORK_DELAY_SECONDS, World};
 use birchhub_audit::{Answer, Event};
 use birchhub_rehearsal::clients;
 use birchhub_rehearsal::proxies::deal;
 
-/// s that a client listens on after its patience: an answer that leaves in time may arrive late.
-const CLIENT_GRACE: f64 = 0.25;
+/// Time in seconds that a client listens beyond its timeout: a response that was sent in time may arrive later.
+const CLIENT_GRACE_SECONDS: f64 = 0.25;
 
-/// The lowest bits of the number of a client's request count the attempts of its RPC, those above are the RPC's number.
-const ATTEMPT_BITS: u32 = 8;
+/// The low bits of a request's id number the client's requests for one RPC; the high bits are the RPC's number.
+const REQUEST_NUMBER_BITS: u32 = 8;
 
-/// The largest exponent of a client's back-off.
+/// Largest exponent of a client's backoff.
 const MAX_BACKOFF_EXPONENT: u8 = 16;
 
-/// A client's request that has no answer yet.
+/// A client's request without a response.
 pub(super) struct ClientRequest {
     /// The proxy that it was sent to.
     pub(super) proxy: u16,
-    /// How long the client waits, s.
+    /// How long the client waits, in seconds.
     pub(super) client_timeout: f64,
 }
 
-/// The ledger's number of an attempt; the first attempt of an RPC has the number 0.
+/// Returns the id of a client's request; the first request for an RPC has the number 0.
 fn client_request_id(rpc: u32, number: u8) -> u64 {
-    u64::from(rpc) << ATTEMPT_BITS | u64::from(number)
+    u64::from(rpc) << REQUEST_NUMBER_BITS | u64::from(number)
 }
 
-/// The RPC that a client's request is for.
+/// Returns the RPC that a client's request is for.
 pub(super) fn rpc_of_request(request_id: u64) -> u32 {
-    (request_id >> ATTEMPT_BITS) as u32
+    (request_id >> REQUEST_NUMBER_BITS) as u32
 }
 
-/// The number of a client's request among those for its RPC.
+/// Returns the number of a client's request among those for its RPC.
 pub(super) fn request_number(request_id: u64) -> u8 {
     request_id as u8
 }
 
 impl World<'_> {
-    /// An RPC of the plan begins, with its first attempt.
+    /// Starts an RPC of the plan with its first request.
     pub(super) fn start_rpc(&mut self, rpc: u32) {
         let arrival = &self.plan.arrivals[rpc as usize];
-        let (method, tenant, within_quota) = (arrival.method, arrival.tenant, arrival.within_quota);
         self.record(Event::Arrival {
             rpc,
-            method,
-            tenant,
-            within_quota,
+            method: arrival.method,
+            tenant: arrival.tenant,
+            within_quota: arrival.within_quota,
         });
         self.send_client_request(rpc, 0);
     }
 
-    /// A client sends an attempt to a proxy that accepts traffic, if its RPC has time left.
+    /// Sends a client's request to a proxy that accepts traffic, if its RPC has time left.
     pub(super) fn send_client_request(&mut self, rpc: u32, number: u8) {
-        let (scenario, arrival) = (self.scenario, &self.plan.arrivals[rpc as usize]);
+        let scenario = self.scenario;
+        let arrival = &self.plan.arrivals[rpc as usize];
         let method = &scenario.method[arrival.method as usize];
         let left = arrival.due + method.deadline.0 - self.now;
         let Some(client_timeout) = clients::client_timeout(&scenario.clients, method, left) else {
@@ -75,31 +75,34 @@
             client_timeout: client_timeout as f32,
         });
         let at_proxy = SimulationEvent::RequestAtProxy { request_id, proxy };
-        self.schedule(NETWORK_DELAY, at_proxy);
+        self.schedule(NETWORK_DELAY_SECONDS, at_proxy);
         let give_up = SimulationEvent::ClientGivesUp { request_id };
-        self.schedule(client_timeout + CLIENT_GRACE, give_up);
+        self.schedule(client_timeout + CLIENT_GRACE_SECONDS, give_up);
         if let Some(part) = arrival.leaves.filter(|_| number == 0) {
             let disconnect = SimulationEvent::ClientDisconnects { request_id };
             self.schedule(part * client_timeout, disconnect);
         }
     }
 
-    /// The proxy that the layer before the proxies chooses; each attempt of an RPC uses other bits of its chance.
+    /// Returns the proxy that the load balancer chooses. Each request for an RPC uses other bits of its random number.
     fn choose_proxy(&self, rpc: u32, number: u8) -> u16 {
         let arrival = &self.plan.arrivals[rpc as usize];
-        let chance = arrival.deal.rotate_left(u32::from(number) * ATTEMPT_BITS);
+        let chance = arrival
+            .deal
+            .rotate_left(u32::from(number) * REQUEST_NUMBER_BITS);
         let accepts = |proxy: &usize| self.accepts_traffic[*proxy];
         let zones = self.scenario.fleet.zones.len();
         deal(self.proxies.len(), zones, arrival.zone, chance, accepts) as u16
     }
 
-    /// A client has the answer to an attempt, and retries where its policy says so. Later answers are dropped.
+    /// Delivers a response to a client, which retries if its policy says so. Further responses are dropped.
     pub(super) fn answer_client(&mut self, request_id: u64, answer: Answer) {
         if self.client_requests.remove(&request_id).is_none() {
             return;
         }
         self.record(Event::RequestAnswered { request_id, answer });
-        let (rpc, number) = (rpc_of_request(request_id), request_number(request_id));
+        let rpc = rpc_of_request(request_id);
+        let number = request_number(request_id);
         let arrival = &self.plan.arrivals[rpc as usize];
         let method = &self.scenario.method[arrival.method as usize];
         let elapsed = self.now - arrival.due;
@@ -113,7 +116,7 @@
         }
     }
 
-    /// s that a client waits after the attempt with this number.
+    /// Returns the seconds that a client waits after the request with this number.
     fn retry_delay(&self, number: u8, answer: Answer) -> f64 {
         let policy = &self.scenario.clients;
         let retry_after = match answer {
@@ -128,7 +131,7 @@
         (policy.wait.0 * factor).max(retry_after)
     }
 
-    /// A client closes the connection of an attempt that has no answer.
+    /// Closes the connection of a client's request without a response.
     pub(super) fn disconnect_client(&mut self, request_id: u64) {
         let Some(sent) = self.client_requests.get(&request_id) else {
             return;
@@ -136,6 +139,6 @@
         let proxy = sent.proxy;
         self.answer_client(request_id, Answer::Cancelled);
         let disconnected = ProcessEvent::ClientDisconnected(request_id);
-        self.send_to_process(proxy, NETWORK_DELAY, disconnected);
+        self.send_to_process(proxy, NETWORK_DELAY_SECONDS, disconnected);
     }
 }
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -3,7 +3,7 @@
 use super::event::{ProcessEvent, SimulationEvent};
 use super::platform::{Command, SimulationPlatform};
 use super::process::{InFlightRpc, ProcessId};
-use super::{NETWORK_DELAY, World};
+use super::{NETWORK_DELAY_SECONDS, World};
 use birchhub::balancer::{Balancer, RpcHandle};
 use birchhub::interface::AttemptOutcome;
 use birchhub_audit::Answer;
@@ -84,11 +84,12 @@
             Command::HealthCheck { backend } => {
                 let node = backend;
                 let arrival = SimulationEvent::HealthCheckAtBackend { process, node };
-                self.schedule(NETWORK_DELAY, arrival);
-            }
-            Command::WatchEndpoints => {
-                self.schedule(NETWORK_DELAY, SimulationEvent::ListCallArrives(process))
+                self.schedule(NETWORK_DELAY_SECONDS, arrival);
             }
+            Command::WatchEndpoints => self.schedule(
+                NETWORK_DELAY_SECONDS,
+                SimulationEvent::ListCallArrives(process),
+            ),
             Command::ScheduleTimer { delay } => self.schedule_timer(process, delay),
         }
     }
@@ -117,9 +118,9 @@
                 fault: None,
             },
         );
-        let first_byte_at = now + NETWORK_DELAY;
+        let first_byte_at = now + NETWORK_DELAY_SECONDS;
         self.schedule(
-            NETWORK_DELAY,
+            NETWORK_DELAY_SECONDS,
             SimulationEvent::AttemptAtBackend {
                 attempt_id,
                 first_byte_at,
@@ -139,7 +140,7 @@
             return;
         };
         self.schedule(
-            NETWORK_DELAY,
+            NETWORK_DELAY_SECONDS,
             SimulationEvent::ConnectionClosed { attempt_id },
         );
         self.send_to_process(
@@ -181,7 +182,7 @@
         };
         if !std::mem::replace(&mut held.answered, true) {
             self.schedule(
-                NETWORK_DELAY,
+                NETWORK_DELAY_SECONDS,
                 SimulationEvent::AnswerAtClient { request_id, answer },
             );
         }
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -2,7 +2,7 @@
 use super::endpoint_list::ListEntry;
 use super::event::{ProcessEvent, SimulationEvent};
 use super::process::ProcessId;
-use super::{NETWORK_DELAY, World};
+use super::{NETWORK_DELAY_SECONDS, World};
 use birchhub::interface::{Endpoint, Readiness};
 use birchhub_audit::{EndpointState, Event};
 
@@ -40,7 +40,11 @@
     pub(super) fn send_endpoint_update(&mut self, proxy: u16) {
         let update = self.list.take_update(proxy);
         self.record_update(proxy, &update);
-        self.send_to_process(proxy, NETWORK_DELAY, ProcessEvent::EndpointUpdate(update));
+        self.send_to_process(
+            proxy,
+            NETWORK_DELAY_SECONDS,
+            ProcessEvent::EndpointUpdate(update),
+        );
     }
 
     /// Records the entries that a proxy is given.
@@ -67,7 +71,9 @@
                     self.scenario.list.takes(entries),
                     SimulationEvent::ListCallServed(process),
                 ),
-                None => self.send_to_process(proxy, NETWORK_DELAY, ProcessEvent::ListFailed),
+                None => {
+                    self.send_to_process(proxy, NETWORK_DELAY_SECONDS, ProcessEvent::ListFailed)
+                }
             }
         } else if !self.list.watch(proxy) {
             self.send_to_process(proxy, LIST_FAILURE_DELAY, ProcessEvent::ListFailed);
@@ -84,7 +90,7 @@
         }
         let proxy = process.proxy;
         if !self.list.watch(proxy) {
-            self.send_to_process(proxy, NETWORK_DELAY, ProcessEvent::ListFailed);
+            self.send_to_process(proxy, NETWORK_DELAY_SECONDS, ProcessEvent::ListFailed);
         } else if self.list.can_update(proxy) {
             let calls_again = self.list.has_update(proxy);
             self.send_endpoint_update(proxy);
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -3,7 +3,7 @@
 use super::endpoint_list::ListEntry;
 use super::event::{ProcessEvent, SimulationEvent};
 use super::machine::InjectedFault;
-use super::{NETWORK_DELAY, World};
+use super::{NETWORK_DELAY_SECONDS, World};
 use birchhub::interface::AttemptOutcome;
 use birchhub_audit::event::ProxyEnd;
 use birchhub_audit::{EndpointState, Event};
@@ -108,7 +108,7 @@
 
     fn set_list_down(&mut self, down: bool) {
         for proxy in self.list.set_down(down) {
-            self.send_to_process(proxy, NETWORK_DELAY, ProcessEvent::ListFailed);
+            self.send_to_process(proxy, NETWORK_DELAY_SECONDS, ProcessEvent::ListFailed);
         }
     }
 
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The simulated world of a rehearsal: its machines, proxies and clients, and the loop that handles one event after another.
+//! The state of a simulated rehearsal (machines, proxies, clients, discovery) and its event loop.
 mod attempts;
 mod backends;
 mod clients;
@@ -22,6 +22,7 @@
 use birchhub_rehearsal::plan::Plan;
 use birchhub_rehearsal::scenario::Scenario;
 use birchhub_rehearsal::settings;
+use birchhub_settings::SettingsError;
 use clients::ClientRequest;
 use endpoint_list::{EndpointListService, ListEntry};
 use event::SimulationEvent;
@@ -29,67 +30,71 @@
 use process::ProxyProcess;
 use std::collections::HashMap;
 
-/// s from one machine to the next: what loopback and two event loops take.
-const NETWORK_DELAY: f64 = 0.0002;
+/// Delay between two machines in seconds, about that of loopback and two event loops.
+const NETWORK_DELAY_SECONDS: f64 = 0.0002;
 
-/// s between looks at whether a process that is to end is idle.
-const POLL_INTERVAL: f64 = 0.01;
+/// Interval in seconds at which a draining process is checked for being idle.
+const DRAIN_CHECK_SECONDS: f64 = 0.01;
 
-/// s that a run goes on after the last deadline, for the answers on their way.
-const RUN_TAIL: f64 = 1.0;
+/// Time in seconds that a run goes on after the last deadline, for responses in transit.
+const RUN_TAIL_SECONDS: f64 = 1.0;
 
-/// What came of a simulation.
+/// The result of a simulation.
 pub struct Outcome {
-    /// The ledger's head: the deployment and the plan.
+    /// The ledger's head, which describes the deployment and the plan.
     pub head: Head,
-    /// The ledger's entries by time.
+    /// The ledger's entries, in order of time.
     pub entries: Vec<Entry>,
-    /// How many simulated events were handled.
+    /// Number of simulated events that were handled.
     pub events: u64,
 }
 
-/// The state of a simulation. Machines, proxies, methods and acts are known by their index in the plan or the scenario.
+/// The state of a simulation. Machines, proxies, methods and planned actions are identified by their index in the plan or
+/// the scenario.
 struct World<'a> {
     scenario: &'a Scenario,
     plan: &'a Plan,
-    /// s since the simulation began.
+    /// Seconds since the simulation began.
     now: f64,
     queue: Queue<SimulationEvent>,
     /// The ledger so far.
     entries: Vec<Entry>,
     machines: Vec<Machine>,
-    /// What groups of backends remember in order to drop repeats.
+    /// The idempotency keys that groups of backends remember, to drop duplicates.
     deduplication: DeduplicationCache,
-    /// By method: the factor that faults put on its work.
+    /// By method: the factor by which faults multiply its work.
     method_slowdown: Vec<f64>,
-    /// By proxy: the process that runs.
+    /// By proxy: its running process.
     proxies: Vec<Option<ProxyProcess>>,
-    /// How many processes of proxies have been started.
+    /// Number of proxy processes started so far.
     processes: u32,
-    /// By proxy: whether the layer before the proxies gives it traffic.
+    /// By proxy: whether the load balancer in front of the proxies sends it traffic.
     accepts_traffic: Vec<bool>,
-    /// By proxy: what arrived during a pause.
+    /// By proxy: the events that arrived while it was paused.
     deferred_events: Vec<Vec<SimulationEvent>>,
     list: EndpointListService,
-    /// s that faults add to the delay of the endpoint list service.
+    /// Seconds that faults add to the delay of the endpoint list service.
     list_delay: f64,
     /// By attempt id.
     proxy_attempts: HashMap<u64, ProxyAttempt>,
-    /// By the attempt's number in the ledger.
+    /// By the id of the client's request.
     client_requests: HashMap<u64, ClientRequest>,
     next_attempt_id: u64,
     next_incarnation: u32,
     /// By proxy.
     settings: Vec<Settings>,
-    /// s, of all methods.
+    /// Longest deadline of all methods, in seconds.
     longest_deadline: f64,
 }
 
-/// Plays a plan in simulated time. An error is one of the scenario's settings.
-pub fn simulate(scenario: &Scenario, plan: &Plan) -> Result<Outcome, String> {
+/// Plays a plan in simulated time.
+///
+/// # Errors
+/// The settings that the scenario describes are invalid.
+pub fn simulate(scenario: &Scenario, plan: &Plan) -> Result<Outcome, SettingsError> {
     let mut world = World::new(scenario, plan)?;
     world.set_up();
-    let events = world.run(plan.length + world.longest_deadline + RUN_TAIL);
+    let events = world.run(plan.length + world.longest_deadline + RUN_TAIL_SECONDS);
     world.entries.sort_by(|a, b| a.at.total_cmp(&b.at));
     Ok(Outcome {
         head: settings::head(scenario, plan),
@@ -98,16 +103,16 @@
     })
 }
 
-/// The settings of a proxy, which polls its endpoint list as the simulated service has it.
-fn proxy_settings(scenario: &Scenario, proxy: u16) -> Result<Settings, String> {
+/// Returns the settings of a proxy. The simulated service has its endpoint list polled.
+fn proxy_settings(scenario: &Scenario, proxy: u16) -> Result<Settings, SettingsError> {
     let file = settings::settings(scenario, proxy);
-    let mut parsed = birchhub_settings::parse_value(&file).map_err(|error| error.to_string())?;
+    let mut parsed = birchhub_settings::parse_value(&file)?;
     parsed.settings.polls_endpoint_list = true;
     Ok(parsed.settings)
 }
 
 impl<'a> World<'a> {
-    fn new(scenario: &'a Scenario, plan: &'a Plan) -> Result<Self, String> {
+    fn new(scenario: &'a Scenario, plan: &'a Plan) -> Result<Self, SettingsError> {
         let proxies = scenario.proxies.count;
         let settings = (0..proxies as u16).map(|proxy| proxy_settings(scenario, proxy));
         let machines = plan.nodes.iter().map(|node| Machine::new(scenario, node));
@@ -138,18 +143,18 @@
 }
 
 impl World<'_> {
-    /// Adds an event to the ledger.
+    /// Records an event in the ledger, at the current time.
     fn record(&mut self, event: Event) {
         let at = self.now;
         self.entries.push(Entry { at, event });
     }
 
-    /// Puts an event into the queue, `delay` s from now.
+    /// Schedules an event `delay` seconds from now.
     fn schedule(&mut self, delay: f64, event: SimulationEvent) {
         self.queue.put(self.now + delay, event);
     }
 
-    /// Starts the first backends and the proxies, and puts the plan into the queue.
+    /// Starts the first backends and the proxies, and schedules the plan.
     fn set_up(&mut self) {
         for node in 0..self.plan.first_nodes() as u32 {
             let list_entry = ListEntry {
@@ -170,7 +175,7 @@
         }
     }
 
-    /// Handles events up to `end`, s, and ends the proxies; returns the number of events.
+    /// Handles the events up to the time `end` in seconds, then ends the proxies. Returns the number of events.
     fn run(&mut self, end: f64) -> u64 {
         let mut events = 0;
         while let Some((at, event)) = self.queue.take().filter(|(at, _)| *at <= end) {
--- a/crates/simulation/src/world/proxies.rs
+++ b/crates/simulation/src/world/proxies.rs
@@ -2,7 +2,7 @@
 use super::endpoint_list::ListEntry;
 use super::event::SimulationEvent;
 use super::process::{ProcessId, ProxyProcess};
-use super::{NETWORK_DELAY, POLL_INTERVAL, World};
+use super::{DRAIN_CHECK_SECONDS, NETWORK_DELAY_SECONDS, World};
 use birchhub::balancer::Balancer;
 use birchhub::interface::EndpointUpdateKind;
 use birchhub_audit::event::ProxyEnd;
@@ -97,7 +97,7 @@
                 let closed = SimulationEvent::ConnectionClosed {
                     attempt_id: *attempt_id,
                 };
-                self.schedule(NETWORK_DELAY, closed);
+                self.schedule(NETWORK_DELAY_SECONDS, closed);
             }
         }
         // What had arrived during a pause and was not read is lost too.
@@ -113,7 +113,7 @@
     fn lose_client_attempt(&mut self, request_id: u64) {
         let answer = Answer::Lost;
         let lost = SimulationEvent::AnswerAtClient { request_id, answer };
-        self.schedule(NETWORK_DELAY, lost);
+        self.schedule(NETWORK_DELAY_SECONDS, lost);
     }
 
     /// SIGTERM: the process serves on until it is idle, and is given no more traffic once that is noticed.
@@ -149,7 +149,7 @@
             self.kill_proxy(process.proxy, ProxyEnd::Stopped);
         } else {
             let retry = SimulationEvent::StopProxyWhenIdle(process);
-            self.schedule(POLL_INTERVAL, retry);
+            self.schedule(DRAIN_CHECK_SECONDS, retry);
         }
     }
 
@@ -168,7 +168,7 @@
             self.schedule_proxy_start(proxy, since);
         } else {
             let retry = SimulationEvent::StartProxy { proxy, since };
-            self.schedule(POLL_INTERVAL, retry);
+            self.schedule(DRAIN_CHECK_SECONDS, retry);
         }
     }
 }
--- a/crates/simulation/src/world/rpcs.rs
+++ b/crates/simulation/src/world/rpcs.rs
@@ -4,7 +4,7 @@
 use super::endpoint_list::ListEntry;
 use super::event::{ProcessEvent, SimulationEvent};
 use super::process::{InFlightRpc, ProcessId};
-use super::{NETWORK_DELAY, World};
+use super::{NETWORK_DELAY_SECONDS, World};
 use birchhub::interface::{AttemptOutcome, EndpointUpdateKind, IncomingRpc};
 use birchhub_audit::Answer;
 
@@ -37,9 +37,9 @@
         let Some(running) = self.proxies[proxy as usize].as_ref() else {
             let answer = Answer::Unreachable;
             let refusal = SimulationEvent::AnswerAtClient { request_id, answer };
-            return self.schedule(NETWORK_DELAY, refusal);
+            return self.schedule(NETWORK_DELAY_SECONDS, refusal);
         };
-        let until = self.now + sent.client_timeout - NETWORK_DELAY;
+        let until = self.now + sent.client_timeout - NETWORK_DELAY_SECONDS;
         let incoming = self.incoming_rpc(request_id, until - DEADLINE_MARGIN - running.clock_lag);
         let accepted = InFlightRpc::new(until - DEADLINE_MARGIN);
         self.send_to_process(proxy, until - self.now, ProcessEvent::Deadline(request_id));
