--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,10 +1,9 @@
-//! A rehearsal in simulated time: the scenario, plan, node model, ledger and audit of the kit, and the decision module behind
-//! its `Platform`, driven by one queue of events. No sockets, no threads, no clock of the machine: the same scenario
-//! and seed give the same ledger to the byte anywhere.
+//! Simulator of rehearsals: runs a scenario's plan against the decisions in simulated time, driven by one event queue.
 //!
-//! What is modelled beside the nodes: the network between machines (a fixed delay), the endpoint list service with its delay,
-//! outages and stale copies, the layer before the proxies, clients and their retries, each proxy's own clock, and pauses of a
-//! proxy.
+//! It uses neither sockets nor threads nor the machine's clock, so that the same scenario and seed give the same ledger to
+//! the byte everywhere. Beside the backends it models the network (a fixed delay), the endpoint list service with its delay,
+//! outages and stale copies, the load balancer in front of the proxies, clients and their retries, and each proxy's clock and
+//! pauses.
 
 mod queue;
 mod world;
--- a/crates/simulation/src/queue.rs
+++ b/crates/simulation/src/queue.rs
@@ -1,11 +1,11 @@
-//! The queue of events: by time, and at one time in the order of insertion.
+//! Event queue, in order of time and then of insertion.
 #[cfg(test)]
 mod tests;
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// An event, its time, s, and its number in the order of insertion.
+/// An event with its time in seconds and its number in the order of insertion.
 struct Entry<T> {
     at: f64,
     sequence: u64,
@@ -24,7 +24,7 @@
     }
 }
 impl<T> Ord for Entry<T> {
-    /// The heap gives the greatest: the earliest here.
+    /// Orders entries in reverse, because the heap returns the greatest first.
     fn cmp(&self, other: &Self) -> Ordering {
         other
             .at
@@ -49,7 +49,7 @@
 }
 
 impl<T> Queue<T> {
-    /// Adds an event at a time, s.
+    /// Adds an event at a time in seconds.
     pub(crate) fn put(&mut self, at: f64, event: T) {
         self.next += 1;
         self.entries.push(Entry {
@@ -59,7 +59,7 @@
         });
     }
 
-    /// Takes the earliest event with its time; of several the one that was put in first.
+    /// Takes the earliest event with its time; of several at that time, the one that was added first.
     pub(crate) fn take(&mut self) -> Option<(f64, T)> {
         self.entries.pop().map(|entry| (entry.at, entry.event))
     }
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -1,4 +1,4 @@
-//! Calls of a proxy's decision module, and the commands that it gives.
+//! Calls of a proxy's decisions, and the execution of their commands.
 use super::attempts::ProxyAttempt;
 use super::event::{ProcessEvent, SimulationEvent};
 use super::platform::{Command, SimulationPlatform};
@@ -9,14 +9,14 @@
 use birchhub_audit::Answer;
 use std::collections::BTreeMap;
 
-/// s, the shortest delay of a timer: a time that the clock can't tell from now would fire for ever.
-const TIMER_RESOLUTION: f64 = 1e-6;
+/// Shortest delay of a timer in seconds: one that the clock can't tell from now would fire again and again.
+const TIMER_RESOLUTION_SECONDS: f64 = 1e-6;
 
-/// The HTTP status of an answer for an RPC that has failed.
+/// HTTP status of the response to a failed RPC.
 pub(super) const BAD_GATEWAY: u16 = 502;
 
 impl World<'_> {
-    /// Calls the decision module of a proxy and executes its commands.
+    /// Calls the decisions of a proxy and executes their commands.
     pub(super) fn run_decision(
         &mut self,
         proxy: u16,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Calls the decision module for one RPC, which is released if it has finished.
+    /// Calls the decisions about one RPC, which is released if it has finished.
     pub(super) fn run_rpc_decision(
         &mut self,
         proxy: u16,
@@ -155,7 +155,7 @@
     }
 
     fn schedule_timer(&mut self, process: ProcessId, delay: f64) {
-        let at = self.now + delay.max(TIMER_RESOLUTION);
+        let at = self.now + delay.max(TIMER_RESOLUTION_SECONDS);
         let Some(running) = self.proxies[process.proxy as usize].as_mut() else {
             return;
         };
@@ -165,14 +165,14 @@
         }
     }
 
-    /// Puts a timer event into the queue for a time of the simulation.
+    /// Schedules a timer event for a time of the simulation.
     pub(super) fn schedule_timer_event(&mut self, process: ProcessId, at: f64) {
         let event = ProcessEvent::Timer;
         self.queue
             .put(at, SimulationEvent::ToProcess { process, event });
     }
 
-    /// Sends the answer to a client that has none yet.
+    /// Sends the response to a client, unless it was answered.
     pub(super) fn send_answer(&mut self, proxy: u16, request_id: u64, answer: Answer) {
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: changes that the endpoint list service publishes, and the calls of the proxies.
+//! Discovery: publication of endpoint changes, and the proxies' calls of the endpoint list service.
 use super::endpoint_list::ListEntry;
 use super::event::{ProcessEvent, SimulationEvent};
 use super::process::ProcessId;
@@ -6,17 +6,17 @@
 use birchhub::interface::{Endpoint, Readiness};
 use birchhub_audit::{EndpointState, Event};
 
-/// s between the list calls of a proxy.
-const LIST_CALL_GAP: f64 = 0.02;
+/// Delay in seconds between two consecutive list calls of a proxy.
+const LIST_CALL_DELAY_SECONDS: f64 = 0.02;
 
-/// s until a list call to a service that is down has failed.
-const LIST_FAILURE_DELAY: f64 = 0.05;
+/// Time in seconds until a list call fails while the service is down.
+const LIST_FAILURE_DELAY_SECONDS: f64 = 0.05;
 
-/// A cell is a rack of a zone: the zone's number is in the bits from here on.
+/// A cell is a rack of a zone; the zone's number is in the bits of a cell's number from this one on.
 const ZONE_SHIFT: u32 = 16;
 
 impl World<'_> {
-    /// The endpoint list service learns of a change, and sends it to the proxies that wait for one.
+    /// Publishes a change, and sends it to the proxies that wait for one.
     pub(super) fn publish_endpoint(&mut self, node: u32, list_entry: ListEntry) {
         self.record(Event::EndpointChanged {
             backend: node,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The endpoint list service learns of a change after `delay` s, and later during a fault that slows it.
+    /// Schedules the publication of a change after `delay` seconds, or later while a fault slows the service.
     pub(super) fn schedule_publication(&mut self, node: u32, list_entry: ListEntry, delay: f64) {
         self.schedule(
             delay + self.list_delay.max(0.0),
@@ -36,7 +36,7 @@
         );
     }
 
-    /// Sends a proxy what has changed since its last update.
+    /// Sends a proxy the changes since its last update.
     pub(super) fn send_endpoint_update(&mut self, proxy: u16) {
         let update = self.list.take_update(proxy);
         self.record_update(proxy, &update);
@@ -47,7 +47,7 @@
         );
     }
 
-    /// Records the entries that a proxy is given.
+    /// Records the entries that a proxy receives.
     pub(super) fn record_update(&mut self, proxy: u16, update: &[(u32, ListEntry)]) {
         for (node, list_entry) in update {
             self.record(Event::ProxyNotified {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A call arrives at the endpoint list service; with a limit on calls the work on it takes time.
+    /// Starts a proxy's call. Where the number of concurrent calls is limited, serving one takes time.
     pub(super) fn start_list_call(&mut self, process: ProcessId) {
         if !self.is_running(process) {
             return;
@@ -76,13 +76,13 @@
                 }
             }
         } else if !self.list.watch(proxy) {
-            self.send_to_process(proxy, LIST_FAILURE_DELAY, ProcessEvent::ListFailed);
+            self.send_to_process(proxy, LIST_FAILURE_DELAY_SECONDS, ProcessEvent::ListFailed);
         } else if self.list.can_update(proxy) {
             self.send_endpoint_update(proxy);
         }
     }
 
-    /// The work on a call ends: the proxy has its update and calls again, or waits at the service for a change.
+    /// Ends a proxy's call: the proxy receives its update and calls again, or waits for a change.
     pub(super) fn finish_list_call(&mut self, process: ProcessId) {
         self.list.finish_call();
         if !self.is_running(process) {
@@ -95,12 +95,15 @@
             let calls_again = self.list.has_update(proxy);
             self.send_endpoint_update(proxy);
             if calls_again {
-                self.schedule(LIST_CALL_GAP, SimulationEvent::ListCallArrives(process));
+                self.schedule(
+                    LIST_CALL_DELAY_SECONDS,
+                    SimulationEvent::ListCallArrives(process),
+                );
             }
         }
     }
 
-    /// The entries as the decision module of a proxy sees them, with times by that proxy's clock.
+    /// Converts entries for the decisions of a proxy, with times by that proxy's clock.
     pub(super) fn endpoints(&self, proxy: u16, entries: &[(u32, ListEntry)]) -> Vec<Endpoint> {
         let running = self.proxies[proxy as usize].as_ref();
         let clock_lag = running.map_or(0.0, |running| running.clock_lag);
--- a/crates/simulation/src/world/endpoint_list.rs
+++ b/crates/simulation/src/world/endpoint_list.rs
@@ -1,20 +1,20 @@
-//! The endpoint list service: the current entries, what each proxy has received, and what it may receive now.
+//! State of the endpoint list service: the current entries, and what each proxy has received and may receive now.
 use birchhub_audit::EndpointState;
 use std::collections::BTreeMap;
 
-/// What the list says of a machine.
+/// The entry of a machine in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ListEntry {
-    /// The backend process that it speaks of.
+    /// The backend's incarnation.
     pub incarnation: u32,
-    /// Whether the backend takes work.
+    /// The backend's state.
     pub state: EndpointState,
-    /// When it started, s; `None` for long ago.
+    /// When it started, in seconds; `None` for long ago.
     pub started: Option<f64>,
 }
 
 impl ListEntry {
-    /// The backend has ended.
+    /// Returns the entry of a backend that has ended.
     pub(crate) fn gone(incarnation: u32) -> Self {
         Self {
             incarnation,
@@ -31,32 +31,32 @@
     entry: ListEntry,
 }
 
-/// A proxy as a reader of the list.
+/// The state of a proxy as a reader of the list.
 #[derive(Clone, Debug, Default)]
 struct Reader {
-    /// Whether a call of it waits for a change.
+    /// Whether a call of the proxy waits for a change.
     watching: bool,
-    /// The version that it has received.
+    /// The version that the proxy has received.
     version: u64,
-    /// How many faults keep its copy as it is.
+    /// Number of active faults that keep its copy stale.
     stale_faults: usize,
 }
 
-/// The service, and its readers by proxy.
+/// The endpoint list service, and its readers by proxy.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointListService {
     version: u64,
     entries: BTreeMap<u32, VersionedEntry>,
     readers: Vec<Reader>,
-    /// How many faults keep it from serving.
+    /// Number of active outages.
     outages: usize,
     calls_in_progress: usize,
-    /// The most calls that it works on at a time; `None` without a limit.
+    /// Maximum number of concurrent calls; `None` without a limit.
     call_limit: Option<usize>,
 }
 
 impl EndpointListService {
-    /// An empty list for so many proxies.
+    /// Creates a service with an empty list for this number of proxies.
     pub(crate) fn new(proxies: usize, call_limit: Option<usize>) -> Self {
         Self {
             readers: vec![Reader::default(); proxies],
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Whether it works on a limited number of calls at a time.
+    /// Returns whether the number of concurrent calls is limited.
     pub(crate) fn is_limited(&self) -> bool {
         self.call_limit.is_some()
     }
 
-    /// Accepts a proxy's call: how many entries it will return. `None` where the call is refused; otherwise `finish_call`
-    /// must follow.
+    /// Accepts a proxy's call and returns the number of entries in its response. `None` if the call is refused; otherwise
+    /// `finish_call` must follow.
     pub(crate) fn accept_call(&mut self, proxy: u16) -> Option<usize> {
         self.readers[proxy as usize].watching = false;
         let is_full = |limit| self.calls_in_progress >= limit;
@@ -82,7 +82,7 @@
         Some(self.changed_entries(proxy).count())
     }
 
-    /// The work on a call has ended.
+    /// Ends an accepted call.
     pub(crate) fn finish_call(&mut self) {
         self.calls_in_progress -= 1;
     }
@@ -96,12 +96,12 @@
         changed.map(|(node, changed)| (*node, changed.entry))
     }
 
-    /// Whether a proxy waits for changes and there are some that it may receive now.
+    /// Returns whether a proxy waits for changes and may receive some now.
     pub(crate) fn has_update(&self, proxy: u16) -> bool {
         self.can_update(proxy) && self.changed_entries(proxy).next().is_some()
     }
 
-    /// Changes the entry of a machine; returns the proxies that are to receive it at once.
+    /// Changes the entry of a machine. Returns the proxies that receive it at once.
     pub(crate) fn publish(&mut self, node: u32, entry: ListEntry) -> Vec<u16> {
         self.version += 1;
         let version = self.version;
@@ -111,26 +111,26 @@
             .collect()
     }
 
-    /// Whether a proxy waits for changes and would receive one now.
+    /// Returns whether a proxy waits for changes and would receive one now.
     pub(crate) fn can_update(&self, proxy: u16) -> bool {
         let reader = &self.readers[proxy as usize];
         self.outages == 0 && reader.watching && reader.stale_faults == 0
     }
 
-    /// A proxy waits for changes from now on; false where the service is down.
+    /// Lets a proxy wait for changes from now on. Returns false while the service is down.
     pub(crate) fn watch(&mut self, proxy: u16) -> bool {
         self.readers[proxy as usize].watching = self.outages == 0;
         self.outages == 0
     }
 
-    /// What has changed since a proxy's last update; it counts as received.
+    /// Takes the changes since a proxy's last update, which then count as received.
     pub(crate) fn take_update(&mut self, proxy: u16) -> Vec<(u32, ListEntry)> {
         let update = self.changed_entries(proxy).collect();
         self.readers[proxy as usize].version = self.version;
         update
     }
 
-    /// The whole list for a proxy that starts; it does not wait for changes yet.
+    /// Returns the whole list for a proxy that starts. It does not wait for changes yet.
     pub(crate) fn snapshot(&mut self, proxy: u16) -> Vec<(u32, ListEntry)> {
         self.reset_reader(proxy);
         let mut entries = self.take_update(proxy);
@@ -138,13 +138,13 @@
         entries
     }
 
-    /// A proxy starts, and has received nothing.
+    /// Resets a proxy that starts: it has received nothing.
     pub(crate) fn reset_reader(&mut self, proxy: u16) {
         self.readers[proxy as usize].watching = false;
         self.readers[proxy as usize].version = 0;
     }
 
-    /// Begins or ends an outage; returns the proxies whose waiting calls fail.
+    /// Begins or ends an outage. Returns the proxies whose waiting calls fail.
     pub(crate) fn set_down(&mut self, down: bool) -> Vec<u16> {
         self.outages = count_fault(self.outages, down);
         let mut failed = Vec::new();
@@ -156,7 +156,7 @@
         failed
     }
 
-    /// Begins or ends a fault that keeps a proxy's copy as it is; true if it is to receive what it missed.
+    /// Begins or ends a fault that keeps a proxy's copy stale. Returns whether the proxy now receives what it missed.
     pub(crate) fn set_stale(&mut self, proxy: u16, stale: bool) -> bool {
         let reader = &mut self.readers[proxy as usize];
         reader.stale_faults = count_fault(reader.stale_faults, stale);
@@ -164,7 +164,7 @@
     }
 }
 
-/// The number of faults of a kind after one more begins or ends.
+/// Returns the number of active faults after one more begins or ends.
 fn count_fault(faults: usize, begins: bool) -> usize {
     if begins {
         faults + 1
--- a/crates/simulation/src/world/machine.rs
+++ b/crates/simulation/src/world/machine.rs
@@ -8,21 +8,21 @@
 
 /// A backend process.
 pub(super) struct BackendProcess {
-    /// The ledger's number of this process: each start is a new incarnation.
+    /// The incarnation in the ledger; each start has a new one.
     pub(super) incarnation: u32,
-    /// The model that works on its RPCs.
+    /// The model that executes its RPCs.
     pub(super) model: Backend,
 }
 
 /// A fault at a machine's sockets.
 pub(super) struct InjectedFault {
-    /// The plan's number of the fault, by which it ends.
+    /// The number of the fault in the plan, by which it is ended.
     pub(super) number: u64,
-    /// What goes wrong, and for which share of the attempts.
+    /// The kind of fault, with the fraction of attempts that it affects.
     pub(super) trick: Trick,
 }
 
-/// A machine.
+/// A machine of the deployment.
 pub(super) struct Machine {
     /// Its size and speed.
     pub(super) spec: Spec,
@@ -32,26 +32,26 @@
     pub(super) rack: u32,
     /// The backend process that runs on it.
     pub(super) backend: Option<BackendProcess>,
-    /// When its backend started, s; `None` for one that has long run.
+    /// When its backend started, in seconds; `None` if that was before the simulation.
     pub(super) cold_started_at: Option<f64>,
-    /// The product of the planned changes of its speed; a new backend starts with it.
+    /// The product of the planned changes of its speed, with which a new backend starts too.
     pub(super) capacity_factor: f64,
-    /// The plan's numbers of the stalls that hold its backend up now.
+    /// The numbers of the active stalls, from the plan.
     pub(super) stalls: BTreeSet<u64>,
-    /// What arrived during a stall.
+    /// Events that arrived during a stall.
     pub(super) deferred_events: Vec<SimulationEvent>,
     /// The faults at its sockets, in the order in which they began.
     pub(super) faults: Vec<InjectedFault>,
-    /// The attempts that its backend holds.
+    /// The attempts in flight at its backend.
     pub(super) held_attempts: BTreeSet<u64>,
-    /// Changes with the backend's next event: a scheduled one of an earlier version is dropped.
+    /// Version of the backend's next event; a scheduled event of an earlier version is dropped.
     pub(super) version: u64,
     /// Whether its backend is being replaced.
     pub(super) retiring: bool,
 }
 
 impl Machine {
-    /// A planned machine, without a backend yet.
+    /// Creates a planned machine without a backend.
     pub(super) fn new(scenario: &Scenario, planned: &PlannedNode) -> Self {
         Self {
             spec: settings::spec(scenario, planned),
@@ -69,12 +69,12 @@
         }
     }
 
-    /// The incarnation of the backend that runs on it.
+    /// Returns the incarnation of its running backend.
     pub(super) fn incarnation(&self) -> Option<u32> {
         self.backend.as_ref().map(|backend| backend.incarnation)
     }
 
-    /// Whether its backend runs but is held up.
+    /// Returns whether its backend runs but is stalled.
     pub(super) fn is_stalled(&self) -> bool {
         self.backend.is_some() && !self.stalls.is_empty()
     }
--- a/crates/simulation/src/world/platform.rs
+++ b/crates/simulation/src/world/platform.rs
@@ -1,38 +1,38 @@
-//! The platform of the decision module in simulated time: it notes the commands that the decisions give.
+//! The decisions' platform in simulated time, which records the commands that they give.
 use birchhub::interface::Platform;
 
-/// A command of the decision module. `request_id` is the number of a client's request, `attempt_index` counts its attempts at backends.
+/// A command of the decisions. `request_id` identifies a client's request, `attempt_index` one of its attempts at backends.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Command {
-    /// Sends the RPC to a backend, for at most `timeout` s.
+    /// Starts an attempt at a backend, for at most `timeout` seconds.
     StartAttempt {
         request_id: u64,
         backend: u32,
         timeout: f64,
     },
-    /// Withdraws the RPC from a backend.
+    /// Cancels an attempt.
     CancelAttempt {
         request_id: u64,
         attempt_index: usize,
     },
-    /// Answers the client that it may retry after so many s; 0 names no time.
+    /// Rejects the RPC; the client may retry after this many seconds, 0 for no time.
     Reject { request_id: u64, retry_after: f64 },
-    /// Answers the client that the RPC has failed.
+    /// Fails the RPC.
     Fail { request_id: u64 },
     /// Checks the health of a backend.
     HealthCheck { backend: u32 },
-    /// Calls the endpoint list service.
+    /// Polls the endpoint list service.
     WatchEndpoints,
-    /// Calls the module's timer after `delay` s.
+    /// Fires the decisions' timer after `delay` seconds.
     ScheduleTimer { delay: f64 },
 }
 
-/// Notes the commands of the decision module in their order.
+/// Records the commands of the decisions in their order.
 #[derive(Default)]
 pub(crate) struct SimulationPlatform {
-    /// The time by the proxy's own clock, s.
+    /// The time by the proxy's own clock, in seconds.
     pub(super) now: f64,
-    /// The commands of the running call.
+    /// The commands of the current call.
     pub commands: Vec<Command>,
 }
 
--- a/crates/simulation/src/world/process.rs
+++ b/crates/simulation/src/world/process.rs
@@ -1,9 +1,9 @@
-//! One process of a proxy: the decision module, its clock and the RPCs in flight.
+//! One process of a proxy: its decisions, its clock and its RPCs in flight.
 use super::platform::{Command, SimulationPlatform};
 use birchhub::balancer::{Balancer, RpcHandle};
 use std::collections::BTreeMap;
 
-/// A process of a proxy. Each start has a new number, so that events for an ended process are dropped.
+/// Identifies a process of a proxy. Each start gets a new number, so that events for an ended process are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ProcessId {
     /// The proxy that the process runs for.
@@ -12,20 +12,20 @@
     pub number: u32,
 }
 
-/// An RPC that a process has accepted and still holds.
+/// An RPC in flight at a process.
 pub(crate) struct InFlightRpc {
-    /// The decision module's handle, once it has returned from accepting the RPC.
+    /// The decisions' handle of the RPC; `None` until they have returned from accepting it.
     pub rpc: Option<RpcHandle>,
-    /// The time by which the client is to have its answer, s of the simulation.
+    /// The client's deadline, in seconds of the simulation.
     pub deadline: f64,
-    /// Whether the client has its answer, or wants none.
+    /// Whether the client was answered or has disconnected.
     pub answered: bool,
-    /// The ids of its attempts at backends in their order; `None` once one has ended.
+    /// The ids of its attempts in their order; `None` for one that has ended.
     pub attempts: Vec<Option<u64>>,
 }
 
 impl InFlightRpc {
-    /// An RPC that is not yet known to the decision module.
+    /// Creates an RPC that the decisions have not accepted yet.
     pub(crate) fn new(deadline: f64) -> Self {
         Self {
             rpc: None,
@@ -35,39 +35,39 @@
         }
     }
 
-    /// The id of an attempt that has not ended.
+    /// Returns the id of an attempt, unless that has ended.
     pub(crate) fn open_attempt(&self, attempt_index: usize) -> Option<u64> {
         self.attempts.get(attempt_index).copied().flatten()
     }
 
-    /// Whether the client has its answer and the decision module needs the RPC no longer.
+    /// Returns whether the client was answered and the decisions no longer need the RPC.
     pub(crate) fn is_finished(&self) -> bool {
         self.answered && self.rpc.as_ref().is_none_or(|rpc| rpc.is_finished())
     }
 }
 
-/// A process from its start to its end.
+/// A running process.
 pub(crate) struct ProxyProcess {
-    /// Which process it is.
+    /// The process's identity.
     pub id: ProcessId,
     balancer: Balancer,
     platform: SimulationPlatform,
-    /// The RPCs that it holds, by client's request.
+    /// Its RPCs in flight, by the id of the client's request.
     pub in_flight: BTreeMap<u64, InFlightRpc>,
-    /// How far its clock is behind the simulation's because of pauses, s.
+    /// How far its clock lags behind the simulation because of pauses, in seconds.
     pub clock_lag: f64,
-    /// Since when it has been paused, s of the simulation.
+    /// When it was paused, in seconds of the simulation; `None` while it runs.
     pub paused: Option<f64>,
-    /// Whether it has had SIGTERM.
+    /// Whether it has received SIGTERM.
     pub stopping: bool,
     /// Whether it has an endpoint list.
     pub ready: bool,
-    /// When its next timer fires, s of the simulation.
+    /// When its next timer fires, in seconds of the simulation.
     pub timer_at: Option<f64>,
 }
 
 impl ProxyProcess {
-    /// A process that has just started.
+    /// Creates a process that has just started.
     pub(crate) fn new(id: ProcessId, balancer: Balancer) -> Self {
         Self {
             id,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Calls the decision module at a time of the simulation; returns the commands that it gives.
+    /// Calls the decisions at a time of the simulation and returns their commands.
     pub(crate) fn run_decision(
         &mut self,
         now: f64,
--- a/crates/simulation/src/world/proxies.rs
+++ b/crates/simulation/src/world/proxies.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a proxy's processes, and the traffic that the layer before them gives.
+//! The life cycle of a proxy's processes, and the traffic that the load balancer in front sends them.
 use super::endpoint_list::ListEntry;
 use super::event::SimulationEvent;
 use super::process::{ProcessId, ProxyProcess};
@@ -10,32 +10,32 @@
 use birchhub_backend_model::work::generator;
 use rand::Rng;
 
-/// s after SIGTERM for which connections still come.
-const SHUTDOWN_GRACE: f64 = 0.5;
+/// Time in seconds after SIGTERM for which connections are still accepted.
+const SHUTDOWN_GRACE_SECONDS: f64 = 0.5;
 
-/// s from the start of a process until it is ready.
-const PROXY_START_DELAY: f64 = 0.02;
+/// Time in seconds from the start of a process until it is ready.
+const PROXY_START_DELAY_SECONDS: f64 = 0.02;
 
-/// s beyond the longest deadline that a process has after SIGTERM before it is killed.
-const SHUTDOWN_MARGIN: f64 = 0.7;
+/// Time in seconds beyond the longest deadline after which a draining process is killed.
+const SHUTDOWN_MARGIN_SECONDS: f64 = 0.7;
 
-/// s from SIGTERM until the layer before the proxies knows of it.
-const PLANNED_STOP_NOTICE_DELAY: f64 = 0.3;
+/// Time in seconds from SIGTERM until the load balancer notices it.
+const PLANNED_STOP_NOTICE_DELAY_SECONDS: f64 = 0.3;
 
-/// The generator of a process is drawn by proxy in the bits from here on, and by its start in ms below.
+/// The seed of a process has the proxy's number in the bits from this one on, and the time of its start in ms below.
 const PROXY_SEED_SHIFT: u32 = 48;
 
-/// ms in a second.
-const MILLISECONDS: f64 = 1e3;
+/// Milliseconds in a second.
+const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
 impl World<'_> {
-    /// Whether this process of a proxy still runs.
+    /// Returns whether this process still runs.
     pub(super) fn is_running(&self, process: ProcessId) -> bool {
         let running = self.proxies[process.proxy as usize].as_ref();
         running.is_some_and(|running| running.id == process)
     }
 
-    /// Starts a process with the endpoint list that it knows, if the scenario gives it one.
+    /// Starts a process, with a cached endpoint list if the scenario gives it one.
     pub(super) fn start_proxy(&mut self, proxy: u16) {
         self.processes += 1;
         let process = ProcessId {
@@ -57,7 +57,7 @@
     }
 
     fn process_seed(&self, proxy: u16) -> u64 {
-        let start = (self.now * MILLISECONDS) as u64;
+        let start = (self.now * MILLISECONDS_PER_SECOND) as u64;
         let stream = u64::from(proxy) << PROXY_SEED_SHIFT | start;
         generator(self.plan.seed, stream).random()
     }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The process of a proxy has an endpoint list: traffic is given to it from now on.
+    /// Marks a proxy as ready after its first endpoint list: the load balancer sends it traffic from now on.
     pub(super) fn mark_ready(&mut self, proxy: u16) {
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Ends the process of a proxy: its clients and backends find their connections closed.
+    /// Ends the process of a proxy and closes its connections to clients and backends.
     pub(super) fn kill_proxy(&mut self, proxy: u16, how: ProxyEnd) {
         let Some(ended) = self.proxies[proxy as usize].take() else {
             return;
@@ -116,7 +116,7 @@
         self.schedule(NETWORK_DELAY_SECONDS, lost);
     }
 
-    /// SIGTERM: the process serves on until it is idle, and is given no more traffic once that is noticed.
+    /// Starts the graceful shutdown of a process: it drains, and gets no more traffic once the load balancer notices.
     pub(super) fn terminate_proxy(&mut self, proxy: u16) {
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
@@ -124,12 +124,12 @@
         running.stopping = true;
         let process = running.id;
         let noticed = SimulationEvent::FrontNoticesStop(process);
-        self.schedule(PLANNED_STOP_NOTICE_DELAY, noticed);
+        self.schedule(PLANNED_STOP_NOTICE_DELAY_SECONDS, noticed);
         let stop = SimulationEvent::StopProxyWhenIdle(process);
-        self.schedule(SHUTDOWN_GRACE, stop);
+        self.schedule(SHUTDOWN_GRACE_SECONDS, stop);
     }
 
-    /// The layer before the proxies gives no more traffic to a process that stops or has ended.
+    /// Stops the traffic to a process that drains or has ended.
     pub(super) fn stop_traffic(&mut self, process: ProcessId) {
         let current = self.proxies[process.proxy as usize].as_ref();
         if current.is_none_or(|current| current.id == process && current.stopping) {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Ends a process without RPCs in flight; otherwise looks again later.
+    /// Ends a draining process without RPCs in flight; otherwise checks again later.
     pub(super) fn stop_proxy_when_idle(&mut self, process: ProcessId) {
         let Some(running) = self.proxies[process.proxy as usize]
             .as_ref()
@@ -156,14 +156,14 @@
     /// Schedules the start of a process.
     pub(super) fn schedule_proxy_start(&mut self, proxy: u16, since: f64) {
         let start = SimulationEvent::StartProxy { proxy, since };
-        self.schedule(PROXY_START_DELAY, start);
+        self.schedule(PROXY_START_DELAY_SECONDS, start);
     }
 
-    /// Starts a process once the earlier one has ended, which is killed when its time is over.
+    /// Starts a process once the earlier one has ended; that one is killed at its deadline.
     pub(super) fn replace_proxy(&mut self, proxy: u16, since: f64) {
         if self.proxies[proxy as usize].is_none() {
             self.start_proxy(proxy);
-        } else if self.now > since + self.longest_deadline + SHUTDOWN_MARGIN {
+        } else if self.now > since + self.longest_deadline + SHUTDOWN_MARGIN_SECONDS {
             self.kill_proxy(proxy, ProxyEnd::Forced);
             self.schedule_proxy_start(proxy, since);
         } else {
--- a/crates/simulation/src/world/rpcs.rs
+++ b/crates/simulation/src/world/rpcs.rs
@@ -1,4 +1,4 @@
-//! What a proxy's process receives: clients' requests, and the events that are sent to it.
+//! Requests of clients and events that a proxy's process receives.
 use super::clients::{request_number, rpc_of_request};
 use super::commands::BAD_GATEWAY;
 use super::endpoint_list::ListEntry;
@@ -8,11 +8,11 @@
 use birchhub::interface::{AttemptOutcome, EndpointUpdateKind, IncomingRpc};
 use birchhub_audit::Answer;
 
-/// s of a client's patience that the proxy keeps for its own answer.
-const DEADLINE_MARGIN: f64 = 0.005;
+/// Part of a client's timeout, in seconds, that the proxy reserves for its own response.
+const DEADLINE_MARGIN_SECONDS: f64 = 0.005;
 
 impl World<'_> {
-    /// Sends an event to the process that a proxy has now, if it has one.
+    /// Sends an event to the current process of a proxy, if there is one.
     pub(super) fn send_to_process(&mut self, proxy: u16, delay: f64, event: ProcessEvent) {
         if let Some(running) = self.proxies[proxy as usize].as_ref() {
             let process = running.id;
@@ -25,7 +25,7 @@
         running.is_some_and(|running| running.paused.is_some())
     }
 
-    /// A client's request arrives at a proxy, which accepts it if it runs.
+    /// Delivers a client's request to a proxy, which accepts it if it runs.
     pub(super) fn accept_client_request(&mut self, request_id: u64, proxy: u16) {
         if self.is_paused(proxy) {
             let arrival = SimulationEvent::RequestAtProxy { request_id, proxy };
@@ -40,8 +40,11 @@
             return self.schedule(NETWORK_DELAY_SECONDS, refusal);
         };
         let until = self.now + sent.client_timeout - NETWORK_DELAY_SECONDS;
-        let incoming = self.incoming_rpc(request_id, until - DEADLINE_MARGIN - running.clock_lag);
-        let accepted = InFlightRpc::new(until - DEADLINE_MARGIN);
+        let incoming = self.incoming_rpc(
+            request_id,
+            until - DEADLINE_MARGIN_SECONDS - running.clock_lag,
+        );
+        let accepted = InFlightRpc::new(until - DEADLINE_MARGIN_SECONDS);
         self.send_to_process(proxy, until - self.now, ProcessEvent::Deadline(request_id));
         self.run_decision(proxy, |balancer, in_flight, platform| {
             in_flight.insert(request_id, accepted);
@@ -52,7 +55,7 @@
         });
     }
 
-    /// A client's request as the decision module sees it; the deadline is by the proxy's own clock.
+    /// Returns a client's request as the decisions receive it; the deadline is by the proxy's own clock.
     fn incoming_rpc(&self, request_id: u64, deadline: f64) -> IncomingRpc {
         let arrival = &self.plan.arrivals[rpc_of_request(request_id) as usize];
         let has_tenants = !self.scenario.tenant.is_empty();
@@ -69,7 +72,7 @@
         }
     }
 
-    /// Gives an event to its process, if that still runs; a paused process has it when it goes on.
+    /// Delivers an event to its process if that still runs, or once it is resumed.
     pub(super) fn deliver_to_process(&mut self, process: ProcessId, event: ProcessEvent) {
         let proxy = process.proxy;
         if !self.is_running(process) {
@@ -105,7 +108,7 @@
         }
     }
 
-    /// Fires the timer that was scheduled last; earlier ones that it replaced are passed over.
+    /// Fires the timer that was scheduled last; events of superseded timers are ignored.
     fn fire_timer(&mut self, proxy: u16) {
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Fails an RPC that has no answer at its deadline.
+    /// Fails an RPC that was not answered by its deadline.
     fn expire_rpc(&mut self, proxy: u16, request_id: u64) {
         let running = self.proxies[proxy as usize].as_ref();
         let held = running.and_then(|running| running.in_flight.get(&request_id));
