--- a/crates/daemon/src/decision/actor.rs
+++ b/crates/daemon/src/decision/actor.rs
@@ -29,18 +29,25 @@
 
 /// The task that owns the balancer and its platform.
 pub(crate) struct DecisionActor {
+    /// The decisions.
     pub(super) balancer: Balancer,
     /// The balancer's handle of each RPC in flight, by RPC id.
     pub(super) rpcs: HashMap<u64, RpcHandle>,
+    /// Performs the actions that the balancer requests.
     pub(super) platform: DaemonPlatform,
     /// Evaluates other settings on the same events; `None` if the configuration has no shadow settings.
     pub(super) shadow: Option<ShadowEvaluator>,
+    /// The names of the active methods and tenants.
     pub(super) names: ActiveNames,
     /// The repeat rule of each method, by method index.
     pub(super) repeat_rules: Vec<RepeatRule>,
+    /// Is told which administrative state is applied.
     pub(super) state_store: Rc<StateStore>,
+    /// The state of the process, with the administrative state.
     pub(super) state: watch::Receiver<ProxyState>,
+    /// Detects suspensions of the process.
     pub(super) heartbeat: Heartbeat,
+    /// Is told each heartbeat, since suspensions excuse lateness.
     pub(super) invariants: Rc<Invariants>,
 }
 
--- a/crates/daemon/src/decision/client_events.rs
+++ b/crates/daemon/src/decision/client_events.rs
@@ -9,6 +9,7 @@
 const CLIENT_TIMEOUT_MARGIN: Duration = Duration::from_millis(5);
 
 impl DecisionActor {
+    /// Hands a new RPC to the balancer. Responds at once if it is not valid under settings that became active meanwhile.
     pub(super) fn on_rpc_received(&mut self, id: u64, mut rpc: ReceivedRpc, client: RpcClient) {
         if let Err(response) = rpc.apply_names(&self.names.borrow()) {
             let _ = client.responder.send(response);
@@ -37,6 +38,7 @@
         self.replay_to_shadow(|shadow, call| shadow.accept(call, &incoming));
     }
 
+    /// Ends an RPC whose client has disconnected.
     pub(super) fn on_client_disconnected(&mut self, id: u64) {
         let is_known_to_balancer = self.rpcs.contains_key(&id);
         if !is_known_to_balancer {
--- a/crates/daemon/src/decision/exchange_events.rs
+++ b/crates/daemon/src/decision/exchange_events.rs
@@ -8,6 +8,7 @@
 use birchhub::interface::{AttemptOutcome, LoadReport, PacedBy};
 
 impl DecisionActor {
+    /// Reports the end of an attempt to the balancer, and delivers its response if it succeeded.
     pub(super) fn on_attempt_ended(&mut self, attempt: AttemptId, result: ExchangeResult) {
         let AttemptId { rpc: id, index } = attempt;
         let body = result.body;
@@ -44,6 +45,7 @@
         });
     }
 
+    /// Reports to the balancer that the last byte of a streamed request is sent, from which the time of the backend counts.
     pub(super) fn on_request_sent(&mut self, attempt: AttemptId) {
         self.call_rpc(attempt.rpc, |rpc, platform| {
             rpc.on_request_sent(attempt.index, platform);
@@ -51,6 +53,7 @@
         self.replay_to_shadow(|shadow, call| shadow.on_request_sent(call, attempt));
     }
 
+    /// Delivers the head of a streamed response, whose body the client receives directly from the attempt.
     pub(super) fn on_response_started(&mut self, attempt: AttemptId, body: StreamedBody) {
         self.call_rpc(attempt.rpc, |rpc, platform| {
             if platform.awaits_response(attempt.rpc) {
@@ -61,6 +64,7 @@
         self.replay_to_shadow(|shadow, call| shadow.on_response_started(call, attempt));
     }
 
+    /// Reports the end of a health check to the balancer.
     pub(super) fn on_health_checked(
         &mut self,
         backend: u32,
--- a/crates/daemon/src/discovery/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -16,8 +16,11 @@
 
 /// Watches the endpoint list.
 pub(super) struct EndpointWatch {
+    /// Makes the polls.
     pub(super) poller: Poller,
+    /// Kind of the discovery service.
     pub(super) source: DiscoverySource,
+    /// Mailbox of the decision actor.
     pub(super) decisions: mpsc::Sender<Event>,
     /// Is told the listed names, and that the process is ready.
     pub(super) state_store: Rc<StateStore>,
