--- /dev/null
+++ b/crates/rehearsal/tests/report_files.rs
@@ -0,0 +1,169 @@
+//! The report of a fixed ledger, compared byte for byte with `report.json`, `report.html` and the printed text as they
+//! were first written.
+use birchhub_audit::event::{Admission, AttemptEnd, ReceivedAttempt};
+use birchhub_audit::{Answer, EndpointState, Entry, Event, Head};
+use birchhub_rehearsal::report::Kit;
+use birchhub_rehearsal::{Plan, Report, Scenario, settings};
+
+const SCENARIO: &str = include_str!("fixtures/report-scenario.toml");
+
+fn head() -> Head {
+    let scenario = Scenario::read("report.toml", SCENARIO).expect("a scenario");
+    let plan = Plan::draw(&scenario, 7, "report.toml", SCENARIO).expect("a plan");
+    settings::head(&scenario, &plan)
+}
+
+/// One RPC that an attempt at a backend answers, or that stays without an answer.
+fn rpc_events(number: u32, answer: Option<Answer>) -> Vec<Entry> {
+    let due = f64::from(number) * 0.1;
+    let request_id = u64::from(number) << 8;
+    let attempt_id = u64::from(number);
+    let incarnation = 1 + number % 3;
+    let entry = |after: f64, event| Entry {
+        at: due + after,
+        event,
+    };
+    let mut entries = vec![
+        entry(
+            0.0,
+            Event::Arrival {
+                rpc: number,
+                method: (number % 2) as u8,
+                tenant: 0,
+                within_quota: true,
+            },
+        ),
+        entry(
+            0.0,
+            Event::RequestSent {
+                request_id,
+                rpc: number,
+                proxy: (number % 2) as u16,
+                client_timeout: 0.6,
+            },
+        ),
+        entry(
+            0.002,
+            Event::AttemptReceived(ReceivedAttempt {
+                incarnation,
+                attempt_id,
+                request_id,
+                proxy: (number % 2) as u16,
+                first_byte_at: due + 0.001,
+                work: 0.03,
+                overload: if incarnation == 3 { 0.4 } else { 0.0 },
+                admission: Admission::Admitted,
+            }),
+        ),
+        entry(0.003, Event::ExecutionStarted { attempt_id }),
+        entry(0.04, Event::ExecutionFinished { attempt_id }),
+        entry(
+            0.041,
+            Event::AttemptEnded {
+                attempt_id,
+                how: AttemptEnd::Replied,
+            },
+        ),
+        entry(0.0, Event::ClientLate { by: 0.0005 }),
+        entry(0.04, Event::EmulatorLate { by: 0.0007 }),
+    ];
+    entries.extend(answer.map(|answer| entry(0.05, Event::RequestAnswered { request_id, answer })));
+    entries
+}
+
+fn fleet_events() -> Vec<Entry> {
+    let started = |at, incarnation, backend, cold| Entry {
+        at,
+        event: Event::BackendStarted {
+            incarnation,
+            backend,
+            cold,
+            warm_capacity: 2.0,
+        },
+    };
+    let draining = EndpointState::Draining;
+    let mut entries = vec![
+        started(-0.5, 1, 0, false),
+        started(-0.5, 2, 1, false),
+        started(0.0, 3, 2, true),
+        Entry {
+            at: 9.0,
+            event: Event::BackendDraining { incarnation: 1 },
+        },
+        Entry {
+            at: 9.0,
+            event: Event::EndpointChanged {
+                backend: 0,
+                incarnation: 1,
+                state: draining,
+            },
+        },
+    ];
+    entries.extend((0..2).map(|proxy| Entry {
+        at: 9.01,
+        event: Event::ProxyNotified {
+            proxy,
+            backend: 0,
+            incarnation: 1,
+            state: draining,
+        },
+    }));
+    entries
+}
+
+fn ledger() -> Vec<Entry> {
+    let mut entries = fleet_events();
+    for number in 0..150 {
+        let answer = match number % 30 {
+            7 => Some(Answer::Rejected(Some(0.5))),
+            11 => Some(Answer::Aborted(502)),
+            13 => None,
+            _ => Some(Answer::Ok),
+        };
+        entries.extend(rpc_events(number, answer));
+    }
+    entries.sort_by(|a, b| a.at.total_cmp(&b.at));
+    entries
+}
+
+fn check_files(partial: bool, kit: Option<Kit>, expected: [&str; 3], name: &str) {
+    let head = head();
+    let entries = ledger();
+    let report = Report::of(&head, &entries, partial, kit);
+    let folder = std::env::temp_dir().join(format!("birchhub-{name}-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    report
+        .write(&head, &entries, &folder)
+        .expect("a written report");
+    let read = |file| std::fs::read_to_string(folder.join(file)).expect("a file");
+    let json = read("report.json");
+    let html = read("report.html");
+    let _ = std::fs::remove_dir_all(&folder);
+    assert_eq!(json, expected[0]);
+    assert_eq!(html, expected[1]);
+    assert_eq!(report.text(), expected[2]);
+}
+
+#[test]
+fn complete_report_is_written_to_the_same_bytes() {
+    let kit = Kit {
+        seconds: 1.25,
+        proxies: 3.5,
+    };
+    let expected = [
+        include_str!("fixtures/report-complete.json"),
+        include_str!("fixtures/report-complete.html"),
+        include_str!("fixtures/report-complete.txt"),
+    ];
+    check_files(false, Some(kit), expected, "report-complete");
+}
+
+#[test]
+fn partial_report_is_written_to_the_same_bytes() {
+    let expected = [
+        include_str!("fixtures/report-partial.json"),
+        include_str!("fixtures/report-partial.html"),
+        include_str!("fixtures/report-partial.txt"),
+    ];
+    check_files(true, None, expected, "report-partial");
+}
