--- a/crates/daemon/src/decision/actor.rs
+++ b/crates/daemon/src/decision/actor.rs
@@ -41,13 +41,13 @@
     pub(super) names: ActiveNames,
     /// The repeat rule of each method, by method index.
     pub(super) repeat_rules: Vec<RepeatRule>,
-    /// Is told which administrative state is applied.
+    /// Receives the generation of the administrative state that is applied.
     pub(super) state_store: Rc<StateStore>,
     /// The state of the process, with the administrative state.
     pub(super) state: watch::Receiver<ProxyState>,
     /// Detects suspensions of the process.
     pub(super) heartbeat: Heartbeat,
-    /// Is told each heartbeat, since suspensions excuse lateness.
+    /// Receives each heartbeat, since suspensions excuse lateness.
     pub(super) invariants: Rc<Invariants>,
 }
 
--- a/crates/daemon/src/discovery/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -22,7 +22,7 @@
     pub(super) source: DiscoverySource,
     /// Mailbox of the decision actor.
     pub(super) decisions: mpsc::Sender<Event>,
-    /// Is told the listed names, and that the process is ready.
+    /// Receives the listed names, and that the process is ready.
     pub(super) state_store: Rc<StateStore>,
 }
 
--- a/src/policy/idle_queue.rs
+++ b/src/policy/idle_queue.rs
@@ -28,7 +28,7 @@
 /// Most entries that are scanned for one RPC, and most RPCs that are scanned for one event.
 pub(crate) const SCAN_LIMIT: usize = 32;
 
-/// The entries, and how attempts through them went.
+/// The entries, and the outcomes of attempts through them.
 #[derive(Default)]
 pub(crate) struct IdleQueue {
     entries: VecDeque<Rc<Backend>>,
--- a/src/policy/throttle.rs
+++ b/src/policy/throttle.rs
@@ -1,7 +1,7 @@
-//! Throttle: sheds RPCs of a method or tenant by how its recent attempts went.
+//! Throttle: sheds RPCs of a method or tenant by the outcomes of its recent attempts.
 //!
 //! After client-side adaptive throttling in the SRE book: RPCs are admitted at a multiple of the rate
-//! of attempts that go well. What differs: the throttle covers a method or a tenant at all backends,
+//! of good attempts. What differs: the throttle covers a method or a tenant at all backends,
 //! so that a slow one does not use up the capacity of the others; and where nothing tells loads only
 //! prompt attempts count as good, as backends would otherwise fill up until no response is in time.
 use super::load_reports::IdleSignal;
@@ -9,8 +9,8 @@
 use crate::rng::Rng;
 use crate::rpc_state::RpcState;
 
-/// RPCs admitted for each attempt that went well. At 2 the throttle stays as it is while half of the
-/// attempts go well.
+/// RPCs admitted for each good attempt. At 2 the throttle stays as it is while half of the
+/// attempts are good.
 const ADMITTED_PER_GOOD_ATTEMPT: f64 = 2.0;
 /// RPCs admitted for each attempt that was in time but slow.
 const ADMITTED_PER_SLOW_ATTEMPT: f64 = 1.0;
