--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -1,6 +1,6 @@
 //! `birchhub soak`: random, overlapping faults over real proxies.
 use crate::{Fault, print};
-use birchhub_soak::{Judgement, SoakError, SoakOptions, SoakPlan, play, shrink};
+use birchhub_soak::{SoakError, SoakOptions, SoakPlan, SoakResult, shrink};
 use clap::Args;
 use std::path::PathBuf;
 
@@ -68,11 +68,11 @@
             shim: shim.clone(),
             out: arguments.out.join(format!("seed-{}", plan.seed)),
         };
-        let judgement = play(plan, &options).map_err(fault)?;
-        print(&format!("seed {}: {judgement}\n", plan.seed));
-        failed += usize::from(judgement.has_failed());
-        void += usize::from(judgement.is_void);
-        if judgement.has_failed() && arguments.shrink {
+        let result = birchhub_soak::run(plan, &options).map_err(fault)?;
+        print(&format!("seed {}: {result}\n", plan.seed));
+        failed += usize::from(result.has_failed());
+        void += usize::from(result.is_void);
+        if result.has_failed() && arguments.shrink {
             print(&shrunk(plan, &options)?.to_text());
         }
     }
@@ -92,24 +92,26 @@
     let seeds = arguments.seed..arguments.seed + arguments.seeds;
     let seconds = arguments.minutes * SECONDS_PER_MINUTE;
     Ok(seeds
-        .map(|seed| SoakPlan::draw(seed, seconds, arguments.proxies))
+        .map(|seed| SoakPlan::generate(seed, seconds, arguments.proxies))
         .collect())
 }
 
 /// The smallest plan that still fails.
 fn shrunk(plan: &SoakPlan, options: &SoakOptions) -> Result<SoakPlan, Fault> {
     let fails = |plan: &SoakPlan| {
-        let judgement = play(plan, options)?;
-        let (left, word) = (plan.faults.len(), judgement.word());
+        let result = birchhub_soak::run(plan, options)?;
+        let (left, word) = (plan.faults.len(), result.word());
         eprintln!("with {left} faults: {word}");
-        Ok(Judgement::has_failed(&judgement))
+        Ok(SoakResult::has_failed(&result))
     };
     shrink(plan, fails).map_err(fault)
 }
 
 fn fault(error: SoakError) -> Fault {
     match error {
-        SoakError::Plan(_) | SoakError::Io { .. } => Fault::Input(error.to_string()),
-        SoakError::Rehearsal(_) => Fault::Failed(error.to_string()),
+        SoakError::Parse(_) | SoakError::Scenario(_) | SoakError::Io { .. } => {
+            Fault::Input(error.to_string())
+        }
+        SoakError::MissingShim(_) | SoakError::Rehearsal(_) => Fault::Failed(error.to_string()),
     }
 }
--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -1,8 +1,8 @@
-//! A few short soaks: overlapping faults that a seed draws, judged by the proxies' invariants, the audit and the clients.
-//! Many longer ones are played by hand with `birchhub soak`.
+//! A few short soaks: random faults that overlap, checked by the proxies' invariants, the audit and the clients.
+//! Longer ones are run by hand with `birchhub soak`.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
-use birchhub_soak::{SoakOptions, SoakPlan, play};
+use birchhub_soak::{SoakOptions, SoakPlan, run};
 use common::sockets::fault_shim;
 use std::path::Path;
 
@@ -11,15 +11,15 @@
 const PROXIES: usize = 6;
 
 fn check_seed(seed: u64) {
-    let plan = SoakPlan::draw(seed, SECONDS, PROXIES);
+    let plan = SoakPlan::generate(seed, SECONDS, PROXIES);
     let folder = format!("birchhub-soak-{}-{seed}", std::process::id());
     let options = SoakOptions {
         program: PROGRAM.into(),
         shim: fault_shim().to_owned(),
         out: std::env::temp_dir().join(folder),
     };
-    let judgement = play(&plan, &options).expect("a run");
-    assert!(!judgement.has_failed(), "seed {seed}: {judgement}");
+    let result = run(&plan, &options).expect("a run");
+    assert!(!result.has_failed(), "seed {seed}: {result}");
     remove(&options.out);
 }
 
--- /dev/null
+++ b/crates/soak/src/generate.rs
@@ -0,0 +1,185 @@
+//! Generates a plan from a seed.
+use crate::plan::{Fault, FaultKind, SoakPlan};
+use birchhub_backend_model::work::generator;
+use birchhub_emulator::relay::Disturbance;
+use rand::Rng;
+use rand::seq::IndexedRandom;
+use std::ops::Range;
+
+/// Stream of random numbers for plans, distinct from the other streams of a seed.
+const STREAM: u64 = 0x50A4;
+/// Number of backends as a ratio of the number of proxies.
+const BACKENDS_PER_PROXY: f64 = 0.75;
+/// Smallest number of backends.
+const MIN_BACKENDS: usize = 8;
+/// Requests per second and proxy.
+const REQUESTS_PER_SECOND_AND_PROXY: f64 = 12.0;
+/// Fraction of requests whose client cancels.
+const CANCELLED_FRACTION: f64 = 0.04;
+/// Fraction of requests that are sent slowly.
+const SLOW_FRACTION: f64 = 0.02;
+/// Time without faults at the start and at the end of a plan.
+const QUIET_SECONDS: f64 = 1.0;
+/// Duration of a fault.
+const FAULT_SECONDS: Range<f64> = 0.5..5.0;
+/// Mean time from the start of one fault to the start of the next. Two to three faults overlap.
+const SECONDS_PER_FAULT: f64 = 1.2;
+/// Step of a wall clock, forward or back: one hour.
+const CLOCK_STEP_SECONDS: i64 = 3600;
+/// Number of clients that send nothing.
+const SILENT_CLIENTS: usize = 60;
+
+/// Faults of system calls; each is one that Linux documents for the call.
+const SYSTEM_CALL_FAULTS: [&str; 12] = [
+    "recv=EINTR@0.2",
+    "recv=short@0.3",
+    "send=EINTR@0.2",
+    "send=short@0.3",
+    "accept=EMFILE@0.2",
+    "accept=ECONNABORTED@0.2",
+    "accept=EINTR@0.2",
+    "socket=ENOBUFS@0.2",
+    "connect=EINTR@0.2",
+    "connect=ETIMEDOUT@0.1",
+    "connect=EHOSTUNREACH@0.1",
+    "epoll_wait=EINTR@0.2",
+];
+
+/// Disturbances of connections.
+const DISTURBANCES: [Disturbance; 7] = [
+    Disturbance::Delay(20),
+    Disturbance::SilenceOutward,
+    Disturbance::SilenceInward,
+    Disturbance::Reset,
+    Disturbance::HalfClose,
+    Disturbance::Split,
+    Disturbance::Join,
+];
+
+impl SoakPlan {
+    /// Generates the plan of a seed for a number of proxies, with requests for `seconds` seconds.
+    pub fn generate(seed: u64, seconds: f64, proxies: usize) -> Self {
+        let mut rng = generator(seed, STREAM);
+        let backends = (proxies as f64 * BACKENDS_PER_PROXY) as usize;
+        let backends = backends.max(MIN_BACKENDS);
+        let count = (seconds / SECONDS_PER_FAULT).ceil() as usize;
+        let mut faults: Vec<_> = (0..count)
+            .map(|number| generate_fault(number, seconds, proxies, backends, &mut rng))
+            .collect();
+        faults.sort_by(|a, b| a.start_seconds.total_cmp(&b.start_seconds));
+        Self {
+            seed,
+            seconds,
+            proxies,
+            backends,
+            requests_per_second: REQUESTS_PER_SECOND_AND_PROXY * proxies as f64,
+            cancelled_fraction: CANCELLED_FRACTION,
+            slow_fraction: SLOW_FRACTION,
+            faults,
+        }
+    }
+}
+
+fn generate_fault(
+    number: usize,
+    seconds: f64,
+    proxies: usize,
+    backends: usize,
+    rng: &mut impl Rng,
+) -> Fault {
+    let kind = generate_kind(proxies, backends, rng);
+    let duration = rng.random_range(FAULT_SECONDS);
+    let latest_start = (seconds - QUIET_SECONDS - duration).max(QUIET_SECONDS);
+    let start = rng.random_range(QUIET_SECONDS..=latest_start);
+    Fault {
+        name: format!("{}-{number}", name_of(&kind)),
+        start_seconds: round(start),
+        duration_seconds: round(duration),
+        kind,
+    }
+}
+
+/// Rounds to milliseconds, which keeps the plan's file readable.
+fn round(seconds: f64) -> f64 {
+    (seconds * 1e3).round() / 1e3
+}
+
+/// Generates what a fault does.
+fn generate_kind(proxies: usize, backends: usize, rng: &mut impl Rng) -> FaultKind {
+    let few_backends = rng.random_range(1..=(backends / 4).max(1));
+    let few_proxies = rng.random_range(1..=(proxies / 4).max(1));
+    let fraction = round(rng.random_range(0.1..0.6));
+    let count = few_backends;
+    match rng.random_range(0..24) {
+        0 => FaultKind::BackendStall { count },
+        1 => FaultKind::BackendCrash { count },
+        2 => FaultKind::Deploy { count },
+        3 => FaultKind::ResetResponses { count, fraction },
+        4 => FaultKind::MalformedResponses { count, fraction },
+        5 => FaultKind::NoResponses { count, fraction },
+        6 => FaultKind::ErrorResponses { count, fraction },
+        7 => FaultKind::Partition { count },
+        8..=10 => FaultKind::Network {
+            count,
+            disturbance: *DISTURBANCES.choose(rng).expect("the list is not empty"),
+        },
+        11 => FaultKind::DiscoveryDown,
+        12 => FaultKind::DiscoveryLate {
+            delay_seconds: round(rng.random_range(0.2..2.0)),
+        },
+        13 => FaultKind::ProxyKill { count: few_proxies },
+        14 => FaultKind::ProxyRestart { count: few_proxies },
+        15 => FaultKind::ProxyPause { count: few_proxies },
+        16 => FaultKind::ProxyReload { count: few_proxies },
+        17..=19 => generate_system_calls(few_proxies, rng),
+        20 => generate_clock_step(few_proxies, rng),
+        21 => FaultKind::SilentClients {
+            count: SILENT_CLIENTS,
+        },
+        _ => FaultKind::StalledClients {
+            count: rng.random_range(10..40),
+        },
+    }
+}
+
+/// The first part of a fault's name, which plans show.
+fn name_of(kind: &FaultKind) -> &'static str {
+    match kind {
+        FaultKind::BackendStall { .. } => "stall",
+        FaultKind::BackendCrash { .. } => "crash",
+        FaultKind::Deploy { .. } => "deploy",
+        FaultKind::ResetResponses { .. } => "reset-answers",
+        FaultKind::MalformedResponses { .. } => "spoilt-answers",
+        FaultKind::NoResponses { .. } => "no-answers",
+        FaultKind::ErrorResponses { .. } => "errors",
+        FaultKind::Partition { .. } => "partition",
+        FaultKind::Network { .. } => "network",
+        FaultKind::DiscoveryDown => "discovery-down",
+        FaultKind::DiscoveryLate { .. } => "discovery-late",
+        FaultKind::ProxyKill { .. } => "kill",
+        FaultKind::ProxyRestart { .. } => "restart",
+        FaultKind::ProxyPause { .. } => "pause",
+        FaultKind::ProxyReload { .. } => "reload",
+        FaultKind::SystemCalls { .. } => "system-calls",
+        FaultKind::ClockStep { .. } => "clock",
+        FaultKind::StalledClients { .. } => "stopped-clients",
+        FaultKind::SilentClients { .. } => "silent-clients",
+    }
+}
+
+fn generate_clock_step(count: usize, rng: &mut impl Rng) -> FaultKind {
+    let is_forward: bool = rng.random();
+    let seconds = if is_forward {
+        CLOCK_STEP_SECONDS
+    } else {
+        -CLOCK_STEP_SECONDS
+    };
+    FaultKind::ClockStep { count, seconds }
+}
+
+fn generate_system_calls(count: usize, rng: &mut impl Rng) -> FaultKind {
+    let kinds = rng.random_range(1..=3);
+    let chosen = SYSTEM_CALL_FAULTS.choose_multiple(rng, kinds);
+    let faults = chosen.map(|fault| (*fault).to_owned()).collect();
+    FaultKind::SystemCalls { count, faults }
+}
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,18 +1,21 @@
-//! A soak: real proxies among stand-ins, under faults that a seed draws and that overlap.
+//! Soak tests: real proxies among emulated backends, discovery and clients, under random faults that overlap.
 //!
-//! [`SoakPlan::draw`] draws a plan, which is a file that can be read, changed and played again; [`play`] plays it on top of a
-//! rehearsal; [`Judgement`] is passed by three judges: the invariants that the proxies count themselves, the audit of the
-//! ledger, and what clients that stop in a request saw. [`shrink`] leaves faults out of a plan that fails for as long as it
-//! still does.
-mod draw;
-mod fault;
-mod judge;
-mod play;
+//! [`SoakPlan::generate`] makes a plan from a seed. A plan is a file that can be read, changed and run again. [`run`]
+//! runs it on top of a rehearsal. The [`SoakResult`] rests on three checks: the invariants that the proxies check
+//! themselves, the audit of the ledger, and whether clients that stall in a request get an end. [`shrink`] removes
+//! faults from a failing plan for as long as it still fails.
+mod error;
+mod generate;
+mod plan;
+mod result;
+mod run;
 mod scenario;
 mod shrink;
-mod stopped_clients;
+mod stalled_clients;
 
-pub use fault::{Fault, FaultKind, SoakPlan};
-pub use judge::Judgement;
-pub use play::{SoakError, SoakOptions, play};
+pub use error::SoakError;
+pub use plan::{Fault, FaultKind, SoakPlan};
+pub use result::SoakResult;
+pub use run::{SoakOptions, run};
 pub use shrink::shrink;
+pub use stalled_clients::UnendedClient;
--- /dev/null
+++ b/crates/soak/src/result.rs
@@ -0,0 +1,112 @@
+//! The result of a soak, from the invariants of the proxies, the audit of the ledger and the stalled clients.
+use crate::stalled_clients::UnendedClient;
+use birchhub_rehearsal::{Report, Verdict};
+use std::fmt;
+use std::path::Path;
+
+/// Marks a violated invariant in a proxy's log.
+const VIOLATION_MARKER: &str = "invariant violated";
+/// Marks a panic in a proxy's log.
+const PANIC_MARKER: &str = "panicked";
+/// Most findings of one check that are shown.
+const SHOWN_FINDINGS: usize = 5;
+
+/// What the checks of a soak found.
+#[derive(Debug)]
+pub struct SoakResult {
+    /// Lines of the proxies' logs with a violated invariant or a panic.
+    pub violations: Vec<String>,
+    /// Reasons for which the audit of the ledger failed; empty if it passed or the run is void.
+    pub audit_failures: Vec<String>,
+    /// Stalled clients that got no end in time.
+    pub unended_clients: Vec<UnendedClient>,
+    /// Whether the machine was too busy for times to be checked.
+    pub is_void: bool,
+    /// Number of RPCs.
+    pub requests: usize,
+    /// Number of RPCs that succeeded.
+    pub served: usize,
+}
+
+impl SoakResult {
+    /// Checks the report and the logs of a run.
+    pub(crate) fn new(report: &Report, logs: &Path, unended_clients: Vec<UnendedClient>) -> Self {
+        let counts = &report.findings.counts;
+        Self {
+            violations: violations(logs),
+            audit_failures: match report.verdict {
+                Verdict::Fail => report.reasons.clone(),
+                Verdict::Pass | Verdict::Void => Vec::new(),
+            },
+            unended_clients,
+            is_void: report.verdict == Verdict::Void,
+            requests: counts.rpcs,
+            served: counts.ok,
+        }
+    }
+
+    /// Whether a check failed. Checks that depend on times don't fail in a void run.
+    pub fn has_failed(&self) -> bool {
+        let has_unended_clients = !self.unended_clients.is_empty() && !self.is_void;
+        !self.violations.is_empty() || !self.audit_failures.is_empty() || has_unended_clients
+    }
+
+    /// The result in one word.
+    pub fn word(&self) -> &'static str {
+        match (self.has_failed(), self.is_void) {
+            (true, _) => "FAIL",
+            (false, true) => "VOID",
+            (false, false) => "PASS",
+        }
+    }
+}
+
+/// Lines of all proxies' logs with a violated invariant or a panic.
+fn violations(logs: &Path) -> Vec<String> {
+    let Ok(folder) = std::fs::read_dir(logs) else {
+        return Vec::new();
+    };
+    let mut lines = Vec::new();
+    for file in folder.flatten().map(|entry| entry.path()) {
+        if file.extension().is_none_or(|extension| extension != "log") {
+            continue;
+        }
+        let proxy = file
+            .file_stem()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
+        let text = std::fs::read_to_string(&file).unwrap_or_default();
+        let found = text
+            .lines()
+            .filter(|line| line.contains(VIOLATION_MARKER) || line.contains(PANIC_MARKER));
+        lines.extend(found.map(|line| format!("{proxy}: {line}")));
+    }
+    lines
+}
+
+impl fmt::Display for SoakResult {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        let Self {
+            requests, served, ..
+        } = self;
+        let word = self.word();
+        write!(formatter, "{word}: {served} of {requests} requests served")?;
+        let unended_clients = self.unended_clients.iter().map(ToString::to_string);
+        let unended_clients: Vec<_> = unended_clients.collect();
+        for (check, findings) in [
+            ("invariants", &self.violations),
+            ("audit", &self.audit_failures),
+            ("clients", &unended_clients),
+        ] {
+            for finding in findings.iter().take(SHOWN_FINDINGS) {
+                write!(formatter, "\n  {check}: {finding}")?;
+            }
+            if findings.len() > SHOWN_FINDINGS {
+                let hidden = findings.len() - SHOWN_FINDINGS;
+                write!(formatter, "\n  {check}: {hidden} more")?;
+            }
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/soak/src/run.rs
@@ -0,0 +1,60 @@
+//! Runs a plan.
+use crate::error::SoakError;
+use crate::plan::SoakPlan;
+use crate::result::SoakResult;
+use crate::scenario::PreparedRehearsal;
+use crate::stalled_clients;
+use birchhub_rehearsal::extras::Companion;
+use birchhub_rehearsal::{Options, rehearse_with};
+use std::path::PathBuf;
+use std::sync::mpsc::channel;
+
+/// Name of the plan's file in the folder of a run.
+const PLAN_FILE: &str = "plan.toml";
+
+/// Options for running a soak plan.
+#[derive(Clone, Debug)]
+pub struct SoakOptions {
+    /// The program of the proxies.
+    pub program: PathBuf,
+    /// The library that makes system calls fail.
+    pub shim: PathBuf,
+    /// Folder for the plan, the ledger, the report and the proxies' logs. It is deleted first if it exists.
+    pub out: PathBuf,
+}
+
+/// Runs a plan to its end and checks what the proxies did.
+pub fn run(plan: &SoakPlan, options: &SoakOptions) -> Result<SoakResult, SoakError> {
+    if !options.shim.is_file() {
+        return Err(SoakError::MissingShim(options.shim.clone()));
+    }
+    let out = &options.out;
+    if out.exists() {
+        std::fs::remove_dir_all(out).map_err(SoakError::io(out))?;
+    }
+    std::fs::create_dir_all(out).map_err(SoakError::io(out))?;
+    let plan_file = out.join(PLAN_FILE);
+    std::fs::write(&plan_file, plan.to_text()).map_err(SoakError::io(&plan_file))?;
+    let prepared = PreparedRehearsal::new(plan, &options.shim.to_string_lossy())?;
+    let (unended_sender, unended_clients) = channel();
+    let client_plan = plan.clone();
+    let stalled_clients: Companion = Box::new(move |clock, proxies| {
+        stalled_clients::start(client_plan, clock, proxies, unended_sender)
+    });
+    let rehearsal = Options {
+        seed: plan.seed,
+        out: out.clone(),
+        program: options.program.clone(),
+        progress: false,
+    };
+    let report = rehearse_with(
+        &prepared.scenario,
+        &prepared.plan,
+        &rehearsal,
+        &prepared.extras,
+        Some(stalled_clients),
+    );
+    let report = report.map_err(SoakError::Rehearsal)?;
+    let unended_clients = unended_clients.try_iter().collect();
+    Ok(SoakResult::new(&report, out, unended_clients))
+}
--- a/crates/soak/src/scenario.rs
+++ b/crates/soak/src/scenario.rs
@@ -1,5 +1,6 @@
-//! The rehearsal behind a plan: its deployment, and the faults that scenarios know.
-use crate::fault::{Fault, FaultKind, SoakPlan};
+//! Converts a plan to the rehearsal that runs it.
+use crate::error::SoakError;
+use crate::plan::{Fault, FaultKind, SoakPlan};
 use birchhub_backend_model::work::generator;
 use birchhub_emulator::relay::Window;
 use birchhub_rehearsal::extras::Extras;
@@ -8,167 +9,191 @@
 use birchhub_rehearsal::{Plan, Scenario};
 use rand::Rng;
 use rand::seq::index::sample;
-use std::fmt::Write;
 
-/// The part of the scenario that no plan changes.
+/// The part of the scenario that is the same for all plans.
 const DEPLOYMENT: &str = include_str!("deployment.toml");
-/// Names the scenario in errors.
-const FILE: &str = "soak";
-/// Keeps what is drawn here apart from the plan's own draws: leaving out a fault changes no other.
+/// Name of the scenario in errors.
+const SCENARIO_NAME: &str = "soak";
+/// Stream of random numbers for the targets of faults. It is distinct from that of the plan, so that removing a fault
+/// changes no other.
 const STREAM: u64 = 0x50A5;
-/// For which a stopped proxy stands still, and how often. The platform holds one up for no longer.
+/// Duration and interval of the pauses of a proxy. The platform pauses one for no longer.
 const PAUSE: &str = "pause = \"100ms\"\nevery = \"900ms\"\n";
 
-/// What a rehearsal is played with.
-pub(crate) struct Staged {
+/// Size and timing of the batches of a deploy.
+const ROLLOUT: &str = "batch = 2\nevery = \"800ms\"\nlead = \"500ms\"\nstop-after = \"2s\"\n";
+/// Interval between the ends of proxies, and the time until each is restarted.
+const RESTARTS: &str = "every = \"400ms\"\nback-after = \"600ms\"\n";
+
+/// A rehearsal that is ready to run.
+pub(crate) struct PreparedRehearsal {
     pub scenario: Scenario,
     pub plan: Plan,
     pub extras: Extras,
 }
 
-impl Staged {
-    /// The rehearsal of a plan; an error names what is wrong with the plan.
-    pub(crate) fn of(plan: &SoakPlan, shim: &str) -> Result<Self, String> {
-        let troubles = plan.faults.iter().map(trouble_text);
+impl PreparedRehearsal {
+    /// Prepares the rehearsal of a plan. `shim` is the path of the library that makes system calls fail.
+    pub(crate) fn new(plan: &SoakPlan, shim: &str) -> Result<Self, SoakError> {
+        let troubles = plan.faults.iter().map(scenario_fault);
         let text: String = std::iter::once(DEPLOYMENT.to_owned())
             .chain(troubles)
             .collect();
         let scenario = scenario(plan, &text)?;
-        let mut drawn =
-            Plan::draw(&scenario, plan.seed, FILE, &text).map_err(|error| error.to_string())?;
-        drawn
+        let mut prepared = Plan::draw(&scenario, plan.seed, SCENARIO_NAME, &text)
+            .map_err(|error| SoakError::Scenario(error.to_string()))?;
+        prepared
             .acts
             .extend(plan.faults.iter().flat_map(|fault| reloads(plan, fault)));
-        drawn.acts.sort_by(|a, b| a.0.total_cmp(&b.0));
+        prepared.acts.sort_by(|a, b| a.0.total_cmp(&b.0));
         Ok(Self {
             scenario,
-            plan: drawn,
+            plan: prepared,
             extras: extras(plan, shim),
         })
     }
 }
 
 /// The scenario of a plan.
-fn scenario(plan: &SoakPlan, text: &str) -> Result<Scenario, String> {
-    let mut scenario = Scenario::read(FILE, text).map_err(|error| error.to_string())?;
+fn scenario(plan: &SoakPlan, text: &str) -> Result<Scenario, SoakError> {
+    let mut scenario = Scenario::read(SCENARIO_NAME, text)
+        .map_err(|error| SoakError::Scenario(error.to_string()))?;
     scenario.length = Span(plan.seconds);
     scenario.fleet.machine[0].count = plan.backends;
     scenario.proxies.count = plan.proxies;
-    scenario.traffic.rate = plan.rate;
-    scenario.clients.leave = plan.leaving;
+    scenario.traffic.rate = plan.requests_per_second;
+    scenario.clients.leave = plan.cancelled_fraction;
     Ok(scenario)
 }
 
-/// The trouble of a scenario that a fault stands for; empty if scenarios know none like it.
-fn trouble_text(fault: &Fault) -> String {
+/// A fault's kind in the form of a scenario's file.
+struct ScenarioKind {
+    name: &'static str,
+    /// Lines with the kind's own keys.
+    keys: String,
+}
+
+/// The kind of a fault in the form of a scenario's file; `None` if scenarios have no such fault.
+fn scenario_kind(kind: &FaultKind) -> Option<ScenarioKind> {
     let nodes = |count: &usize| format!("nodes = {{ count = {count} }}\n");
     let proxies = |count: &usize| format!("proxies = {{ count = {count} }}\n");
-    let share = |count: &usize, share: &f64| format!("{}share = {share}\n", nodes(count));
-    let (kind, more) = match &fault.kind {
+    let share = |count: &usize, fraction: &f64| format!("{}share = {fraction}\n", nodes(count));
+    let (name, keys) = match kind {
         FaultKind::BackendStall { count } => ("stall", nodes(count)),
         FaultKind::BackendCrash { count } => ("crash", nodes(count)),
-        FaultKind::Deploy { count } => {
-            let pace = "batch = 2\nevery = \"800ms\"\nlead = \"500ms\"\nstop-after = \"2s\"\n";
-            ("deploy", nodes(count) + pace)
-        }
-        FaultKind::ResetAnswers { count, share: part } => ("reset", share(count, part)),
-        FaultKind::SpoiltAnswers { count, share: part } => ("spoilt", share(count, part)),
-        FaultKind::NoAnswers { count, share: part } => ("mute", share(count, part)),
-        FaultKind::Errors { count, share: part } => ("error", share(count, part)),
+        FaultKind::Deploy { count } => ("deploy", nodes(count) + ROLLOUT),
+        FaultKind::ResetResponses { count, fraction } => ("reset", share(count, fraction)),
+        FaultKind::MalformedResponses { count, fraction } => ("spoilt", share(count, fraction)),
+        FaultKind::NoResponses { count, fraction } => ("mute", share(count, fraction)),
+        FaultKind::ErrorResponses { count, fraction } => ("error", share(count, fraction)),
         FaultKind::Partition { count } => ("partition", nodes(count)),
         FaultKind::DiscoveryDown => ("list-down", String::new()),
-        FaultKind::DiscoveryLate { by } => ("list-late", format!("by = \"{by}s\"\n")),
+        FaultKind::DiscoveryLate { delay_seconds } => {
+            ("list-late", format!("by = \"{delay_seconds}s\"\n"))
+        }
         FaultKind::ProxyKill { count } => ("proxy-kill", proxies(count)),
         FaultKind::ProxyRestart { count } => ("proxy-restart", proxies(count)),
         FaultKind::ProxyPause { count } => ("proxy-pause", proxies(count) + PAUSE),
         FaultKind::Network { .. }
-        | FaultKind::Reload { .. }
+        | FaultKind::ProxyReload { .. }
         | FaultKind::SystemCalls { .. }
         | FaultKind::ClockStep { .. }
-        | FaultKind::StoppedClients { .. }
-        | FaultKind::SilentClients { .. } => return String::new(),
+        | FaultKind::StalledClients { .. }
+        | FaultKind::SilentClients { .. } => return None,
     };
-    let mut text = String::new();
-    let (name, at, lasts) = (&fault.name, fault.at, fault.lasts);
-    let _ = write!(
-        text,
-        "[[trouble]]\nname = \"{name}\"\nkind = \"{kind}\"\nat = \"{at}s\"\n{more}"
-    );
-    let takes_length = !matches!(
-        fault.kind,
-        FaultKind::Deploy { .. } | FaultKind::ProxyKill { .. } | FaultKind::ProxyRestart { .. }
-    );
-    if takes_length {
-        let _ = writeln!(text, "for = \"{lasts}s\"");
-    } else if !matches!(fault.kind, FaultKind::Deploy { .. }) {
-        let _ = writeln!(text, "every = \"400ms\"\nback-after = \"600ms\"");
-    }
-    text
+    Some(ScenarioKind { name, keys })
 }
 
-/// So many of `all`, drawn for this fault alone.
-pub(crate) fn chosen(plan: &SoakPlan, fault: &Fault, count: usize, all: usize) -> Vec<usize> {
+/// A fault in the form of a scenario's file; empty if scenarios have no such fault.
+fn scenario_fault(fault: &Fault) -> String {
+    let Some(ScenarioKind { name: kind, keys }) = scenario_kind(&fault.kind) else {
+        return String::new();
+    };
+    let timing = match fault.kind {
+        FaultKind::Deploy { .. } => String::new(),
+        FaultKind::ProxyKill { .. } | FaultKind::ProxyRestart { .. } => RESTARTS.to_owned(),
+        _ => format!("for = \"{}s\"\n", fault.duration_seconds),
+    };
+    let name = &fault.name;
+    let start = fault.start_seconds;
+    format!("[[trouble]]\nname = \"{name}\"\nkind = \"{kind}\"\nat = \"{start}s\"\n{keys}{timing}")
+}
+
+/// Selects `count` of the numbers below `all`, by random numbers that only this fault uses.
+pub(crate) fn targets(plan: &SoakPlan, fault: &Fault, count: usize, all: usize) -> Vec<usize> {
     let fold = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     let stream = fault.name.bytes().fold(STREAM, fold);
-    let mut chance = generator(plan.seed, stream);
-    sample(&mut chance, all, count.min(all)).into_vec()
+    let mut rng = generator(plan.seed, stream);
+    sample(&mut rng, all, count.min(all)).into_vec()
 }
 
+/// The reloads of a fault with the times at which they happen.
 fn reloads(plan: &SoakPlan, fault: &Fault) -> Vec<(f64, Act)> {
-    let FaultKind::Reload { count } = fault.kind else {
+    let FaultKind::ProxyReload { count } = fault.kind else {
         return Vec::new();
     };
-    let chosen = chosen(plan, fault, count, plan.proxies).into_iter();
+    let proxies = targets(plan, fault, count, plan.proxies).into_iter();
     let act = |proxy| Act::ReloadProxy {
         proxy: proxy as u16,
     };
-    chosen.map(|proxy| (fault.at, act(proxy))).collect()
+    proxies
+        .map(|proxy| (fault.start_seconds, act(proxy)))
+        .collect()
 }
 
-/// The faults that scenarios know nothing of.
+/// The faults that scenarios don't have: of the network, of system calls and of the wall clock.
 fn extras(plan: &SoakPlan, shim: &str) -> Extras {
     let mut extras = Extras {
-        slow: plan.slow,
+        slow: plan.slow_fraction,
         ends_gracefully: true,
         ..Extras::default()
     };
-    let mut calls = vec![Vec::new(); plan.proxies];
+    let mut shim_faults = vec![Vec::new(); plan.proxies];
     for fault in &plan.faults {
-        let (at, until) = (fault.at, fault.at + fault.lasts);
+        let start = fault.start_seconds;
+        let end = fault.start_seconds + fault.duration_seconds;
         match &fault.kind {
             FaultKind::Network { count, disturbance } => {
                 let window = Window {
-                    from: at,
-                    until,
+                    from: start,
+                    until: end,
                     disturbance: *disturbance,
                 };
-                for node in chosen(plan, fault, *count, plan.backends) {
+                for node in targets(plan, fault, *count, plan.backends) {
                     extras.links.entry(node as u32).or_default().push(window);
                 }
             }
             FaultKind::SystemCalls { count, faults } => {
-                for proxy in chosen(plan, fault, *count, plan.proxies) {
-                    let timed = faults.iter().map(|what| format!("{what}:{at}-{until}"));
-                    calls[proxy].extend(timed);
+                for proxy in targets(plan, fault, *count, plan.proxies) {
+                    let timed = faults.iter().map(|call| format!("{call}:{start}-{end}"));
+                    shim_faults[proxy].extend(timed);
                 }
             }
             FaultKind::ClockStep { count, seconds } => {
-                for proxy in chosen(plan, fault, *count, plan.proxies) {
-                    calls[proxy].push(format!("clock={seconds:+}@1:{at}-{until}"));
+                for proxy in targets(plan, fault, *count, plan.proxies) {
+                    shim_faults[proxy].push(format!("clock={seconds:+}@1:{start}-{end}"));
                 }
             }
             _ => {}
         }
     }
-    let mut chance = generator(plan.seed, STREAM);
-    for (proxy, calls) in calls.into_iter().enumerate() {
-        let seed: u32 = chance.random();
-        if !calls.is_empty() {
-            let faults = format!("seed={seed},{}", calls.join(","));
-            let variables = [("LD_PRELOAD", shim.to_owned()), ("BIRCHHUB_FAULTS", faults)];
-            let variables = variables.map(|(name, value)| (name.to_owned(), value));
-            extras.environment.insert(proxy as u16, variables.into());
+    let mut rng = generator(plan.seed, STREAM);
+    for (proxy, faults) in shim_faults.into_iter().enumerate() {
+        // Drawn for each proxy: its seed does not depend on the faults of the others.
+        let seed: u32 = rng.random();
+        if !faults.is_empty() {
+            let variables = shim_environment(shim, seed, &faults);
+            extras.environment.insert(proxy as u16, variables);
         }
     }
     extras
 }
+
+/// The environment that loads the shim into a proxy's process with these faults.
+fn shim_environment(shim: &str, seed: u32, faults: &[String]) -> Vec<(String, String)> {
+    let plan = format!("seed={seed},{}", faults.join(","));
+    vec![
+        ("LD_PRELOAD".to_owned(), shim.to_owned()),
+        ("BIRCHHUB_FAULTS".to_owned(), plan),
+    ]
+}
--- a/crates/soak/src/shrink.rs
+++ b/crates/soak/src/shrink.rs
@@ -1,27 +1,27 @@
-//! Makes a plan that fails smaller.
-use crate::fault::SoakPlan;
+//! Shrinks a failing plan.
+use crate::plan::SoakPlan;
 
-/// Leaves out faults for as long as `fails` holds: first halves of what is left, then ever smaller parts, down to single
-/// faults. Returns the smallest plan that was seen to fail.
+/// Removes faults from a plan for as long as `fails` holds: first half of them at a time, then ever smaller parts, down
+/// to single faults. Returns the smallest plan that failed, or the first error of `fails`.
 pub fn shrink<E>(
     plan: &SoakPlan,
     mut fails: impl FnMut(&SoakPlan) -> Result<bool, E>,
 ) -> Result<SoakPlan, E> {
     let mut smallest = plan.clone();
-    let mut part = smallest.faults.len().div_ceil(2);
-    while part > 0 && !smallest.faults.is_empty() {
+    let mut part_length = smallest.faults.len().div_ceil(2);
+    while part_length > 0 && !smallest.faults.is_empty() {
         let mut start = 0;
         while start < smallest.faults.len() {
             let mut smaller = smallest.clone();
-            let end = (start + part).min(smaller.faults.len());
+            let end = (start + part_length).min(smaller.faults.len());
             smaller.faults.drain(start..end);
             if fails(&smaller)? {
                 smallest = smaller;
             } else {
-                start += part;
+                start += part_length;
             }
         }
-        part /= 2;
+        part_length /= 2;
     }
     Ok(smallest)
 }
--- a/crates/soak/tests/plan_file.rs
+++ b/crates/soak/tests/plan_file.rs
@@ -16,6 +16,6 @@
 
 #[test]
 fn a_seed_generates_the_stored_plan() {
-    let plan = SoakPlan::draw(SEED, SECONDS, PROXIES);
+    let plan = SoakPlan::generate(SEED, SECONDS, PROXIES);
     assert_eq!(plan.to_text(), FIXTURE);
 }
