--- a/crates/fault-shim/src/calls.rs
+++ b/crates/fault-shim/src/calls.rs
@@ -1,10 +1,10 @@
-//! The calls that stand before those of the C library: each draws whether it fails, and else calls the next one of its
-//! name.
+//! Functions that replace those of the C library: each fails if a fault of the plan occurs, and otherwise calls the
+//! replaced function.
 //!
-//! Every function here has the contract of the C function of its name, and passes its arguments on unchanged but for
+//! Every function here has the contract of the C function of its name. It passes its arguments on unchanged, except for
 //! lengths, which only get shorter.
 use crate::plan::{Call, Effect};
-use crate::state::{draw, draw_length};
+use crate::state::{draw_effect, draw_length};
 use libc::{
     c_char, c_int, c_void, clockid_t, epoll_event, mode_t, size_t, sockaddr, socklen_t, ssize_t,
     timespec,
@@ -12,34 +12,33 @@
 use std::ffi::CStr;
 use std::sync::OnceLock;
 
-/// The function of this name and type that stands behind this library; to be used where its contract is met. The C
-/// library has each of those that are asked for.
-macro_rules! next {
+/// Finds the replaced function of this name and type, which the C library has. The caller upholds its contract.
+macro_rules! replaced {
     ($name:literal as $type:ty) => {{
-        static NEXT: OnceLock<usize> = OnceLock::new();
+        static ADDRESS: OnceLock<usize> = OnceLock::new();
         let find = || libc::dlsym(libc::RTLD_NEXT, CStr::as_ptr($name)) as usize;
-        std::mem::transmute::<usize, $type>(*NEXT.get_or_init(find))
+        std::mem::transmute::<usize, $type>(*ADDRESS.get_or_init(find))
     }};
 }
 
-/// Sets the error of the calling thread, and returns what a call returns that failed.
+/// Sets the error number of the calling thread and returns the result of a failed call.
 fn fail(error: c_int) -> c_int {
-    // SAFETY: the location is that of the calling thread.
+    // SAFETY: the location belongs to the calling thread.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// The error that this call is to fail with, if it is to.
-fn drawn_error(call: Call) -> Option<c_int> {
-    match draw(call) {
+/// The error with which this call fails, if a fault occurs.
+fn error_of(call: Call) -> Option<c_int> {
+    match draw_effect(call) {
         Some(Effect::Error(error)) => Some(error),
         _ => None,
     }
 }
 
-/// The length with which a call is to be made, or the error that it is to fail with.
-fn drawn_length(call: Call, length: size_t) -> Result<size_t, c_int> {
-    match draw(call) {
+/// The length with which this call is made, or the error with which it fails.
+fn length_of(call: Call, length: size_t) -> Result<size_t, c_int> {
+    match draw_effect(call) {
         Some(Effect::Error(error)) => Err(error),
         Some(Effect::Short) if length > 1 => Ok(draw_length(length - 1)),
         _ => Ok(length),
@@ -54,10 +53,10 @@
     flags: c_int,
 ) -> c_int {
     type Function = unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int;
-    match drawn_error(Call::Accept) {
+    match error_of(Call::Accept) {
         Some(error) => fail(error),
         // SAFETY: the caller's arguments.
-        None => unsafe { next!(c"accept4" as Function)(socket, address, length, flags) },
+        None => unsafe { replaced!(c"accept4" as Function)(socket, address, length, flags) },
     }
 }
 
@@ -68,30 +67,30 @@
     length: *mut socklen_t,
 ) -> c_int {
     type Function = unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t) -> c_int;
-    match drawn_error(Call::Accept) {
+    match error_of(Call::Accept) {
         Some(error) => fail(error),
         // SAFETY: the caller's arguments.
-        None => unsafe { next!(c"accept" as Function)(socket, address, length) },
+        None => unsafe { replaced!(c"accept" as Function)(socket, address, length) },
     }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     type Function = unsafe extern "C" fn(c_int, c_int, c_int) -> c_int;
-    match drawn_error(Call::Socket) {
+    match error_of(Call::Socket) {
         Some(error) => fail(error),
         // SAFETY: the caller's arguments.
-        None => unsafe { next!(c"socket" as Function)(domain, kind, protocol) },
+        None => unsafe { replaced!(c"socket" as Function)(domain, kind, protocol) },
     }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     type Function = unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int;
-    match drawn_error(Call::Connect) {
+    match error_of(Call::Connect) {
         Some(error) => fail(error),
         // SAFETY: the caller's arguments.
-        None => unsafe { next!(c"connect" as Function)(socket, address, length) },
+        None => unsafe { replaced!(c"connect" as Function)(socket, address, length) },
     }
 }
 
@@ -99,14 +98,14 @@
 unsafe extern "C" fn epoll_wait(
     epoll: c_int,
     events: *mut epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
     type Function = unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int;
-    match drawn_error(Call::EpollWait) {
+    match error_of(Call::EpollWait) {
         Some(error) => fail(error),
         // SAFETY: the caller's arguments.
-        None => unsafe { next!(c"epoll_wait" as Function)(epoll, events, most, timeout) },
+        None => unsafe { replaced!(c"epoll_wait" as Function)(epoll, events, max_events, timeout) },
     }
 }
 
@@ -118,10 +117,10 @@
     flags: c_int,
 ) -> ssize_t {
     type Function = unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t;
-    match drawn_length(Call::Recv, length) {
+    match length_of(Call::Recv, length) {
         Err(error) => fail(error) as ssize_t,
         // SAFETY: the caller's arguments, with a length that is no greater.
-        Ok(length) => unsafe { next!(c"recv" as Function)(socket, buffer, length, flags) },
+        Ok(length) => unsafe { replaced!(c"recv" as Function)(socket, buffer, length, flags) },
     }
 }
 
@@ -133,20 +132,20 @@
     flags: c_int,
 ) -> ssize_t {
     type Function = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
-    match drawn_length(Call::Send, length) {
+    match length_of(Call::Send, length) {
         Err(error) => fail(error) as ssize_t,
         // SAFETY: the caller's arguments, with a length that is no greater.
-        Ok(length) => unsafe { next!(c"send" as Function)(socket, buffer, length, flags) },
+        Ok(length) => unsafe { replaced!(c"send" as Function)(socket, buffer, length, flags) },
     }
 }
 
-/// Whether the descriptor is of a regular file, and none of the standard streams.
+/// Whether the descriptor is one of a regular file and of no standard stream.
 fn is_file(descriptor: c_int) -> bool {
     if descriptor <= libc::STDERR_FILENO {
         return false;
     }
     let mut status = std::mem::MaybeUninit::<libc::stat>::zeroed();
-    // SAFETY: the call writes to `status`, of which all bytes are set before.
+    // SAFETY: the call writes to `status`, whose bytes are all initialised to zero.
     let status = unsafe {
         libc::fstat(descriptor, status.as_mut_ptr());
         status.assume_init()
@@ -157,15 +156,15 @@
 #[unsafe(no_mangle)]
 unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
     type Function = unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t;
-    let drawn = if is_file(descriptor) {
-        drawn_length(Call::Write, length)
+    let length = if is_file(descriptor) {
+        length_of(Call::Write, length)
     } else {
         Ok(length)
     };
-    match drawn {
+    match length {
         Err(error) => fail(error) as ssize_t,
         // SAFETY: the caller's arguments, with a length that is no greater.
-        Ok(length) => unsafe { next!(c"write" as Function)(descriptor, buffer, length) },
+        Ok(length) => unsafe { replaced!(c"write" as Function)(descriptor, buffer, length) },
     }
 }
 
@@ -173,20 +172,20 @@
 unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     type Function = unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int;
     let is_written = flags & libc::O_ACCMODE != libc::O_RDONLY;
-    match drawn_error(Call::Open).filter(|_| is_written) {
+    match error_of(Call::Open).filter(|_| is_written) {
         Some(error) => fail(error),
-        // SAFETY: the caller's arguments; without O_CREAT the mode is not looked at.
-        None => unsafe { next!(c"open64" as Function)(path, flags, mode) },
+        // SAFETY: the caller's arguments; without O_CREAT the mode is ignored.
+        None => unsafe { replaced!(c"open64" as Function)(path, flags, mode) },
     }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     type Function = unsafe extern "C" fn(*const c_char, *const c_char) -> c_int;
-    match drawn_error(Call::Rename) {
+    match error_of(Call::Rename) {
         Some(error) => fail(error),
         // SAFETY: the caller's arguments.
-        None => unsafe { next!(c"rename" as Function)(from, to) },
+        None => unsafe { replaced!(c"rename" as Function)(from, to) },
     }
 }
 
@@ -194,12 +193,12 @@
 unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     type Function = unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int;
     // SAFETY: the caller's arguments.
-    let result = unsafe { next!(c"clock_gettime" as Function)(clock, time) };
+    let result = unsafe { replaced!(c"clock_gettime" as Function)(clock, time) };
     if result == 0
         && clock == libc::CLOCK_REALTIME
-        && let Some(Effect::Step(seconds)) = draw(Call::Clock)
+        && let Some(Effect::Step(seconds)) = draw_effect(Call::Clock)
     {
-        // SAFETY: the call before has written to the caller's place.
+        // SAFETY: the call above succeeded, so that `time` is valid for writes.
         unsafe { (*time).tv_sec += seconds };
     }
     result
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,8 +1,8 @@
 //! A library for `LD_PRELOAD` that makes system calls of a process under test fail in the ways that Linux documents, or
-//! steps its wall clock. It is a package by itself and is never linked into a program: all unsafe code of the project is
-//! in here.
+//! steps its wall clock.
 //!
-//! The environment variable `BIRCHHUB_FAULTS` says what happens, see [`plan`]; without it nothing does.
+//! The environment variable `BIRCHHUB_FAULTS` holds the plan, see [`plan`]; without it no call fails. The library is
+//! never linked into a program, and holds all unsafe code of the project.
 mod calls;
 pub mod plan;
 mod state;
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -1,16 +1,17 @@
-//! What is to fail: the text of `BIRCHHUB_FAULTS`.
+//! The plan of faults: the format of `BIRCHHUB_FAULTS`.
 //!
-//! Faults stand between commas, each `CALL=EFFECT@PROBABILITY[:FROM-UNTIL]`, with times in seconds since the process
-//! started; `seed=NUMBER` seeds what is drawn. `CALL` is one of [`Call`], `EFFECT` an error's name or `short`:
+//! Faults are separated by commas. Each is `CALL=EFFECT@PROBABILITY[:FROM-UNTIL]`, with times in seconds since the process
+//! started. `seed=NUMBER` seeds the random numbers. `CALL` is one of [`Call`], `EFFECT` the name of an error or `short`:
 //!
 //! ```text
 //! seed=7,recv=EINTR@0.2,send=short@0.5:1-4.5,accept=EMFILE@1:2-2.5,clock=+3600@1:3-9
 //! ```
 //!
-//! For `clock` the effect is the step in seconds, and the probability is not looked at. What can't be read fails the
-//! start of the process: a test must not pass because its faults were misspelt.
+//! For `clock` the effect is the step in seconds. A plan that can't be parsed ends the process at its start: a test must
+//! not pass because its faults were misspelt.
+use thiserror::Error;
 
-/// A call that can fail.
+/// A system call that can fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Call {
     /// `accept` and `accept4`.
@@ -25,7 +26,7 @@
     Recv,
     /// `send`.
     Send,
-    /// `open` and `openat`, of files that are written.
+    /// `open64`, of files that are opened for writing.
     Open,
     /// `write`, to regular files only.
     Write,
@@ -53,17 +54,18 @@
     }
 }
 
-/// What happens instead of a call.
+/// The effect of a fault on a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// It returns this error number.
+    /// The call fails with this error number.
     Error(i32),
-    /// It moves fewer bytes than it could.
+    /// The call transfers fewer bytes than were asked for.
     Short,
-    /// The wall clock is off by so many seconds.
+    /// The wall clock is stepped by so many seconds.
     Step(i64),
 }
 
+/// Errors by their names in a plan.
 const ERRORS: [(&str, i32); 13] = [
     ("EINTR", libc::EINTR),
     ("EMFILE", libc::EMFILE),
@@ -93,18 +95,18 @@
     }
 }
 
-/// One fault.
+/// A fault of a kind of call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
     /// The call that fails.
     pub call: Call,
-    /// What happens instead.
+    /// What happens to it.
     pub effect: Effect,
-    /// The fraction of calls that fail.
+    /// Fraction of the calls that are affected, 0 to 1.
     pub probability: f64,
-    /// From when on, seconds since the start of the process.
+    /// Start of the fault, in seconds since the start of the process.
     pub from: f64,
-    /// Until when.
+    /// End of the fault, in seconds since the start of the process.
     pub until: f64,
 }
 
@@ -130,31 +132,40 @@
         })
     }
 
-    /// Whether it may happen at this time, seconds since the start of the process.
+    /// Whether the fault is active at a time, in seconds since the start of the process.
     pub fn is_active(&self, at: f64) -> bool {
         (self.from..self.until).contains(&at)
     }
 }
 
+/// Part of a plan that can't be parsed.
+#[derive(Clone, Debug, Error, PartialEq)]
+#[error("{part} can't be read")]
+pub struct PlanError {
+    /// Text of the part between two commas.
+    pub part: String,
+}
+
 /// All faults of a process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Seeds what is drawn.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The faults, the first that happens counts.
+    /// The faults. Of several that are active for a call, the first that occurs decides.
     pub faults: Vec<Fault>,
 }
 
 impl Plan {
-    /// The plan that a text stands for; the part that can't be read otherwise.
-    pub fn parse(text: &str) -> Result<Self, String> {
+    /// Parses the text of a plan. The error names the first part that can't be parsed.
+    pub fn parse(text: &str) -> Result<Self, PlanError> {
         let mut plan = Self::default();
         for part in text.split(',').filter(|part| !part.is_empty()) {
+            let error = || PlanError {
+                part: part.to_owned(),
+            };
             match part.strip_prefix("seed=") {
-                Some(seed) => plan.seed = seed.parse().map_err(|_| part.to_owned())?,
-                None => plan
-                    .faults
-                    .push(Fault::parse(part).ok_or_else(|| part.to_owned())?),
+                Some(seed) => plan.seed = seed.parse().map_err(|_| error())?,
+                None => plan.faults.push(Fault::parse(part).ok_or_else(error)?),
             }
         }
         Ok(plan)
--- a/crates/fault-shim/src/plan/tests.rs
+++ b/crates/fault-shim/src/plan/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_plan_is_read() {
+fn a_plan_is_parsed() {
     let plan = Plan::parse("seed=7,recv=EINTR@0.2,send=short@0.5:1-4.5,clock=-3600@1:3-9");
     let fault = |call, effect, probability, from, until| Fault {
         call,
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_misspelt_fault_is_an_error() {
+fn a_misspelt_fault_is_an_error_that_names_it() {
     for text in [
         "recv",
         "recv=EINTR",
@@ -40,7 +40,7 @@
         "clock=short@1",
         "seed=x",
     ] {
-        let text = format!("seed=1,{text}");
-        assert!(Plan::parse(&text).is_err(), "{text}");
+        let error = Plan::parse(&format!("seed=1,{text}")).expect_err(text);
+        assert_eq!(error.to_string(), format!("{text} can't be read"));
     }
 }
--- a/crates/fault-shim/src/state.rs
+++ b/crates/fault-shim/src/state.rs
@@ -1,25 +1,31 @@
-//! The plan of this process, and what is drawn from it.
+//! The plan of this process and its random numbers.
 use crate::plan::{Call, Effect, Plan};
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The variable that holds the plan.
+/// Environment variable that holds the plan.
 const VARIABLE: &str = "BIRCHHUB_FAULTS";
-/// The exit code of a process whose plan can't be read.
+/// Exit code of a process whose plan can't be parsed.
 const EXIT_BAD_PLAN: i32 = 97;
+/// Increment and multipliers of the generator SplitMix64.
+const SPLIT_MIX_INCREMENT: u64 = 0x9E37_79B9_7F4A_7C15;
+const SPLIT_MIX_MULTIPLIERS: [u64; 2] = [0xBF58_476D_1CE4_E5B9, 0x94D0_49BB_1331_11EB];
 
 struct State {
     plan: Plan,
+    /// Monotonic time of the start of the process, in seconds.
     started_at: f64,
+    /// Count of the random numbers that were drawn.
     draws: AtomicU64,
 }
 
+/// The state of this process, which the first call reads from the environment.
 fn state() -> &'static State {
     static STATE: OnceLock<State> = OnceLock::new();
     STATE.get_or_init(|| {
         let text = std::env::var(VARIABLE).unwrap_or_default();
-        let plan = Plan::parse(&text).unwrap_or_else(|part| {
-            eprintln!("{VARIABLE}: {part} can't be read");
+        let plan = Plan::parse(&text).unwrap_or_else(|error| {
+            eprintln!("{VARIABLE}: {error}");
             std::process::exit(EXIT_BAD_PLAN)
         });
         State {
@@ -30,6 +36,7 @@
     })
 }
 
+/// Seconds of the monotonic clock. It asks the kernel directly, since `clock_gettime` is replaced by this library.
 fn monotonic_seconds() -> f64 {
     let mut time = libc::timespec {
         tv_sec: 0,
@@ -46,8 +53,8 @@
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-/// What happens instead of this call, if anything does.
-pub(crate) fn draw(call: Call) -> Option<Effect> {
+/// Decides whether a fault occurs at this call, and returns its effect.
+pub(crate) fn draw_effect(call: Call) -> Option<Effect> {
     let state = state();
     if state.plan.faults.is_empty() {
         return None;
@@ -55,24 +62,24 @@
     let now = monotonic_seconds() - state.started_at;
     let faults = state.plan.faults.iter();
     let mut active = faults.filter(|fault| fault.call == call && fault.is_active(now));
-    let happens = active.find(|fault| state.next_fraction() < fault.probability);
-    happens.map(|fault| fault.effect)
+    let occurring = active.find(|fault| state.next_fraction() < fault.probability);
+    occurring.map(|fault| fault.effect)
 }
 
-/// A number from 1 to `most`.
-pub(crate) fn draw_length(most: usize) -> usize {
+/// A random length from 1 to `max`.
+pub(crate) fn draw_length(max: usize) -> usize {
     let fraction = state().next_fraction();
-    1 + (fraction * most.saturating_sub(1) as f64) as usize
+    1 + (fraction * max.saturating_sub(1) as f64) as usize
 }
 
 impl State {
-    /// The next of a sequence of numbers from 0 to 1 that the seed determines (SplitMix64).
+    /// The next number of the seed's sequence, from 0 up to but not including 1 (SplitMix64).
     fn next_fraction(&self) -> f64 {
         let draws = self.draws.fetch_add(1, Ordering::Relaxed);
-        let step = 0x9E37_79B9_7F4A_7C15_u64;
-        let mut bits = self.plan.seed.wrapping_add(step.wrapping_mul(draws + 1));
-        bits = (bits ^ (bits >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-        bits = (bits ^ (bits >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        let offset = SPLIT_MIX_INCREMENT.wrapping_mul(draws + 1);
+        let mut bits = self.plan.seed.wrapping_add(offset);
+        bits = (bits ^ (bits >> 30)).wrapping_mul(SPLIT_MIX_MULTIPLIERS[0]);
+        bits = (bits ^ (bits >> 27)).wrapping_mul(SPLIT_MIX_MULTIPLIERS[1]);
         bits ^= bits >> 31;
         (bits >> 11) as f64 / (1_u64 << 53) as f64
     }
