--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -7,14 +7,15 @@
 
 pub mod backends;
 pub mod error;
+pub mod estimate;
 pub mod fit;
 pub mod hollow;
 pub mod list;
 pub mod load;
 pub mod page;
 pub mod plan;
+pub mod planned_size;
 pub mod proxy;
-pub mod reckon;
 pub mod report;
 pub mod run;
 pub mod series;
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -1,6 +1,6 @@
 //! The tables of `docs/CAPACITY.md`, made of a result and put between their markers.
 use crate::error::{PageError, SeriesError};
-use crate::reckon::{self, Candidate, Line};
+use crate::estimate::{self, Basis, Candidate, Estimate};
 use crate::report::Report;
 use std::fmt::Write;
 
@@ -11,7 +11,7 @@
 const TABLES: [(&str, GenerateTable); 5] = [
     ("targets", targets),
     ("roles", roles),
-    ("hours", hours),
+    ("hours", scenarios),
     ("candidates", candidates),
     ("slopes", slopes),
 ];
@@ -41,31 +41,31 @@
             "factor",
             "of",
         ],
-        reckon::targets(report)?.into_iter().map(|line| {
-            let factor = line.factor().map_or("-".into(), figure);
-            let target = line.target.map_or("-".into(), figure);
+        estimate::targets(report)?.into_iter().map(|estimate| {
+            let factor = estimate.factor().map_or("-".into(), figure);
+            let target = estimate.target.map_or("-".into(), figure);
             [
-                format!("{}, {}", line.what, line.unit),
+                format!("{}, {}", estimate.what, estimate.unit),
                 target,
-                line.told(),
+                estimate.formatted(),
                 factor,
-                line.of,
+                estimate.derivation.to_owned(),
             ]
         }),
     ))
 }
 
 fn roles(report: &Report) -> Result<String, SeriesError> {
-    let mut lines = reckon::targets(report)?;
-    lines.sort_by_key(|line| line.role);
-    let rows = lines.into_iter().map(|line| {
-        let reckoning = format!("{}; {}", line.told(), line.unit);
+    let mut estimates = estimate::targets(report)?;
+    estimates.sort_by_key(|estimate| estimate.role);
+    let rows = estimates.into_iter().map(|estimate| {
+        let value = format!("{}; {}", estimate.formatted(), estimate.unit);
         [
-            line.role.to_owned(),
-            line.what,
-            reckoning,
-            line.of,
-            line.mechanism.to_owned(),
+            estimate.role.to_owned(),
+            estimate.what,
+            value,
+            estimate.derivation.to_owned(),
+            estimate.mechanism.to_owned(),
         ]
     });
     Ok(table(
@@ -74,16 +74,19 @@
     ))
 }
 
-/// In the order of the factor by which what each is for misses its target.
+/// Candidates in descending order of the largest factor by which an estimate that they lower misses its target.
 fn candidates(report: &Report) -> Result<String, SeriesError> {
-    let lines = reckon::targets(report)?;
+    let estimates = estimate::targets(report)?;
     let factor = |candidate: &Candidate| {
-        let own = lines
+        let improved = estimates
             .iter()
-            .filter(|line| candidate.keys.contains(&line.key));
-        own.filter_map(Line::factor).max_by(f64::total_cmp)
+            .filter(|estimate| candidate.keys.contains(&estimate.key));
+        improved.filter_map(Estimate::factor).max_by(f64::total_cmp)
     };
-    let mut order: Vec<_> = reckon::CANDIDATES.iter().map(|c| (factor(c), c)).collect();
+    let mut order: Vec<_> = estimate::CANDIDATES
+        .iter()
+        .map(|c| (factor(c), c))
+        .collect();
     order.sort_by(|a, b| b.0.unwrap_or(0.0).total_cmp(&a.0.unwrap_or(0.0)));
     let rows = order
         .into_iter()
@@ -116,13 +119,16 @@
     ))
 }
 
-fn hours(report: &Report) -> Result<String, SeriesError> {
+fn scenarios(report: &Report) -> Result<String, SeriesError> {
     Ok(table(
         &["when", "what", "reckoning", "of"],
-        reckon::hours(report)?.into_iter().map(|line| {
-            let guess = if line.guess { " (guess)" } else { "" };
-            let reckoning = format!("{} {}{guess}", figure(line.reckoning), line.unit);
-            [line.when.to_owned(), line.what, reckoning, line.of]
+        estimate::scenarios(report)?.into_iter().map(|scenario| {
+            let caveat = match scenario.basis {
+                Basis::PartlyAssumed => " (guess)",
+                Basis::Measured => "",
+            };
+            let value = format!("{} {}{caveat}", figure(scenario.value), scenario.unit);
+            [scenario.when, scenario.what, &value, scenario.derivation].map(str::to_owned)
         }),
     ))
 }
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -5,30 +5,6 @@
 use rand_pcg::Pcg64;
 use serde::{Deserialize, Serialize};
 
-/// The planned size, as the operators gave it.
-pub mod size {
-    pub const PROXIES: f64 = 850.0;
-    pub const BACKENDS: f64 = 8_700.0;
-    /// RPCs a second, at the peak.
-    pub const RPCS: f64 = 200_000.0;
-    pub const METHODS: f64 = 2_200.0;
-    pub const TENANTS: f64 = 54_000.0;
-    /// Changes of configuration a day.
-    pub const CHANGES: f64 = 3_500.0;
-    /// Restarts and replacements of backends a day; each is a few changes of the list.
-    pub const RESTARTS: f64 = 2_700.0;
-    /// ms added to an RPC for 99 in 100.
-    pub const ADDED: f64 = 1.2;
-    /// s until a change is in force everywhere.
-    pub const IN_FORCE: f64 = 8.0;
-    /// % of a core, MB and KB a second that a proxy spends for control.
-    pub const PROCESSOR: f64 = 1.3;
-    pub const MEMORY: f64 = 128.0;
-    pub const TRAFFIC: f64 = 10.0;
-    /// Machines set aside for control.
-    pub const MACHINES: f64 = 3.0;
-}
-
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
     pub seed: u64,
--- a/crates/capacity/src/run.rs
+++ b/crates/capacity/src/run.rs
@@ -4,7 +4,8 @@
 use crate::hollow::HollowProxies;
 use crate::list::ListService;
 use crate::load::{self, Went};
-use crate::plan::{Plan, size};
+use crate::plan::Plan;
+use crate::planned_size;
 use crate::proxy::{IDLE, Proxy, Shape};
 use crate::report::Report;
 use crate::usage;
@@ -386,7 +387,7 @@
     /// Several real proxies, each of which sends each backend what one does at the planned size.
     async fn pairs(&mut self) -> Result<(), MeasurementError> {
         let listed = self.plan.hollow_backends;
-        let rate = size::RPCS / size::PROXIES / size::BACKENDS * f64::from(listed);
+        let rate = rpcs_per_second_of_a_pair() * f64::from(listed);
         for (&count, probes) in self
             .plan
             .proxies
@@ -567,6 +568,11 @@
     }
 }
 
+/// RPCs per second from one proxy to one backend at the planned size.
+fn rpcs_per_second_of_a_pair() -> f64 {
+    planned_size::RPCS_PER_SECOND / planned_size::PROXIES / planned_size::BACKENDS
+}
+
 /// When the last of the proxies knew a method; None if one did not in time.
 async fn in_force(proxies: &[Proxy], method: &str, within: f64) -> Option<Instant> {
     let until = Instant::now() + Duration::from_secs_f64(within);
--- a/crates/capacity/tests/pages.rs
+++ b/crates/capacity/tests/pages.rs
@@ -1,6 +1,5 @@
 //! The tables of the page: made of a result, and stale if they are those of another one.
-use birchhub_capacity::plan::size;
-use birchhub_capacity::{PageError, Plan, Report, SeriesError, page, reckon};
+use birchhub_capacity::{PageError, Plan, Report, SeriesError, estimate, page, planned_size};
 
 const MARKS: [&str; 5] = ["targets", "roles", "hours", "candidates", "slopes"];
 
@@ -83,10 +82,13 @@
         "memory.methods" => (4.0, 0.001),
         _ => (0.0, 0.0),
     });
-    let lines = reckon::targets(&report).expect("a reckoning");
+    let lines = estimate::targets(&report).expect("estimates");
     let memory = lines.iter().find(|l| l.key == "memory").expect("a line");
-    let wanted = 4.0 + 0.007 * size::BACKENDS + 0.0005 * size::TENANTS + 0.001 * size::METHODS;
-    assert!((memory.reckoning - wanted).abs() < 1e-6, "{memory:?}");
+    let wanted = 4.0
+        + 0.007 * planned_size::BACKENDS
+        + 0.0005 * planned_size::TENANTS
+        + 0.001 * planned_size::METHODS;
+    assert!((memory.value - wanted).abs() < 1e-6, "{memory:?}");
     assert!((memory.factor().expect("a target") - wanted / 128.0).abs() < 1e-9);
 }
 
@@ -135,8 +137,8 @@
         });
         report.cores = 8;
         report.series.iter_mut().for_each(|s| s.load = 30.0);
-        reckon::targets(&report)
-            .expect("a reckoning")
+        estimate::targets(&report)
+            .expect("estimates")
             .into_iter()
             .find(|l| l.key == "latency")
             .expect("a line")
@@ -144,18 +146,18 @@
     for void in [-3.0, 90.0] {
         let line = on_busy_machine(void);
         assert!(line.is_void() && line.factor().is_none(), "{line:?}");
-        assert!(line.told().starts_with("void"), "{}", line.told());
+        assert!(line.formatted().starts_with("void"), "{}", line.formatted());
     }
     let met = on_busy_machine(0.6);
     assert!((met.factor().expect("a factor") - 0.5).abs() < 1e-9);
-    assert_eq!(met.told(), "at most 0.6, on a crowded machine");
+    assert_eq!(met.formatted(), "at most 0.6, on a crowded machine");
 }
 
-/// Each key of a candidate is a line of the reckoning, one with a target, or the candidate has no place in the order.
+/// Each key of a candidate names an estimate, at least one of them with a target; a candidate without a target has no rank.
 #[test]
-fn candidates_are_for_lines_of_the_reckoning() {
-    let lines = reckon::targets(&made(|_| (1.0, 0.0))).expect("a reckoning");
-    for candidate in reckon::CANDIDATES {
+fn each_candidate_key_names_an_estimate() {
+    let lines = estimate::targets(&made(|_| (1.0, 0.0))).expect("estimates");
+    for candidate in estimate::CANDIDATES {
         for key in candidate.keys {
             assert!(
                 lines.iter().any(|line| line.key == *key),
@@ -181,5 +183,8 @@
     assert!(orders.len() > 1);
     let mut sizes = Plan::long(3).backends;
     sizes.sort_unstable();
-    assert_eq!(sizes.last().copied().map(f64::from), Some(size::BACKENDS));
+    assert_eq!(
+        sizes.last().copied().map(f64::from),
+        Some(planned_size::BACKENDS)
+    );
 }
