--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -34,7 +34,7 @@
 
 pub(crate) fn run(arguments: Arguments) -> Result<u8, Fault> {
     let found = scenario::find(&arguments.scenario)?;
-    let plan = Plan::draw(&found.scenario, arguments.seed, &found.file, &found.text);
+    let plan = Plan::generate(&found.scenario, arguments.seed, &found.file, &found.text);
     let plan = plan.map_err(Fault::input)?;
     if arguments.simulated {
         return simulated(&found.scenario, &plan, &arguments.out);
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -56,7 +56,7 @@
 }
 
 fn plan(found: &Found, seed: u64) -> Result<Plan, Fault> {
-    Plan::draw(&found.scenario, seed, &found.file, &found.text).map_err(Fault::input)
+    Plan::generate(&found.scenario, seed, &found.file, &found.text).map_err(Fault::input)
 }
 
 pub(crate) fn run(arguments: Arguments) -> Result<u8, Fault> {
@@ -83,7 +83,7 @@
                 "{}: {nodes} nodes, {proxies} proxies, {} methods, {} troubles, {:.0} s\n",
                 found.scenario.name,
                 found.scenario.method.len(),
-                plan.troubles.len(),
+                plan.faults.len(),
                 plan.length
             ));
         }
@@ -95,7 +95,7 @@
                 plan.arrivals.len(),
                 plan.length
             );
-            for (at, act) in &plan.acts {
+            for (at, act) in &plan.actions {
                 let _ = writeln!(text, "{at:9.3}  {act:?}");
             }
             print(&text);
--- a/crates/daemon/tests/discovery/outage.rs
+++ b/crates/daemon/tests/discovery/outage.rs
@@ -55,7 +55,7 @@
 #[test]
 fn each_of_many_proxies_is_updated_in_time_after_an_outage() {
     let scenario = Scenario::read("crowd", SCENARIO).expect("a scenario");
-    let plan = Plan::draw(&scenario, 5, "crowd", SCENARIO).expect("a plan");
+    let plan = Plan::generate(&scenario, 5, "crowd", SCENARIO).expect("a plan");
     let out = std::env::temp_dir().join(format!("birchhubd-crowd-{}", std::process::id()));
     let options = Options {
         seed: 5,
--- a/crates/daemon/tests/rehearsals.rs
+++ b/crates/daemon/tests/rehearsals.rs
@@ -56,7 +56,7 @@
 fn run_rehearsal(name: &str, faults: &str) -> Report {
     let text = format!("name = \"{name}\"\n{DEPLOYMENT}\n{faults}");
     let scenario = Scenario::read(name, &text).expect("a scenario");
-    let plan = Plan::draw(&scenario, 11, name, &text).expect("a plan");
+    let plan = Plan::generate(&scenario, 11, name, &text).expect("a plan");
     let out =
         std::env::temp_dir().join(format!("birchhubd-rehearsal-{}-{name}", std::process::id()));
     let program = env!("CARGO_BIN_EXE_birchhubd").into();
--- a/crates/rehearsal/src/span.rs
+++ b/crates/rehearsal/src/duration.rs
@@ -3,7 +3,7 @@
 
 /// A length of time, s.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-pub struct Span(pub f64);
+pub struct ScenarioDuration(pub f64);
 
 const UNITS: [(&str, f64); 5] = [
     ("ms", 1e-3),
@@ -13,7 +13,7 @@
     ("s", 1.0),
 ];
 
-impl std::str::FromStr for Span {
+impl std::str::FromStr for ScenarioDuration {
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
         let wrong = || {
@@ -32,7 +32,7 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Span {
+impl<'de> Deserialize<'de> for ScenarioDuration {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         String::deserialize(from)?.parse().map_err(D::Error::custom)
     }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -9,6 +9,7 @@
 )]
 
 pub mod clients;
+pub mod duration;
 pub mod extras;
 pub mod page;
 pub mod plan;
@@ -19,11 +20,10 @@
 mod select;
 pub mod settings;
 pub mod shipped;
-pub mod span;
 mod stage;
 
 pub use extras::Extras;
 pub use plan::Plan;
 pub use report::{Report, Verdict};
 pub use run::{Options, rehearse, rehearse_with};
-pub use scenario::{Fault, Scenario};
+pub use scenario::{Scenario, ScenarioError};
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -1,7 +1,7 @@
 //! What will happen, drawn from scenario and seed: every arrival, every act of every trouble. The same scenario and
 //! seed give the same plan to the byte; each purpose draws from a stream of its own, so that a further trouble
 //! does not change the traffic.
-use crate::scenario::{Fault, Scenario, Trouble, TroubleKind, line_of_key};
+use crate::scenario::{Fault, FaultKind, Scenario, ScenarioError, line_of_key};
 use crate::select;
 use birchhub_audit::head;
 use birchhub_backend_model::{Work, work::generator};
@@ -51,91 +51,68 @@
     pub successor: bool,
 }
 
-/// Something that is done to the deployment. Numbers of faults and stalls tell which one ends.
+/// A change that the schedule makes to the deployment.
+///
+/// `number` identifies one stall or one injected fault of a backend, so that the action that ends it names the same one.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub enum Act {
-    Begin {
-        trouble: u16,
-    },
-    End {
-        trouble: u16,
-    },
-    Stall {
-        node: u32,
-        number: u64,
-        on: bool,
-    },
-    Scale {
-        node: u32,
-        factor: f64,
-    },
-    Slow {
-        method: usize,
-        factor: f64,
-    },
-    Crash {
-        node: u32,
-    },
-    Return {
-        node: u32,
-    },
-    /// The list says that it drains.
-    Announce {
-        node: u32,
-    },
-    /// It turns new work away.
-    Drain {
-        node: u32,
-    },
-    /// It ends when it holds nothing more, at the latest then; its successor starts so long after.
+pub enum Action {
+    /// Marks the beginning of a fault in the ledger; `fault` is its index in the scenario.
+    BeginFault { fault: u16 },
+    /// Marks the end of a fault in the ledger.
+    EndFault { fault: u16 },
+    /// Begins or ends a stall of a backend.
+    Stall { node: u32, number: u64, on: bool },
+    /// Multiplies the speed of a backend's machine.
+    ScaleSpeed { node: u32, factor: f64 },
+    /// Multiplies the work of a method on all backends.
+    SlowMethod { method: usize, factor: f64 },
+    /// Kills a backend's process.
+    Crash { node: u32 },
+    /// Starts a crashed backend again, with a cold cache.
+    Restart { node: u32 },
+    /// Announces in the endpoint list that a backend is draining.
+    AnnounceDrain { node: u32 },
+    /// Makes a draining backend reject new work.
+    Drain { node: u32 },
+    /// Ends a backend when it is idle, at the latest at `by` (s), and starts `successor` `after` seconds later.
     Retire {
         node: u32,
         by: f64,
         successor: u32,
         after: f64,
     },
-    Faulty {
+    /// Begins or ends a fault at a backend's sockets.
+    InjectFault {
         node: u32,
         number: u64,
-        fault: Trick,
-        on: bool,
-    },
-    ListLate {
-        by: f64,
-    },
-    ListDown {
-        down: bool,
-    },
-    ListStale {
-        proxy: u16,
-        stale: bool,
-    },
-    KillProxy {
-        proxy: u16,
-    },
-    TermProxy {
-        proxy: u16,
-    },
-    StartProxy {
-        proxy: u16,
-    },
-    PauseProxy {
-        proxy: u16,
+        fault: BackendFault,
         on: bool,
     },
-    /// It reads its configuration again.
-    ReloadProxy {
-        proxy: u16,
-    },
+    /// Adds to the delay of all updates of the discovery service, s; negative to take it back.
+    DelayDiscovery { by: f64 },
+    /// Makes the discovery service unavailable, or available again.
+    SetDiscoveryDown { down: bool },
+    /// Freezes the endpoint list that a proxy receives, or releases it.
+    SetDiscoveryStale { proxy: u16, stale: bool },
+    /// Sends SIGKILL to a proxy.
+    KillProxy { proxy: u16 },
+    /// Sends SIGTERM to a proxy.
+    TerminateProxy { proxy: u16 },
+    /// Starts a proxy that was killed or terminated.
+    StartProxy { proxy: u16 },
+    /// Pauses a proxy with SIGSTOP, or resumes it.
+    PauseProxy { proxy: u16, on: bool },
+    /// Makes a proxy reload its configuration.
+    ReloadProxy { proxy: u16 },
 }
 
-impl Act {
-    /// Whether the proxies' keeper does it, and not the stage.
+impl Action {
+    /// Returns whether the action concerns a proxy's process rather than backends or discovery.
     pub fn is_of_proxies(&self) -> bool {
         matches!(
             self,
             Self::KillProxy { .. }
-                | Self::TermProxy { .. }
+                | Self::TerminateProxy { .. }
                 | Self::StartProxy { .. }
                 | Self::PauseProxy { .. }
                 | Self::ReloadProxy { .. }
@@ -143,16 +120,23 @@
     }
 }
 
-/// A fault at the socket, as planned.
+/// A fault injected at the sockets of a backend; `share` is the fraction of attempts that it affects.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub enum Trick {
-    Reset(f64),
-    Half(f64),
-    Garbage(f64),
-    Mute(f64),
-    Error(f64),
-    Trickle(f64, f64),
-    Partition(Option<u16>),
+pub enum BackendFault {
+    /// Executes the request, then resets the connection.
+    ConnectionReset { share: f64 },
+    /// Executes the request, then sends half of the response.
+    TruncatedResponse { share: f64 },
+    /// Executes the request, then sends bytes that are not HTTP.
+    MalformedResponse { share: f64 },
+    /// Reads the request and never responds.
+    NoResponse { share: f64 },
+    /// Responds with an error without executing the request.
+    ErrorResponse { share: f64 },
+    /// Sends the response byte by byte, over `extra_seconds`.
+    SlowResponse { share: f64, extra_seconds: f64 },
+    /// Drops all traffic between the backend and one proxy, or all proxies.
+    Partition { proxy: Option<u16> },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -162,9 +146,9 @@
     pub nodes: Vec<PlannedNode>,
     pub arrivals: Vec<Arrival>,
     /// In the order of time.
-    pub acts: Vec<(f64, Act)>,
+    pub actions: Vec<(f64, Action)>,
     #[serde(skip)]
-    pub troubles: Vec<head::Fault>,
+    pub faults: Vec<head::Fault>,
 }
 
 pub fn proxy_name(proxy: u16) -> String {
@@ -190,21 +174,26 @@
 
 impl Plan {
     /// Draws the plan. `file` and `text` are for faults that only show here: selectors that choose nothing.
-    pub fn draw(scenario: &Scenario, seed: u64, file: &str, text: &str) -> Result<Self, Fault> {
+    pub fn generate(
+        scenario: &Scenario,
+        seed: u64,
+        file: &str,
+        text: &str,
+    ) -> Result<Self, ScenarioError> {
         let mut plan = Self {
             seed,
             length: scenario.length.0,
             nodes: nodes(scenario),
             arrivals: arrivals(scenario, seed),
-            acts: Vec::new(),
-            troubles: Vec::new(),
+            actions: Vec::new(),
+            faults: Vec::new(),
         };
         let mut chosen = HashMap::new();
         for (n, trouble) in scenario.trouble.iter().enumerate() {
             plan.add(scenario, n as u16, trouble, &mut chosen)
                 .map_err(|(below, what)| {
                     let key = format!("trouble[{n}].{below}");
-                    Fault {
+                    ScenarioError {
                         file: file.to_owned(),
                         line: line_of_key(text, &key).unwrap_or(0),
                         key,
@@ -212,7 +201,7 @@
                     }
                 })?;
         }
-        plan.acts.sort_by(|a, b| a.0.total_cmp(&b.0));
+        plan.actions.sort_by(|a, b| a.0.total_cmp(&b.0));
         Ok(plan)
     }
 
@@ -236,7 +225,7 @@
         &mut self,
         scenario: &'s Scenario,
         number: u16,
-        trouble: &'s Trouble,
+        trouble: &'s Fault,
         chosen: &mut HashMap<&'s str, Vec<u32>>,
     ) -> Result<(), select::Wrong> {
         let mut chance = generator(self.seed, stream(&trouble.name));
@@ -251,7 +240,7 @@
         };
         let (at, length) = (trouble.at.0, trouble.length.map_or(0.0, |l| l.0));
         let mut until = at + length;
-        let mut acts: Vec<(f64, Act)> = Vec::new();
+        let mut acts: Vec<(f64, Action)> = Vec::new();
         // Numbers for what is ended one by one: the trouble's above, a counter below.
         let mut next = u64::from(number) << 32;
         let mut serial = || {
@@ -260,7 +249,7 @@
         };
         let share = trouble.share.unwrap_or(1.0);
         match trouble.kind {
-            TroubleKind::Stall => {
+            FaultKind::Stall => {
                 let (pause, every) = match (trouble.pause, trouble.every) {
                     (Some(pause), Some(every)) => (pause.0, every.0),
                     _ => (length, length.max(1.0)),
@@ -277,7 +266,7 @@
                         let number = serial();
                         acts.push((
                             from,
-                            Act::Stall {
+                            Action::Stall {
                                 node: *node,
                                 number,
                                 on: true,
@@ -285,7 +274,7 @@
                         ));
                         acts.push((
                             (from + pause).min(until),
-                            Act::Stall {
+                            Action::Stall {
                                 node: *node,
                                 number,
                                 on: false,
@@ -295,47 +284,47 @@
                     }
                 }
             }
-            TroubleKind::Neighbour => {
+            FaultKind::Neighbour => {
                 let left = 1.0 - trouble.takes.unwrap_or(0.5);
                 for node in &nodes {
                     acts.push((
                         at,
-                        Act::Scale {
+                        Action::ScaleSpeed {
                             node: *node,
                             factor: left,
                         },
                     ));
                     acts.push((
                         until,
-                        Act::Scale {
+                        Action::ScaleSpeed {
                             node: *node,
                             factor: 1.0 / left,
                         },
                     ));
                 }
             }
-            TroubleKind::SlowMethod => {
+            FaultKind::SlowMethod => {
                 let method = scenario
                     .method
                     .iter()
                     .position(|m| Some(&m.name) == trouble.method.as_ref());
                 let (method, factor) = (method.unwrap_or(0), trouble.factor.unwrap_or(1.0));
-                acts.push((at, Act::Slow { method, factor }));
+                acts.push((at, Action::SlowMethod { method, factor }));
                 acts.push((
                     until,
-                    Act::Slow {
+                    Action::SlowMethod {
                         method,
                         factor: 1.0 / factor,
                     },
                 ));
             }
-            TroubleKind::Crash => {
+            FaultKind::Crash => {
                 for node in &nodes {
-                    acts.push((at, Act::Crash { node: *node }));
-                    acts.push((until, Act::Return { node: *node }));
+                    acts.push((at, Action::Crash { node: *node }));
+                    acts.push((until, Action::Restart { node: *node }));
                 }
             }
-            TroubleKind::Deploy => {
+            FaultKind::Deploy => {
                 let every = trouble.every.map_or(1.0, |e| e.0);
                 let lead = trouble.lead.map_or(LEAD, |l| l.0);
                 let stop = trouble.stop_after.map_or(STOP_AFTER, |s| s.0).max(lead);
@@ -350,11 +339,11 @@
                         let successor = self.nodes.len() as u32;
                         self.nodes.push(planned);
                         let (node, by) = (*node, from + stop);
-                        acts.push((from, Act::Announce { node }));
-                        acts.push((from + lead, Act::Drain { node }));
+                        acts.push((from, Action::AnnounceDrain { node }));
+                        acts.push((from + lead, Action::Drain { node }));
                         acts.push((
                             from + lead,
-                            Act::Retire {
+                            Action::Retire {
                                 node,
                                 by,
                                 successor,
@@ -364,34 +353,34 @@
                     }
                 }
             }
-            TroubleKind::ListLate => {
+            FaultKind::ListLate => {
                 let by = trouble.by.map_or(1.0, |by| by.0);
-                acts.push((at, Act::ListLate { by }));
-                acts.push((until, Act::ListLate { by: -by }));
+                acts.push((at, Action::DelayDiscovery { by }));
+                acts.push((until, Action::DelayDiscovery { by: -by }));
             }
-            TroubleKind::ListDown => {
-                acts.push((at, Act::ListDown { down: true }));
-                acts.push((until, Act::ListDown { down: false }));
+            FaultKind::ListDown => {
+                acts.push((at, Action::SetDiscoveryDown { down: true }));
+                acts.push((until, Action::SetDiscoveryDown { down: false }));
             }
-            TroubleKind::ListStale => {
+            FaultKind::ListStale => {
                 for proxy in &proxies {
                     acts.push((
                         at,
-                        Act::ListStale {
+                        Action::SetDiscoveryStale {
                             proxy: *proxy,
                             stale: true,
                         },
                     ));
                     acts.push((
                         until,
-                        Act::ListStale {
+                        Action::SetDiscoveryStale {
                             proxy: *proxy,
                             stale: false,
                         },
                     ));
                 }
             }
-            TroubleKind::ProxyKill | TroubleKind::ProxyRestart => {
+            FaultKind::ProxyKill | FaultKind::ProxyRestart => {
                 let every = trouble.every.map_or(0.0, |e| e.0);
                 let back = trouble.back_after.map_or(PROXY_BACK, |b| b.0);
                 for (n, proxy) in proxies.iter().enumerate() {
@@ -400,14 +389,14 @@
                     acts.push((
                         from,
                         match trouble.kind {
-                            TroubleKind::ProxyKill => Act::KillProxy { proxy },
-                            _ => Act::TermProxy { proxy },
+                            FaultKind::ProxyKill => Action::KillProxy { proxy },
+                            _ => Action::TerminateProxy { proxy },
                         },
                     ));
-                    acts.push((until, Act::StartProxy { proxy }));
+                    acts.push((until, Action::StartProxy { proxy }));
                 }
             }
-            TroubleKind::ProxyPause => {
+            FaultKind::ProxyPause => {
                 let (pause, every) = (
                     trouble.pause.map_or(0.1, |p| p.0),
                     trouble.every.map_or(1.0, |e| e.0),
@@ -417,14 +406,14 @@
                     while from < until {
                         acts.push((
                             from,
-                            Act::PauseProxy {
+                            Action::PauseProxy {
                                 proxy: *proxy,
                                 on: true,
                             },
                         ));
                         acts.push((
                             from + pause,
-                            Act::PauseProxy {
+                            Action::PauseProxy {
                                 proxy: *proxy,
                                 on: false,
                             },
@@ -433,45 +422,50 @@
                     }
                 }
             }
-            TroubleKind::Spoilt => {
+            FaultKind::Spoilt => {
                 // Half of them are cut short; of the others, as many are no HTTP at all.
                 let tricks = [
-                    Trick::Half(share / 2.0),
-                    Trick::Garbage((share / 2.0) / (1.0 - share / 2.0)),
+                    BackendFault::TruncatedResponse { share: share / 2.0 },
+                    BackendFault::MalformedResponse {
+                        share: (share / 2.0) / (1.0 - share / 2.0),
+                    },
                 ];
                 tricks
                     .into_iter()
                     .for_each(|trick| faulty(&mut acts, &nodes, trick, at, until, &mut serial));
             }
-            TroubleKind::Reset => faulty(
+            FaultKind::Reset => faulty(
                 &mut acts,
                 &nodes,
-                Trick::Reset(share),
+                BackendFault::ConnectionReset { share },
                 at,
                 until,
                 &mut serial,
             ),
-            TroubleKind::Mute => faulty(
+            FaultKind::Mute => faulty(
                 &mut acts,
                 &nodes,
-                Trick::Mute(share),
+                BackendFault::NoResponse { share },
                 at,
                 until,
                 &mut serial,
             ),
-            TroubleKind::Error => faulty(
+            FaultKind::Error => faulty(
                 &mut acts,
                 &nodes,
-                Trick::Error(share),
+                BackendFault::ErrorResponse { share },
                 at,
                 until,
                 &mut serial,
             ),
-            TroubleKind::Trickle => {
-                let trick = Trick::Trickle(share, trouble.over.map_or(1.0, |over| over.0));
+            FaultKind::Trickle => {
+                let trick = BackendFault::SlowResponse {
+                    share,
+                    extra_seconds: trouble.over.map_or(1.0, |over| over.0),
+                };
                 faulty(&mut acts, &nodes, trick, at, until, &mut serial);
             }
-            TroubleKind::Partition => {
+            FaultKind::Partition => {
                 let from: Vec<_> = match trouble.proxies {
                     None => vec![None],
                     Some(_) => proxies.iter().copied().map(Some).collect(),
@@ -480,7 +474,7 @@
                     faulty(
                         &mut acts,
                         &nodes,
-                        Trick::Partition(proxy),
+                        BackendFault::Partition { proxy },
                         at,
                         until,
                         &mut serial,
@@ -488,15 +482,15 @@
                 }
             }
         }
-        acts.push((at, Act::Begin { trouble: number }));
-        acts.push((until, Act::End { trouble: number }));
-        self.acts.extend(acts);
+        acts.push((at, Action::BeginFault { fault: number }));
+        acts.push((until, Action::EndFault { fault: number }));
+        self.actions.extend(acts);
         let touched = if trouble.proxies.is_some() {
             proxies
         } else {
             Vec::new()
         };
-        self.troubles.push(head::Fault {
+        self.faults.push(head::Fault {
             name: trouble.name.clone(),
             kind: format!("{:?}", trouble.kind),
             from: at,
@@ -510,9 +504,9 @@
 }
 
 fn faulty(
-    acts: &mut Vec<(f64, Act)>,
+    acts: &mut Vec<(f64, Action)>,
     nodes: &[u32],
-    trick: Trick,
+    trick: BackendFault,
     at: f64,
     until: f64,
     serial: &mut impl FnMut() -> u64,
@@ -521,7 +515,7 @@
         let (node, number) = (*node, serial());
         acts.push((
             at,
-            Act::Faulty {
+            Action::InjectFault {
                 node,
                 number,
                 fault: trick.clone(),
@@ -530,7 +524,7 @@
         ));
         acts.push((
             until,
-            Act::Faulty {
+            Action::InjectFault {
                 node,
                 number,
                 fault: trick.clone(),
--- a/crates/rehearsal/src/proxies.rs
+++ b/crates/rehearsal/src/proxies.rs
@@ -1,7 +1,7 @@
 //! The proxies' processes: each has one owner here, which starts, signals and ends it, and the layer before them that deals
 //! clients out.
 use crate::extras::Extras;
-use crate::plan::{Act, proxy_name};
+use crate::plan::{Action, proxy_name};
 use crate::run::Options;
 use crate::scenario::Scenario;
 use crate::settings;
@@ -276,7 +276,7 @@
     }
 
     /// Plays the acts that concern proxies, and takes note of those that end unasked.
-    pub async fn play(self: Rc<Self>, acts: Vec<(f64, Act)>) {
+    pub async fn play(self: Rc<Self>, acts: Vec<(f64, Action)>) {
         let watcher = self.clone();
         spawn_local(async move {
             loop {
@@ -297,18 +297,18 @@
         }
     }
 
-    fn act(self: &Rc<Self>, act: Act) {
+    fn act(self: &Rc<Self>, act: Action) {
         let signal = |proxy: u16, signal| {
             if let Some(process) = self.processes[proxy as usize].borrow().as_ref() {
                 process.signal(signal);
             }
         };
         match act {
-            Act::KillProxy { proxy } => self.kill(proxy, ProxyEnd::Killed),
-            Act::PauseProxy { proxy, on } => {
+            Action::KillProxy { proxy } => self.kill(proxy, ProxyEnd::Killed),
+            Action::PauseProxy { proxy, on } => {
                 signal(proxy, if on { Signal::SIGSTOP } else { Signal::SIGCONT })
             }
-            Act::TermProxy { proxy } => {
+            Action::TerminateProxy { proxy } => {
                 if let Some(process) = self.processes[proxy as usize].borrow_mut().as_mut() {
                     process.stopping = true;
                     process.signal(Signal::SIGTERM);
@@ -316,8 +316,8 @@
                 // A planned end is known to the layer before it soon, yet not at once.
                 self.notice(proxy, 0.3);
             }
-            Act::ReloadProxy { proxy } => signal(proxy, Signal::SIGHUP),
-            Act::StartProxy { proxy } => drop(spawn_local(self.clone().start_again(proxy))),
+            Action::ReloadProxy { proxy } => signal(proxy, Signal::SIGHUP),
+            Action::StartProxy { proxy } => drop(spawn_local(self.clone().start_again(proxy))),
             _ => {}
         }
     }
@@ -349,8 +349,8 @@
     /// Tells all of them to end, and waits for as long as they may take.
     pub async fn end_gracefully(self: &Rc<Self>) {
         for proxy in 0..self.processes.len() as u16 {
-            self.act(Act::PauseProxy { proxy, on: false });
-            self.act(Act::TermProxy { proxy });
+            self.act(Action::PauseProxy { proxy, on: false });
+            self.act(Action::TerminateProxy { proxy });
         }
         let until = Instant::now() + self.longest_stop();
         while Instant::now() < until {
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -195,7 +195,7 @@
         );
         let threads = threads.map_err(|e| format!("the clients can't start: {e}"))?;
         let companion = companion.map(|play| play(clock, proxies.front.doors().to_vec()));
-        let acts = tokio::task::spawn_local(proxies.clone().play(plan.acts.clone()));
+        let acts = tokio::task::spawn_local(proxies.clone().play(plan.actions.clone()));
         let longest = scenario
             .method
             .iter()
@@ -249,7 +249,7 @@
         }
         let count = |of: &std::sync::atomic::AtomicUsize| of.load(Ordering::Relaxed);
         let lasting = plan
-            .troubles
+            .faults
             .iter()
             .filter(|t| t.from <= now && now < t.until);
         let troubles: Vec<_> = lasting.map(|t| t.name.as_str()).collect();
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,6 +1,6 @@
 //! The scenario's file: TOML, every key known or refused, every time with its unit. What is wrong is told with file,
 //! line and key.
-use crate::span::Span;
+use crate::duration::ScenarioDuration;
 use birchhub_audit::head::ServiceTargets;
 use birchhub_audit::{DeduplicationScope, Idempotency};
 use birchhub_backend_model::work::Spread;
@@ -10,7 +10,7 @@
 
 /// What is wrong with a scenario, and where.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub struct Fault {
+pub struct ScenarioError {
     pub file: String,
     /// From 1; 0 where no line is to blame.
     pub line: usize,
@@ -19,7 +19,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self.line {
             0 => write!(to, "{}: ", self.file)?,
@@ -40,7 +40,7 @@
     /// One or two sentences: what is rehearsed and what a good proxy does.
     pub about: String,
     /// Time over which RPCs come.
-    pub length: Span,
+    pub length: ScenarioDuration,
     #[serde(default)]
     pub rules: Rules,
     pub fleet: Fleet,
@@ -54,7 +54,7 @@
     #[serde(default)]
     pub clients: Clients,
     #[serde(default)]
-    pub trouble: Vec<Trouble>,
+    pub trouble: Vec<Fault>,
     #[serde(default)]
     pub expect: ServiceTargets,
 }
@@ -63,22 +63,22 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Rules {
-    pub drain_grace: Span,
+    pub drain_grace: ScenarioDuration,
     pub cold_from: f64,
-    pub cold_for: Span,
+    pub cold_for: ScenarioDuration,
     pub fall_multiple: f64,
-    pub fall_window: Span,
+    pub fall_window: ScenarioDuration,
     pub most_picks: usize,
     pub second_copies: bool,
     pub cancel: bool,
     pub probes: bool,
     /// Longest wait that a push-back may ask for; 0 for none.
-    pub retry_after: Span,
-    pub ask_within: Span,
+    pub retry_after: ScenarioDuration,
+    pub ask_within: ScenarioDuration,
     /// Time limits are judged so much longer, for the way over sockets.
-    pub slack: Span,
+    pub slack: ScenarioDuration,
     /// Lateness of the kit itself (99th percentile) from which a verdict is void.
-    pub kit_late: Span,
+    pub kit_late: ScenarioDuration,
     pub over_quota_utility: f64,
     /// What proxies are told that a probe and a pick into another zone cost.
     pub probe_price: f64,
@@ -88,19 +88,19 @@
 impl Default for Rules {
     fn default() -> Self {
         Self {
-            drain_grace: Span(0.3),
+            drain_grace: ScenarioDuration(0.3),
             cold_from: 0.3,
-            cold_for: Span(8.0),
+            cold_for: ScenarioDuration(8.0),
             fall_multiple: 3.0,
-            fall_window: Span(1.0),
+            fall_window: ScenarioDuration(1.0),
             most_picks: 3,
             second_copies: false,
             cancel: true,
             probes: true,
-            retry_after: Span(0.0),
-            ask_within: Span(10.0),
-            slack: Span(0.05),
-            kit_late: Span(0.01),
+            retry_after: ScenarioDuration(0.0),
+            ask_within: ScenarioDuration(10.0),
+            slack: ScenarioDuration(0.05),
+            kit_late: ScenarioDuration(0.01),
             over_quota_utility: 0.05,
             probe_price: 0.002,
             cross_price: 0.0,
@@ -128,14 +128,14 @@
     #[serde(default)]
     pub reports: Reports,
     #[serde(default = "report_every")]
-    pub report_every: Span,
+    pub report_every: ScenarioDuration,
     /// Running work stops when its RPC is cancelled.
     #[serde(default = "yes")]
     pub cancel_stops: bool,
     #[serde(default = "idle_limit")]
-    pub idle_limit: Span,
+    pub idle_limit: ScenarioDuration,
     #[serde(default)]
-    pub probe_work: Span,
+    pub probe_work: ScenarioDuration,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -153,7 +153,7 @@
     pub connections: usize,
     /// Work that a new connection brings with it.
     #[serde(default)]
-    pub connection_work: Span,
+    pub connection_work: ScenarioDuration,
 }
 
 /// How soon the list service knows, and how many calls it bears.
@@ -161,25 +161,25 @@
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct List {
     /// Of what is planned: drains, starts.
-    pub lag: Span,
+    pub lag: ScenarioDuration,
     /// Of a death.
-    pub notices: Span,
+    pub notices: ScenarioDuration,
     /// Calls that it works on at a time; it refuses more. Without it there is no limit. A watch that waits for
     /// something new is none of them.
     pub calls: Option<usize>,
     /// That it works on a call, and longer by so much for each line that it tells.
-    pub call_takes: Span,
-    pub line_takes: Span,
+    pub call_takes: ScenarioDuration,
+    pub line_takes: ScenarioDuration,
     /// Proxies start with the list of that moment; else they know nothing, and are ready once they were told.
     pub known: bool,
 }
 
 impl Default for List {
     fn default() -> Self {
-        let (call_takes, line_takes) = (Span(0.001), Span(0.0));
+        let (call_takes, line_takes) = (ScenarioDuration(0.001), ScenarioDuration(0.0));
         Self {
-            lag: Span(0.1),
-            notices: Span(2.0),
+            lag: ScenarioDuration(0.1),
+            notices: ScenarioDuration(2.0),
             calls: None,
             call_takes,
             line_takes,
@@ -210,13 +210,13 @@
     pub kind: MethodKind,
     /// Which nodes drop each other's repeats, and for how long: of a deduplicated method.
     pub group: Option<DeduplicationScope>,
-    pub window: Option<Span>,
+    pub window: Option<ScenarioDuration>,
     /// Mean work on a standard core.
-    pub work: Span,
+    pub work: ScenarioDuration,
     #[serde(default)]
     pub spread: Spread,
-    pub target: Span,
-    pub deadline: Span,
+    pub target: ScenarioDuration,
+    pub deadline: ScenarioDuration,
     #[serde(default = "unit")]
     pub utility: f64,
     #[serde(default)]
@@ -264,7 +264,7 @@
     pub memory_mb: usize,
     /// The layer before them goes on sending to a dead one for so long.
     #[serde(default = "front_notices")]
-    pub front_notices: Span,
+    pub front_notices: ScenarioDuration,
 }
 
 /// RPCs come at random (Poisson) at this rate, times what the phases make of it.
@@ -281,9 +281,9 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Phase {
-    pub at: Span,
+    pub at: ScenarioDuration,
     #[serde(rename = "for")]
-    pub length: Span,
+    pub length: ScenarioDuration,
     pub times: f64,
     #[serde(default)]
     pub ramp: bool,
@@ -295,7 +295,7 @@
 pub struct Clients {
     pub retries: u8,
     /// Before a retry; doubled each time if `backoff`.
-    pub wait: Span,
+    pub wait: ScenarioDuration,
     pub backoff: bool,
     /// They wait as long as a push-back asks, if that is longer.
     pub obey_retry_after: bool,
@@ -310,7 +310,7 @@
     fn default() -> Self {
         Self {
             retries: 2,
-            wait: Span(0.02),
+            wait: ScenarioDuration(0.02),
             backoff: true,
             obey_retry_after: true,
             marks_retries: true,
@@ -322,7 +322,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// Nodes stand still: all the time, or for `pause` every `every`.
     Stall,
     /// A neighbour takes `takes` of the machine.
@@ -361,27 +361,27 @@
 /// What befalls whom, when. Which of the keys belong to a kind is checked.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Trouble {
+pub struct Fault {
     pub name: String,
-    pub kind: TroubleKind,
-    pub at: Span,
+    pub kind: FaultKind,
+    pub at: ScenarioDuration,
     #[serde(rename = "for")]
-    pub length: Option<Span>,
+    pub length: Option<ScenarioDuration>,
     pub nodes: Option<Selector>,
     pub proxies: Option<ProxySelector>,
     pub method: Option<String>,
-    pub pause: Option<Span>,
-    pub every: Option<Span>,
+    pub pause: Option<ScenarioDuration>,
+    pub every: Option<ScenarioDuration>,
     pub takes: Option<f64>,
     pub factor: Option<f64>,
     pub batch: Option<usize>,
     /// Deploy: from the word of the drain until the node turns new work away, and until it ends at the latest.
-    pub lead: Option<Span>,
-    pub stop_after: Option<Span>,
-    pub back_after: Option<Span>,
-    pub by: Option<Span>,
+    pub lead: Option<ScenarioDuration>,
+    pub stop_after: Option<ScenarioDuration>,
+    pub back_after: Option<ScenarioDuration>,
+    pub by: Option<ScenarioDuration>,
     pub share: Option<f64>,
-    pub over: Option<Span>,
+    pub over: Option<ScenarioDuration>,
 }
 
 /// Which nodes: all that fit, and of them `count` or `share` by chance.
@@ -432,21 +432,21 @@
 fn memory() -> usize {
     192
 }
-fn report_every() -> Span {
-    Span(0.005)
+fn report_every() -> ScenarioDuration {
+    ScenarioDuration(0.005)
 }
-fn idle_limit() -> Span {
-    Span(15.0)
+fn idle_limit() -> ScenarioDuration {
+    ScenarioDuration(15.0)
 }
-fn front_notices() -> Span {
-    Span(1.0)
+fn front_notices() -> ScenarioDuration {
+    ScenarioDuration(1.0)
 }
 
 impl Scenario {
     /// Reads and checks a scenario; `file` names it in faults.
-    pub fn read(file: &str, text: &str) -> Result<Self, Fault> {
+    pub fn read(file: &str, text: &str) -> Result<Self, ScenarioError> {
         let line_of = |place: usize| text[..place.min(text.len())].matches('\n').count() + 1;
-        let fault = |line, key: String, what: String| Fault {
+        let fault = |line, key: String, what: String| ScenarioError {
             file: file.to_owned(),
             line,
             key,
@@ -573,12 +573,12 @@
     }
 
     #[expect(clippy::too_many_lines)]
-    fn check_trouble(&self, n: usize, trouble: &Trouble) -> Result<(), (String, String)> {
-        use TroubleKind::*;
+    fn check_trouble(&self, n: usize, trouble: &Fault) -> Result<(), (String, String)> {
+        use FaultKind::*;
         let key = |name: &str| format!("trouble[{n}].{name}");
         let kind = trouble.kind;
         // Each key, whether it is there, the kinds that need it, and those that may have it.
-        let keys: [(&str, bool, &[TroubleKind], &[TroubleKind]); 13] = [
+        let keys: [(&str, bool, &[FaultKind], &[FaultKind]); 13] = [
             (
                 "nodes",
                 trouble.nodes.is_some(),
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -119,6 +119,6 @@
         tenants: scenario.tenant.iter().map(|t| t.name.clone()).collect(),
         proxies: (0..scenario.proxies.count as u16).map(proxy_name).collect(),
         backends: plan.nodes.iter().map(backend).collect(),
-        faults: plan.troubles.clone(),
+        faults: plan.faults.clone(),
     }
 }
--- a/crates/rehearsal/src/stage.rs
+++ b/crates/rehearsal/src/stage.rs
@@ -2,11 +2,11 @@
 #[cfg(test)]
 mod tests;
 
+use crate::duration::ScenarioDuration;
 use crate::extras::Extras;
-use crate::plan::{Act, Plan, Trick};
+use crate::plan::{Action, BackendFault, Plan};
 use crate::scenario::{Reports, Scenario};
 use crate::settings;
-use crate::span::Span;
 use birchhub_audit::{EndpointState, Event};
 use birchhub_backend_model::{Start, Work};
 use birchhub_emulator::discovery_service::{Endpoint, ServiceCapacity};
@@ -102,7 +102,7 @@
             match Stage::set(&scenario, &plan, &extras, event_log, block) {
                 Ok(stage) => {
                     let _ = ready.send(Ok(()));
-                    stage.play(plan.acts, asked).await;
+                    stage.play(plan.actions, asked).await;
                 }
                 Err(fault) => drop(ready.send(Err(format!("stand-ins can't listen: {fault}")))),
             }
@@ -201,7 +201,7 @@
         let doors: Vec<_> = (0..proxies).map(|proxy| block.list(proxy)).collect();
         let list = DiscoveryService::start(event_log.clone(), &doors)?;
         if let Some(calls) = scenario.list.calls {
-            let time = |span: Span| Duration::from_secs_f64(span.0);
+            let time = |span: ScenarioDuration| Duration::from_secs_f64(span.0);
             list.set_capacity(ServiceCapacity::new(
                 calls,
                 time(scenario.list.call_takes),
@@ -233,7 +233,7 @@
     }
 
     /// Plays the acts until the end is asked for.
-    async fn play(self: Rc<Self>, acts: Vec<(f64, Act)>, mut asked: mpsc::Receiver<Ask>) {
+    async fn play(self: Rc<Self>, acts: Vec<(f64, Action)>, mut asked: mpsc::Receiver<Ask>) {
         let player = self.clone();
         let acts = spawn_local(async move {
             for (at, act) in acts.into_iter().filter(|(_, act)| !act.is_of_proxies()) {
@@ -296,32 +296,32 @@
     }
 
     #[expect(clippy::too_many_lines)]
-    fn act(self: &Rc<Self>, act: Act) {
+    fn act(self: &Rc<Self>, act: Action) {
         let host = |node| self.host(node);
         match act {
-            Act::Begin { trouble } => self.event_log.record(Event::Fault {
-                number: trouble,
+            Action::BeginFault { fault } => self.event_log.record(Event::Fault {
+                number: fault,
                 begins: true,
             }),
-            Act::End { trouble } => self.event_log.record(Event::Fault {
-                number: trouble,
+            Action::EndFault { fault } => self.event_log.record(Event::Fault {
+                number: fault,
                 begins: false,
             }),
-            Act::Stall {
+            Action::Stall {
                 node,
                 number,
                 on: true,
             } => host(node).into_iter().for_each(|h| h.begin_stall(number)),
-            Act::Stall {
+            Action::Stall {
                 node,
                 number,
                 on: false,
             } => host(node).into_iter().for_each(|h| h.end_stall(number)),
-            Act::Scale { node, factor } => host(node)
+            Action::ScaleSpeed { node, factor } => host(node)
                 .into_iter()
                 .for_each(|h| h.scale_machine_speed(factor)),
-            Act::Slow { method, factor } => self.fleet.slow_down(method, factor),
-            Act::Crash { node } => {
+            Action::SlowMethod { method, factor } => self.fleet.slow_down(method, factor),
+            Action::Crash { node } => {
                 if let Some((host, incarnation)) =
                     host(node).and_then(|h| Some((h, h.incarnation()?)))
                 {
@@ -329,36 +329,39 @@
                     self.tell(node, incarnation, EndpointState::Gone, self.notices);
                 }
             }
-            Act::Return { node } => self.begin(node),
-            Act::Announce { node } => {
+            Action::Restart { node } => self.begin(node),
+            Action::AnnounceDrain { node } => {
                 if let Some(incarnation) = host(node).and_then(|h| h.incarnation()) {
                     self.tell(node, incarnation, EndpointState::Draining, self.lag);
                 }
             }
-            Act::Drain { node } => host(node).into_iter().for_each(|h| h.drain()),
-            Act::Retire {
+            Action::Drain { node } => host(node).into_iter().for_each(|h| h.drain()),
+            Action::Retire {
                 node,
                 by,
                 successor,
                 after,
             } => drop(spawn_local(self.clone().retire(node, by, successor, after))),
-            Act::Faulty {
+            Action::InjectFault {
                 node,
                 number,
                 fault,
                 on,
             } => {
                 let fault = match fault {
-                    Trick::Reset(share) => Fault::ConnectionReset { share },
-                    Trick::Half(share) => Fault::TruncatedResponse { share },
-                    Trick::Garbage(share) => Fault::MalformedResponse { share },
-                    Trick::Mute(share) => Fault::NoResponse { share },
-                    Trick::Error(share) => Fault::ErrorResponse { share },
-                    Trick::Trickle(share, extra_seconds) => Fault::SlowResponse {
+                    BackendFault::ConnectionReset { share } => Fault::ConnectionReset { share },
+                    BackendFault::TruncatedResponse { share } => Fault::TruncatedResponse { share },
+                    BackendFault::MalformedResponse { share } => Fault::MalformedResponse { share },
+                    BackendFault::NoResponse { share } => Fault::NoResponse { share },
+                    BackendFault::ErrorResponse { share } => Fault::ErrorResponse { share },
+                    BackendFault::SlowResponse {
+                        share,
+                        extra_seconds,
+                    } => Fault::SlowResponse {
                         share,
                         extra_seconds,
                     },
-                    Trick::Partition(proxy) => Fault::Partition { proxy },
+                    BackendFault::Partition { proxy } => Fault::Partition { proxy },
                 };
                 match host(node) {
                     Some(host) if on => host.begin_fault(number, fault),
@@ -366,14 +369,14 @@
                     None => {}
                 }
             }
-            Act::ListLate { by } => self.late.set(self.late.get() + by),
-            Act::ListDown { down } => self.list.set_down(down),
-            Act::ListStale { proxy, stale } => self.list.set_stale(proxy, stale),
-            Act::KillProxy { .. }
-            | Act::TermProxy { .. }
-            | Act::StartProxy { .. }
-            | Act::PauseProxy { .. }
-            | Act::ReloadProxy { .. } => {}
+            Action::DelayDiscovery { by } => self.late.set(self.late.get() + by),
+            Action::SetDiscoveryDown { down } => self.list.set_down(down),
+            Action::SetDiscoveryStale { proxy, stale } => self.list.set_stale(proxy, stale),
+            Action::KillProxy { .. }
+            | Action::TerminateProxy { .. }
+            | Action::StartProxy { .. }
+            | Action::PauseProxy { .. }
+            | Action::ReloadProxy { .. } => {}
         }
     }
 
--- a/crates/rehearsal/tests/plans.rs
+++ b/crates/rehearsal/tests/plans.rs
@@ -1,6 +1,6 @@
 //! Plans: the same for the same seed, with traffic that no further fault changes; and mistakes in scenarios are reported
 //! with file, line and key.
-use birchhub_rehearsal::plan::Act;
+use birchhub_rehearsal::plan::Action;
 use birchhub_rehearsal::{Plan, Scenario, shipped};
 
 const BASE: &str = r#"
@@ -41,7 +41,7 @@
 
 fn plan_of(text: &str, seed: u64) -> Result<Plan, String> {
     let scenario = Scenario::read("s.toml", text).map_err(|fault| fault.to_string())?;
-    Plan::draw(&scenario, seed, "s.toml", text).map_err(|fault| fault.to_string())
+    Plan::generate(&scenario, seed, "s.toml", text).map_err(|fault| fault.to_string())
 }
 
 fn with(more: &str) -> String {
@@ -78,8 +78,8 @@
     let (none, one, two) = (none.unwrap(), one.unwrap(), two.unwrap());
     assert_eq!(none.arrivals, one.arrivals);
     assert_eq!(none.arrivals, two.arrivals);
-    assert_eq!(one.troubles[0].backends, two.troubles[1].backends);
-    assert_eq!(two.troubles[0].backends.len(), 3);
+    assert_eq!(one.faults[0].backends, two.faults[1].backends);
+    assert_eq!(two.faults[0].backends.len(), 3);
 }
 
 #[test]
@@ -100,7 +100,7 @@
     );
     let plan = plan_of(&text, 1).expect("a plan");
     let names = |n: usize| {
-        plan.troubles[n]
+        plan.faults[n]
             .backends
             .iter()
             .map(|n| plan.nodes[*n as usize].name.as_str())
@@ -118,9 +118,9 @@
     );
     let plan = plan_of(&text, 1).expect("a plan");
     let announced: Vec<_> = plan
-        .acts
+        .actions
         .iter()
-        .filter(|(_, act)| matches!(act, Act::Announce { .. }))
+        .filter(|(_, act)| matches!(act, Action::AnnounceDrain { .. }))
         .map(|(at, _)| *at)
         .collect();
     assert_eq!(announced, [1.0, 1.0, 1.0, 3.0]);
--- a/crates/rehearsal/tests/scenario_file.rs
+++ b/crates/rehearsal/tests/scenario_file.rs
@@ -3,11 +3,11 @@
 use birchhub_audit::head::ServiceTargets;
 use birchhub_audit::{DeduplicationScope, Idempotency};
 use birchhub_backend_model::work::Spread;
+use birchhub_rehearsal::duration::ScenarioDuration;
 use birchhub_rehearsal::scenario::{
-    Clients, List, Machine, Method, Phase, ProxySelector, Reports, Rules, Selector, Tenant,
-    TroubleKind,
+    Clients, FaultKind, List, Machine, Method, Phase, ProxySelector, Reports, Rules, Selector,
+    Tenant,
 };
-use birchhub_rehearsal::span::Span;
 use birchhub_rehearsal::{Plan, Scenario, shipped};
 use std::collections::BTreeSet;
 use toml::{Table, Value};
@@ -37,7 +37,9 @@
 
 fn plan_hash(file: &str, text: &str) -> String {
     let scenario = Scenario::read(file, text).expect("a scenario");
-    Plan::draw(&scenario, 1, file, text).expect("a plan").hash()
+    Plan::generate(&scenario, 1, file, text)
+        .expect("a plan")
+        .hash()
 }
 
 #[test]
@@ -60,19 +62,19 @@
 #[test]
 fn the_rules_table_keeps_its_keys() {
     let rules = Rules {
-        drain_grace: Span(0.31),
+        drain_grace: ScenarioDuration(0.31),
         cold_from: 0.4,
-        cold_for: Span(9.0),
+        cold_for: ScenarioDuration(9.0),
         fall_multiple: 2.5,
-        fall_window: Span(1.5),
+        fall_window: ScenarioDuration(1.5),
         most_picks: 4,
         second_copies: true,
         cancel: false,
         probes: false,
-        retry_after: Span(0.5),
-        ask_within: Span(11.0),
-        slack: Span(0.06),
-        kit_late: Span(0.02),
+        retry_after: ScenarioDuration(0.5),
+        ask_within: ScenarioDuration(11.0),
+        slack: ScenarioDuration(0.06),
+        kit_late: ScenarioDuration(0.02),
         over_quota_utility: 0.1,
         probe_price: 0.004,
         cross_price: 0.001,
@@ -89,10 +91,13 @@
     );
     assert_eq!(
         (fleet.reports, fleet.report_every),
-        (Reports::Probes, Span(0.01))
+        (Reports::Probes, ScenarioDuration(0.01))
     );
-    assert_eq!((fleet.cancel_stops, fleet.idle_limit), (false, Span(20.0)));
-    assert_eq!(fleet.probe_work, Span(0.0005));
+    assert_eq!(
+        (fleet.cancel_stops, fleet.idle_limit),
+        (false, ScenarioDuration(20.0))
+    );
+    assert_eq!(fleet.probe_work, ScenarioDuration(0.0005));
     let machine = Machine {
         name: "m".into(),
         count: 8,
@@ -100,7 +105,7 @@
         speed: 1.5,
         queue: 16,
         connections: 256,
-        connection_work: Span(0.002),
+        connection_work: ScenarioDuration(0.002),
     };
     assert_eq!(fleet.machine, [machine]);
 }
@@ -108,11 +113,11 @@
 #[test]
 fn the_list_table_keeps_its_keys() {
     let list = List {
-        lag: Span(0.2),
-        notices: Span(3.0),
+        lag: ScenarioDuration(0.2),
+        notices: ScenarioDuration(3.0),
         calls: Some(12),
-        call_takes: Span(0.002),
-        line_takes: Span(0.00001),
+        call_takes: ScenarioDuration(0.002),
+        line_takes: ScenarioDuration(0.00001),
         known: false,
     };
     let read = every_key().list;
@@ -148,7 +153,11 @@
     assert_eq!(log.name, "log");
     assert_eq!(
         (log.work, log.target, log.deadline),
-        (Span(0.01), Span(0.2), Span(0.5))
+        (
+            ScenarioDuration(0.01),
+            ScenarioDuration(0.2),
+            ScenarioDuration(0.5)
+        )
     );
     assert_eq!((log.utility, log.late_utility), (2.0, 0.25));
     assert_eq!((log.share, log.body), (3.0, 64));
@@ -163,12 +172,15 @@
         tenant,
         ..
     } = every_key();
-    assert_eq!(length, Span(120.0));
+    assert_eq!(length, ScenarioDuration(120.0));
     assert_eq!((proxies.count, proxies.sockets), (3, 512));
-    assert_eq!((proxies.memory_mb, proxies.front_notices), (128, Span(2.0)));
+    assert_eq!(
+        (proxies.memory_mb, proxies.front_notices),
+        (128, ScenarioDuration(2.0))
+    );
     let phase = Phase {
-        at: Span(1.0),
-        length: Span(2.0),
+        at: ScenarioDuration(1.0),
+        length: ScenarioDuration(2.0),
         times: 3.0,
         ramp: true,
     };
@@ -188,7 +200,7 @@
 fn the_tables_of_clients_and_expectations_keep_their_keys() {
     let clients = Clients {
         retries: 1,
-        wait: Span(0.03),
+        wait: ScenarioDuration(0.03),
         backoff: false,
         obey_retry_after: false,
         marks_retries: false,
@@ -210,10 +222,13 @@
     let troubles = every_key().trouble;
     let find = |name: &str| troubles.iter().find(|t| t.name == name).expect("a trouble");
     let stall = find("stall");
-    assert_eq!((stall.at, stall.length), (Span(1.0), Some(Span(2.0))));
+    assert_eq!(
+        (stall.at, stall.length),
+        (ScenarioDuration(1.0), Some(ScenarioDuration(2.0)))
+    );
     assert_eq!(
         (stall.pause, stall.every),
-        (Some(Span(0.1)), Some(Span(1.0)))
+        (Some(ScenarioDuration(0.1)), Some(ScenarioDuration(1.0)))
     );
     assert_eq!(find("neighbour").takes, Some(0.5));
     let slow = find("slow-method");
@@ -222,14 +237,20 @@
         (Some("read"), Some(2.0))
     );
     let deploy = find("deploy");
-    assert_eq!((deploy.batch, deploy.lead), (Some(2), Some(Span(1.0))));
+    assert_eq!(
+        (deploy.batch, deploy.lead),
+        (Some(2), Some(ScenarioDuration(1.0)))
+    );
     assert_eq!(
         (deploy.stop_after, deploy.back_after),
-        (Some(Span(3.0)), Some(Span(4.0)))
+        (Some(ScenarioDuration(3.0)), Some(ScenarioDuration(4.0)))
     );
-    assert_eq!(find("list-late").by, Some(Span(4.0)));
+    assert_eq!(find("list-late").by, Some(ScenarioDuration(4.0)));
     let trickle = find("trickle");
-    assert_eq!((trickle.share, trickle.over), (Some(0.5), Some(Span(0.3))));
+    assert_eq!(
+        (trickle.share, trickle.over),
+        (Some(0.5), Some(ScenarioDuration(0.3)))
+    );
 }
 
 #[test]
@@ -265,7 +286,7 @@
 
 #[test]
 fn each_kind_of_trouble_keeps_its_name() {
-    use TroubleKind::*;
+    use FaultKind::*;
     let kinds: Vec<_> = every_key().trouble.iter().map(|t| t.kind).collect();
     assert_eq!(
         kinds,
--- a/crates/rehearsal/tests/verdicts.rs
+++ b/crates/rehearsal/tests/verdicts.rs
@@ -6,7 +6,7 @@
 fn head() -> Head {
     let text = shipped::find("calm").expect("it ships").text;
     let scenario = Scenario::read("calm", text).expect("a scenario");
-    let plan = Plan::draw(&scenario, 1, "calm", text).expect("a plan");
+    let plan = Plan::generate(&scenario, 1, "calm", text).expect("a plan");
     settings::head(&scenario, &plan)
 }
 
--- a/crates/rehearsal/tests/wrong.rs
+++ b/crates/rehearsal/tests/wrong.rs
@@ -76,7 +76,7 @@
     std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_birchhub-faulty-proxy"), &program)
         .expect("a link");
     let scenario = Scenario::read("wrong.toml", SCENARIO).expect("a scenario");
-    let plan = Plan::draw(&scenario, 3, "wrong.toml", SCENARIO).expect("a plan");
+    let plan = Plan::generate(&scenario, 3, "wrong.toml", SCENARIO).expect("a plan");
     let out: PathBuf = folder.join("out");
     let options = Options {
         seed: 3,
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -7,7 +7,7 @@
 use birchhub_audit::event::{Admission, AttemptEnd, ReceivedAttempt};
 use birchhub_audit::{Answer, Event, Idempotency};
 use birchhub_backend_model::{IdempotencyKey, IncomingWork, RejectionReason};
-use birchhub_rehearsal::plan::Trick;
+use birchhub_rehearsal::plan::BackendFault;
 use birchhub_rehearsal::scenario::Reports;
 
 /// An attempt of a proxy at a backend.
@@ -23,7 +23,7 @@
     /// The backend's incarnation that has it in flight.
     pub(super) incarnation: Option<u32>,
     /// The fault that will affect its response.
-    pub(super) fault: Option<Trick>,
+    pub(super) fault: Option<BackendFault>,
 }
 
 /// An attempt that a running backend has received.
@@ -177,8 +177,8 @@
             work: arrival.work * self.method_slowdown[arrival.method as usize],
         };
         match self.injected_fault(node, request_id) {
-            Some(Trick::Mute(_)) => self.hold_unanswered(&received),
-            Some(Trick::Error(_)) => self.reply_error(&received),
+            Some(BackendFault::NoResponse { .. }) => self.hold_unanswered(&received),
+            Some(BackendFault::ErrorResponse { .. }) => self.reply_error(&received),
             fault => self.start_work(&received, fault),
         }
     }
@@ -201,7 +201,7 @@
     }
 
     /// Offers the attempt to the backend, which admits or rejects it.
-    fn start_work(&mut self, received: &ArrivingAttempt, fault: Option<Trick>) {
+    fn start_work(&mut self, received: &ArrivingAttempt, fault: Option<BackendFault>) {
         let incoming = IncomingWork {
             attempt_id: received.attempt_id,
             work: received.work,
@@ -257,7 +257,7 @@
         }
     }
 
-    fn hold(&mut self, received: &ArrivingAttempt, fault: Option<Trick>) {
+    fn hold(&mut self, received: &ArrivingAttempt, fault: Option<BackendFault>) {
         let machine = &mut self.machines[received.node as usize];
         machine.held_attempts.insert(received.attempt_id);
         if let Some(entry) = self.proxy_attempts.get_mut(&received.attempt_id) {
@@ -281,12 +281,16 @@
         }
         let entry = self.proxy_attempts.get(&attempt_id);
         let (outcome, how, delay) = match entry.and_then(|entry| entry.fault.as_ref()) {
-            Some(Trick::Reset(_) | Trick::Half(_) | Trick::Garbage(_)) => {
-                (AttemptOutcome::Reset, AttemptEnd::Broken, 0.0)
-            }
-            Some(Trick::Trickle(_, over)) => {
-                (AttemptOutcome::Succeeded, AttemptEnd::Replied, *over)
-            }
+            Some(
+                BackendFault::ConnectionReset { .. }
+                | BackendFault::TruncatedResponse { .. }
+                | BackendFault::MalformedResponse { .. },
+            ) => (AttemptOutcome::Reset, AttemptEnd::Broken, 0.0),
+            Some(BackendFault::SlowResponse { extra_seconds, .. }) => (
+                AttemptOutcome::Succeeded,
+                AttemptEnd::Replied,
+                *extra_seconds,
+            ),
             _ => (AttemptOutcome::Succeeded, AttemptEnd::Replied, 0.0),
         };
         self.record(Event::AttemptEnded { attempt_id, how });
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -8,7 +8,7 @@
 use birchhub_audit::event::ProxyEnd;
 use birchhub_audit::{EndpointState, Event};
 use birchhub_backend_model::work::generator;
-use birchhub_rehearsal::plan::{Act, Trick};
+use birchhub_rehearsal::plan::{Action, BackendFault};
 use rand::Rng;
 
 /// s, the shortest pause that a proxy notices: it sets its clock back, and blames no backend for time-outs meanwhile.
@@ -16,18 +16,18 @@
 
 impl World<'_> {
     /// Does what the plan has for now.
-    pub(super) fn apply_planned_act(&mut self, act: Act) {
+    pub(super) fn apply_planned_act(&mut self, act: Action) {
         match act {
-            Act::Begin { trouble } => self.record_trouble(trouble, true),
-            Act::End { trouble } => self.record_trouble(trouble, false),
-            Act::Stall { node, number, on } => self.set_stalled(node, number, on),
-            Act::Scale { node, factor } => self.scale_machine(node, factor),
-            Act::Slow { method, factor } => self.method_slowdown[method] *= factor,
-            Act::Crash { node } => self.remove_backend(node, self.scenario.list.notices.0),
-            Act::Return { node } => self.start_backend_cold(node),
-            Act::Announce { node } => self.announce_drain(node),
-            Act::Drain { node } => self.drain_backend(node),
-            Act::Retire {
+            Action::BeginFault { fault } => self.record_fault(fault, true),
+            Action::EndFault { fault } => self.record_fault(fault, false),
+            Action::Stall { node, number, on } => self.set_stalled(node, number, on),
+            Action::ScaleSpeed { node, factor } => self.scale_machine(node, factor),
+            Action::SlowMethod { method, factor } => self.method_slowdown[method] *= factor,
+            Action::Crash { node } => self.remove_backend(node, self.scenario.list.notices.0),
+            Action::Restart { node } => self.start_backend_cold(node),
+            Action::AnnounceDrain { node } => self.announce_drain(node),
+            Action::Drain { node } => self.drain_backend(node),
+            Action::Retire {
                 node,
                 by,
                 successor,
@@ -38,26 +38,26 @@
                 successor,
                 after,
             }),
-            Act::Faulty {
+            Action::InjectFault {
                 node,
                 number,
                 fault,
                 on,
             } => self.set_faulty(node, number, fault, on),
-            Act::ListLate { by } => self.list_delay += by,
-            Act::ListDown { down } => self.set_list_down(down),
-            Act::ListStale { proxy, stale } => self.set_list_stale(proxy, stale),
-            Act::KillProxy { proxy } => self.kill_proxy(proxy, ProxyEnd::Killed),
-            Act::TermProxy { proxy } => self.terminate_proxy(proxy),
-            Act::StartProxy { proxy } => self.schedule_proxy_start(proxy, self.now),
-            Act::PauseProxy { proxy, on: true } => self.pause_proxy(proxy),
-            Act::PauseProxy { proxy, on: false } => self.resume_proxy(proxy),
+            Action::DelayDiscovery { by } => self.list_delay += by,
+            Action::SetDiscoveryDown { down } => self.set_list_down(down),
+            Action::SetDiscoveryStale { proxy, stale } => self.set_list_stale(proxy, stale),
+            Action::KillProxy { proxy } => self.kill_proxy(proxy, ProxyEnd::Killed),
+            Action::TerminateProxy { proxy } => self.terminate_proxy(proxy),
+            Action::StartProxy { proxy } => self.schedule_proxy_start(proxy, self.now),
+            Action::PauseProxy { proxy, on: true } => self.pause_proxy(proxy),
+            Action::PauseProxy { proxy, on: false } => self.resume_proxy(proxy),
             // The same settings again change nothing.
-            Act::ReloadProxy { .. } => {}
+            Action::ReloadProxy { .. } => {}
         }
     }
 
-    fn record_trouble(&mut self, number: u16, begins: bool) {
+    fn record_fault(&mut self, number: u16, begins: bool) {
         self.record(Event::Fault { number, begins });
     }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    fn set_faulty(&mut self, node: u32, number: u64, trick: Trick, on: bool) {
+    fn set_faulty(&mut self, node: u32, number: u64, trick: BackendFault, on: bool) {
         let faults = &mut self.machines[node as usize].faults;
         if on {
             faults.push(InjectedFault { number, trick });
@@ -190,7 +190,7 @@
     }
 
     /// The fault that an attempt at a machine meets: drawn by attempt, with the chance that it has on sockets too.
-    pub(super) fn injected_fault(&self, node: u32, request_id: u64) -> Option<Trick> {
+    pub(super) fn injected_fault(&self, node: u32, request_id: u64) -> Option<BackendFault> {
         let hits = |fault: &&InjectedFault| {
             let share = affected_share(&fault.trick);
             let seed = self.plan.seed ^ fault.number;
@@ -204,17 +204,23 @@
     pub(super) fn is_partitioned(&self, node: u32, proxy: u16) -> bool {
         let mut faults = self.machines[node as usize].faults.iter();
         faults.any(|fault| match fault.trick {
-            Trick::Partition(from) => from.is_none_or(|from| from == proxy),
+            BackendFault::Partition { proxy: blocked } => {
+                blocked.is_none_or(|blocked| blocked == proxy)
+            }
             _ => false,
         })
     }
 }
 
 /// The share of the attempts at a machine that meet its fault one by one.
-fn affected_share(trick: &Trick) -> f64 {
+fn affected_share(trick: &BackendFault) -> f64 {
     match trick {
-        Trick::Reset(share) | Trick::Half(share) | Trick::Garbage(share) => *share,
-        Trick::Mute(share) | Trick::Error(share) | Trick::Trickle(share, _) => *share,
-        Trick::Partition(_) => 0.0,
+        BackendFault::ConnectionReset { share }
+        | BackendFault::TruncatedResponse { share }
+        | BackendFault::MalformedResponse { share } => *share,
+        BackendFault::NoResponse { share }
+        | BackendFault::ErrorResponse { share }
+        | BackendFault::SlowResponse { share, .. } => *share,
+        BackendFault::Partition { .. } => 0.0,
     }
 }
--- a/crates/simulation/src/world/machine.rs
+++ b/crates/simulation/src/world/machine.rs
@@ -1,7 +1,7 @@
 //! A machine of the deployment, and the backend process on it.
 use super::event::SimulationEvent;
 use birchhub_backend_model::{Backend, Spec};
-use birchhub_rehearsal::plan::{PlannedNode, Trick};
+use birchhub_rehearsal::plan::{BackendFault, PlannedNode};
 use birchhub_rehearsal::scenario::Scenario;
 use birchhub_rehearsal::settings;
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
     /// The plan's number of the fault, by which it ends.
     pub(super) number: u64,
     /// What goes wrong, and for which share of the attempts.
-    pub(super) trick: Trick,
+    pub(super) trick: BackendFault,
 }
 
 /// A machine.
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -167,7 +167,7 @@
         for proxy in 0..self.proxies.len() as u16 {
             self.start_proxy(proxy);
         }
-        for (act, (at, _)) in self.plan.acts.iter().enumerate() {
+        for (act, (at, _)) in self.plan.actions.iter().enumerate() {
             self.queue.put(*at, SimulationEvent::PlannedAct(act));
         }
         for (rpc, arrival) in (0..).zip(&self.plan.arrivals) {
@@ -199,7 +199,7 @@
     fn dispatch(&mut self, event: SimulationEvent) {
         use SimulationEvent as Due;
         match event {
-            Due::PlannedAct(act) => self.apply_planned_act(self.plan.acts[act].1.clone()),
+            Due::PlannedAct(act) => self.apply_planned_act(self.plan.actions[act].1.clone()),
             Due::RpcDue(rpc) => self.start_rpc(rpc),
             Due::SendClientRequest { rpc, number } => self.send_client_request(rpc, number),
             Due::RequestAtProxy { request_id, proxy } => {
--- a/crates/simulation/tests/discovery.rs
+++ b/crates/simulation/tests/discovery.rs
@@ -40,7 +40,7 @@
     let mut scenario = Scenario::read("crowd", &text).expect("a scenario");
     // More than a machine has loopback addresses for; the simulation needs none.
     scenario.proxies.count = proxies;
-    let plan = Plan::draw(&scenario, seed, "crowd", &text).expect("a plan");
+    let plan = Plan::generate(&scenario, seed, "crowd", &text).expect("a plan");
     simulate(&scenario, &plan).expect("a simulation").entries
 }
 
--- a/crates/simulation/tests/simulated.rs
+++ b/crates/simulation/tests/simulated.rs
@@ -5,7 +5,7 @@
 
 fn play(text: &str, seed: u64) -> Outcome {
     let scenario = Scenario::read("s", text).expect("a scenario");
-    let plan = Plan::draw(&scenario, seed, "s", text).expect("a plan");
+    let plan = Plan::generate(&scenario, seed, "s", text).expect("a plan");
     simulate(&scenario, &plan).expect("a simulation")
 }
 
--- a/crates/soak/src/scenario.rs
+++ b/crates/soak/src/scenario.rs
@@ -2,9 +2,9 @@
 use crate::fault::{Fault, FaultKind, SoakPlan};
 use birchhub_backend_model::work::generator;
 use birchhub_emulator::relay::Window;
+use birchhub_rehearsal::duration::ScenarioDuration;
 use birchhub_rehearsal::extras::Extras;
-use birchhub_rehearsal::plan::Act;
-use birchhub_rehearsal::span::Span;
+use birchhub_rehearsal::plan::Action;
 use birchhub_rehearsal::{Plan, Scenario};
 use rand::Rng;
 use rand::seq::index::sample;
@@ -35,11 +35,11 @@
             .collect();
         let scenario = scenario(plan, &text)?;
         let mut drawn =
-            Plan::draw(&scenario, plan.seed, FILE, &text).map_err(|error| error.to_string())?;
+            Plan::generate(&scenario, plan.seed, FILE, &text).map_err(|error| error.to_string())?;
         drawn
-            .acts
+            .actions
             .extend(plan.faults.iter().flat_map(|fault| reloads(plan, fault)));
-        drawn.acts.sort_by(|a, b| a.0.total_cmp(&b.0));
+        drawn.actions.sort_by(|a, b| a.0.total_cmp(&b.0));
         Ok(Self {
             scenario,
             plan: drawn,
@@ -51,7 +51,7 @@
 /// The scenario of a plan.
 fn scenario(plan: &SoakPlan, text: &str) -> Result<Scenario, String> {
     let mut scenario = Scenario::read(FILE, text).map_err(|error| error.to_string())?;
-    scenario.length = Span(plan.seconds);
+    scenario.length = ScenarioDuration(plan.seconds);
     scenario.fleet.machine[0].count = plan.backends;
     scenario.proxies.count = plan.proxies;
     scenario.traffic.rate = plan.rate;
@@ -114,12 +114,12 @@
     sample(&mut chance, all, count.min(all)).into_vec()
 }
 
-fn reloads(plan: &SoakPlan, fault: &Fault) -> Vec<(f64, Act)> {
+fn reloads(plan: &SoakPlan, fault: &Fault) -> Vec<(f64, Action)> {
     let FaultKind::Reload { count } = fault.kind else {
         return Vec::new();
     };
     let chosen = chosen(plan, fault, count, plan.proxies).into_iter();
-    let act = |proxy| Act::ReloadProxy {
+    let act = |proxy| Action::ReloadProxy {
         proxy: proxy as u16,
     };
     chosen.map(|proxy| (fault.at, act(proxy))).collect()
