--- a/crates/rehearsal/tests/report_files.rs
+++ b/crates/rehearsal/tests/report_files.rs
@@ -9,7 +9,7 @@
 
 fn head() -> Head {
     let scenario = Scenario::read("report.toml", SCENARIO).expect("a scenario");
-    let plan = Plan::draw(&scenario, 7, "report.toml", SCENARIO).expect("a plan");
+    let plan = Plan::generate(&scenario, 7, "report.toml", SCENARIO).expect("a plan");
     settings::head(&scenario, &plan)
 }
 
--- a/crates/soak/src/scenario.rs
+++ b/crates/soak/src/scenario.rs
@@ -3,9 +3,9 @@
 use crate::plan::{Fault, FaultKind, SoakPlan};
 use birchhub_backend_model::work::generator;
 use birchhub_emulator::relay::Window;
+use birchhub_rehearsal::duration::ScenarioDuration;
 use birchhub_rehearsal::extras::Extras;
-use birchhub_rehearsal::plan::Act;
-use birchhub_rehearsal::span::Span;
+use birchhub_rehearsal::plan::Action;
 use birchhub_rehearsal::{Plan, Scenario};
 use rand::Rng;
 use rand::seq::index::sample;
@@ -40,12 +40,12 @@
             .chain(troubles)
             .collect();
         let scenario = scenario(plan, &text)?;
-        let mut prepared = Plan::draw(&scenario, plan.seed, SCENARIO_NAME, &text)
+        let mut prepared = Plan::generate(&scenario, plan.seed, SCENARIO_NAME, &text)
             .map_err(|error| SoakError::Scenario(error.to_string()))?;
         prepared
-            .acts
+            .actions
             .extend(plan.faults.iter().flat_map(|fault| reloads(plan, fault)));
-        prepared.acts.sort_by(|a, b| a.0.total_cmp(&b.0));
+        prepared.actions.sort_by(|a, b| a.0.total_cmp(&b.0));
         Ok(Self {
             scenario,
             plan: prepared,
@@ -58,7 +58,7 @@
 fn scenario(plan: &SoakPlan, text: &str) -> Result<Scenario, SoakError> {
     let mut scenario = Scenario::read(SCENARIO_NAME, text)
         .map_err(|error| SoakError::Scenario(error.to_string()))?;
-    scenario.length = Span(plan.seconds);
+    scenario.length = ScenarioDuration(plan.seconds);
     scenario.fleet.machine[0].count = plan.backends;
     scenario.proxies.count = plan.proxies;
     scenario.traffic.rate = plan.requests_per_second;
@@ -128,12 +128,12 @@
 }
 
 /// The reloads of a fault with the times at which they happen.
-fn reloads(plan: &SoakPlan, fault: &Fault) -> Vec<(f64, Act)> {
+fn reloads(plan: &SoakPlan, fault: &Fault) -> Vec<(f64, Action)> {
     let FaultKind::ProxyReload { count } = fault.kind else {
         return Vec::new();
     };
     let proxies = targets(plan, fault, count, plan.proxies).into_iter();
-    let act = |proxy| Act::ReloadProxy {
+    let act = |proxy| Action::ReloadProxy {
         proxy: proxy as u16,
     };
     proxies
