--- a/crates/audit/src/audit/slow_start.rs
+++ b/crates/audit/src/audit/slow_start.rs
@@ -5,7 +5,8 @@
 use crate::findings::{ColdStart, Rule, Violation};
 use std::collections::{HashMap, VecDeque};
 
-/// Share of the recent work from which informed proxies are responsible for a collapse.
+/// Share of the recent work from which informed proxies are responsible for a collapse. Below it, the work of proxies that
+/// were not notified of the start in time may have caused it.
 const RESPONSIBLE_SHARE: f64 = 2.0 / 3.0;
 
 /// Work that a cold backend received.
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Reports a collapse, unless most of the recent work came from proxies that did not know of the start.
+    /// Reports a collapse if at least [`RESPONSIBLE_SHARE`] of the recent work came from proxies that knew of the start.
     fn check_collapse(
         &mut self,
         at: f64,
--- a/crates/backend-model/src/backend.rs
+++ b/crates/backend-model/src/backend.rs
@@ -180,7 +180,8 @@
         self.connections = self.connections.saturating_sub(1);
     }
 
-    /// Admits or rejects an RPC. While the backend warms up, its work counts as load even if it is rejected.
+    /// Admits or rejects an RPC. While the backend warms up, its work counts as load even if it is rejected, and the backend
+    /// collapses if the overload reaches 1.
     pub fn receive(
         &mut self,
         now: f64,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -36,6 +36,7 @@
     pub sheds_by_priority: bool,
     /// Time of the last attempt at any backend.
     pub last_attempt_at: f64,
+    /// Lowest [`Method::wait_multiple`] of all methods.
     lowest_wait_multiple: f64,
     rate: AdmissionRate,
 }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -25,7 +25,7 @@
 use std::rc::Rc;
 
 /// The mechanisms, each with its own state, and the pending RPCs. `crate::balancer` passes it events,
-/// and keeps the books: the attempts that start, the timer and the subsets of the backends.
+/// records the attempts that start, and maintains the timer and the backend index.
 #[derive(Default)]
 pub(crate) struct Dispatcher {
     /// Rules that no attempt may break.
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Returns an RPC whose wait is over; if RPCs may not wait, else the first of the others.
+    /// Returns the next RPC whose wait is over or, if RPCs may not wait, the first pending one.
     fn next_for_fallback(&self, may_wait: bool, now: f64) -> Option<Rc<RpcState>> {
         match self.pending.first_end() {
             Some((end, rpc)) if end <= now => Some(rpc),
--- a/src/policy/idle_queue.rs
+++ b/src/policy/idle_queue.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns whether recent attempts through the queue have used too much of their time for an RPC of
-    /// this priority.
+    /// this priority; the wait multiple of its method is higher the lower the priority.
     fn is_too_slow_for(&self, rpc: &RpcState, estimates: &Estimates, now: f64) -> bool {
         let time_constant = estimates.wait_time_constant();
         let expected_fraction =
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -71,7 +71,9 @@
         }
     }
 
-    /// Records the load of a backend. Returns whether it marks the backend as idle.
+    /// Records the load of a backend. Returns whether it marks the backend as idle. Where health checks
+    /// measure the queue, each one that returns does: it has waited as an RPC would, and the first to
+    /// return came from the shortest queue.
     pub(crate) fn record(
         &self,
         backend: &Backend,
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -25,7 +25,8 @@
 /// Shortest ejection, in mean times between two responses to this proxy: with few RPCs a shorter one
 /// would have no effect.
 const MIN_EJECTION_RESPONSES: f64 = 12.0;
-/// Longest ejection in seconds, which is the longest that a recovered backend waits.
+/// Longest ejection in seconds, before [`EJECTION_JITTER`] applies: a recovered backend must not wait
+/// longer.
 const MAX_EJECTION_SECONDS: f64 = 8.0;
 /// Random factor of an ejection, so that not all proxies return to the backend at once.
 const EJECTION_JITTER: Range<f64> = 0.8..1.2;
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,8 +1,9 @@
 //! Retry budget: bounds the load that retries add when many attempts fail.
 //!
 //! After the retry budgets of Finagle and linkerd: each success earns a fraction of a retry, up to a
-//! maximum. What differs: retries of an RPC that has not reached any backend are free, as they add no
-//! load to the backends, and an RPC is never retried at a backend that it was tried at before.
+//! maximum. What differs: a retry is free while no earlier attempt of the RPC may have run (each was
+//! not sent, found no connection or was rejected), as those add no work to the backends; and an RPC is
+//! never retried at a backend that it was tried at before.
 use crate::backend::Backend;
 use crate::rpc_state::RpcState;
 use std::rc::Rc;
@@ -24,8 +25,8 @@
         self.retries = (self.retries + RETRIES_EARNED_PER_SUCCESS).min(MAX_SAVED_RETRIES);
     }
 
-    /// Pays for an attempt that is about to start. It is free if no earlier attempt of the RPC may
-    /// have reached a backend.
+    /// Pays for an attempt that is about to start. It is free while no earlier attempt of the RPC may
+    /// have run.
     pub(crate) fn pay(&mut self, rpc: &RpcState) {
         if rpc.may_have_run() {
             self.retries -= 1.0;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -83,8 +83,11 @@
         }
         let sample = match sample {
             AttemptSample::RandomChoice(sample) => sample,
+            // Each health check brings a new sample. Scaling by their number for each RPC keeps the
+            // probability for an RPC the same.
             AttemptSample::LastReport => to.slow_start_sample.get() * budget.health_checks_per_rpc,
         };
+        // Below one attempt in a window, the guaranteed number is the probability of one.
         let probability = self
             .attempt_probability(work_limit, fleet, now)
             .max(allowance.guaranteed_attempts);
