--- /dev/null
+++ b/crates/emulator/tests/emulator/client.rs
@@ -0,0 +1,125 @@
+//! Emulated clients: what they record of each response, and how they use pooled connections.
+use crate::common::{LOCALHOST, on_one_thread, recorded_events};
+use birchhub_audit::{Answer, Event};
+use birchhub_emulator::wire::{self, MessageKind, Peer};
+use birchhub_emulator::{Client, ClientRequest, Clock};
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+/// A request with this id and timeout in seconds.
+fn request_of(request_id: u64, client_timeout: f64) -> ClientRequest {
+    let path = "/read/1".into();
+    ClientRequest {
+        request_id,
+        rpc: 1,
+        proxy: 0,
+        http_method: "GET",
+        path,
+        tenant: None,
+        idempotency_key: None,
+        is_retry: false,
+        client_timeout,
+        cancel_after: None,
+        body_bytes: 0,
+        slow_send: None,
+    }
+}
+
+/// Starts a server that reads one request and writes these bytes. Returns its address.
+fn answer_once(clock: Clock, bytes: Vec<u8>) -> SocketAddr {
+    let listener = wire::listen((LOCALHOST, 0).into(), 8).expect("a listener");
+    let at = listener.local_addr().expect("an address");
+    spawn_local(async move {
+        let (stream, _) = listener.accept().await.expect("a client");
+        let mut peer = Peer::new(stream);
+        peer.read(MessageKind::Request, &clock)
+            .await
+            .expect("an RPC");
+        peer.write(&bytes).await.expect("a response");
+    });
+    at
+}
+
+/// What a client records of each response of a proxy.
+#[test]
+fn a_client_classifies_responses() {
+    on_one_thread(|event_log, _entries| async move {
+        let ok =
+            |request_id: u64| wire::response(200, &[], format!("{request_id:016x} n\n").as_bytes());
+        let retry_after = [("Retry-After", "0.5")];
+        let truncated = b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n".to_vec();
+        let cases: Vec<(Vec<u8>, Answer)> = vec![
+            (ok(1), Answer::Ok),
+            (ok(2), Answer::Malformed),
+            ([ok(1), ok(1)].concat(), Answer::Malformed),
+            (
+                wire::response(503, &retry_after, b""),
+                Answer::Rejected(Some(0.5)),
+            ),
+            (wire::response(429, &[], b""), Answer::Rejected(None)),
+            (wire::response(502, &[], b""), Answer::Aborted(502)),
+            (truncated, Answer::Lost),
+            (vec![], Answer::Lost),
+        ];
+        for (bytes, expected) in cases {
+            let at = answer_once(event_log.clock, bytes);
+            let answer = Client::new(event_log.clone())
+                .send(&request_of(1, 5.0), at)
+                .await;
+            assert_eq!(answer, expected);
+        }
+    });
+}
+
+#[test]
+fn a_client_without_a_response_classifies_the_reason() {
+    on_one_thread(|event_log, _entries| async move {
+        let silent = wire::listen((LOCALHOST, 0).into(), 8).expect("a listener");
+        let at = silent.local_addr().expect("an address");
+        let client = || Client::new(event_log.clone());
+        let answer = client().send(&request_of(1, 0.05), at).await;
+        assert_eq!(answer, Answer::TimedOut);
+        let cancelling = ClientRequest {
+            cancel_after: Some(0.01),
+            ..request_of(1, 5.0)
+        };
+        assert_eq!(client().send(&cancelling, at).await, Answer::Cancelled);
+        drop(silent);
+        let answer = client().send(&request_of(1, 5.0), at).await;
+        assert_eq!(answer, Answer::Unreachable);
+    });
+}
+
+/// A pooled connection that was closed while idle is not used, and no RPC is lost by it.
+#[test]
+fn a_pooled_connection_that_was_closed_is_not_used() {
+    on_one_thread(|event_log, entries| async move {
+        let listener = wire::listen((LOCALHOST, 0).into(), 8).expect("a listener");
+        let at = listener.local_addr().expect("an address");
+        let clock = event_log.clock;
+        spawn_local(async move {
+            loop {
+                let (stream, _) = listener.accept().await.expect("a client");
+                let mut peer = Peer::new(stream);
+                peer.read(MessageKind::Request, &clock)
+                    .await
+                    .expect("an RPC");
+                peer.write(&wire::response(200, &[], b"0000000000000001 n\n"))
+                    .await
+                    .expect("a response");
+                // The connection is closed here, between two RPCs.
+            }
+        });
+        let client = Client::new(event_log);
+        for _ in 0..3 {
+            assert_eq!(client.send(&request_of(1, 5.0), at).await, Answer::Ok);
+            sleep(Duration::from_millis(5)).await;
+        }
+        assert_eq!(
+            recorded_events(&entries, |e| matches!(e, Event::RequestSent { .. })).len(),
+            3
+        );
+    });
+}
--- a/crates/emulator/tests/relays.rs
+++ b/crates/emulator/tests/emulator/relays.rs
@@ -1,19 +1,15 @@
-//! The fault proxy: what each disturbance does to bytes and connections, seen from both ends.
+//! The relay: what each disturbance does to bytes and connections, seen from both ends.
+use crate::common::{LOCALHOST, on_one_thread};
 use birchhub_emulator::Clock;
 use birchhub_emulator::relay::{Disturbance, Relay, Window};
 use birchhub_emulator::wire::listen;
-use std::future::Future;
 use std::io::ErrorKind;
-use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, timeout};
 
-const HOME: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
-const PATIENCE: Duration = Duration::from_secs(20);
-/// When the disturbances of these tests end, s.
+/// End of the disturbances of these tests, in seconds.
 const END: f64 = 0.4;
 
 /// Both ends of a connection through a relay that disturbs it from the start until [`END`].
@@ -26,26 +22,17 @@
     .await
 }
 
+/// Both ends of a connection through a relay with this window.
 async fn connected_in(window: Window) -> (TcpStream, TcpStream, Clock) {
     let clock = Clock::starting_in(Duration::ZERO);
-    let listener = listen((HOME, 0).into(), 8).expect("a listener");
+    let listener = listen((LOCALHOST, 0).into(), 8).expect("a listener");
     let target = listener.local_addr().expect("an address");
-    let relay = Relay::start(clock, HOME, target, vec![window]).expect("a relay");
+    let relay = Relay::start(clock, LOCALHOST, target, vec![window]).expect("a relay");
     let proxy = TcpStream::connect(relay).await.expect("a connection");
     let (backend, _) = listener.accept().await.expect("a connection");
     (proxy, backend, clock)
 }
 
-fn on_one_thread(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .expect("a runtime");
-    LocalSet::new().block_on(&runtime, async {
-        timeout(PATIENCE, test).await.expect("in time");
-    });
-}
-
 async fn read_exactly(stream: &mut TcpStream, length: usize) -> Vec<u8> {
     let mut bytes = vec![0; length];
     stream.read_exact(&mut bytes).await.expect("bytes");
@@ -58,9 +45,9 @@
 }
 
 #[test]
-fn bytes_come_whole_and_in_order_however_they_are_cut() {
+fn bytes_arrive_complete_and_in_order_when_split_or_joined() {
     for disturbance in [Disturbance::Delay(5), Disturbance::Split, Disturbance::Join] {
-        on_one_thread(async {
+        on_one_thread(|_, _| async {
             let (mut proxy, mut backend, _) = connected(disturbance).await;
             let message: Vec<u8> = (0..5000_u32).map(|n| n as u8).collect();
             proxy.write_all(&message).await.expect("written");
@@ -75,7 +62,7 @@
 
 #[test]
 fn a_delay_holds_bytes_back() {
-    on_one_thread(async {
+    on_one_thread(|_, _| async {
         let (mut proxy, mut backend, _) = connected(Disturbance::Delay(50)).await;
         let begun = Instant::now();
         proxy.write_all(b"request").await.expect("written");
@@ -84,10 +71,10 @@
     });
 }
 
-/// Silence swallows one way only, and ends with a reset.
+/// Silence drops bytes in one direction only, and ends with a reset.
 #[test]
-fn silence_swallows_one_way_and_ends_with_a_reset() {
-    on_one_thread(async {
+fn silence_drops_one_direction_and_ends_with_a_reset() {
+    on_one_thread(|_, _| async {
         let (mut proxy, mut backend, clock) = connected(Disturbance::SilenceOutward).await;
         proxy.write_all(b"lost").await.expect("written");
         backend.write_all(b"heard").await.expect("written");
@@ -98,7 +85,7 @@
         assert!(is_reset(&mut proxy).await);
         assert!(clock.now() >= END);
     });
-    on_one_thread(async {
+    on_one_thread(|_, _| async {
         let (mut proxy, mut backend, _) = connected(Disturbance::SilenceInward).await;
         proxy.write_all(b"heard").await.expect("written");
         assert_eq!(read_exactly(&mut backend, 5).await, b"heard");
@@ -109,7 +96,7 @@
 
 #[test]
 fn a_reset_ends_both_sides_as_it_begins() {
-    on_one_thread(async {
+    on_one_thread(|_, _| async {
         let (mut proxy, _backend, clock) = connected_in(Window {
             from: 0.1,
             until: 0.2,
@@ -121,10 +108,10 @@
     });
 }
 
-/// The proxy reads the end, and what it writes still arrives.
+/// The proxy reads the end of the stream, and what it writes still arrives.
 #[test]
-fn a_half_close_ends_one_way() {
-    on_one_thread(async {
+fn a_half_close_ends_one_direction() {
+    on_one_thread(|_, _| async {
         let (mut proxy, mut backend, _) = connected(Disturbance::HalfClose).await;
         backend.write_all(b"lost").await.expect("written");
         assert_eq!(proxy.read(&mut [0; 8]).await.expect("an end"), 0);
@@ -134,13 +121,13 @@
 }
 
 #[test]
-fn a_target_that_refuses_resets_the_connection() {
-    on_one_thread(async {
+fn a_refused_connection_to_the_target_resets_the_connection() {
+    on_one_thread(|_, _| async {
         let clock = Clock::starting_in(Duration::ZERO);
-        let listener = listen((HOME, 0).into(), 8).expect("a listener");
+        let listener = listen((LOCALHOST, 0).into(), 8).expect("a listener");
         let target = listener.local_addr().expect("an address");
         drop(listener);
-        let relay = Relay::start(clock, HOME, target, Vec::new()).expect("a relay");
+        let relay = Relay::start(clock, LOCALHOST, target, Vec::new()).expect("a relay");
         let mut proxy = TcpStream::connect(relay).await.expect("a connection");
         sleep(Duration::from_millis(20)).await;
         assert!(is_reset(&mut proxy).await);
