--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -10,6 +10,7 @@
 
 pub mod clients;
 pub mod duration;
+pub mod error;
 pub mod extras;
 pub mod page;
 pub mod plan;
@@ -22,6 +23,7 @@
 pub mod shipped;
 mod stage;
 
+pub use error::RehearsalError;
 pub use extras::Extras;
 pub use plan::Plan;
 pub use report::{Report, Verdict};
--- a/crates/rehearsal/src/proxies.rs
+++ b/crates/rehearsal/src/proxies.rs
@@ -1,5 +1,6 @@
 //! The proxies' processes: each has one owner here, which starts, signals and ends it, and the layer before them that deals
 //! clients out.
+use crate::error::RehearsalError;
 use crate::extras::Extras;
 use crate::plan::{Action, proxy_name};
 use crate::run::Options;
@@ -121,14 +122,14 @@
         event_log: EventLog,
         stage: StageDoor,
         block: Block,
-    ) -> Result<Rc<Self>, String> {
+    ) -> Result<Rc<Self>, RehearsalError> {
         let count = scenario.proxies.count;
         let door = |proxy: usize| {
             let ip = block.proxy(proxy as u16);
             // The address is this rehearsal's own: nobody takes the port between here and the proxy's start.
             std::net::TcpListener::bind((ip, 0))
                 .and_then(|l| l.local_addr())
-                .map_err(|e| format!("{ip}: {e}"))
+                .map_err(|source| RehearsalError::ReservePort { ip, source })
         };
         let doors = (0..count).map(door).collect::<Result<_, _>>()?;
         let taken_in = (0..count).map(|_| AtomicBool::new(false)).collect();
@@ -156,13 +157,13 @@
 
     /// Starts a proxy and waits until it is ready.
     #[expect(clippy::too_many_lines)]
-    pub async fn start(self: &Rc<Self>, proxy: u16) -> Result<(), String> {
+    pub async fn start(self: &Rc<Self>, proxy: u16) -> Result<(), RehearsalError> {
         let name = proxy_name(proxy);
         let (discovery, known) = self
             .stage
             .proxy_starts(proxy)
             .await
-            .ok_or("the stage has ended")?;
+            .ok_or(RehearsalError::EnvironmentEnded)?;
         let at = self.front.doors[proxy as usize];
         // New with each start, as the platform does it, yet drawn from the rehearsal's own seed.
         let start = (self.event_log.clock.now().max(0.0) * 1e3) as u64;
@@ -174,13 +175,12 @@
             "settings": settings::settings(&self.scenario, proxy)
         });
         let file = self.path(proxy, "json");
-        std::fs::write(&file, config.to_string())
-            .map_err(|e| format!("{}: {e}", file.display()))?;
+        std::fs::write(&file, config.to_string()).map_err(RehearsalError::io(&file))?;
         let log = File::options()
             .create(true)
             .append(true)
             .open(self.path(proxy, "log"));
-        let log = log.map_err(|e| format!("{}: {e}", self.path(proxy, "log").display()))?;
+        let log = log.map_err(RehearsalError::io(&self.path(proxy, "log")))?;
         let mut command = Command::new(&self.options.program);
         command
             .env("LB_CONFIG", &file)
@@ -197,7 +197,10 @@
             .stderr(log);
         let child = command
             .spawn()
-            .map_err(|e| format!("{} can't be started: {e}", self.options.program.display()))?;
+            .map_err(|source| RehearsalError::SpawnProxy {
+                program: self.options.program.clone(),
+                source,
+            })?;
         *self.processes[proxy as usize].borrow_mut() = Some(Process {
             child,
             stopping: false,
@@ -207,13 +210,17 @@
             if self.reap(proxy).is_some() || self.processes[proxy as usize].borrow().is_none() {
                 let log = std::fs::read_to_string(self.path(proxy, "log")).unwrap_or_default();
                 let last = log.lines().last().unwrap_or("it said nothing");
-                return Err(format!(
-                    "{name} ended as it started ({}): {last}",
-                    self.options.program.display()
-                ));
+                return Err(RehearsalError::ProxyEnded {
+                    proxy: name,
+                    program: self.options.program.clone(),
+                    last_log_line: last.to_owned(),
+                });
             }
             if Instant::now() > until {
-                return Err(format!("{name} was not ready within {} s", READY.as_secs()));
+                return Err(RehearsalError::ProxyNotReady {
+                    proxy: name,
+                    seconds: READY.as_secs(),
+                });
             }
             sleep(LOOK).await;
         }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,4 +1,5 @@
 //! The verdict on a rehearsal, and its report as text and as JSON.
+use crate::error::RehearsalError;
 use crate::page;
 use birchhub_audit::{Audit, Entry, Findings, Head, Violation};
 use serde::Serialize;
@@ -146,10 +147,10 @@
     }
 
     /// Writes `report.json` and `report.html`.
-    pub fn write(&self, head: &Head, entries: &[Entry], out: &Path) -> Result<(), String> {
+    pub fn write(&self, head: &Head, entries: &[Entry], out: &Path) -> Result<(), RehearsalError> {
         let write = |name: &str, text: String| {
             let path = out.join(name);
-            std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))
+            std::fs::write(&path, text).map_err(RehearsalError::io(&path))
         };
         write("report.json", self.json() + "\n")?;
         write("report.html", page::render(self, head, entries))
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -1,6 +1,7 @@
 //! Plays a plan: the stage on one thread, the clients on another with their pacer, the ledger on a third, and here
 //! the proxies' processes, the progress line and the end.
 use crate::clients::{self, Progress};
+use crate::error::{RehearsalError, RehearsalThread};
 use crate::extras::{Companion, Extras};
 use crate::plan::Plan;
 use crate::proxies::Proxies;
@@ -41,7 +42,11 @@
 }
 
 /// Plays a scenario to its report. An error is one of the machine or the options, not of the proxies.
-pub fn rehearse(scenario: &Scenario, plan: &Plan, options: &Options) -> Result<Report, String> {
+pub fn rehearse(
+    scenario: &Scenario,
+    plan: &Plan,
+    options: &Options,
+) -> Result<Report, RehearsalError> {
     rehearse_with(scenario, plan, options, &Extras::default(), None)
 }
 
@@ -52,19 +57,17 @@
     options: &Options,
     extras: &Extras,
     companion: Option<Companion>,
-) -> Result<Report, String> {
-    let told = |path: &Path, e: std::io::Error| format!("{}: {e}", path.display());
+) -> Result<Report, RehearsalError> {
     if !options.program.is_file() {
-        let program = options.program.display();
-        return Err(format!(
-            "there is no proxy program at {program}; build it, or name it with --proxies"
-        ));
+        let program = options.program.clone();
+        return Err(RehearsalError::MissingProgram { program });
     }
-    std::fs::create_dir_all(&options.out).map_err(|e| told(&options.out, e))?;
+    std::fs::create_dir_all(&options.out).map_err(RehearsalError::io(&options.out))?;
     let path = options.out.join("ledger");
-    let file = File::create(&path).map_err(|e| told(&path, e))?;
+    let file = File::create(&path).map_err(RehearsalError::io(&path))?;
     let head = settings::head(scenario, plan);
-    let writer = ledger::Writer::new(BufWriter::new(file), &head).map_err(|e| e.to_string())?;
+    let writer =
+        ledger::Writer::new(BufWriter::new(file), &head).map_err(RehearsalError::LedgerHead)?;
     let lead = LEAD + LEAD_EACH * scenario.proxies.count as f64;
     let clock = Clock::starting_in(Duration::from_secs_f64(lead));
     let (event_log, entries) = EventLog::new(clock);
@@ -72,7 +75,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| format!("no event loop: {e}"))?;
+    let runtime = runtime.map_err(RehearsalError::EventLoop)?;
     let played = LocalSet::new().block_on(
         &runtime,
         play(scenario, plan, options, extras, companion, event_log),
@@ -81,14 +84,14 @@
     drop(runtime);
     let kept = keeper
         .join()
-        .map_err(|_| "the ledger's thread failed".to_owned())?;
-    kept.map_err(|e| format!("{}: {e}", path.display()))?;
+        .map_err(|_| RehearsalError::ThreadPanicked(RehearsalThread::Ledger))?;
+    kept.map_err(RehearsalError::ledger(&path))?;
     let stopped = played?;
     report_of(&path, options, stopped)
 }
 
 /// Judges a ledger and writes the report beside it.
-fn report_of(path: &Path, options: &Options, stopped: bool) -> Result<Report, String> {
+fn report_of(path: &Path, options: &Options, stopped: bool) -> Result<Report, RehearsalError> {
     let (head, entries) = open(path)?;
     let usage = |who| {
         let times = getrusage(who).map(|u| u.user_time() + u.system_time());
@@ -104,10 +107,9 @@
 }
 
 /// Reads a ledger back.
-pub fn open(path: &Path) -> Result<(Head, Vec<Entry>), String> {
-    let told = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-    let file = File::open(path).map_err(|e| told(&e))?;
-    let read = ledger::read(BufReader::new(file)).map_err(|e| told(&e))?;
+pub fn open(path: &Path) -> Result<(Head, Vec<Entry>), RehearsalError> {
+    let file = File::open(path).map_err(RehearsalError::io(path))?;
+    let read = ledger::read(BufReader::new(file)).map_err(RehearsalError::ledger(path))?;
     if read.truncated {
         log::warn!(
             "{}: the last record is cut off: its writer was stopped",
@@ -123,7 +125,7 @@
 fn keep(
     mut writer: ledger::Writer<BufWriter<File>>,
     entries: Receiver<Entry>,
-) -> Result<JoinHandle<Kept>, String> {
+) -> Result<JoinHandle<Kept>, RehearsalError> {
     let body = move || {
         let mut fault = None;
         loop {
@@ -142,7 +144,7 @@
     std::thread::Builder::new()
         .name("ledger".into())
         .spawn(body)
-        .map_err(|e| e.to_string())
+        .map_err(RehearsalError::SpawnThread)
 }
 
 /// Plays it; tells whether it was stopped before its end.
@@ -154,8 +156,8 @@
     extras: &Extras,
     companion: Option<Companion>,
     event_log: EventLog,
-) -> Result<bool, String> {
-    let catch = |kind| signal(kind).map_err(|e| format!("no signals: {e}"));
+) -> Result<bool, RehearsalError> {
+    let catch = |kind| signal(kind).map_err(RehearsalError::SignalHandler);
     let (mut interrupt, mut terminate) = (
         catch(SignalKind::interrupt())?,
         catch(SignalKind::terminate())?,
@@ -182,7 +184,7 @@
             proxies.start(proxy).await?;
         }
         if clock.now() > 0.0 {
-            return Err("the proxies took too long to start: this machine is too busy".to_owned());
+            return Err(RehearsalError::StartedTooLate);
         }
         let front = proxies.front.clone();
         let threads = clients::start(
@@ -193,7 +195,7 @@
             progress.clone(),
             extras.clone(),
         );
-        let threads = threads.map_err(|e| format!("the clients can't start: {e}"))?;
+        let threads = threads.map_err(RehearsalError::SpawnClients)?;
         let companion = companion.map(|play| play(clock, proxies.front.doors().to_vec()));
         let acts = tokio::task::spawn_local(proxies.clone().play(plan.actions.clone()));
         let longest = scenario
@@ -216,7 +218,7 @@
             }
             thread
                 .join()
-                .map_err(|_| "a thread of the clients failed".to_owned())?;
+                .map_err(|_| RehearsalError::ThreadPanicked(RehearsalThread::Clients))?;
         }
         Ok(stopped)
     };
@@ -231,7 +233,7 @@
     door.end().await;
     stage
         .join()
-        .map_err(|_| "the stage's thread failed".to_owned())?;
+        .map_err(|_| RehearsalError::ThreadPanicked(RehearsalThread::Environment))?;
     outcome
 }
 
--- a/crates/rehearsal/src/stage.rs
+++ b/crates/rehearsal/src/stage.rs
@@ -3,6 +3,7 @@
 mod tests;
 
 use crate::duration::ScenarioDuration;
+use crate::error::RehearsalError;
 use crate::extras::Extras;
 use crate::plan::{Action, BackendFault, Plan};
 use crate::scenario::{Reports, Scenario};
@@ -87,7 +88,7 @@
     extras: Extras,
     event_log: EventLog,
     block: Block,
-) -> Result<(StageDoor, std::thread::JoinHandle<()>), String> {
+) -> Result<(StageDoor, std::thread::JoinHandle<()>), RehearsalError> {
     let (ask, asked) = mpsc::channel(64);
     let (ready, started) = threads::channel();
     let body = move || {
@@ -96,7 +97,7 @@
             .build()
         {
             Ok(runtime) => runtime,
-            Err(fault) => return drop(ready.send(Err(format!("no event loop: {fault}")))),
+            Err(fault) => return drop(ready.send(Err(RehearsalError::EventLoop(fault)))),
         };
         LocalSet::new().block_on(&runtime, async move {
             match Stage::set(&scenario, &plan, &extras, event_log, block) {
@@ -104,17 +105,17 @@
                     let _ = ready.send(Ok(()));
                     stage.play(plan.actions, asked).await;
                 }
-                Err(fault) => drop(ready.send(Err(format!("stand-ins can't listen: {fault}")))),
+                Err(fault) => drop(ready.send(Err(RehearsalError::EmulatorListen(fault)))),
             }
         });
     };
     let thread = std::thread::Builder::new()
         .name("stage".into())
         .spawn(body)
-        .map_err(|e| e.to_string())?;
+        .map_err(RehearsalError::SpawnThread)?;
     started
         .recv()
-        .map_err(|_| "the stage ended at once".to_owned())??;
+        .map_err(|_| RehearsalError::EnvironmentNotReady)??;
     Ok((StageDoor(ask), thread))
 }
 
--- a/crates/rehearsal/tests/report_files.rs
+++ b/crates/rehearsal/tests/report_files.rs
@@ -13,62 +13,61 @@
     settings::head(&scenario, &plan)
 }
 
-/// One RPC that an attempt at a backend answers, or that stays without an answer.
-fn rpc_events(number: u32, answer: Option<Answer>) -> Vec<Entry> {
+/// What the client of an RPC records; without an answer it stays open.
+fn client_events(number: u32, answer: Option<Answer>) -> Vec<Entry> {
     let due = f64::from(number) * 0.1;
     let request_id = u64::from(number) << 8;
+    let arrival = Event::Arrival {
+        rpc: number,
+        method: (number % 2) as u8,
+        tenant: 0,
+        within_quota: true,
+    };
+    let sent = Event::RequestSent {
+        request_id,
+        rpc: number,
+        proxy: (number % 2) as u16,
+        client_timeout: 0.6,
+    };
+    let late = Event::ClientLate { by: 0.0005 };
+    let mut entries: Vec<_> = [arrival, sent, late]
+        .map(|event| Entry { at: due, event })
+        .into();
+    entries.extend(answer.map(|answer| Entry {
+        at: due + 0.05,
+        event: Event::RequestAnswered { request_id, answer },
+    }));
+    entries
+}
+
+/// What the backend records of the only attempt of an RPC.
+fn backend_events(number: u32) -> Vec<Entry> {
+    let due = f64::from(number) * 0.1;
     let attempt_id = u64::from(number);
     let incarnation = 1 + number % 3;
-    let entry = |after: f64, event| Entry {
+    let received = Event::AttemptReceived(ReceivedAttempt {
+        incarnation,
+        attempt_id,
+        request_id: u64::from(number) << 8,
+        proxy: (number % 2) as u16,
+        first_byte_at: due + 0.001,
+        work: 0.03,
+        overload: if incarnation == 3 { 0.4 } else { 0.0 },
+        admission: Admission::Admitted,
+    });
+    let how = AttemptEnd::Replied;
+    [
+        (0.002, received),
+        (0.003, Event::ExecutionStarted { attempt_id }),
+        (0.04, Event::ExecutionFinished { attempt_id }),
+        (0.041, Event::AttemptEnded { attempt_id, how }),
+        (0.04, Event::EmulatorLate { by: 0.0007 }),
+    ]
+    .map(|(after, event)| Entry {
         at: due + after,
         event,
-    };
-    let mut entries = vec![
-        entry(
-            0.0,
-            Event::Arrival {
-                rpc: number,
-                method: (number % 2) as u8,
-                tenant: 0,
-                within_quota: true,
-            },
-        ),
-        entry(
-            0.0,
-            Event::RequestSent {
-                request_id,
-                rpc: number,
-                proxy: (number % 2) as u16,
-                client_timeout: 0.6,
-            },
-        ),
-        entry(
-            0.002,
-            Event::AttemptReceived(ReceivedAttempt {
-                incarnation,
-                attempt_id,
-                request_id,
-                proxy: (number % 2) as u16,
-                first_byte_at: due + 0.001,
-                work: 0.03,
-                overload: if incarnation == 3 { 0.4 } else { 0.0 },
-                admission: Admission::Admitted,
-            }),
-        ),
-        entry(0.003, Event::ExecutionStarted { attempt_id }),
-        entry(0.04, Event::ExecutionFinished { attempt_id }),
-        entry(
-            0.041,
-            Event::AttemptEnded {
-                attempt_id,
-                how: AttemptEnd::Replied,
-            },
-        ),
-        entry(0.0, Event::ClientLate { by: 0.0005 }),
-        entry(0.04, Event::EmulatorLate { by: 0.0007 }),
-    ];
-    entries.extend(answer.map(|answer| entry(0.05, Event::RequestAnswered { request_id, answer })));
-    entries
+    })
+    .into()
 }
 
 fn fleet_events() -> Vec<Entry> {
@@ -120,7 +119,8 @@
             13 => None,
             _ => Some(Answer::Ok),
         };
-        entries.extend(rpc_events(number, answer));
+        entries.extend(client_events(number, answer));
+        entries.extend(backend_events(number));
     }
     entries.sort_by(|a, b| a.at.total_cmp(&b.at));
     entries
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -1,4 +1,5 @@
 //! Errors that prevent a soak from running.
+use birchhub_rehearsal::RehearsalError;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
@@ -23,8 +24,8 @@
     #[error("there is no {}: build birchhub-fault-shim, or name it", .0.display())]
     MissingShim(PathBuf),
     /// The rehearsal could not be run to its end.
-    #[error("{0}")]
-    Rehearsal(String),
+    #[error(transparent)]
+    Rehearsal(#[from] RehearsalError),
 }
 
 impl SoakError {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -53,8 +53,7 @@
         &rehearsal,
         &prepared.extras,
         Some(stalled_clients),
-    );
-    let report = report.map_err(SoakError::Rehearsal)?;
+    )?;
     let unended_clients = unended_clients.try_iter().collect();
     Ok(SoakResult::new(&report, out, unended_clients))
 }
