--- a/crates/emulator/src/backend/connections.rs
+++ b/crates/emulator/src/backend/connections.rs
@@ -2,6 +2,7 @@
 use super::EmulatedBackend;
 use super::incarnation::Shutdown;
 use super::requests::ReceivedRequest;
+use crate::protocol::{HEALTH_CHECK_PATH, LOAD_REPORT_PATH};
 use crate::wire::{MessageKind, Peer};
 use std::future::poll_fn;
 use std::rc::Rc;
@@ -135,7 +136,7 @@
                 proxy,
             };
             let next = match request.message.path.as_str() {
-                "/health/live" | "/stats" => {
+                HEALTH_CHECK_PATH | LOAD_REPORT_PATH => {
                     let incarnation = slot.incarnation;
                     self.serve_health_check(peer, &request.message, incarnation)
                         .await
--- a/crates/emulator/src/backend/incarnation.rs
+++ b/crates/emulator/src/backend/incarnation.rs
@@ -23,7 +23,7 @@
     Crashed,
 }
 
-/// Tells the connection of an attempt that its execution is over. A sender that is dropped without it tells that the
+/// Notifies the connection of an attempt that its execution is over. A sender that is dropped without it means that the
 /// incarnation has ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Completion;
--- a/crates/emulator/src/backend/requests.rs
+++ b/crates/emulator/src/backend/requests.rs
@@ -4,6 +4,9 @@
 use super::incarnation::Completion;
 use super::responses::{load_report_text, write_response};
 use crate::faults::Fault;
+use crate::protocol::{
+    IDEMPOTENCY_KEY, LOAD_REPORT_PATH, NOT_STARTED, REQUEST_ID, REQUEST_TIMEOUT,
+};
 use crate::wire::{Message, Peer};
 use birchhub_audit::Event;
 use birchhub_audit::event::{Admission, AttemptEnd, ReceivedAttempt};
@@ -165,18 +168,18 @@
 
     /// Reads an RPC's id and finds its cost.
     fn parse_rpc(&self, message: &Message) -> Result<Rpc, BadRequest> {
-        let id = message.header("request-id");
+        let id = message.header(REQUEST_ID);
         let request_id = id
             .and_then(|id| u64::from_str_radix(id, 16).ok())
             .ok_or(BadRequest {
                 status: if id.is_some() { 400 } else { 404 },
                 body: b"no such RPC\n",
             })?;
-        let key = message.header("idempotency-key");
+        let key = message.header(IDEMPOTENCY_KEY);
         let cost = self
             .fleet
             .cost(
-                message.class(),
+                message.rpc_method(),
                 request_id,
                 key,
                 self.spec.zone,
@@ -274,7 +277,7 @@
 
     /// Responds that an RPC was not started. A connection without a slot is closed after that.
     async fn reject(&self, peer: &mut Peer, slot: &ConnectionSlot) -> NextStep {
-        let not_started = [("Not-Started", "1")];
+        let not_started = [(NOT_STARTED, "1")];
         let next = self
             .respond(peer, slot.incarnation, 503, &not_started, b"not started\n")
             .await;
@@ -299,7 +302,7 @@
         if self.fleet.probe_work_seconds > 0.0 {
             self.execute_health_check(incarnation);
         }
-        let body = if message.path == "/stats" {
+        let body = if message.path == LOAD_REPORT_PATH {
             load_report_text(&self.load_report(incarnation))
         } else {
             "ok".to_owned()
@@ -326,6 +329,6 @@
 
 /// The timeout that the proxy forwarded with a request, in seconds.
 fn forwarded_timeout(message: &Message) -> Option<f32> {
-    let milliseconds = message.header("request-timeout-ms")?.parse::<f32>().ok()?;
+    let milliseconds = message.header(REQUEST_TIMEOUT)?.parse::<f32>().ok()?;
     Some(milliseconds / 1e3)
 }
--- a/crates/emulator/src/backend/responses.rs
+++ b/crates/emulator/src/backend/responses.rs
@@ -2,6 +2,7 @@
 use super::EmulatedBackend;
 use super::connections::NextStep;
 use crate::faults::Fault;
+use crate::protocol::LOAD_REPORT;
 use crate::wire::{Peer, response};
 use birchhub_audit::event::AttemptEnd;
 use birchhub_backend_model::LoadReport;
@@ -54,7 +55,7 @@
         let load = load_report_text(&self.load_report(incarnation));
         let mut headers = headers.to_vec();
         if self.fleet.reports_in_responses {
-            headers.push(("Server-Load", &load));
+            headers.push((LOAD_REPORT, &load));
         }
         response(status, &headers, body)
     }
@@ -76,7 +77,7 @@
     }
 }
 
-/// A load report in the form of the header `Server-Load` and of `/stats`.
+/// A load report in the form of its header and of the response's body.
 pub(super) fn load_report_text(report: &LoadReport) -> String {
     format!(
         "inflight={},queue={},util={:.3}",
--- a/crates/emulator/src/client.rs
+++ b/crates/emulator/src/client.rs
@@ -3,6 +3,7 @@
 
 use crate::clock::Clock;
 use crate::event_log::EventLog;
+use crate::protocol::RETRY_AFTER;
 use crate::wire::{ConnectionState, Message, MessageKind, Peer, ReadError};
 use birchhub_audit::{Answer, Event};
 pub use request::{ClientRequest, SlowSend};
@@ -203,7 +204,7 @@
     }
 }
 
-/// The answer that a response stands for. A response with status 200 must carry the id of its own request.
+/// Classifies a response. One with status 200 must carry the id of the request.
 fn classify(request: &ClientRequest, message: &Message) -> Answer {
     match message.status {
         200 => {
@@ -214,7 +215,7 @@
             }
         }
         429 | 503 => {
-            let retry_after = message.header("retry-after");
+            let retry_after = message.header(RETRY_AFTER);
             Answer::Rejected(retry_after.and_then(|value| value.parse().ok()))
         }
         status => Answer::Aborted(status),
--- a/crates/emulator/src/client/request.rs
+++ b/crates/emulator/src/client/request.rs
@@ -1,4 +1,5 @@
 //! A client's request to a proxy and its form on the wire.
+use crate::protocol::{CLIENT_RETRY, IDEMPOTENCY_KEY, REQUEST_ID, REQUEST_TIMEOUT, TENANT};
 
 /// How a slow client sends a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -42,20 +43,20 @@
     /// Encodes the request as HTTP/1.1.
     pub(super) fn encode(&self) -> Vec<u8> {
         let mut text = format!(
-            "{} {} HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: {:016x}\r\nRequest-Timeout-Ms: {:.0}\r\n",
+            "{} {} HTTP/1.1\r\nHost: api.internal\r\n{REQUEST_ID}: {:016x}\r\n{REQUEST_TIMEOUT}: {:.0}\r\n",
             self.http_method,
             self.path,
             self.request_id,
             self.client_timeout * 1e3
         );
         if let Some(tenant) = &self.tenant {
-            text.push_str(&format!("Tenant: {tenant}\r\n"));
+            text.push_str(&format!("{TENANT}: {tenant}\r\n"));
         }
         if let Some(key) = &self.idempotency_key {
-            text.push_str(&format!("Idempotency-Key: {key}\r\n"));
+            text.push_str(&format!("{IDEMPOTENCY_KEY}: {key}\r\n"));
         }
         if self.is_retry {
-            text.push_str("Client-Retry: 1\r\n");
+            text.push_str(&format!("{CLIENT_RETRY}: 1\r\n"));
         }
         if self.http_method != "GET" {
             text.push_str(&format!("Content-Length: {}\r\n", self.body_bytes));
--- a/crates/emulator/src/discovery_service/endpoints.rs
+++ b/crates/emulator/src/discovery_service/endpoints.rs
@@ -1,4 +1,5 @@
 //! The endpoint list of the emulated discovery service, and the call that asks for it.
+use crate::protocol::ENDPOINT_LIST_PATH;
 use crate::wire::Message;
 use birchhub_audit::EndpointState;
 use serde_json::{Value, json};
@@ -6,8 +7,6 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Path of the discovery service's call.
-const LIST_PATH: &str = "/registry/instances";
 /// Longest time that a watch may wait for a change, in milliseconds.
 const MAX_HOLD_MS: u64 = 60_000;
 
@@ -125,7 +124,7 @@
     /// Reads a call; `None` if the request asks for something else.
     pub(super) fn parse(message: &Message) -> Option<Self> {
         let (path, query) = message.path.split_once('?').unwrap_or((&message.path, ""));
-        if path != LIST_PATH {
+        if path != ENDPOINT_LIST_PATH {
             return None;
         }
         let number = |name: &str| {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod event_log;
 pub mod faults;
 pub mod fleet;
+mod protocol;
 pub mod relay;
 pub mod wire;
 
--- a/crates/emulator/src/wire.rs
+++ b/crates/emulator/src/wire.rs
@@ -34,16 +34,16 @@
 }
 
 impl Message {
-    /// The value of a header, whose name is given in lower case.
+    /// The value of a header. The case of its name doesn't matter.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|(n, _)| n == name)
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
             .map(|(_, value)| value.as_str())
     }
 
     /// The first segment of the path, which names the RPC's method.
-    pub fn class(&self) -> &str {
+    pub fn rpc_method(&self) -> &str {
         let path = self.path.split(['?', '#']).next().unwrap_or_default();
         path.trim_start_matches('/')
             .split('/')
--- a/crates/fault-shim/src/state.rs
+++ b/crates/fault-shim/src/state.rs
@@ -15,7 +15,7 @@
     plan: Plan,
     /// Monotonic time of the start of the process, in seconds.
     started_at: f64,
-    /// Count of the random numbers that were drawn.
+    /// Number of random numbers generated so far.
     draws: AtomicU64,
 }
 
