--- a/crates/emulator/src/backend/requests.rs
+++ b/crates/emulator/src/backend/requests.rs
@@ -295,11 +295,11 @@
         message: &Message,
         incarnation: u32,
     ) -> NextStep {
-        if !self.fleet.answers_probes {
+        if !self.fleet.answers_health_checks {
             let body = b"no probes here\n";
             return self.respond(peer, incarnation, 404, &[], body).await;
         }
-        if self.fleet.probe_work_seconds > 0.0 {
+        if self.fleet.health_check_work_seconds > 0.0 {
             self.execute_health_check(incarnation);
         }
         let body = if message.path == LOAD_REPORT_PATH {
@@ -315,7 +315,7 @@
     fn execute_health_check(&self, incarnation: u32) {
         let incoming = IncomingWork {
             attempt_id: self.fleet.new_attempt_id(),
-            work: self.fleet.probe_work_seconds,
+            work: self.fleet.health_check_work_seconds,
             idempotency_key: None,
             first_on_connection: false,
         };
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -49,11 +49,11 @@
     /// Costs by method.
     pub costs: Vec<MethodCost>,
     /// Work of a health check in seconds of a standard core.
-    pub probe_work_seconds: f64,
+    pub health_check_work_seconds: f64,
     /// Whether responses carry a load report.
     pub reports_in_responses: bool,
     /// Whether health checks are answered.
-    pub answers_probes: bool,
+    pub answers_health_checks: bool,
     /// Keys of the RPCs that were executed.
     pub deduplication: RefCell<DeduplicationCache>,
     /// Factor on the work of each method; 1 is usual.
@@ -70,9 +70,9 @@
             event_log,
             seed,
             costs,
-            probe_work_seconds: 0.0,
+            health_check_work_seconds: 0.0,
             reports_in_responses: true,
-            answers_probes: true,
+            answers_health_checks: true,
             deduplication: RefCell::default(),
             slowdown,
             next_attempt_id: Cell::new(1),
--- a/crates/rehearsal/src/stage.rs
+++ b/crates/rehearsal/src/stage.rs
@@ -166,9 +166,9 @@
             idempotency: m.idempotency(),
         });
         let mut fleet = Fleet::new(event_log.clone(), plan.seed, costs.collect());
-        fleet.probe_work_seconds = scenario.fleet.probe_work.0;
+        fleet.health_check_work_seconds = scenario.fleet.probe_work.0;
         fleet.reports_in_responses = scenario.fleet.reports == Reports::Answers;
-        fleet.answers_probes = scenario.rules.probes;
+        fleet.answers_health_checks = scenario.rules.probes;
         let fleet = Rc::new(fleet);
         let (mut hosts, mut lines) = (Vec::new(), Vec::new());
         for (index, planned) in (0..).zip(&plan.nodes) {
