--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -64,10 +64,10 @@
         Verb::List => {
             for shipped in shipped::ALL {
                 let found = find(shipped.name)?;
-                let length = found.scenario.length.0;
+                let length = found.scenario.duration.0;
                 print(&format!(
                     "{:<18} {length:>4.0} s  {}\n",
-                    shipped.name, found.scenario.about
+                    shipped.name, found.scenario.description
                 ));
             }
         }
@@ -82,7 +82,7 @@
             print(&format!(
                 "{}: {nodes} nodes, {proxies} proxies, {} methods, {} troubles, {:.0} s\n",
                 found.scenario.name,
-                found.scenario.method.len(),
+                found.scenario.methods.len(),
                 plan.faults.len(),
                 plan.length
             ));
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -119,11 +119,11 @@
 
     #[expect(clippy::too_many_lines)]
     async fn rpc(self: Rc<Self>, rpc: u32, arrival: Arrival) {
-        let method = &self.scenario.method[arrival.method as usize];
+        let method = &self.scenario.methods[arrival.method as usize];
         let clients = &self.scenario.clients;
         let (clock, until) = (self.event_log.clock, arrival.due + method.deadline.0);
-        let mut wait = clients.wait.0;
-        for number in 0..=clients.retries {
+        let mut wait = clients.retry_delay.0;
+        for number in 0..=clients.max_retries {
             let left = until - clock.now();
             let Some(client_timeout) = client_timeout(clients, method, left) else {
                 break;
@@ -148,7 +148,7 @@
                 path: format!("/{}/{rpc}", method.name),
                 tenant: self
                     .scenario
-                    .tenant
+                    .tenants
                     .get(arrival.tenant as usize)
                     .map(|t| t.name.clone()),
                 idempotency_key: (method.kind == MethodKind::Deduplicated)
@@ -156,7 +156,7 @@
                 is_retry: number > 0 && clients.marks_retries,
                 client_timeout,
                 cancel_after,
-                body_bytes: method.body,
+                body_bytes: method.body_bytes,
                 slow_send: self.extras.slow_send_of(arrival.deal),
             };
             let answer = self.client.send(&request, at).await;
@@ -170,11 +170,15 @@
                 break;
             }
             let asked = match answer {
-                Answer::Rejected(Some(after)) if clients.obey_retry_after => f64::from(after),
+                Answer::Rejected(Some(after)) if clients.honors_retry_after => f64::from(after),
                 _ => 0.0,
             };
             clock.sleep_until(clock.now() + wait.max(asked)).await;
-            wait *= if clients.backoff { 2.0 } else { 1.0 };
+            wait *= if clients.exponential_backoff {
+                2.0
+            } else {
+                1.0
+            };
         }
     }
 }
@@ -196,6 +200,6 @@
 /// What a client waits for a try of a method, whole milliseconds as it is told, when so much is left to it; `None` where that
 /// is too little to begin.
 pub fn client_timeout(clients: &Clients, method: &Method, left: f64) -> Option<f64> {
-    let client_timeout = (method.deadline.0 * clients.try_patience).min(left);
+    let client_timeout = (method.deadline.0 * clients.attempt_timeout_fraction).min(left);
     (left >= WORTH_IT).then_some((client_timeout * 1e3).floor() / 1e3)
 }
--- a/crates/rehearsal/src/plan.rs
+++ b/crates/rehearsal/src/plan.rs
@@ -1,7 +1,7 @@
 //! What will happen, drawn from scenario and seed: every arrival, every act of every trouble. The same scenario and
 //! seed give the same plan to the byte; each purpose draws from a stream of its own, so that a further trouble
 //! does not change the traffic.
-use crate::scenario::{Fault, FaultKind, Scenario, ScenarioError, line_of_key};
+use crate::scenario::{Fault, FaultKind, InvalidValue, Scenario, ScenarioError};
 use crate::select;
 use birchhub_audit::head;
 use birchhub_backend_model::{Work, work::generator};
@@ -182,24 +182,16 @@
     ) -> Result<Self, ScenarioError> {
         let mut plan = Self {
             seed,
-            length: scenario.length.0,
+            length: scenario.duration.0,
             nodes: nodes(scenario),
             arrivals: arrivals(scenario, seed),
             actions: Vec::new(),
             faults: Vec::new(),
         };
         let mut chosen = HashMap::new();
-        for (n, trouble) in scenario.trouble.iter().enumerate() {
+        for (n, trouble) in scenario.faults.iter().enumerate() {
             plan.add(scenario, n as u16, trouble, &mut chosen)
-                .map_err(|(below, what)| {
-                    let key = format!("trouble[{n}].{below}");
-                    ScenarioError {
-                        file: file.to_owned(),
-                        line: line_of_key(text, &key).unwrap_or(0),
-                        key,
-                        what,
-                    }
-                })?;
+                .map_err(|invalid| invalid.in_fault(n).located(file, text))?;
         }
         plan.actions.sort_by(|a, b| a.0.total_cmp(&b.0));
         Ok(plan)
@@ -227,18 +219,18 @@
         number: u16,
         trouble: &'s Fault,
         chosen: &mut HashMap<&'s str, Vec<u32>>,
-    ) -> Result<(), select::Wrong> {
+    ) -> Result<(), InvalidValue> {
         let mut chance = generator(self.seed, stream(&trouble.name));
         let first = &self.nodes[..self.first_nodes()];
-        let nodes = match &trouble.nodes {
-            Some(selector) => select::nodes(selector, scenario, first, chosen, &mut chance)?,
+        let nodes = match &trouble.backends {
+            Some(selector) => select::backends(selector, scenario, first, chosen, &mut chance)?,
             None => Vec::new(),
         };
         let proxies = match &trouble.proxies {
             Some(selector) => select::proxies(selector, scenario, &mut chance)?,
             None => (0..scenario.proxies.count as u16).collect(),
         };
-        let (at, length) = (trouble.at.0, trouble.length.map_or(0.0, |l| l.0));
+        let (at, length) = (trouble.start.0, trouble.duration.map_or(0.0, |l| l.0));
         let mut until = at + length;
         let mut acts: Vec<(f64, Action)> = Vec::new();
         // Numbers for what is ended one by one: the trouble's above, a counter below.
@@ -250,7 +242,7 @@
         let share = trouble.share.unwrap_or(1.0);
         match trouble.kind {
             FaultKind::Stall => {
-                let (pause, every) = match (trouble.pause, trouble.every) {
+                let (pause, every) = match (trouble.pause, trouble.interval) {
                     (Some(pause), Some(every)) => (pause.0, every.0),
                     _ => (length, length.max(1.0)),
                 };
@@ -285,7 +277,7 @@
                 }
             }
             FaultKind::Neighbour => {
-                let left = 1.0 - trouble.takes.unwrap_or(0.5);
+                let left = 1.0 - trouble.capacity_taken.unwrap_or(0.5);
                 for node in &nodes {
                     acts.push((
                         at,
@@ -305,7 +297,7 @@
             }
             FaultKind::SlowMethod => {
                 let method = scenario
-                    .method
+                    .methods
                     .iter()
                     .position(|m| Some(&m.name) == trouble.method.as_ref());
                 let (method, factor) = (method.unwrap_or(0), trouble.factor.unwrap_or(1.0));
@@ -325,11 +317,11 @@
                 }
             }
             FaultKind::Deploy => {
-                let every = trouble.every.map_or(1.0, |e| e.0);
-                let lead = trouble.lead.map_or(LEAD, |l| l.0);
-                let stop = trouble.stop_after.map_or(STOP_AFTER, |s| s.0).max(lead);
-                let after = trouble.back_after.map_or(SUCCESSOR_AFTER, |a| a.0);
-                for (n, batch) in nodes.chunks(trouble.batch.unwrap_or(1)).enumerate() {
+                let every = trouble.interval.map_or(1.0, |e| e.0);
+                let lead = trouble.drain_notice.map_or(LEAD, |l| l.0);
+                let stop = trouble.drain_timeout.map_or(STOP_AFTER, |s| s.0).max(lead);
+                let after = trouble.restart_delay.map_or(SUCCESSOR_AFTER, |a| a.0);
+                for (n, batch) in nodes.chunks(trouble.batch_size.unwrap_or(1)).enumerate() {
                     let from = at + n as f64 * every;
                     until = from + stop + after;
                     for node in batch {
@@ -354,7 +346,7 @@
                 }
             }
             FaultKind::ListLate => {
-                let by = trouble.by.map_or(1.0, |by| by.0);
+                let by = trouble.delay.map_or(1.0, |by| by.0);
                 acts.push((at, Action::DelayDiscovery { by }));
                 acts.push((until, Action::DelayDiscovery { by: -by }));
             }
@@ -381,8 +373,8 @@
                 }
             }
             FaultKind::ProxyKill | FaultKind::ProxyRestart => {
-                let every = trouble.every.map_or(0.0, |e| e.0);
-                let back = trouble.back_after.map_or(PROXY_BACK, |b| b.0);
+                let every = trouble.interval.map_or(0.0, |e| e.0);
+                let back = trouble.restart_delay.map_or(PROXY_BACK, |b| b.0);
                 for (n, proxy) in proxies.iter().enumerate() {
                     let (proxy, from) = (*proxy, at + n as f64 * every);
                     until = from + back;
@@ -399,7 +391,7 @@
             FaultKind::ProxyPause => {
                 let (pause, every) = (
                     trouble.pause.map_or(0.1, |p| p.0),
-                    trouble.every.map_or(1.0, |e| e.0),
+                    trouble.interval.map_or(1.0, |e| e.0),
                 );
                 for proxy in &proxies {
                     let mut from = at + chance.random::<f64>() * every;
@@ -461,7 +453,7 @@
             FaultKind::Trickle => {
                 let trick = BackendFault::SlowResponse {
                     share,
-                    extra_seconds: trouble.over.map_or(1.0, |over| over.0),
+                    extra_seconds: trouble.response_duration.map_or(1.0, |over| over.0),
                 };
                 faulty(&mut acts, &nodes, trick, at, until, &mut serial);
             }
@@ -535,9 +527,9 @@
 }
 
 fn nodes(scenario: &Scenario) -> Vec<PlannedNode> {
-    let (zones, racks) = (scenario.fleet.zones.len(), scenario.fleet.racks);
+    let (zones, racks) = (scenario.fleet.zones.len(), scenario.fleet.racks_per_zone);
     let mut in_zone = vec![0; zones];
-    let machines = scenario.fleet.machine.iter().enumerate();
+    let machines = scenario.fleet.machines.iter().enumerate();
     let each = machines.flat_map(|(machine, m)| std::iter::repeat_n(machine, m.count));
     let node = |(n, machine): (usize, usize)| {
         let zone = n % zones;
@@ -560,12 +552,12 @@
 fn times(scenario: &Scenario, at: f64) -> f64 {
     let phases = scenario
         .traffic
-        .phase
+        .phases
         .iter()
-        .filter(|p| at >= p.at.0 && at < p.at.0 + p.length.0);
+        .filter(|p| at >= p.start.0 && at < p.start.0 + p.duration.0);
     let factor = |p: &crate::scenario::Phase| match p.ramp {
-        true => 1.0 + (p.times - 1.0) * (at - p.at.0) / p.length.0,
-        false => p.times,
+        true => 1.0 + (p.rate_factor - 1.0) * (at - p.start.0) / p.duration.0,
+        false => p.rate_factor,
     };
     phases.map(factor).product()
 }
@@ -575,26 +567,26 @@
 fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let highest: f64 = scenario
         .traffic
-        .phase
+        .phases
         .iter()
-        .map(|p| p.times.max(1.0))
+        .map(|p| p.rate_factor.max(1.0))
         .product();
     let (mut when, mut what) = (generator(seed, TIMES), generator(seed, KINDS));
     let (mut whereto, mut leaving) = (generator(seed, ZONES), generator(seed, LEAVES));
-    let Ok(gap) = Exp::new(scenario.traffic.rate * highest) else {
+    let Ok(gap) = Exp::new(scenario.traffic.rate_per_second * highest) else {
         return Vec::new();
     };
-    let methods: Vec<f64> = scenario.method.iter().map(|m| m.share).collect();
-    let tenants: Vec<f64> = scenario.tenant.iter().map(|t| t.share).collect();
+    let methods: Vec<f64> = scenario.methods.iter().map(|m| m.traffic_weight).collect();
+    let tenants: Vec<f64> = scenario.tenants.iter().map(|t| t.traffic_weight).collect();
     let mut credit: Vec<(f64, f64)> = scenario
-        .tenant
+        .tenants
         .iter()
-        .map(|t| (0.0, t.quota * QUOTA_BURST))
+        .map(|t| (0.0, t.quota_per_second * QUOTA_BURST))
         .collect();
     let (mut due, mut arrivals) = (0.0, Vec::new());
     loop {
         due += gap.sample(&mut when);
-        if due >= scenario.length.0 {
+        if due >= scenario.duration.0 {
             return arrivals;
         }
         if when.random::<f64>() * highest >= times(scenario, due) {
@@ -607,19 +599,20 @@
         } else {
             weighted(&tenants, drawn)
         };
-        let within_quota = scenario.tenant.get(tenant).is_none_or(|settings| {
+        let within_quota = scenario.tenants.get(tenant).is_none_or(|settings| {
             let (last, credit) = &mut credit[tenant];
-            *credit = (*credit + (due - *last) * settings.quota)
-                .min((settings.quota * QUOTA_BURST).max(1.0));
+            *credit = (*credit + (due - *last) * settings.quota_per_second)
+                .min((settings.quota_per_second * QUOTA_BURST).max(1.0));
             *last = due;
             let within_quota = *credit >= 1.0;
             *credit -= if within_quota { 1.0 } else { 0.0 };
             within_quota
         });
-        let leaves = (leaving.random::<f64>() < scenario.clients.leave).then(|| leaving.random());
-        let m = &scenario.method[method];
+        let leaves = (leaving.random::<f64>() < scenario.clients.cancelling_fraction)
+            .then(|| leaving.random());
+        let m = &scenario.methods[method];
         let work = Work {
-            mean: m.work.0,
+            mean: m.mean_work.0,
             spread: m.spread,
         }
         .sample(seed, arrivals.len() as u64);
--- a/crates/rehearsal/src/proxies.rs
+++ b/crates/rehearsal/src/proxies.rs
@@ -170,8 +170,8 @@
         let seed: u64 = generator(self.options.seed, u64::from(proxy) << 48 | start).random();
         let config = json!({
             "name": name, "listen": at.to_string(), "discovery": discovery.to_string(), "seed": format!("{seed:016x}"),
-            "limits": {"cores": 1.0, "memory_mb": self.scenario.proxies.memory_mb, "sockets": self.scenario.proxies.sockets},
-            "known": Some(known).filter(|_| self.scenario.list.known),
+            "limits": {"cores": 1.0, "memory_mb": self.scenario.proxies.memory_mb, "sockets": self.scenario.proxies.max_sockets},
+            "known": Some(known).filter(|_| self.scenario.discovery.known_at_start),
             "settings": settings::settings(&self.scenario, proxy)
         });
         let file = self.path(proxy, "json");
@@ -279,7 +279,7 @@
 
     fn ended(self: &Rc<Self>, proxy: u16, how: ProxyEnd) {
         self.event_log.record(Event::ProxyEnded { proxy, how });
-        self.notice(proxy, self.scenario.proxies.front_notices.0);
+        self.notice(proxy, self.scenario.proxies.front_detection_delay.0);
     }
 
     /// Plays the acts that concern proxies, and takes note of those that end unasked.
@@ -379,7 +379,7 @@
 
     /// What a process may take to end after SIGTERM.
     fn longest_stop(&self) -> Duration {
-        let deadlines = self.scenario.method.iter().map(|m| m.deadline.0);
+        let deadlines = self.scenario.methods.iter().map(|m| m.deadline.0);
         Duration::from_secs_f64(deadlines.fold(0.0, f64::max) + STOPPING)
     }
 
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -199,7 +199,7 @@
         let companion = companion.map(|play| play(clock, proxies.front.doors().to_vec()));
         let acts = tokio::task::spawn_local(proxies.clone().play(plan.actions.clone()));
         let longest = scenario
-            .method
+            .methods
             .iter()
             .map(|m| m.deadline.0)
             .fold(0.0, f64::max);
--- a/crates/rehearsal/src/stage.rs
+++ b/crates/rehearsal/src/stage.rs
@@ -6,7 +6,7 @@
 use crate::error::RehearsalError;
 use crate::extras::Extras;
 use crate::plan::{Action, BackendFault, Plan};
-use crate::scenario::{Reports, Scenario};
+use crate::scenario::{LoadReports, Scenario};
 use crate::settings;
 use birchhub_audit::{EndpointState, Event};
 use birchhub_backend_model::{Start, Work};
@@ -157,25 +157,25 @@
         block: Block,
     ) -> std::io::Result<Rc<Self>> {
         let proxies = scenario.proxies.count as u16;
-        let costs = scenario.method.iter().map(|m| MethodCost {
+        let costs = scenario.methods.iter().map(|m| MethodCost {
             name: m.name.clone(),
             work: Work {
-                mean: m.work.0,
+                mean: m.mean_work.0,
                 spread: m.spread,
             },
             idempotency: m.idempotency(),
         });
         let mut fleet = Fleet::new(event_log.clone(), plan.seed, costs.collect());
-        fleet.probe_work_seconds = scenario.fleet.probe_work.0;
-        fleet.reports_in_responses = scenario.fleet.reports == Reports::Answers;
-        fleet.answers_probes = scenario.rules.probes;
+        fleet.probe_work_seconds = scenario.fleet.health_check_work.0;
+        fleet.reports_in_responses = scenario.fleet.load_reports == LoadReports::Responses;
+        fleet.answers_probes = scenario.rules.health_checks_allowed;
         let fleet = Rc::new(fleet);
         let (mut hosts, mut lines) = (Vec::new(), Vec::new());
         for (index, planned) in (0..).zip(&plan.nodes) {
-            let machine = &scenario.fleet.machine[planned.machine];
+            let machine = &scenario.fleet.machines[planned.machine];
             let spec = settings::spec(scenario, planned);
             let (zone, rack) = (planned.zone, planned.rack);
-            let idle_timeout_seconds = scenario.fleet.idle_limit.0;
+            let idle_timeout_seconds = scenario.fleet.idle_timeout.0;
             let backend_spec = BackendSpec {
                 index,
                 name: planned.name.clone(),
@@ -201,15 +201,18 @@
         }
         let doors: Vec<_> = (0..proxies).map(|proxy| block.list(proxy)).collect();
         let list = DiscoveryService::start(event_log.clone(), &doors)?;
-        if let Some(calls) = scenario.list.calls {
+        if let Some(calls) = scenario.discovery.max_concurrent_calls {
             let time = |span: ScenarioDuration| Duration::from_secs_f64(span.0);
             list.set_capacity(ServiceCapacity::new(
                 calls,
-                time(scenario.list.call_takes),
-                time(scenario.list.line_takes),
+                time(scenario.discovery.call_duration),
+                time(scenario.discovery.duration_per_endpoint),
             ));
         }
-        let (lag, notices) = (scenario.list.lag.0, scenario.list.notices.0);
+        let (lag, notices) = (
+            scenario.discovery.update_delay.0,
+            scenario.discovery.failure_detection_delay.0,
+        );
         let stage = Self {
             event_log,
             fleet,
--- a/crates/rehearsal/tests/scenario_file.rs
+++ b/crates/rehearsal/tests/scenario_file.rs
@@ -5,8 +5,8 @@
 use birchhub_backend_model::work::Spread;
 use birchhub_rehearsal::duration::ScenarioDuration;
 use birchhub_rehearsal::scenario::{
-    Clients, FaultKind, List, Machine, Method, Phase, ProxySelector, Reports, Rules, Selector,
-    Tenant,
+    BackendSelector, Clients, Discovery, FaultKind, LoadReports, Machine, Method, Phase,
+    ProxySelector, Rules, Tenant,
 };
 use birchhub_rehearsal::{Plan, Scenario, shipped};
 use std::collections::BTreeSet;
@@ -63,21 +63,21 @@
 fn the_rules_table_keeps_its_keys() {
     let rules = Rules {
         drain_grace: ScenarioDuration(0.31),
-        cold_from: 0.4,
-        cold_for: ScenarioDuration(9.0),
-        fall_multiple: 2.5,
-        fall_window: ScenarioDuration(1.5),
-        most_picks: 4,
-        second_copies: true,
-        cancel: false,
-        probes: false,
-        retry_after: ScenarioDuration(0.5),
-        ask_within: ScenarioDuration(11.0),
-        slack: ScenarioDuration(0.06),
-        kit_late: ScenarioDuration(0.02),
+        initial_capacity: 0.4,
+        warm_up: ScenarioDuration(9.0),
+        collapse_factor: 2.5,
+        overload_window: ScenarioDuration(1.5),
+        max_attempts: 4,
+        hedging_allowed: true,
+        cancellation_allowed: false,
+        health_checks_allowed: false,
+        max_retry_after: ScenarioDuration(0.5),
+        poll_within: ScenarioDuration(11.0),
+        time_tolerance: ScenarioDuration(0.06),
+        max_lateness: ScenarioDuration(0.02),
         over_quota_utility: 0.1,
-        probe_price: 0.004,
-        cross_price: 0.001,
+        health_check_cost: 0.004,
+        cross_zone_cost: 0.001,
     };
     assert_eq!(every_key().rules, rules);
 }
@@ -86,54 +86,54 @@
 fn the_fleet_table_keeps_its_keys() {
     let fleet = every_key().fleet;
     assert_eq!(
-        (fleet.zones.as_slice(), fleet.racks),
+        (fleet.zones.as_slice(), fleet.racks_per_zone),
         (&["a".to_owned(), "b".to_owned()][..], 2)
     );
     assert_eq!(
-        (fleet.reports, fleet.report_every),
-        (Reports::Probes, ScenarioDuration(0.01))
+        (fleet.load_reports, fleet.report_interval),
+        (LoadReports::HealthChecks, ScenarioDuration(0.01))
     );
     assert_eq!(
-        (fleet.cancel_stops, fleet.idle_limit),
+        (fleet.cancel_stops_execution, fleet.idle_timeout),
         (false, ScenarioDuration(20.0))
     );
-    assert_eq!(fleet.probe_work, ScenarioDuration(0.0005));
+    assert_eq!(fleet.health_check_work, ScenarioDuration(0.0005));
     let machine = Machine {
         name: "m".into(),
         count: 8,
         cores: 2,
         speed: 1.5,
-        queue: 16,
-        connections: 256,
+        queue_capacity: 16,
+        max_connections: 256,
         connection_work: ScenarioDuration(0.002),
     };
-    assert_eq!(fleet.machine, [machine]);
+    assert_eq!(fleet.machines, [machine]);
 }
 
 #[test]
 fn the_list_table_keeps_its_keys() {
-    let list = List {
-        lag: ScenarioDuration(0.2),
-        notices: ScenarioDuration(3.0),
-        calls: Some(12),
-        call_takes: ScenarioDuration(0.002),
-        line_takes: ScenarioDuration(0.00001),
-        known: false,
+    let discovery = Discovery {
+        update_delay: ScenarioDuration(0.2),
+        failure_detection_delay: ScenarioDuration(3.0),
+        max_concurrent_calls: Some(12),
+        call_duration: ScenarioDuration(0.002),
+        duration_per_endpoint: ScenarioDuration(0.00001),
+        known_at_start: false,
     };
-    let read = every_key().list;
-    assert!((read.line_takes.0 - list.line_takes.0).abs() < 1e-12);
+    let read = every_key().discovery;
+    assert!((read.duration_per_endpoint.0 - discovery.duration_per_endpoint.0).abs() < 1e-12);
     assert_eq!(
-        List {
-            line_takes: list.line_takes,
+        Discovery {
+            duration_per_endpoint: discovery.duration_per_endpoint,
             ..read
         },
-        list
+        discovery
     );
 }
 
 #[test]
 fn the_method_table_keeps_its_keys() {
-    let methods = every_key().method;
+    let methods = every_key().methods;
     let effects: Vec<_> = methods.iter().map(Method::idempotency).collect();
     let (group, window) = (DeduplicationScope::Rack, 4.0);
     assert_eq!(
@@ -152,7 +152,7 @@
     let log = &methods[0];
     assert_eq!(log.name, "log");
     assert_eq!(
-        (log.work, log.target, log.deadline),
+        (log.mean_work, log.latency_target, log.deadline),
         (
             ScenarioDuration(0.01),
             ScenarioDuration(0.2),
@@ -160,77 +160,77 @@
         )
     );
     assert_eq!((log.utility, log.late_utility), (2.0, 0.25));
-    assert_eq!((log.share, log.body), (3.0, 64));
+    assert_eq!((log.traffic_weight, log.body_bytes), (3.0, 64));
 }
 
 #[test]
 fn the_tables_of_proxies_traffic_and_tenants_keep_their_keys() {
     let Scenario {
-        length,
+        duration,
         proxies,
         traffic,
-        tenant,
+        tenants,
         ..
     } = every_key();
-    assert_eq!(length, ScenarioDuration(120.0));
-    assert_eq!((proxies.count, proxies.sockets), (3, 512));
+    assert_eq!(duration, ScenarioDuration(120.0));
+    assert_eq!((proxies.count, proxies.max_sockets), (3, 512));
     assert_eq!(
-        (proxies.memory_mb, proxies.front_notices),
+        (proxies.memory_mb, proxies.front_detection_delay),
         (128, ScenarioDuration(2.0))
     );
     let phase = Phase {
-        at: ScenarioDuration(1.0),
-        length: ScenarioDuration(2.0),
-        times: 3.0,
+        start: ScenarioDuration(1.0),
+        duration: ScenarioDuration(2.0),
+        rate_factor: 3.0,
         ramp: true,
     };
     assert_eq!(
-        (traffic.rate, traffic.phase.as_slice()),
+        (traffic.rate_per_second, traffic.phases.as_slice()),
         (100.0, &[phase][..])
     );
     let acme = Tenant {
         name: "acme".into(),
-        share: 2.0,
-        quota: 40.0,
+        traffic_weight: 2.0,
+        quota_per_second: 40.0,
     };
-    assert_eq!(tenant, [acme]);
+    assert_eq!(tenants, [acme]);
 }
 
 #[test]
 fn the_tables_of_clients_and_expectations_keep_their_keys() {
     let clients = Clients {
-        retries: 1,
-        wait: ScenarioDuration(0.03),
-        backoff: false,
-        obey_retry_after: false,
+        max_retries: 1,
+        retry_delay: ScenarioDuration(0.03),
+        exponential_backoff: false,
+        honors_retry_after: false,
         marks_retries: false,
-        try_patience: 0.5,
-        leave: 0.01,
+        attempt_timeout_fraction: 0.5,
+        cancelling_fraction: 0.01,
     };
     assert_eq!(every_key().clients, clients);
-    let bars = ServiceTargets {
+    let targets = ServiceTargets {
         service: Some(0.99),
         worst_10s: Some(0.98),
         worst_method: Some(0.97),
         worst_tenant: Some(0.96),
     };
-    assert_eq!(every_key().expect, bars);
+    assert_eq!(every_key().targets, targets);
 }
 
 #[test]
 fn the_trouble_table_keeps_its_keys() {
-    let troubles = every_key().trouble;
-    let find = |name: &str| troubles.iter().find(|t| t.name == name).expect("a trouble");
+    let faults = every_key().faults;
+    let find = |name: &str| faults.iter().find(|t| t.name == name).expect("a fault");
     let stall = find("stall");
     assert_eq!(
-        (stall.at, stall.length),
+        (stall.start, stall.duration),
         (ScenarioDuration(1.0), Some(ScenarioDuration(2.0)))
     );
     assert_eq!(
-        (stall.pause, stall.every),
+        (stall.pause, stall.interval),
         (Some(ScenarioDuration(0.1)), Some(ScenarioDuration(1.0)))
     );
-    assert_eq!(find("neighbour").takes, Some(0.5));
+    assert_eq!(find("neighbour").capacity_taken, Some(0.5));
     let slow = find("slow-method");
     assert_eq!(
         (slow.method.as_deref(), slow.factor),
@@ -238,42 +238,42 @@
     );
     let deploy = find("deploy");
     assert_eq!(
-        (deploy.batch, deploy.lead),
+        (deploy.batch_size, deploy.drain_notice),
         (Some(2), Some(ScenarioDuration(1.0)))
     );
     assert_eq!(
-        (deploy.stop_after, deploy.back_after),
+        (deploy.drain_timeout, deploy.restart_delay),
         (Some(ScenarioDuration(3.0)), Some(ScenarioDuration(4.0)))
     );
-    assert_eq!(find("list-late").by, Some(ScenarioDuration(4.0)));
+    assert_eq!(find("list-late").delay, Some(ScenarioDuration(4.0)));
     let trickle = find("trickle");
     assert_eq!(
-        (trickle.share, trickle.over),
+        (trickle.share, trickle.response_duration),
         (Some(0.5), Some(ScenarioDuration(0.3)))
     );
 }
 
 #[test]
 fn the_selectors_keep_their_keys() {
-    let troubles = every_key().trouble;
-    let find = |name: &str| troubles.iter().find(|t| t.name == name).expect("a trouble");
-    let nodes = |name: &str| find(name).nodes.clone().expect("a selector");
+    let faults = every_key().faults;
+    let find = |name: &str| faults.iter().find(|t| t.name == name).expect("a fault");
+    let nodes = |name: &str| find(name).backends.clone().expect("a selector");
     let proxies = |name: &str| find(name).proxies.clone().expect("a selector");
-    let stalled = Selector {
+    let stalled = BackendSelector {
         zone: Some("a".into()),
         rack: Some(1),
         machine: Some("m".into()),
         count: Some(1),
-        ..Selector::default()
+        ..BackendSelector::default()
     };
     assert_eq!(nodes("stall"), stalled);
     let other = nodes("neighbour");
     assert_eq!(
-        (other.without.as_deref(), other.share),
+        (other.not_affected_by.as_deref(), other.share),
         (Some("stall"), Some(0.5))
     );
-    assert_eq!(nodes("crash").among.as_deref(), Some("stall"));
-    assert_eq!(nodes("partition").named, Some(vec!["a-0-0".into()]));
+    assert_eq!(nodes("crash").affected_by.as_deref(), Some("stall"));
+    assert_eq!(nodes("partition").names, Some(vec!["a-0-0".into()]));
     let stale = ProxySelector {
         zone: Some("a".into()),
         count: Some(1),
@@ -281,13 +281,13 @@
     };
     assert_eq!(proxies("list-stale"), stale);
     assert_eq!(proxies("proxy-kill").share, Some(0.5));
-    assert_eq!(proxies("proxy-pause").named, Some(vec!["proxy-1".into()]));
+    assert_eq!(proxies("proxy-pause").names, Some(vec!["proxy-1".into()]));
 }
 
 #[test]
 fn each_kind_of_trouble_keeps_its_name() {
     use FaultKind::*;
-    let kinds: Vec<_> = every_key().trouble.iter().map(|t| t.kind).collect();
+    let kinds: Vec<_> = every_key().faults.iter().map(|t| t.kind).collect();
     assert_eq!(
         kinds,
         [
@@ -327,9 +327,9 @@
 fn accepted_after(change: impl FnOnce(&mut Table)) -> BTreeSet<String> {
     let mut table: Table = TEXT.parse().expect("TOML");
     change(&mut table);
-    let fault = Scenario::read(FILE, &table.to_string()).expect_err("an unknown word");
-    assert!(fault.what.contains(UNKNOWN), "{fault}");
-    expected_words(&fault.what)
+    let error = Scenario::read(FILE, &table.to_string()).expect_err("an unknown word");
+    assert!(error.message.contains(UNKNOWN), "{error}");
+    expected_words(&error.message)
 }
 
 fn first<'a>(table: &'a mut Table, path: &[&str]) -> &'a mut Table {
@@ -343,7 +343,7 @@
     first(next.expect("a table"), rest)
 }
 
-/// The keys of all tables at this path: of each item, where a part of the path is a list.
+/// The keys of all tables at this path: of each item, where a part of the path is a discovery.
 fn used_keys(value: &Value, path: &[&str]) -> BTreeSet<String> {
     match (value, path) {
         (Value::Array(items), _) => items
@@ -390,6 +390,6 @@
     let accepted = accepted_after(|table| {
         first(table, &["trouble"]).insert("kind".into(), UNKNOWN.into());
     });
-    let used: BTreeSet<_> = every_key().trouble.iter().map(|t| t.name.clone()).collect();
+    let used: BTreeSet<_> = every_key().faults.iter().map(|t| t.name.clone()).collect();
     assert_eq!(accepted, used);
 }
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -8,7 +8,7 @@
 use birchhub_audit::{Answer, Event, Idempotency};
 use birchhub_backend_model::{IdempotencyKey, IncomingWork, RejectionReason};
 use birchhub_rehearsal::plan::BackendFault;
-use birchhub_rehearsal::scenario::Reports;
+use birchhub_rehearsal::scenario::LoadReports;
 
 /// An attempt of a proxy at a backend.
 pub(super) struct ProxyAttempt {
@@ -123,7 +123,7 @@
         if self.is_partitioned(node, process.proxy) {
             return;
         }
-        let reports_load = self.scenario.fleet.reports == Reports::Answers;
+        let reports_load = self.scenario.fleet.load_reports == LoadReports::Responses;
         let has_answer = !matches!(
             outcome,
             AttemptOutcome::Reset | AttemptOutcome::ConnectFailed
@@ -247,7 +247,7 @@
         let rpc = rpc_of_request(received.request_id);
         let method = self.plan.arrivals[rpc as usize].method;
         let machine = &self.machines[received.node as usize];
-        match self.scenario.method[method as usize].idempotency() {
+        match self.scenario.methods[method as usize].idempotency() {
             Idempotency::Deduplicated { group, window } => Some(IdempotencyKey {
                 group: group.number(machine.zone, machine.rack),
                 key: u64::from(rpc),
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -58,7 +58,7 @@
             state: EndpointState::Ready,
             started: Some(self.now),
         };
-        self.schedule_publication(node, list_entry, self.scenario.list.lag.0);
+        self.schedule_publication(node, list_entry, self.scenario.discovery.update_delay.0);
     }
 
     /// Ends the backend of a machine and breaks the connections of its attempts. Returns its incarnation.
@@ -101,7 +101,7 @@
             let retry = SimulationEvent::RetireBackend(retirement);
             return self.schedule(DRAIN_CHECK_SECONDS, retry);
         }
-        self.remove_backend(retirement.node, self.scenario.list.lag.0);
+        self.remove_backend(retirement.node, self.scenario.discovery.update_delay.0);
         let node = retirement.successor;
         self.schedule(retirement.after, SimulationEvent::StartBackend { node });
     }
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -54,7 +54,7 @@
     pub(super) fn send_client_request(&mut self, rpc: u32, number: u8) {
         let scenario = self.scenario;
         let arrival = &self.plan.arrivals[rpc as usize];
-        let method = &scenario.method[arrival.method as usize];
+        let method = &scenario.methods[arrival.method as usize];
         let left = arrival.due + method.deadline.0 - self.now;
         let Some(client_timeout) = clients::client_timeout(&scenario.clients, method, left) else {
             return;
@@ -104,9 +104,9 @@
         let rpc = rpc_of_request(request_id);
         let number = request_number(request_id);
         let arrival = &self.plan.arrivals[rpc as usize];
-        let method = &self.scenario.method[arrival.method as usize];
+        let method = &self.scenario.methods[arrival.method as usize];
         let elapsed = self.now - arrival.due;
-        let may_retry = number < self.scenario.clients.retries;
+        let may_retry = number < self.scenario.clients.max_retries;
         if may_retry && clients::tries_again(answer, method, elapsed) {
             let number = number + 1;
             self.schedule(
@@ -120,15 +120,15 @@
     fn retry_delay(&self, number: u8, answer: Answer) -> f64 {
         let policy = &self.scenario.clients;
         let retry_after = match answer {
-            Answer::Rejected(Some(after)) if policy.obey_retry_after => f64::from(after),
+            Answer::Rejected(Some(after)) if policy.honors_retry_after => f64::from(after),
             _ => 0.0,
         };
-        let factor = if policy.backoff {
+        let factor = if policy.exponential_backoff {
             f64::from(1 << number.min(MAX_BACKOFF_EXPONENT))
         } else {
             1.0
         };
-        (policy.wait.0 * factor).max(retry_after)
+        (policy.retry_delay.0 * factor).max(retry_after)
     }
 
     /// Closes the connection of a client's request without a response.
--- a/crates/simulation/src/world/discovery.rs
+++ b/crates/simulation/src/world/discovery.rs
@@ -68,7 +68,7 @@
         if self.list.is_limited() {
             match self.list.accept_call(proxy) {
                 Some(entries) => self.schedule(
-                    self.scenario.list.takes(entries),
+                    self.scenario.discovery.call_seconds(entries),
                     SimulationEvent::ListCallServed(process),
                 ),
                 None => {
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -23,7 +23,9 @@
             Action::Stall { node, number, on } => self.set_stalled(node, number, on),
             Action::ScaleSpeed { node, factor } => self.scale_machine(node, factor),
             Action::SlowMethod { method, factor } => self.method_slowdown[method] *= factor,
-            Action::Crash { node } => self.remove_backend(node, self.scenario.list.notices.0),
+            Action::Crash { node } => {
+                self.remove_backend(node, self.scenario.discovery.failure_detection_delay.0)
+            }
             Action::Restart { node } => self.start_backend_cold(node),
             Action::AnnounceDrain { node } => self.announce_drain(node),
             Action::Drain { node } => self.drain_backend(node),
@@ -77,7 +79,7 @@
                 state: EndpointState::Draining,
                 started: machine.cold_started_at,
             };
-            self.schedule_publication(node, list_entry, self.scenario.list.lag.0);
+            self.schedule_publication(node, list_entry, self.scenario.discovery.update_delay.0);
         }
     }
 
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -116,7 +116,7 @@
         let proxies = scenario.proxies.count;
         let settings = (0..proxies as u16).map(|proxy| proxy_settings(scenario, proxy));
         let machines = plan.nodes.iter().map(|node| Machine::new(scenario, node));
-        let deadlines = scenario.method.iter().map(|method| method.deadline.0);
+        let deadlines = scenario.methods.iter().map(|method| method.deadline.0);
         Ok(World {
             scenario,
             plan,
@@ -125,12 +125,12 @@
             entries: Vec::new(),
             machines: machines.collect(),
             deduplication: DeduplicationCache::default(),
-            method_slowdown: vec![1.0; scenario.method.len()],
+            method_slowdown: vec![1.0; scenario.methods.len()],
             proxies: (0..proxies).map(|_| None).collect(),
             processes: 0,
             accepts_traffic: vec![false; proxies],
             deferred_events: vec![Vec::new(); proxies],
-            list: EndpointListService::new(proxies, scenario.list.calls),
+            list: EndpointListService::new(proxies, scenario.discovery.max_concurrent_calls),
             list_delay: 0.0,
             proxy_attempts: HashMap::new(),
             client_requests: HashMap::new(),
--- a/crates/simulation/src/world/proxies.rs
+++ b/crates/simulation/src/world/proxies.rs
@@ -51,7 +51,7 @@
         self.run_decision(proxy, |balancer, _, platform| {
             balancer.update_endpoints(EndpointUpdateKind::StaleSnapshot, &endpoints, platform)
         });
-        if self.scenario.list.known {
+        if self.scenario.discovery.known_at_start {
             self.mark_ready(proxy);
         }
     }
@@ -63,7 +63,7 @@
     }
 
     fn first_list(&mut self, proxy: u16) -> Vec<(u32, ListEntry)> {
-        if self.scenario.list.known {
+        if self.scenario.discovery.known_at_start {
             self.list.snapshot(proxy)
         } else {
             self.list.reset_reader(proxy);
@@ -107,7 +107,7 @@
             }
         }
         let noticed = SimulationEvent::FrontNoticesStop(ended.id);
-        self.schedule(self.scenario.proxies.front_notices.0, noticed);
+        self.schedule(self.scenario.proxies.front_detection_delay.0, noticed);
     }
 
     fn lose_client_attempt(&mut self, request_id: u64) {
--- a/crates/simulation/src/world/rpcs.rs
+++ b/crates/simulation/src/world/rpcs.rs
@@ -58,7 +58,7 @@
     /// Returns a client's request as the decisions receive it; the deadline is by the proxy's own clock.
     fn incoming_rpc(&self, request_id: u64, deadline: f64) -> IncomingRpc {
         let arrival = &self.plan.arrivals[rpc_of_request(request_id) as usize];
-        let has_tenants = !self.scenario.tenant.is_empty();
+        let has_tenants = !self.scenario.tenants.is_empty();
         let is_retry = request_number(request_id) > 0;
         IncomingRpc {
             id: request_id,
--- a/crates/soak/src/scenario.rs
+++ b/crates/soak/src/scenario.rs
@@ -58,11 +58,11 @@
 fn scenario(plan: &SoakPlan, text: &str) -> Result<Scenario, SoakError> {
     let mut scenario = Scenario::read(SCENARIO_NAME, text)
         .map_err(|error| SoakError::Scenario(error.to_string()))?;
-    scenario.length = ScenarioDuration(plan.seconds);
-    scenario.fleet.machine[0].count = plan.backends;
+    scenario.duration = ScenarioDuration(plan.seconds);
+    scenario.fleet.machines[0].count = plan.backends;
     scenario.proxies.count = plan.proxies;
-    scenario.traffic.rate = plan.requests_per_second;
-    scenario.clients.leave = plan.cancelled_fraction;
+    scenario.traffic.rate_per_second = plan.requests_per_second;
+    scenario.clients.cancelling_fraction = plan.cancelled_fraction;
     Ok(scenario)
 }
 
