--- a/crates/capacity/src/estimate/targets.rs
+++ b/crates/capacity/src/estimate/targets.rs
@@ -296,10 +296,10 @@
 
 fn estimate(definition: &TargetDefinition, report: &Report) -> Result<Estimate, SeriesError> {
     let was_busy = match definition.wall_clock_series {
-        Some(name) => report.get(name)?.load > report.cores as f64,
+        Some(name) => report.get(name)?.load_average > report.cores as f64,
         None => false,
     };
-    let backends = report.plan.hollow_backends.to_string();
+    let backends = report.plan.simulated_proxy_backends.to_string();
     Ok(Estimate {
         key: definition.key,
         role: definition.role,
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,27 +1,25 @@
-//! What a fleet of the planned size costs: slopes of a real `birchhubd` and of hollow proxies, measured on loopback before
-//! hollow backends and a list service with as many lines as wanted, fitted, and the reckoning of `docs/CAPACITY.md` made of them.
-#![expect(
-    missing_docs,
-    reason = "docs/ROADMAP.md lists the crates that are not documented yet"
-)]
+//! Capacity measurement: series of points from real and simulated proxies on loopback, lines fitted through them, and the
+//! estimates of `docs/CAPACITY.md` for the planned size.
 
-pub mod backends;
+pub mod clients;
 pub mod error;
 pub mod estimate;
 pub mod fit;
-pub mod hollow;
-pub mod list;
-pub mod load;
+pub mod measurement;
 pub mod page;
 pub mod plan;
 pub mod planned_size;
 pub mod proxy;
+mod proxy_settings;
 pub mod report;
-pub mod run;
 pub mod series;
+mod service_thread;
+pub mod simulated_proxies;
+pub mod stub_backends;
+pub mod synthetic_discovery;
 pub mod usage;
 
 pub use error::{MeasurementError, PageError, ReportFileError, SeriesError};
+pub use measurement::{Options, measure};
 pub use plan::Plan;
 pub use report::Report;
-pub use run::{Options, measure};
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -1,13 +1,15 @@
-//! The tables of `docs/CAPACITY.md`, made of a result and put between their markers.
+//! Generates the tables of `docs/CAPACITY.md` from a report and puts them between their markers.
 use crate::error::{PageError, SeriesError};
 use crate::estimate::{self, Basis, Candidate, Estimate};
+use crate::fit::Fit;
 use crate::report::Report;
+use crate::series::Series;
 use std::fmt::Write;
 
 /// Generates the text of one table.
 type GenerateTable = fn(&Report) -> Result<String, SeriesError>;
 
-/// The tables of the page, by the names in their markers.
+/// All tables, with the names in their markers.
 const TABLES: [(&str, GenerateTable); 5] = [
     ("targets", targets),
     ("roles", roles),
@@ -16,15 +18,22 @@
     ("slopes", slopes),
 ];
 
-/// Three figures that count, without an exponent.
+/// Units of x to which a slope on the page refers.
+const SLOPE_UNITS: f64 = 1e3;
+
+/// Formats a number with three significant digits and without an exponent.
 pub fn figure(value: f64) -> String {
-    if value == 0.0 || !value.is_finite() {
-        return if value == 0.0 { "0".into() } else { "-".into() };
+    if value == 0.0 {
+        return "0".into();
+    }
+    if !value.is_finite() {
+        return "-".into();
     }
-    let before = value.abs().log10().floor() as i32;
-    let places = (2 - before).clamp(0, 6) as usize;
-    let unit = 10_f64.powi(before - 2);
-    let text = format!("{:.places$}", (value / unit).round() * unit);
+    let exponent = value.abs().log10().floor() as i32;
+    let decimal_places = (2 - exponent).clamp(0, 6) as usize;
+    let last_digit = 10_f64.powi(exponent - 2);
+    let rounded = (value / last_digit).round() * last_digit;
+    let text = format!("{rounded:.decimal_places$}");
     if text.contains('.') {
         text.trim_end_matches('0').trim_end_matches('.').to_owned()
     } else {
@@ -133,42 +142,7 @@
     ))
 }
 
-#[expect(clippy::too_many_lines)]
 fn slopes(report: &Report) -> Result<String, SeriesError> {
-    let rows = report.series.iter().map(|series| {
-        let points = series
-            .points
-            .iter()
-            .map(|(x, y)| format!("{}: {}", figure(*x), figure(*y)));
-        let points = points
-            .chain(series.missing.iter().cloned())
-            .collect::<Vec<_>>()
-            .join("; ");
-        let (base, slope, residual) =
-            series
-                .fit
-                .map_or(("-".into(), "-".into(), "-".into()), |fit| {
-                    (
-                        figure(fit.base),
-                        figure(fit.slope * 1e3),
-                        figure(fit.residual),
-                    )
-                });
-        let wall = if series.wall {
-            format!("wall, load {}", figure(series.load))
-        } else {
-            "counted".into()
-        };
-        [
-            format!("`{}`", series.name),
-            format!("{} by {}; {}", series.y, series.x, series.held),
-            points,
-            base,
-            slope,
-            residual,
-            wall,
-        ]
-    });
     let head = [
         "series",
         "what",
@@ -178,14 +152,40 @@
         "residual",
         "clock",
     ];
-    let failed = format!("{} of {} RPCs failed", report.failed, report.rpcs);
+    let failed = format!("{} of {} RPCs failed", report.failed_rpcs, report.rpcs);
     let run = format!(
         "`{}`: {} cores, {} s, {failed}.\n\n",
         report.command,
         report.cores,
-        figure(report.took)
+        figure(report.duration_seconds)
     );
-    Ok(run + &table(&head, rows))
+    Ok(run + &table(&head, report.series.iter().map(series_row)))
+}
+
+/// The row of a series: its points, its line, and whether it depends on a wall clock.
+fn series_row(series: &Series) -> [String; 7] {
+    let points = series
+        .points
+        .iter()
+        .map(|(x, y)| format!("{}: {}", figure(*x), figure(*y)));
+    let points_and_reasons: Vec<_> = points.chain(series.missing.iter().cloned()).collect();
+    let fitted = |value: fn(&Fit) -> f64| {
+        let value = series.fit.as_ref().map(value);
+        value.map_or("-".to_owned(), figure)
+    };
+    let clock = match series.uses_wall_clock {
+        true => format!("wall, load {}", figure(series.load_average)),
+        false => "counted".to_owned(),
+    };
+    [
+        format!("`{}`", series.name),
+        format!("{} by {}; {}", series.y, series.x, series.conditions),
+        points_and_reasons.join("; "),
+        fitted(|fit| fit.base),
+        fitted(|fit| fit.slope * SLOPE_UNITS),
+        fitted(|fit| fit.residual),
+        clock,
+    ]
 }
 
 fn table<const N: usize>(head: &[&str; N], rows: impl Iterator<Item = [String; N]>) -> String {
@@ -197,14 +197,15 @@
     text
 }
 
-/// The page with the tables made anew. An error names the marker that is missing or the figure that can't be made.
+/// Returns the page with its tables generated from a report.
+///
+/// # Errors
+/// Names the marker that is missing or the series that an estimate lacks.
 pub fn renew(page: &str, report: &Report) -> Result<String, PageError> {
     let mut text = page.to_owned();
     for (name, make) in TABLES {
-        let (begin, end) = (
-            format!("<!-- scale: {name} -->\n"),
-            format!("<!-- end of {name} -->"),
-        );
+        let begin = format!("<!-- scale: {name} -->\n");
+        let end = format!("<!-- end of {name} -->");
         let from = text
             .find(&begin)
             .ok_or_else(|| PageError::NoBeginMarker(begin.trim_end().to_owned()))?;
--- a/crates/capacity/src/proxy.rs
+++ b/crates/capacity/src/proxy.rs
@@ -1,5 +1,7 @@
-//! A real `birchhubd` before hollow backends: its process has one owner here.
+//! A real `birchhubd` process under measurement, which ends when its owner drops it.
 use crate::error::MeasurementError;
+pub use crate::proxy_settings::ProxyProfile;
+use crate::proxy_settings::method;
 use crate::usage;
 use birchhub_emulator::Clock;
 use birchhub_emulator::wire::{MessageKind, Peer};
@@ -13,212 +15,180 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-const LOOK: Duration = Duration::from_millis(2); // between looks at a process
-const READY: Duration = Duration::from_secs(60); // for a proxy to be ready, on a machine however busy
-const ASK: Duration = Duration::from_secs(2); // for one answer
-pub const IDLE: Duration = Duration::from_secs(5); // after which backends close a connection on which nothing goes
-const PROBE_PRICE: f64 = 0.01; // points of service that a probe for every RPC would cost: two or three are worth it
-const MEMORY: u32 = 128; // MB that a proxy is told it has
-const SOCKETS: u32 = 4_096; // that a proxy is told it has: far above what these runs open
-
-/// What a proxy is configured with.
-#[derive(Clone, Copy, Debug)]
-pub struct Shape {
-    pub methods: u32,
-    pub tenants: u32,
-    pub proxies: u32,
-    /// Loads are told by probes; else by answers, and there are no probes.
-    pub probes: bool,
+/// Interval between checks of a starting proxy.
+const CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// Time in which a proxy must be ready, even on a busy machine.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time in which a proxy must respond to a request.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Memory limit in a proxy's configuration, in MB.
+const MEMORY_LIMIT_MB: u32 = 128;
+/// Limit of sockets in a proxy's configuration: far more than a measurement opens.
+const SOCKET_LIMIT: u32 = 4_096;
+/// The path of the readiness check.
+const READY_PATH: &str = "/health/ready";
+const OK: u16 = 200;
+
+/// The cost of a proxy's start until it is ready.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct StartupCost {
+    /// Time on the wall clock, in seconds.
+    pub wall_seconds: f64,
+    /// Processor time, in seconds.
+    pub processor_seconds: f64,
 }
 
-impl Default for Shape {
-    fn default() -> Self {
-        Self {
-            methods: 1,
-            tenants: 0,
-            proxies: 850,
-            probes: false,
-        }
-    }
-}
-
-fn ns(seconds: f64) -> u64 {
-    (seconds * 1e9) as u64
-}
-
-/// The settings object of such a proxy: ten zones.
-pub fn settings(shape: Shape) -> Value {
-    let method = |n: u32| {
-        json!({"name": format!("m{n}"), "idempotency": "read_like", "latency-target-ns": ns(0.25),
-            "hard-limit-ns": ns(1.0), "utility": 1.0})
-    };
-    let account = |n: u32| json!({"name": format!("tenant-{n:06}"), "quota-per-s": 4.0, "share": 1.0 / f64::from(shape.tenants)});
-    let zones: Vec<_> = (0..10).map(|n| format!("z{n}")).collect();
-    json!({
-        "balancers": shape.proxies, "me": 0,
-        "accounts": (0..shape.tenants).map(account).collect::<Vec<_>>(),
-        "methods": (0..shape.methods).map(method).collect::<Vec<_>>(),
-        "ceilings": {"cancel": true, "conn-idle-ns": ns(IDLE.as_secs_f64()), "connect-timeout-ns": ns(0.25),
-            "most-picks": 3, "probes": shape.probes},
-        "contract": {"ask-within-ns": ns(2.0), "cold-from": 0.3, "cold-ns": ns(8.0), "drain-grace-ns": ns(0.3),
-            "fall-multiple": 3.0, "tip-after-ns": ns(1.0)},
-        "failure-domains": zones, "my-zone": "z0", "membership-mode": "on_request",
-        "penalties": {"probe": PROBE_PRICE}, "report": {"how": if shape.probes { "probe" } else { "answers" }, "fields": ["concurrent", "depth"]}, "weight-source": "none"
-    })
-}
-
-fn file_error(path: &Path, source: std::io::Error) -> MeasurementError {
-    let path = path.to_owned();
-    MeasurementError::File { path, source }
-}
-
-/// A free address on loopback.
-fn free() -> Result<SocketAddr, MeasurementError> {
-    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
-    listener
-        .and_then(|l| l.local_addr())
-        .map_err(|source| MeasurementError::Listener {
-            owner: "a proxy".to_owned(),
-            source,
-        })
-}
-
-/// A running proxy. It ends with its owner.
+/// A running proxy.
 pub struct Proxy {
-    pub at: SocketAddr,
+    /// The address at which it serves clients.
+    pub address: SocketAddr,
+    /// Its process.
     pub pid: u32,
-    /// From its start to ready: s on the wall, and s of processor time.
-    pub started: (f64, f64),
+    /// The cost of its last start.
+    pub startup: StartupCost,
     child: Child,
-    config: PathBuf,
-    file: Value,
+    configuration_path: PathBuf,
+    configuration: Value,
 }
 
 impl Proxy {
-    /// Starts one and waits until it takes clients.
+    /// Starts a proxy and waits until it is ready. Its configuration and log are the files `name` in `folder`.
+    ///
+    /// # Errors
+    /// Fails if a file can't be written, the program can't be executed, or the proxy exits or is not ready within 60 s.
     pub async fn start(
         program: &Path,
         folder: &Path,
         name: &str,
-        list: SocketAddr,
-        shape: Shape,
+        discovery: SocketAddr,
+        profile: ProxyProfile,
         seed: u64,
     ) -> Result<Self, MeasurementError> {
-        let at = free()?;
-        let file = json!({"name": name, "listen": at.to_string(), "discovery": list.to_string(),
-            "seed": format!("{seed:016x}"), "limits": {"cores": 1.0, "memory_mb": MEMORY, "sockets": SOCKETS},
-            "settings": settings(shape)});
-        let config = folder.join(format!("{name}.json"));
-        let mut proxy = Self::spawn(program, config, file, at)?;
-        proxy.until_ready().await?;
+        let address = free_loopback_address()?;
+        let configuration = json!({"name": name, "listen": address.to_string(), "discovery": discovery.to_string(),
+            "seed": format!("{seed:016x}"),
+            "limits": {"cores": 1.0, "memory_mb": MEMORY_LIMIT_MB, "sockets": SOCKET_LIMIT},
+            "settings": profile.settings()});
+        let configuration_path = folder.join(format!("{name}.json"));
+        let mut proxy = Self::spawn(program, configuration_path, configuration, address)?;
+        proxy.wait_until_ready().await?;
         Ok(proxy)
     }
 
     fn spawn(
         program: &Path,
-        config: PathBuf,
-        file: Value,
-        at: SocketAddr,
+        configuration_path: PathBuf,
+        configuration: Value,
+        address: SocketAddr,
     ) -> Result<Self, MeasurementError> {
-        std::fs::write(&config, file.to_string()).map_err(|source| file_error(&config, source))?;
-        let path = config.with_extension("log");
-        let log = File::options().create(true).append(true).open(&path);
-        let log = log.map_err(|source| file_error(&path, source))?;
-        let mut command = Command::new(program);
-        command
-            .env("LB_CONFIG", &config)
-            .env("BIRCHHUB_LOG", "warn");
-        command
+        write_configuration(&configuration_path, &configuration)?;
+        let log_path = log_path(&configuration_path);
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(&log_path)
+            .map_err(|source| file_error(&log_path, source))?;
+        let child = Command::new(program)
+            .env("LB_CONFIG", &configuration_path)
+            .env("BIRCHHUB_LOG", "warn")
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(log);
-        let child = command
+            .stderr(log)
             .spawn()
             .map_err(|source| MeasurementError::ProxyStart {
                 program: program.to_owned(),
                 source,
             })?;
-        let pid = child.id();
         Ok(Self {
-            at,
-            pid,
-            started: (0.0, 0.0),
+            address,
+            pid: child.id(),
+            startup: StartupCost::default(),
             child,
-            config,
-            file,
+            configuration_path,
+            configuration,
         })
     }
 
-    async fn until_ready(&mut self) -> Result<(), MeasurementError> {
-        let begun = Instant::now();
-        while self.ask("/health/ready").await != Some(200) {
+    async fn wait_until_ready(&mut self) -> Result<(), MeasurementError> {
+        let start = Instant::now();
+        while self.request_status(READY_PATH).await != Some(OK) {
             if let Ok(Some(status)) = self.child.try_wait() {
-                let log =
-                    std::fs::read_to_string(self.config.with_extension("log")).unwrap_or_default();
-                let last = log.lines().last().unwrap_or("it said nothing").to_owned();
                 return Err(MeasurementError::ProxyExited {
-                    configuration: self.config.clone(),
+                    configuration: self.configuration_path.clone(),
                     status,
-                    last_log_line: last,
+                    last_log_line: self.last_log_line(),
                 });
             }
-            if begun.elapsed() > READY {
+            if start.elapsed() > READY_TIMEOUT {
                 return Err(MeasurementError::ProxyNotReady {
-                    configuration: self.config.clone(),
-                    seconds: READY.as_secs(),
+                    configuration: self.configuration_path.clone(),
+                    seconds: READY_TIMEOUT.as_secs(),
                 });
             }
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
-        self.started = (begun.elapsed().as_secs_f64(), usage::processor(self.pid)?);
+        self.startup = StartupCost {
+            wall_seconds: start.elapsed().as_secs_f64(),
+            processor_seconds: usage::processor_seconds(self.pid)?,
+        };
         Ok(())
     }
 
-    /// Status of the answer to a GET; None without one.
-    pub async fn ask(&self, path: &str) -> Option<u16> {
-        let ask = async {
-            let mut peer = Peer::connect(self.at).await.ok()?;
-            let head =
-                "Host: proxy\r\nConnection: close\r\nRequest-Id: ask\r\nRequest-Timeout-Ms: 1000";
-            peer.write(format!("GET {path} HTTP/1.1\r\n{head}\r\n\r\n").as_bytes())
-                .await
-                .ok()?;
-            Some(
-                peer.read(MessageKind::Response, &Clock::starting_in(Duration::ZERO))
-                    .await
-                    .ok()?
-                    .status,
-            )
-        };
-        timeout(ASK, ask).await.ok()?
+    fn last_log_line(&self) -> String {
+        let log = std::fs::read_to_string(log_path(&self.configuration_path)).unwrap_or_default();
+        log.lines().last().unwrap_or("it said nothing").to_owned()
+    }
+
+    /// Sends a GET request and returns the status of the response; None without a response in time.
+    pub async fn request_status(&self, path: &str) -> Option<u16> {
+        timeout(RESPONSE_TIMEOUT, self.get(path)).await.ok()?
+    }
+
+    async fn get(&self, path: &str) -> Option<u16> {
+        let mut peer = Peer::connect(self.address).await.ok()?;
+        let headers =
+            "Host: proxy\r\nConnection: close\r\nRequest-Id: ask\r\nRequest-Timeout-Ms: 1000";
+        let request = format!("GET {path} HTTP/1.1\r\n{headers}\r\n\r\n");
+        peer.write(request.as_bytes()).await.ok()?;
+        let clock = Clock::starting_in(Duration::ZERO);
+        let response = peer.read(MessageKind::Response, &clock).await.ok()?;
+        Some(response.status)
     }
 
-    /// Writes a configuration with one more method, which is not in force by that.
+    /// Writes a configuration with one more method, which comes into force with a reload or a restart.
+    ///
+    /// # Errors
+    /// Fails if the file can't be written.
     pub fn add_method(&mut self, name: &str) -> Result<(), MeasurementError> {
-        let method = json!({"name": name, "idempotency": "read_like", "latency-target-ns": ns(0.25),
-            "hard-limit-ns": ns(1.0), "utility": 1.0});
-        if let Some(methods) = self.file["settings"]["methods"].as_array_mut() {
-            methods.push(method);
+        if let Some(methods) = self.configuration["settings"]["methods"].as_array_mut() {
+            methods.push(method(name));
         }
-        std::fs::write(&self.config, self.file.to_string())
-            .map_err(|source| file_error(&self.config, source))
+        write_configuration(&self.configuration_path, &self.configuration)
     }
 
-    pub fn hang_up(&self) -> Result<(), MeasurementError> {
+    /// Makes the proxy reload its configuration, by SIGHUP.
+    ///
+    /// # Errors
+    /// Fails if the process has gone.
+    pub fn reload(&self) -> Result<(), MeasurementError> {
         let pid = self.pid;
         kill(Pid::from_raw(pid as i32), Signal::SIGHUP)
             .map_err(|source| MeasurementError::Reload { pid, source })
     }
 
-    /// Ends it at once and starts it again where it was; done when it takes clients.
+    /// Kills the proxy, starts it again at the same address and waits until it is ready.
+    ///
+    /// # Errors
+    /// Fails as [`Proxy::start`] does.
     pub async fn restart(&mut self, program: &Path) -> Result<(), MeasurementError> {
-        self.end();
-        let next = Self::spawn(program, self.config.clone(), self.file.clone(), self.at)?;
-        *self = next;
-        self.until_ready().await
+        self.kill();
+        let configuration_path = self.configuration_path.clone();
+        let configuration = self.configuration.clone();
+        *self = Self::spawn(program, configuration_path, configuration, self.address)?;
+        self.wait_until_ready().await
     }
 
-    fn end(&mut self) {
+    fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -226,6 +196,29 @@
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.end();
+        self.kill();
     }
 }
+
+fn log_path(configuration_path: &Path) -> PathBuf {
+    configuration_path.with_extension("log")
+}
+
+fn write_configuration(path: &Path, configuration: &Value) -> Result<(), MeasurementError> {
+    std::fs::write(path, configuration.to_string()).map_err(|source| file_error(path, source))
+}
+
+fn file_error(path: &Path, source: std::io::Error) -> MeasurementError {
+    let path = path.to_owned();
+    MeasurementError::File { path, source }
+}
+
+/// An address on loopback with a port that is free at the moment.
+fn free_loopback_address() -> Result<SocketAddr, MeasurementError> {
+    TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
+        .and_then(|listener| listener.local_addr())
+        .map_err(|source| MeasurementError::Listener {
+            owner: "a proxy".to_owned(),
+            source,
+        })
+}
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -1,4 +1,4 @@
-//! The result of a run, as it is kept in JSON.
+//! The result of a measurement, which is stored as JSON.
 use crate::error::{ReportFileError, SeriesError};
 use crate::fit::Fit;
 use crate::plan::Plan;
@@ -7,34 +7,43 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-const FORM: u32 = 1; // of the file
+/// The version of the stored form.
+const FORM: u32 = 1;
 
+/// The result of a measurement.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
+    /// The version of the stored form.
     pub form: u32,
-    /// What makes it anew.
+    /// The command that repeats the measurement.
     pub command: String,
+    /// The sizes that were measured.
     pub plan: Plan,
-    /// Cores of the machine it was measured on.
+    /// Number of cores of the machine.
     pub cores: usize,
-    /// RPCs that had no answer with status 200, of so many.
-    pub failed: u64,
+    /// RPCs that had no response with status 200 in time.
+    #[serde(rename = "failed")]
+    pub failed_rpcs: u64,
+    /// RPCs sent.
     pub rpcs: u64,
-    /// How long the run took, s.
-    pub took: f64,
+    /// Duration of the measurement, in seconds.
+    #[serde(rename = "took")]
+    pub duration_seconds: f64,
+    /// All series, in the order of their definitions.
     pub series: Vec<Series>,
 }
 
 impl Report {
+    /// Creates a report whose series have no points.
     pub fn new(plan: &Plan) -> Self {
         Self {
             form: FORM,
             command: plan.command(),
             plan: plan.clone(),
             cores: std::thread::available_parallelism().map_or(0, usize::from),
-            failed: 0,
+            failed_rpcs: 0,
             rpcs: 0,
-            took: 0.0,
+            duration_seconds: 0.0,
             series: SERIES.iter().map(Series::new).collect(),
         }
     }
@@ -42,39 +51,58 @@
     fn series_mut(&mut self, name: &str) -> Result<&mut Series, SeriesError> {
         self.series
             .iter_mut()
-            .find(|s| s.name == name)
+            .find(|series| series.name == name)
             .ok_or_else(|| SeriesError::Unknown(name.to_owned()))
     }
 
+    /// Adds a point to a series.
+    ///
+    /// # Errors
+    /// Fails if there is no such series.
     pub fn add(&mut self, name: &str, x: f64, y: f64) -> Result<(), SeriesError> {
         let series = self.series_mut(name)?;
         series.points.push((x, y));
-        series.load = series.load.max(usage::load_average());
+        series.load_average = series.load_average.max(usage::load_average());
         Ok(())
     }
 
-    /// A point that could not be taken, and why.
-    pub fn miss(&mut self, name: &str, why: String) -> Result<(), SeriesError> {
-        self.series_mut(name)?.missing.push(why);
+    /// Records the reason for which a point of a series could not be taken.
+    ///
+    /// # Errors
+    /// Fails if there is no such series.
+    pub fn add_missing(&mut self, name: &str, reason: String) -> Result<(), SeriesError> {
+        self.series_mut(name)?.missing.push(reason);
         Ok(())
     }
 
+    /// Sorts the points and fits the lines of all series.
     pub fn finish(&mut self) {
         self.series.iter_mut().for_each(Series::finish);
     }
 
+    /// Returns a series by its name.
+    ///
+    /// # Errors
+    /// Fails if there is no such series.
     pub fn get(&self, name: &str) -> Result<&Series, SeriesError> {
         self.series
             .iter()
-            .find(|s| s.name == name)
+            .find(|series| series.name == name)
             .ok_or_else(|| SeriesError::Unknown(name.to_owned()))
     }
 
-    /// What the line of a series gives at x. An error where it has none.
+    /// Returns the value of a series' line at x.
+    ///
+    /// # Errors
+    /// Fails if there is no such series or its points are too few.
     pub fn at(&self, name: &str, x: f64) -> Result<f64, SeriesError> {
         Ok(self.fit(name)?.at(x))
     }
 
+    /// Returns the slope of a series' line.
+    ///
+    /// # Errors
+    /// Fails if there is no such series or its points are too few.
     pub fn slope(&self, name: &str) -> Result<f64, SeriesError> {
         Ok(self.fit(name)?.slope)
     }
@@ -86,6 +114,10 @@
             .ok_or_else(|| SeriesError::TooFewPoints(name.to_owned()))
     }
 
+    /// Reads a stored report.
+    ///
+    /// # Errors
+    /// Fails if the file can't be read, is not JSON, or has another form.
     pub fn read(path: &Path) -> Result<Self, ReportFileError> {
         let text = std::fs::read_to_string(path).map_err(|source| io_error(path, source))?;
         let json_error = |source| json_error(path, source);
@@ -100,13 +132,16 @@
         }
     }
 
-    /// Whole or not at all: an older result is replaced only by a whole one.
+    /// Stores the report. An older file is replaced at once, so that it is never truncated.
+    ///
+    /// # Errors
+    /// Fails if the file can't be written.
     pub fn write(&self, path: &Path) -> Result<(), ReportFileError> {
         let json = serde_json::to_string_pretty(self);
         let text = json.map_err(|source| json_error(path, source))? + "\n";
-        let part = path.with_extension("part");
-        std::fs::write(&part, text)
-            .and_then(|()| std::fs::rename(&part, path))
+        let temporary_path = path.with_extension("part");
+        std::fs::write(&temporary_path, text)
+            .and_then(|()| std::fs::rename(&temporary_path, path))
             .map_err(|source| io_error(path, source))
     }
 }
--- a/crates/capacity/src/series.rs
+++ b/crates/capacity/src/series.rs
@@ -1,48 +1,54 @@
-//! The series that are measured: what each is of, and in which units.
+//! The measured series: what each of them varies and measures, and in which units.
 use crate::fit::Fit;
 use serde::{Deserialize, Serialize};
 
-/// What a series is of.
+/// The definition of a series.
 pub struct Definition {
+    /// The name by which estimates refer to the series.
     pub name: &'static str,
+    /// The quantity that is varied.
     pub x: &'static str,
+    /// The quantity that is measured, with its unit.
     pub y: &'static str,
-    /// What stayed the same.
-    pub held: &'static str,
-    /// Told by a clock on the wall: as good as the machine was idle.
-    pub wall: bool,
+    /// The conditions that stay the same.
+    pub conditions: &'static str,
+    /// Whether the values are times on a wall clock, which other load on the machine lengthens.
+    pub uses_wall_clock: bool,
 }
 
+/// Defines a series of counts or processor times.
 const fn counted(
     name: &'static str,
     x: &'static str,
     y: &'static str,
-    held: &'static str,
+    conditions: &'static str,
 ) -> Definition {
     Definition {
         name,
         x,
         y,
-        held,
-        wall: false,
+        conditions,
+        uses_wall_clock: false,
     }
 }
 
+/// Defines a series of times on a wall clock.
 const fn timed(
     name: &'static str,
     x: &'static str,
     y: &'static str,
-    held: &'static str,
+    conditions: &'static str,
 ) -> Definition {
     Definition {
         name,
         x,
         y,
-        held,
-        wall: true,
+        conditions,
+        uses_wall_clock: true,
     }
 }
 
+/// All series, in the order of the report.
 pub const SERIES: &[Definition] = &[
     counted(
         "memory.backends",
@@ -234,39 +240,49 @@
     ),
 ];
 
-/// Points of one series and the line through them.
+/// The points of one series and the line through them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Series {
+    /// The name by which estimates refer to the series.
     pub name: String,
+    /// The quantity that is varied.
     pub x: String,
+    /// The quantity that is measured, with its unit.
     pub y: String,
-    pub held: String,
-    pub wall: bool,
+    /// The conditions that stay the same.
+    #[serde(rename = "held")]
+    pub conditions: String,
+    /// Whether the values are times on a wall clock, which other load on the machine lengthens.
+    #[serde(rename = "wall")]
+    pub uses_wall_clock: bool,
+    /// The measured points, x and y.
     pub points: Vec<(f64, f64)>,
-    /// None where the points are too few.
+    /// The line through the points; None if they are too few.
     pub fit: Option<Fit>,
-    /// Highest load average of the machine while they were taken.
-    pub load: f64,
-    /// What kept points from being taken.
+    /// Highest load average of the machine while the points were taken.
+    #[serde(rename = "load")]
+    pub load_average: f64,
+    /// The reasons for which points could not be taken.
     pub missing: Vec<String>,
 }
 
 impl Series {
-    pub fn new(of: &Definition) -> Self {
-        let owned = |text: &str| text.to_owned();
+    /// Creates a series without points.
+    pub fn new(definition: &Definition) -> Self {
         Self {
-            name: owned(of.name),
-            x: owned(of.x),
-            y: owned(of.y),
-            held: owned(of.held),
-            wall: of.wall,
+            name: definition.name.to_owned(),
+            x: definition.x.to_owned(),
+            y: definition.y.to_owned(),
+            conditions: definition.conditions.to_owned(),
+            uses_wall_clock: definition.uses_wall_clock,
             points: Vec::new(),
             fit: None,
-            load: 0.0,
+            load_average: 0.0,
             missing: Vec::new(),
         }
     }
 
+    /// Sorts the points and fits the line.
     pub fn finish(&mut self) {
         self.points.sort_by(|a, b| a.0.total_cmp(&b.0));
         self.fit = Fit::of(&self.points);
--- a/crates/capacity/tests/lists.rs
+++ b/crates/capacity/tests/lists.rs
@@ -1,12 +1,12 @@
-//! Hollow proxies at the list service: which updates each gets, by counts.
-use birchhub_capacity::backends::Backends;
-use birchhub_capacity::hollow::HollowProxies;
-use birchhub_capacity::list::ListService;
+//! Simulated proxies at the synthetic discovery service: each receives each change of the list once.
+use birchhub_capacity::simulated_proxies::SimulatedProxies;
+use birchhub_capacity::stub_backends::StubBackends;
+use birchhub_capacity::synthetic_discovery::SyntheticDiscoveryService;
 use std::time::Duration;
 use tokio::task::LocalSet;
 
 const PROXIES: u32 = 20;
-const PATIENCE: Duration = Duration::from_secs(60);
+const UPDATE_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn play<T>(act: impl AsyncFnOnce() -> T) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -19,11 +19,16 @@
 #[test]
 fn each_proxy_gets_each_change_once_and_nothing_else() {
     play(async || {
-        let backends = Backends::start(PATIENCE).expect("backends");
-        let list = ListService::start(500, backends.endpoints(), 10).expect("a list service");
-        let mut proxies = HollowProxies::start(PROXIES, list.at(), 1).expect("hollow proxies");
-        proxies.all_have(0, PATIENCE).await.expect("the full list");
-        let joined = list.bill();
+        let backends = StubBackends::start(UPDATE_TIMEOUT).expect("backends");
+        let discovery = SyntheticDiscoveryService::start(500, backends.endpoints(), 10)
+            .expect("a discovery service");
+        let mut proxies =
+            SimulatedProxies::start(PROXIES, discovery.address(), 1).expect("simulated proxies");
+        proxies
+            .wait_for_version(0, UPDATE_TIMEOUT)
+            .await
+            .expect("the full list");
+        let joined = discovery.usage();
         let connections = joined.connections;
         assert!(
             connections >= u64::from(PROXIES),
@@ -31,21 +36,21 @@
         );
         let line = joined.bytes / joined.calls / 500;
         for change in 0..5 {
-            let version = list.change(change * 3);
+            let version = discovery.change_endpoint(change * 3);
             assert_eq!(version, u64::from(change) + 1);
             proxies
-                .all_have(version, PATIENCE)
+                .wait_for_version(version, UPDATE_TIMEOUT)
                 .await
                 .expect("the change");
         }
-        let told = list.bill().since(joined);
-        assert!(told.calls >= 5 * u64::from(PROXIES), "{told:?}");
+        let usage = discovery.usage().since(joined);
+        assert!(usage.calls >= 5 * u64::from(PROXIES), "{usage:?}");
         // An answer with one endpoint is little longer than its line: the full list has 500 of them.
         assert!(
-            told.bytes < told.calls * (line + 400),
-            "{told:?}, {line} bytes a line"
+            usage.bytes < usage.calls * (line + 400),
+            "{usage:?}, {line} bytes a line"
         );
-        assert_eq!(told.connections, 0, "the watch stays on its connection");
+        assert_eq!(usage.connections, 0, "the watch stays on its connection");
     });
 }
 
@@ -53,12 +58,14 @@
 #[test]
 fn changes_in_a_row_are_all_applied_at_the_end() {
     play(async || {
-        let backends = Backends::start(PATIENCE).expect("backends");
-        let list = ListService::start(50, backends.endpoints(), 10).expect("a list service");
-        let mut proxies = HollowProxies::start(PROXIES, list.at(), 2).expect("hollow proxies");
-        let last = (0..100).fold(0, |_, change| list.change(change));
+        let backends = StubBackends::start(UPDATE_TIMEOUT).expect("backends");
+        let discovery = SyntheticDiscoveryService::start(50, backends.endpoints(), 10)
+            .expect("a discovery service");
+        let mut proxies =
+            SimulatedProxies::start(PROXIES, discovery.address(), 2).expect("simulated proxies");
+        let last = (0..100).fold(0, |_, change| discovery.change_endpoint(change));
         proxies
-            .all_have(last, PATIENCE)
+            .wait_for_version(last, UPDATE_TIMEOUT)
             .await
             .expect("the last change");
     });
@@ -67,11 +74,13 @@
 #[test]
 fn proxies_that_are_not_updated_in_time_are_counted() {
     play(async || {
-        let backends = Backends::start(PATIENCE).expect("backends");
-        let list = ListService::start(5, backends.endpoints(), 1).expect("a list service");
-        let mut proxies = HollowProxies::start(2, list.at(), 3).expect("hollow proxies");
+        let backends = StubBackends::start(UPDATE_TIMEOUT).expect("backends");
+        let discovery = SyntheticDiscoveryService::start(5, backends.endpoints(), 1)
+            .expect("a discovery service");
+        let mut proxies =
+            SimulatedProxies::start(2, discovery.address(), 3).expect("simulated proxies");
         let fault = proxies
-            .all_have(7, Duration::from_millis(50))
+            .wait_for_version(7, Duration::from_millis(50))
             .await
             .expect_err("there is no version 7");
         assert_eq!(
--- a/crates/capacity/tests/pages.rs
+++ b/crates/capacity/tests/pages.rs
@@ -15,7 +15,7 @@
     }
     report.finish();
     // However busy the machine of the test is.
-    report.series.iter_mut().for_each(|s| s.load = 0.0);
+    report.series.iter_mut().for_each(|s| s.load_average = 0.0);
     report
 }
 
@@ -136,7 +136,7 @@
             }
         });
         report.cores = 8;
-        report.series.iter_mut().for_each(|s| s.load = 30.0);
+        report.series.iter_mut().for_each(|s| s.load_average = 30.0);
         estimate::targets(&report)
             .expect("estimates")
             .into_iter()
--- a/crates/capacity/tests/stored_form.rs
+++ b/crates/capacity/tests/stored_form.rs
@@ -59,14 +59,17 @@
     assert_eq!(report.form, 1);
     assert_eq!(report.command, "birchhub scale run --seed 1");
     assert_eq!(
-        (report.cores, report.failed, report.rpcs),
+        (report.cores, report.failed_rpcs, report.rpcs),
         (8, 3239, 63_513)
     );
     let [counted, timed] = report.series.as_slice() else {
         panic!("two series: {:?}", report.series)
     };
     assert_eq!(counted.name, "memory.backends");
-    assert_eq!((counted.wall, timed.wall), (false, true));
+    assert_eq!(
+        (counted.uses_wall_clock, timed.uses_wall_clock),
+        (false, true)
+    );
     assert!(counted.fit.is_some() && timed.fit.is_none());
     assert_eq!(timed.missing, ["no proxy came up"]);
 }
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -105,7 +105,7 @@
         "{}: {} series in {:.0} s\n",
         out.display(),
         report.series.len(),
-        report.took
+        report.duration_seconds
     ));
     Ok(0)
 }
