--- a/crates/capacity/tests/lists.rs
+++ b/crates/capacity/tests/lists.rs
@@ -1,9 +1,10 @@
 //! Simulated proxies at the synthetic discovery service: each receives each change of the list once.
 use birchhub_capacity::simulated_proxies::SimulatedProxies;
 use birchhub_capacity::stub_backends::StubBackends;
-use birchhub_capacity::synthetic_discovery::SyntheticDiscoveryService;
-use std::time::Duration;
+use birchhub_capacity::synthetic_discovery::{DiscoveryUsage, SyntheticDiscoveryService};
+use std::time::{Duration, Instant};
 use tokio::task::LocalSet;
+use tokio::time::sleep;
 
 const PROXIES: u32 = 20;
 const UPDATE_TIMEOUT: Duration = Duration::from_secs(60);
@@ -16,6 +17,17 @@
     LocalSet::new().block_on(&runtime, act())
 }
 
+/// Returns the usage once the service has counted `calls` responses: it counts a response after it has sent it, so a proxy
+/// may have received the last ones before.
+async fn usage_after(discovery: &SyntheticDiscoveryService, calls: u64) -> DiscoveryUsage {
+    let deadline = Instant::now() + UPDATE_TIMEOUT;
+    while discovery.usage().calls < calls {
+        assert!(Instant::now() < deadline, "{:?}", discovery.usage());
+        sleep(Duration::from_millis(1)).await;
+    }
+    discovery.usage()
+}
+
 #[test]
 fn each_proxy_gets_each_change_once_and_nothing_else() {
     play(async || {
@@ -28,7 +40,7 @@
             .wait_for_version(0, UPDATE_TIMEOUT)
             .await
             .expect("the full list");
-        let joined = discovery.usage();
+        let joined = usage_after(&discovery, PROXIES.into()).await;
         let connections = joined.connections;
         assert!(
             connections >= u64::from(PROXIES),
@@ -43,7 +55,8 @@
                 .await
                 .expect("the change");
         }
-        let usage = discovery.usage().since(joined);
+        let calls = joined.calls + 5 * u64::from(PROXIES);
+        let usage = usage_after(&discovery, calls).await.since(joined);
         assert!(usage.calls >= 5 * u64::from(PROXIES), "{usage:?}");
         // An answer with one endpoint is little longer than its line: the full list has 500 of them.
         assert!(
