--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -129,12 +129,12 @@
                 break;
             };
             let cancel_after = arrival
-                .leaves
+                .cancel_after
                 .filter(|_| number == 0)
                 .map(|part| part * client_timeout);
             let (proxy, at) = self.front.deal(
                 arrival.zone,
-                arrival.deal.rotate_left(u32::from(number) * 8),
+                arrival.assignment.rotate_left(u32::from(number) * 8),
             );
             let request = ClientRequest {
                 request_id: request_id_of(rpc, number),
@@ -157,7 +157,7 @@
                 client_timeout,
                 cancel_after,
                 body_bytes: method.body_bytes,
-                slow_send: self.hooks.slow_send_of(arrival.deal),
+                slow_send: self.hooks.slow_send_of(arrival.assignment),
             };
             let answer = self.client.send(&request, at).await;
             let counter = match answer {
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -19,7 +19,6 @@
 pub mod report;
 pub mod run;
 pub mod scenario;
-mod select;
 pub mod settings;
 pub mod shipped;
 
--- a/crates/rehearsal/src/select.rs
+++ b/crates/rehearsal/src/plan/select.rs
@@ -1,5 +1,5 @@
 //! Selection of the backends and proxies that a fault affects: those that match the selector, and of them some at random.
-use crate::plan::{PlannedNode, proxy_name};
+use super::topology::{PlannedNode, proxy_name};
 use crate::scenario::{BackendSelector, InvalidValue, ProxySelector, Scenario};
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -9,13 +9,13 @@
 const NAMES_IN_ERROR: usize = 12;
 
 /// Backends affected by earlier faults, by the name of the fault.
-pub(crate) type AffectedBackends<'a> = HashMap<&'a str, Vec<u32>>;
+pub(super) type AffectedBackends<'a> = HashMap<&'a str, Vec<u32>>;
 
 /// Selects backends of `all`; `earlier` has those of the faults above this one.
 ///
 /// # Errors
 /// Returns the key below the fault that names something unknown, or `nodes` if nothing matches.
-pub(crate) fn backends(
+pub(super) fn backends(
     selector: &BackendSelector,
     scenario: &Scenario,
     all: &[PlannedNode],
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 /// Returns the key below the fault that names an unknown zone, or `proxies` if nothing matches.
-pub(crate) fn proxies(
+pub(super) fn proxies(
     selector: &ProxySelector,
     scenario: &Scenario,
     random: &mut impl Rng,
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -78,7 +78,7 @@
         self.schedule(NETWORK_DELAY_SECONDS, at_proxy);
         let give_up = SimulationEvent::ClientGivesUp { request_id };
         self.schedule(client_timeout + CLIENT_GRACE_SECONDS, give_up);
-        if let Some(part) = arrival.leaves.filter(|_| number == 0) {
+        if let Some(part) = arrival.cancel_after.filter(|_| number == 0) {
             let disconnect = SimulationEvent::ClientDisconnects { request_id };
             self.schedule(part * client_timeout, disconnect);
         }
@@ -88,7 +88,7 @@
     fn choose_proxy(&self, rpc: u32, number: u8) -> u16 {
         let arrival = &self.plan.arrivals[rpc as usize];
         let chance = arrival
-            .deal
+            .assignment
             .rotate_left(u32::from(number) * REQUEST_NUMBER_BITS);
         let accepts = |proxy: &usize| self.accepts_traffic[*proxy];
         let zones = self.scenario.fleet.zones.len();
