--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -1,5 +1,5 @@
 //! The clients: each RPC goes out when it is due, whether or not answers come, and is tried again as clients do.
-use crate::extras::Extras;
+use crate::hooks::Hooks;
 use crate::plan::{Arrival, Plan};
 use crate::proxies::Front;
 use crate::scenario::{Clients, Method, MethodKind, Scenario};
@@ -35,7 +35,7 @@
     event_log: EventLog,
     front: Arc<Front>,
     progress: Arc<Progress>,
-    extras: Extras,
+    hooks: Hooks,
 ) -> std::io::Result<Vec<JoinHandle<()>>> {
     let (due, arrivals) = mpsc::channel(AHEAD);
     let (times, clock, stop) = (plan.arrivals.clone(), event_log.clock, progress.clone());
@@ -72,7 +72,7 @@
             client,
             front,
             progress,
-            extras,
+            hooks,
         });
         LocalSet::new().block_on(&runtime, clients.run(arrivals));
     })?;
@@ -86,7 +86,7 @@
     client: Client,
     front: Arc<Front>,
     progress: Arc<Progress>,
-    extras: Extras,
+    hooks: Hooks,
 }
 
 impl Callers {
@@ -157,7 +157,7 @@
                 client_timeout,
                 cancel_after,
                 body_bytes: method.body_bytes,
-                slow_send: self.extras.slow_send_of(arrival.deal),
+                slow_send: self.hooks.slow_send_of(arrival.deal),
             };
             let answer = self.client.send(&request, at).await;
             let counter = match answer {
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,7 +1,7 @@
 //! Rehearsals: a scenario tells a small deployment and its troubles, a plan is drawn from it and a seed, and `run` plays
 //! the plan against real `birchhubd` processes among stand-ins, keeps a ledger, and has it judged.
 //!
-//! The way of a rehearsal: `scenario` (the file) → `select` and `plan` (what will happen) → `run` (`stage`: nodes and list;
+//! The way of a rehearsal: `scenario` (the file) → `select` and `plan` (what will happen) → `run` (`environment`: backends and discovery;
 //! `proxies`: processes; `clients`: RPCs, open loop) → the ledger and audit of `birchhub-audit` → `report`.
 #![expect(
     missing_docs,
@@ -10,8 +10,9 @@
 
 pub mod clients;
 pub mod duration;
+mod environment;
 pub mod error;
-pub mod extras;
+pub mod hooks;
 pub mod page;
 pub mod plan;
 pub mod proxies;
@@ -21,10 +22,9 @@
 mod select;
 pub mod settings;
 pub mod shipped;
-mod stage;
 
 pub use error::RehearsalError;
-pub use extras::Extras;
+pub use hooks::Hooks;
 pub use plan::Plan;
 pub use report::{Report, Verdict};
 pub use run::{Options, rehearse, rehearse_with};
--- a/crates/rehearsal/src/proxies.rs
+++ b/crates/rehearsal/src/proxies.rs
@@ -1,12 +1,12 @@
 //! The proxies' processes: each has one owner here, which starts, signals and ends it, and the layer before them that deals
 //! clients out.
+use crate::environment::{AddressBlock, EnvironmentHandle};
 use crate::error::RehearsalError;
-use crate::extras::Extras;
+use crate::hooks::Hooks;
 use crate::plan::{Action, proxy_name};
 use crate::run::Options;
 use crate::scenario::Scenario;
 use crate::settings;
-use crate::stage::{Block, StageDoor};
 use birchhub_audit::Event;
 use birchhub_audit::event::ProxyEnd;
 use birchhub_backend_model::work::generator;
@@ -107,9 +107,9 @@
 pub struct Proxies {
     scenario: Scenario,
     options: Options,
-    extras: Extras,
+    hooks: Hooks,
     event_log: EventLog,
-    stage: StageDoor,
+    environment: EnvironmentHandle,
     pub front: Arc<Front>,
     processes: Vec<RefCell<Option<Process>>>,
 }
@@ -118,10 +118,10 @@
     pub fn new(
         scenario: &Scenario,
         options: &Options,
-        extras: &Extras,
+        hooks: &Hooks,
         event_log: EventLog,
-        stage: StageDoor,
-        block: Block,
+        environment: EnvironmentHandle,
+        block: AddressBlock,
     ) -> Result<Rc<Self>, RehearsalError> {
         let count = scenario.proxies.count;
         let door = |proxy: usize| {
@@ -141,9 +141,9 @@
         Ok(Rc::new(Self {
             scenario: scenario.clone(),
             options: options.clone(),
-            extras: extras.clone(),
+            hooks: hooks.clone(),
             event_log,
-            stage,
+            environment,
             front,
             processes: (0..count).map(|_| RefCell::new(None)).collect(),
         }))
@@ -159,9 +159,9 @@
     #[expect(clippy::too_many_lines)]
     pub async fn start(self: &Rc<Self>, proxy: u16) -> Result<(), RehearsalError> {
         let name = proxy_name(proxy);
-        let (discovery, known) = self
-            .stage
-            .proxy_starts(proxy)
+        let discovery = self
+            .environment
+            .start_proxy(proxy)
             .await
             .ok_or(RehearsalError::EnvironmentEnded)?;
         let at = self.front.doors[proxy as usize];
@@ -169,9 +169,9 @@
         let start = (self.event_log.clock.now().max(0.0) * 1e3) as u64;
         let seed: u64 = generator(self.options.seed, u64::from(proxy) << 48 | start).random();
         let config = json!({
-            "name": name, "listen": at.to_string(), "discovery": discovery.to_string(), "seed": format!("{seed:016x}"),
+            "name": name, "listen": at.to_string(), "discovery": discovery.address.to_string(), "seed": format!("{seed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": self.scenario.proxies.memory_mb, "sockets": self.scenario.proxies.max_sockets},
-            "known": Some(known).filter(|_| self.scenario.discovery.known_at_start),
+            "known": Some(discovery.initial_snapshot).filter(|_| self.scenario.discovery.known_at_start),
             "settings": settings::settings(&self.scenario, proxy)
         });
         let file = self.path(proxy, "json");
@@ -185,7 +185,7 @@
         command
             .env("LB_CONFIG", &file)
             .envs(
-                self.extras
+                self.hooks
                     .environment
                     .get(&proxy)
                     .into_iter()
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -1,14 +1,14 @@
 //! Plays a plan: the stage on one thread, the clients on another with their pacer, the ledger on a third, and here
 //! the proxies' processes, the progress line and the end.
 use crate::clients::{self, Progress};
+use crate::environment::{self, AddressBlock};
 use crate::error::{RehearsalError, RehearsalThread};
-use crate::extras::{Companion, Extras};
+use crate::hooks::{BackgroundTask, Hooks};
 use crate::plan::Plan;
 use crate::proxies::Proxies;
 use crate::report::{Kit, Report};
 use crate::scenario::Scenario;
 use crate::settings;
-use crate::stage::{self, Block};
 use birchhub_audit::{Entry, Head, ledger};
 use birchhub_emulator::{Clock, EventLog};
 use nix::sys::resource::{UsageWho, getrusage};
@@ -47,7 +47,7 @@
     plan: &Plan,
     options: &Options,
 ) -> Result<Report, RehearsalError> {
-    rehearse_with(scenario, plan, options, &Extras::default(), None)
+    rehearse_with(scenario, plan, options, &Hooks::default(), None)
 }
 
 /// Does so with what a soak adds.
@@ -55,8 +55,8 @@
     scenario: &Scenario,
     plan: &Plan,
     options: &Options,
-    extras: &Extras,
-    companion: Option<Companion>,
+    hooks: &Hooks,
+    background_task: Option<BackgroundTask>,
 ) -> Result<Report, RehearsalError> {
     if !options.program.is_file() {
         let program = options.program.clone();
@@ -78,7 +78,7 @@
     let runtime = runtime.map_err(RehearsalError::EventLoop)?;
     let played = LocalSet::new().block_on(
         &runtime,
-        play(scenario, plan, options, extras, companion, event_log),
+        play(scenario, plan, options, hooks, background_task, event_log),
     );
     // The tasks that are left hold ways into the ledger: it ends when the last of them does.
     drop(runtime);
@@ -153,8 +153,8 @@
     scenario: &Scenario,
     plan: &Plan,
     options: &Options,
-    extras: &Extras,
-    companion: Option<Companion>,
+    hooks: &Hooks,
+    background_task: Option<BackgroundTask>,
     event_log: EventLog,
 ) -> Result<bool, RehearsalError> {
     let catch = |kind| signal(kind).map_err(RehearsalError::SignalHandler);
@@ -162,20 +162,20 @@
         catch(SignalKind::interrupt())?,
         catch(SignalKind::terminate())?,
     );
-    let (clock, block) = (event_log.clock, Block::new());
-    let (door, stage) = stage::start(
+    let (clock, block) = (event_log.clock, AddressBlock::new());
+    let (environment, environment_thread) = environment::start(
         scenario.clone(),
         plan.clone(),
-        extras.clone(),
+        hooks.clone(),
         event_log.clone(),
         block,
     )?;
     let proxies = Proxies::new(
         scenario,
         options,
-        extras,
+        hooks,
         event_log.clone(),
-        door.clone(),
+        environment.clone(),
         block,
     )?;
     let progress = Arc::new(Progress::default());
@@ -193,10 +193,11 @@
             event_log.clone(),
             front,
             progress.clone(),
-            extras.clone(),
+            hooks.clone(),
         );
         let threads = threads.map_err(RehearsalError::SpawnClients)?;
-        let companion = companion.map(|play| play(clock, proxies.front.doors().to_vec()));
+        let background_task =
+            background_task.map(|play| play(clock, proxies.front.doors().to_vec()));
         let acts = tokio::task::spawn_local(proxies.clone().play(plan.actions.clone()));
         let longest = scenario
             .methods
@@ -212,7 +213,7 @@
         };
         progress.stop.store(true, Ordering::Relaxed);
         acts.abort();
-        for thread in threads.into_iter().chain(companion) {
+        for thread in threads.into_iter().chain(background_task) {
             while !thread.is_finished() {
                 sleep(Duration::from_millis(5)).await;
             }
@@ -226,12 +227,12 @@
     if options.progress && std::io::stderr().is_terminal() {
         eprintln!();
     }
-    if extras.ends_gracefully {
+    if hooks.ends_gracefully {
         proxies.end_gracefully().await;
     }
     proxies.end();
-    door.end().await;
-    stage
+    environment.stop().await;
+    environment_thread
         .join()
         .map_err(|_| RehearsalError::ThreadPanicked(RehearsalThread::Environment))?;
     outcome
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -4,7 +4,7 @@
 use crate::result::SoakResult;
 use crate::scenario::PreparedRehearsal;
 use crate::stalled_clients;
-use birchhub_rehearsal::extras::Companion;
+use birchhub_rehearsal::hooks::BackgroundTask;
 use birchhub_rehearsal::{Options, rehearse_with};
 use std::path::PathBuf;
 use std::sync::mpsc::channel;
@@ -38,7 +38,7 @@
     let prepared = PreparedRehearsal::new(plan, &options.shim.to_string_lossy())?;
     let (unended_sender, unended_clients) = channel();
     let client_plan = plan.clone();
-    let stalled_clients: Companion = Box::new(move |clock, proxies| {
+    let stalled_clients: BackgroundTask = Box::new(move |clock, proxies| {
         stalled_clients::start(client_plan, clock, proxies, unended_sender)
     });
     let rehearsal = Options {
@@ -51,7 +51,7 @@
         &prepared.scenario,
         &prepared.plan,
         &rehearsal,
-        &prepared.extras,
+        &prepared.hooks,
         Some(stalled_clients),
     )?;
     let unended_clients = unended_clients.try_iter().collect();
--- a/crates/soak/src/scenario.rs
+++ b/crates/soak/src/scenario.rs
@@ -4,7 +4,7 @@
 use birchhub_backend_model::work::generator;
 use birchhub_emulator::relay::Window;
 use birchhub_rehearsal::duration::ScenarioDuration;
-use birchhub_rehearsal::extras::Extras;
+use birchhub_rehearsal::hooks::Hooks;
 use birchhub_rehearsal::plan::Action;
 use birchhub_rehearsal::{Plan, Scenario};
 use rand::Rng;
@@ -29,7 +29,7 @@
 pub(crate) struct PreparedRehearsal {
     pub scenario: Scenario,
     pub plan: Plan,
-    pub extras: Extras,
+    pub hooks: Hooks,
 }
 
 impl PreparedRehearsal {
@@ -49,7 +49,7 @@
         Ok(Self {
             scenario,
             plan: prepared,
-            extras: extras(plan, shim),
+            hooks: hooks(plan, shim),
         })
     }
 }
@@ -142,11 +142,11 @@
 }
 
 /// The faults that scenarios don't have: of the network, of system calls and of the wall clock.
-fn extras(plan: &SoakPlan, shim: &str) -> Extras {
-    let mut extras = Extras {
+fn hooks(plan: &SoakPlan, shim: &str) -> Hooks {
+    let mut hooks = Hooks {
         slow: plan.slow_fraction,
         ends_gracefully: true,
-        ..Extras::default()
+        ..Hooks::default()
     };
     let mut shim_faults = vec![Vec::new(); plan.proxies];
     for fault in &plan.faults {
@@ -160,7 +160,7 @@
                     disturbance: *disturbance,
                 };
                 for node in targets(plan, fault, *count, plan.backends) {
-                    extras.links.entry(node as u32).or_default().push(window);
+                    hooks.links.entry(node as u32).or_default().push(window);
                 }
             }
             FaultKind::SystemCalls { count, faults } => {
@@ -183,10 +183,10 @@
         let seed: u32 = rng.random();
         if !faults.is_empty() {
             let variables = shim_environment(shim, seed, &faults);
-            extras.environment.insert(proxy as u16, variables);
+            hooks.environment.insert(proxy as u16, variables);
         }
     }
-    extras
+    hooks
 }
 
 /// The environment that loads the shim into a proxy's process with these faults.
