--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -6,7 +6,7 @@
 use crate::hooks::{BackgroundTask, Hooks};
 use crate::plan::Plan;
 use crate::proxies::Proxies;
-use crate::report::{Kit, Report};
+use crate::report::{ProcessorTime, Report};
 use crate::scenario::Scenario;
 use crate::settings;
 use birchhub_audit::{Entry, Head, ledger};
@@ -97,11 +97,11 @@
         let times = getrusage(who).map(|u| u.user_time() + u.system_time());
         times.map_or(0.0, |t| t.tv_sec() as f64 + t.tv_usec() as f64 / 1e6)
     };
-    let kit = Kit {
+    let processor_time = ProcessorTime {
         seconds: usage(UsageWho::RUSAGE_SELF),
         proxies: usage(UsageWho::RUSAGE_CHILDREN),
     };
-    let report = Report::of(&head, &entries, stopped, Some(kit));
+    let report = Report::of(&head, &entries, stopped, Some(processor_time));
     report.write(&head, &entries, &options.out)?;
     Ok(report)
 }
--- a/crates/rehearsal/tests/report_files.rs
+++ b/crates/rehearsal/tests/report_files.rs
@@ -2,7 +2,7 @@
 //! were first written.
 use birchhub_audit::event::{Admission, AttemptEnd, ReceivedAttempt};
 use birchhub_audit::{Answer, EndpointState, Entry, Event, Head};
-use birchhub_rehearsal::report::Kit;
+use birchhub_rehearsal::report::ProcessorTime;
 use birchhub_rehearsal::{Plan, Report, Scenario, settings};
 
 const SCENARIO: &str = include_str!("fixtures/report-scenario.toml");
@@ -126,10 +126,15 @@
     entries
 }
 
-fn check_files(partial: bool, kit: Option<Kit>, expected: [&str; 3], name: &str) {
+fn check_files(
+    partial: bool,
+    processor_time: Option<ProcessorTime>,
+    expected: [&str; 3],
+    name: &str,
+) {
     let head = head();
     let entries = ledger();
-    let report = Report::of(&head, &entries, partial, kit);
+    let report = Report::of(&head, &entries, partial, processor_time);
     let folder = std::env::temp_dir().join(format!("birchhub-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     report
@@ -146,7 +151,7 @@
 
 #[test]
 fn complete_report_is_written_to_the_same_bytes() {
-    let kit = Kit {
+    let processor_time = ProcessorTime {
         seconds: 1.25,
         proxies: 3.5,
     };
@@ -155,7 +160,7 @@
         include_str!("fixtures/report-complete.html"),
         include_str!("fixtures/report-complete.txt"),
     ];
-    check_files(false, Some(kit), expected, "report-complete");
+    check_files(false, Some(processor_time), expected, "report-complete");
 }
 
 #[test]
