--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -1,11 +1,12 @@
-//! The clients: each RPC goes out when it is due, whether or not answers come, and is tried again as clients do.
+//! Emulated clients: an open loop that sends each RPC when it is due, whatever becomes of earlier ones, and retries it
+//! as the scenario says.
 use crate::hooks::Hooks;
 use crate::plan::{Arrival, Plan};
 use crate::proxies::Front;
-use crate::scenario::{Clients, Method, MethodKind, Scenario};
+use crate::scenario::{Clients as ClientSettings, Method, MethodKind, Scenario};
 use birchhub_audit::{Answer, DeduplicationScope, Event, Idempotency};
 use birchhub_emulator::fleet::request_id_of;
-use birchhub_emulator::{Client, ClientRequest, EventLog};
+use birchhub_emulator::{Client, ClientRequest, Clock, EventLog};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -14,21 +15,29 @@
 use tokio::sync::mpsc;
 use tokio::task::{JoinSet, LocalSet};
 
-const AHEAD: usize = 4096; // arrivals between the pacer and the clients: more would mean that the kit is far behind
-const NAP: f64 = 0.2; // s that the pacer sleeps at most before it looks whether to stop
-const WORTH_IT: f64 = 0.01; // s: a try with less time than this is not begun
+/// Number of due RPCs that may wait between the pacer and the clients.
+const ARRIVAL_QUEUE: usize = 4096;
+/// Longest sleep of the pacer before it checks whether to stop, in seconds.
+const MAX_SLEEP_SECONDS: f64 = 0.2;
+/// Time to the deadline below which no request is sent, in seconds.
+const MIN_TIMEOUT_SECONDS: f64 = 0.01;
 
-/// How far it has come, for the progress line.
+/// Running totals for the progress line, and the signal to stop.
 #[derive(Debug, Default)]
 pub struct Progress {
-    pub asked: AtomicUsize,
+    /// RPCs that were due.
+    pub arrivals: AtomicUsize,
+    /// Requests that succeeded.
     pub ok: AtomicUsize,
-    pub pushed_back: AtomicUsize,
+    /// Requests that were rejected.
+    pub rejected: AtomicUsize,
+    /// Requests that failed in any other way.
     pub failed: AtomicUsize,
+    /// Set to end the clients before their last RPC.
     pub stop: AtomicBool,
 }
 
-/// Starts the clients' thread and the pacer's; both end by themselves.
+/// Starts the threads of the pacer and of the clients; both end by themselves.
 pub fn start(
     scenario: Scenario,
     plan: Plan,
@@ -37,26 +46,14 @@
     progress: Arc<Progress>,
     hooks: Hooks,
 ) -> std::io::Result<Vec<JoinHandle<()>>> {
-    let (due, arrivals) = mpsc::channel(AHEAD);
-    let (times, clock, stop) = (plan.arrivals.clone(), event_log.clock, progress.clone());
-    // A thread that sleeps is on time to a tenth of a millisecond; an event loop's timers only to one.
-    let pacer = Builder::new().name("pacer".into()).spawn(move || {
-        for (rpc, arrival) in times.into_iter().enumerate() {
-            loop {
-                let left = arrival.due - clock.now();
-                if stop.stop.load(Ordering::Relaxed) {
-                    return;
-                }
-                if left <= 0.0 {
-                    break;
-                }
-                sleep(Duration::from_secs_f64(left.min(NAP)));
-            }
-            if due.blocking_send((rpc as u32, arrival)).is_err() {
-                return;
-            }
-        }
-    })?;
+    let (due, arrivals) = mpsc::channel(ARRIVAL_QUEUE);
+    let schedule = plan.arrivals.clone();
+    let clock = event_log.clock;
+    let pacer_progress = progress.clone();
+    // A sleeping thread is on time to a tenth of a millisecond; the timers of an event loop only to one.
+    let pacer = Builder::new()
+        .name("pacer".into())
+        .spawn(move || pace(schedule, clock, &pacer_progress, &due))?;
     let clients = Builder::new().name("clients".into()).spawn(move || {
         let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -65,7 +62,7 @@
             return;
         };
         let client = Client::new(event_log.clone());
-        let clients = Rc::new(Callers {
+        let clients = Rc::new(Clients {
             scenario,
             seed: plan.seed,
             event_log,
@@ -79,7 +76,32 @@
     Ok(vec![pacer, clients])
 }
 
-struct Callers {
+/// Sends each RPC on `due` at its time, until the last one or a stop.
+fn pace(
+    schedule: Vec<Arrival>,
+    clock: Clock,
+    progress: &Progress,
+    due: &mpsc::Sender<(u32, Arrival)>,
+) {
+    for (rpc, arrival) in schedule.into_iter().enumerate() {
+        loop {
+            let left = arrival.due - clock.now();
+            if progress.stop.load(Ordering::Relaxed) {
+                return;
+            }
+            if left <= 0.0 {
+                break;
+            }
+            sleep(Duration::from_secs_f64(left.min(MAX_SLEEP_SECONDS)));
+        }
+        if due.blocking_send((rpc as u32, arrival)).is_err() {
+            return;
+        }
+    }
+}
+
+/// The clients of a rehearsal, with what their RPCs share.
+struct Clients {
     scenario: Scenario,
     seed: u64,
     event_log: EventLog,
@@ -89,26 +111,22 @@
     hooks: Hooks,
 }
 
-impl Callers {
+impl Clients {
     async fn run(self: Rc<Self>, mut due: mpsc::Receiver<(u32, Arrival)>) {
         let mut open = JoinSet::new();
         while let Some((rpc, arrival)) = due.recv().await {
             let by = (self.event_log.clock.now() - arrival.due) as f32;
             self.event_log.record(Event::ClientLate { by });
-            let (method, tenant, within_quota) =
-                (arrival.method, arrival.tenant, arrival.within_quota);
-            self.event_log.record_at(
-                arrival.due,
-                Event::Arrival {
-                    rpc,
-                    method,
-                    tenant,
-                    within_quota,
-                },
-            );
-            self.progress.asked.fetch_add(1, Ordering::Relaxed);
+            let event = Event::Arrival {
+                rpc,
+                method: arrival.method,
+                tenant: arrival.tenant,
+                within_quota: arrival.within_quota,
+            };
+            self.event_log.record_at(arrival.due, event);
+            self.progress.arrivals.fetch_add(1, Ordering::Relaxed);
             open.spawn_local(self.clone().rpc(rpc, arrival));
-            // Those that are over are let go of as others come.
+            // Removes the results of completed RPCs, which would otherwise pile up until the end.
             while open.try_join_next().is_some() {}
         }
         if self.progress.stop.load(Ordering::Relaxed) {
@@ -117,75 +135,92 @@
         while open.join_next().await.is_some() {}
     }
 
-    #[expect(clippy::too_many_lines)]
+    /// Sends an RPC, and its retries, until it has its final answer or its deadline is too near.
     async fn rpc(self: Rc<Self>, rpc: u32, arrival: Arrival) {
         let method = &self.scenario.methods[arrival.method as usize];
         let clients = &self.scenario.clients;
-        let (clock, until) = (self.event_log.clock, arrival.due + method.deadline.0);
-        let mut wait = clients.retry_delay.0;
+        let clock = self.event_log.clock;
+        let deadline = arrival.due + method.deadline.0;
+        let mut retry_delay = clients.retry_delay.0;
         for number in 0..=clients.max_retries {
-            let left = until - clock.now();
+            let left = deadline - clock.now();
             let Some(client_timeout) = client_timeout(clients, method, left) else {
                 break;
             };
-            let cancel_after = arrival
-                .leaves
-                .filter(|_| number == 0)
-                .map(|part| part * client_timeout);
-            let (proxy, at) = self.front.deal(
-                arrival.zone,
-                arrival.deal.rotate_left(u32::from(number) * 8),
-            );
-            let request = ClientRequest {
-                request_id: request_id_of(rpc, number),
-                rpc,
-                proxy,
-                http_method: if method.kind == MethodKind::Idempotent {
-                    "GET"
-                } else {
-                    "POST"
-                },
-                path: format!("/{}/{rpc}", method.name),
-                tenant: self
-                    .scenario
-                    .tenants
-                    .get(arrival.tenant as usize)
-                    .map(|t| t.name.clone()),
-                idempotency_key: (method.kind == MethodKind::Deduplicated)
-                    .then(|| format!("{:016x}{rpc:08x}", self.seed)),
-                is_retry: number > 0 && clients.marks_retries,
-                client_timeout,
-                cancel_after,
-                body_bytes: method.body_bytes,
-                slow_send: self.hooks.slow_send_of(arrival.deal),
-            };
-            let answer = self.client.send(&request, at).await;
-            let counter = match answer {
-                Answer::Ok => &self.progress.ok,
-                Answer::Rejected(_) => &self.progress.pushed_back,
-                _ => &self.progress.failed,
-            };
-            counter.fetch_add(1, Ordering::Relaxed);
-            if !tries_again(answer, method, clock.now() - arrival.due) {
+            let random = arrival.deal.rotate_left(u32::from(number) * 8);
+            let (proxy, address) = self.front.deal(arrival.zone, random);
+            let request = self.request(rpc, number, &arrival, proxy, client_timeout);
+            let answer = self.client.send(&request, address).await;
+            self.count(answer);
+            if !may_retry(answer, method, clock.now() - arrival.due) {
                 break;
             }
-            let asked = match answer {
-                Answer::Rejected(Some(after)) if clients.honors_retry_after => f64::from(after),
+            let retry_after = match answer {
+                Answer::Rejected(Some(seconds)) if clients.honors_retry_after => f64::from(seconds),
                 _ => 0.0,
             };
-            clock.sleep_until(clock.now() + wait.max(asked)).await;
-            wait *= if clients.exponential_backoff {
+            clock
+                .sleep_until(clock.now() + retry_delay.max(retry_after))
+                .await;
+            retry_delay *= if clients.exponential_backoff {
                 2.0
             } else {
                 1.0
             };
         }
     }
+
+    /// Builds the request with this number, 0 for the first, of an RPC.
+    fn request(
+        &self,
+        rpc: u32,
+        number: u8,
+        arrival: &Arrival,
+        proxy: u16,
+        client_timeout: f64,
+    ) -> ClientRequest {
+        let method = &self.scenario.methods[arrival.method as usize];
+        let tenant = self.scenario.tenants.get(arrival.tenant as usize);
+        let http_method = if method.kind == MethodKind::Idempotent {
+            "GET"
+        } else {
+            "POST"
+        };
+        ClientRequest {
+            request_id: request_id_of(rpc, number),
+            rpc,
+            proxy,
+            http_method,
+            path: format!("/{}/{rpc}", method.name),
+            tenant: tenant.map(|tenant| tenant.name.clone()),
+            idempotency_key: (method.kind == MethodKind::Deduplicated)
+                .then(|| format!("{:016x}{rpc:08x}", self.seed)),
+            is_retry: number > 0 && self.scenario.clients.marks_retries,
+            client_timeout,
+            cancel_after: arrival
+                .leaves
+                .filter(|_| number == 0)
+                .map(|part| part * client_timeout),
+            body_bytes: method.body_bytes,
+            slow_send: self.hooks.slow_send_of(arrival.deal),
+        }
+    }
+
+    fn count(&self, answer: Answer) {
+        let counter = match answer {
+            Answer::Ok => &self.progress.ok,
+            Answer::Rejected(_) => &self.progress.rejected,
+            _ => &self.progress.failed,
+        };
+        counter.fetch_add(1, Ordering::Relaxed);
+    }
 }
 
-/// Clients repeat what is harmless: after a push-back or where no proxy had it, anything; else only what may run again
-/// anywhere, within its window. `since` is the time from when the RPC was due, s.
-pub fn tries_again(answer: Answer, method: &Method, since: f64) -> bool {
+/// Returns whether a client retries an RPC after this answer.
+///
+/// After a rejection, or if no proxy was reached, any RPC is retried. Otherwise only one that may run again on any
+/// backend, within its deduplication window. `since` is the time since the RPC was due, in seconds.
+pub fn may_retry(answer: Answer, method: &Method, since: f64) -> bool {
     match (answer, method.idempotency()) {
         (Answer::Ok | Answer::Cancelled, _) => false,
         (Answer::Rejected(_) | Answer::Unreachable, _) => true,
@@ -197,9 +232,10 @@
     }
 }
 
-/// What a client waits for a try of a method, whole milliseconds as it is told, when so much is left to it; `None` where that
-/// is too little to begin.
-pub fn client_timeout(clients: &Clients, method: &Method, left: f64) -> Option<f64> {
+/// Returns the timeout of a request in seconds, rounded down to the whole milliseconds that its header can hold.
+///
+/// `left` is the time to the deadline of the RPC, in seconds; `None` if it is too short for another request.
+pub fn client_timeout(clients: &ClientSettings, method: &Method, left: f64) -> Option<f64> {
     let client_timeout = (method.deadline.0 * clients.attempt_timeout_fraction).min(left);
-    (left >= WORTH_IT).then_some((client_timeout * 1e3).floor() / 1e3)
+    (left >= MIN_TIMEOUT_SECONDS).then_some((client_timeout * 1e3).floor() / 1e3)
 }
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -261,9 +261,9 @@
             scenario.name,
             now.max(0.0),
             plan.length,
-            count(&progress.asked),
+            count(&progress.arrivals),
             count(&progress.ok),
-            count(&progress.pushed_back),
+            count(&progress.rejected),
             count(&progress.failed),
             troubles.join(", ")
         );
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -107,7 +107,7 @@
         let method = &self.scenario.methods[arrival.method as usize];
         let elapsed = self.now - arrival.due;
         let may_retry = number < self.scenario.clients.max_retries;
-        if may_retry && clients::tries_again(answer, method, elapsed) {
+        if may_retry && clients::may_retry(answer, method, elapsed) {
             let number = number + 1;
             self.schedule(
                 self.retry_delay(number - 1, answer),
