--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -1,5 +1,5 @@
-//! Plays a plan: the stage on one thread, the clients on another with their pacer, the ledger on a third, and here
-//! the proxies' processes, the progress line and the end.
+//! Running a rehearsal: the environment on one thread, the clients and their pacer on two, the ledger on another, and on
+//! this one the proxies' processes, the progress line and the end of the run.
 use crate::clients::{self, Progress};
 use crate::environment::{self, AddressBlock};
 use crate::error::{RehearsalError, RehearsalThread};
@@ -9,39 +9,55 @@
 use crate::report::{ProcessorTime, Report};
 use crate::scenario::Scenario;
 use crate::settings;
-use birchhub_audit::{Entry, Head, ledger};
+use birchhub_audit::ledger::{self, LedgerError};
+use birchhub_audit::{Entry, Head};
 use birchhub_emulator::{Clock, EventLog};
 use nix::sys::resource::{UsageWho, getrusage};
 use std::fs::File;
 use std::io::{BufReader, BufWriter, IsTerminal, Write};
 use std::path::{Path, PathBuf};
+use std::rc::Rc;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
-use std::sync::mpsc::Receiver;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::thread::JoinHandle;
 use std::time::Duration;
 use tokio::select;
-use tokio::signal::unix::{SignalKind, signal};
-use tokio::task::LocalSet;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-const LEAD: f64 = 1.0; // s until the first RPC can be due: nodes and proxies start meanwhile
-const LEAD_EACH: f64 = 0.05; // s more for each proxy
-const TAIL: f64 = 0.6; // s beyond the last deadline: late answers are still seen
+/// Time from the start of the environment to the first RPC, in seconds.
+const LEAD_SECONDS: f64 = 1.0;
+/// Additional lead for each proxy, in seconds.
+const LEAD_PER_PROXY_SECONDS: f64 = 0.05;
+/// Time after the last deadline during which late answers are still recorded, in seconds.
+const TAIL_SECONDS: f64 = 0.6;
+/// Idle time after which the ledger is flushed.
+const LEDGER_FLUSH_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which the clients' threads are checked for their end.
+const THREAD_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval between progress lines that are not written to a terminal, in seconds.
+const PROGRESS_INTERVAL_SECONDS: u64 = 10;
 
-/// How a rehearsal is to be played.
+/// Options for running a rehearsal.
 #[derive(Clone, Debug)]
 pub struct Options {
+    /// Seed of the proxies' own random numbers.
     pub seed: u64,
-    /// Where ledger, report and the proxies' logs go.
+    /// Folder of the ledger, the report and the proxies' logs.
     pub out: PathBuf,
     /// The proxies' program.
     pub program: PathBuf,
-    /// A progress line on standard error.
+    /// Whether progress lines are written to standard error.
     pub progress: bool,
 }
 
-/// Plays a scenario to its report. An error is one of the machine or the options, not of the proxies.
+/// Runs a scenario on loopback sockets and returns the report.
+///
+/// # Errors
+///
+/// Returns an error of the machine or of the options; faults of the proxies are in the report.
 pub fn rehearse(
     scenario: &Scenario,
     plan: &Plan,
@@ -50,7 +66,11 @@
     rehearse_with(scenario, plan, options, &Hooks::default(), None)
 }
 
-/// Does so with what a soak adds.
+/// Runs a scenario as [`rehearse`] does, with additional faults and a task beside the clients.
+///
+/// # Errors
+///
+/// Returns the errors of [`rehearse`].
 pub fn rehearse_with(
     scenario: &Scenario,
     plan: &Plan,
@@ -68,25 +88,25 @@
     let head = settings::head(scenario, plan);
     let writer =
         ledger::Writer::new(BufWriter::new(file), &head).map_err(RehearsalError::LedgerHead)?;
-    let lead = LEAD + LEAD_EACH * scenario.proxies.count as f64;
+    let lead = LEAD_SECONDS + LEAD_PER_PROXY_SECONDS * scenario.proxies.count as f64;
     let clock = Clock::starting_in(Duration::from_secs_f64(lead));
     let (event_log, entries) = EventLog::new(clock);
-    let keeper = keep(writer, entries)?;
+    let ledger_thread = start_ledger_thread(writer, entries)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     let runtime = runtime.map_err(RehearsalError::EventLoop)?;
-    let played = LocalSet::new().block_on(
+    let outcome = LocalSet::new().block_on(
         &runtime,
-        play(scenario, plan, options, hooks, background_task, event_log),
+        run(scenario, plan, options, hooks, background_task, event_log),
     );
-    // The tasks that are left hold ways into the ledger: it ends when the last of them does.
+    // Remaining tasks hold senders to the ledger, whose thread ends when the last of them is dropped.
     drop(runtime);
-    let kept = keeper
+    let written = ledger_thread
         .join()
         .map_err(|_| RehearsalError::ThreadPanicked(RehearsalThread::Ledger))?;
-    kept.map_err(RehearsalError::ledger(&path))?;
-    let stopped = played?;
+    written.map_err(RehearsalError::ledger(&path))?;
+    let stopped = outcome?;
     report_of(&path, options, stopped)
 }
 
@@ -106,7 +126,11 @@
     Ok(report)
 }
 
-/// Reads a ledger back.
+/// Reads the ledger of a run; logs a warning if its last record is truncated.
+///
+/// # Errors
+///
+/// Returns [`RehearsalError::Io`] or [`RehearsalError::Ledger`] if the file can't be read.
 pub fn open(path: &Path) -> Result<(Head, Vec<Entry>), RehearsalError> {
     let file = File::open(path).map_err(RehearsalError::io(path))?;
     let read = ledger::read(BufReader::new(file)).map_err(RehearsalError::ledger(path))?;
@@ -119,37 +143,60 @@
     Ok((read.head, read.entries))
 }
 
-type Kept = Result<(), ledger::LedgerError>;
-
-/// The ledger's thread: writes what comes, and what it has when nothing comes for a while.
-fn keep(
-    mut writer: ledger::Writer<BufWriter<File>>,
+/// Starts the thread that writes the events to the ledger, and flushes it when there are none for a while.
+fn start_ledger_thread(
+    writer: ledger::Writer<BufWriter<File>>,
     entries: Receiver<Entry>,
-) -> Result<JoinHandle<Kept>, RehearsalError> {
-    let body = move || {
-        let mut fault = None;
-        loop {
-            match entries.recv_timeout(Duration::from_millis(200)) {
-                // After a fault what comes is let go of: nobody may wait for a full disk.
-                Ok(_) if fault.is_some() => {}
-                Ok(entry) => fault = writer.write(&entry).err(),
-                Err(std::sync::mpsc::RecvTimeoutError::Timeout) => {
-                    fault = fault.or(writer.flush().err())
-                }
-                Err(std::sync::mpsc::RecvTimeoutError::Disconnected) => break,
-            }
-        }
-        fault.map_or_else(|| writer.flush(), Err)
-    };
+) -> Result<JoinHandle<Result<(), LedgerError>>, RehearsalError> {
     std::thread::Builder::new()
         .name("ledger".into())
-        .spawn(body)
+        .spawn(move || write_ledger(writer, &entries))
         .map_err(RehearsalError::SpawnThread)
 }
 
-/// Plays it; tells whether it was stopped before its end.
-#[expect(clippy::too_many_lines)]
-async fn play(
+fn write_ledger(
+    mut writer: ledger::Writer<BufWriter<File>>,
+    entries: &Receiver<Entry>,
+) -> Result<(), LedgerError> {
+    let mut error = None;
+    loop {
+        match entries.recv_timeout(LEDGER_FLUSH_INTERVAL) {
+            // After an error further events are discarded, so that no sender waits for a full disk.
+            Ok(_) if error.is_some() => {}
+            Ok(entry) => error = writer.write(&entry).err(),
+            Err(RecvTimeoutError::Timeout) => error = error.or(writer.flush().err()),
+            Err(RecvTimeoutError::Disconnected) => break,
+        }
+    }
+    error.map_or_else(|| writer.flush(), Err)
+}
+
+/// Signals that stop a run before its end.
+struct StopSignals {
+    interrupt: Signal,
+    terminate: Signal,
+}
+
+impl StopSignals {
+    fn new() -> Result<Self, RehearsalError> {
+        let catch = |kind| signal(kind).map_err(RehearsalError::SignalHandler);
+        Ok(Self {
+            interrupt: catch(SignalKind::interrupt())?,
+            terminate: catch(SignalKind::terminate())?,
+        })
+    }
+
+    /// Waits for either signal.
+    async fn received(&mut self) {
+        select! {
+            _ = self.interrupt.recv() => {}
+            _ = self.terminate.recv() => {}
+        }
+    }
+}
+
+/// Starts environment and proxies, runs the plan and ends them; returns whether the run was stopped before its end.
+async fn run(
     scenario: &Scenario,
     plan: &Plan,
     options: &Options,
@@ -157,12 +204,8 @@
     background_task: Option<BackgroundTask>,
     event_log: EventLog,
 ) -> Result<bool, RehearsalError> {
-    let catch = |kind| signal(kind).map_err(RehearsalError::SignalHandler);
-    let (mut interrupt, mut terminate) = (
-        catch(SignalKind::interrupt())?,
-        catch(SignalKind::terminate())?,
-    );
-    let (clock, block) = (event_log.clock, AddressBlock::new());
+    let mut signals = StopSignals::new()?;
+    let block = AddressBlock::new();
     let (environment, environment_thread) = environment::start(
         scenario.clone(),
         plan.clone(),
@@ -178,52 +221,15 @@
         environment.clone(),
         block,
     )?;
-    let progress = Arc::new(Progress::default());
-    let outcome = async {
-        for proxy in 0..scenario.proxies.count as u16 {
-            proxies.start(proxy).await?;
-        }
-        if clock.now() > 0.0 {
-            return Err(RehearsalError::StartedTooLate);
-        }
-        let front = proxies.front.clone();
-        let threads = clients::start(
-            scenario.clone(),
-            plan.clone(),
-            event_log.clone(),
-            front,
-            progress.clone(),
-            hooks.clone(),
-        );
-        let threads = threads.map_err(RehearsalError::SpawnClients)?;
-        let background_task =
-            background_task.map(|play| play(clock, proxies.front.doors().to_vec()));
-        let acts = tokio::task::spawn_local(proxies.clone().play(plan.actions.clone()));
-        let longest = scenario
-            .methods
-            .iter()
-            .map(|m| m.deadline.0)
-            .fold(0.0, f64::max);
-        let end = plan.length + longest + TAIL;
-        let stopped = select! {
-            () = clock.sleep_until(end) => false,
-            () = watch(scenario, plan, &progress, clock, options.progress) => false,
-            _ = interrupt.recv() => true,
-            _ = terminate.recv() => true,
-        };
-        progress.stop.store(true, Ordering::Relaxed);
-        acts.abort();
-        for thread in threads.into_iter().chain(background_task) {
-            while !thread.is_finished() {
-                sleep(Duration::from_millis(5)).await;
-            }
-            thread
-                .join()
-                .map_err(|_| RehearsalError::ThreadPanicked(RehearsalThread::Clients))?;
-        }
-        Ok(stopped)
+    let run = PlanRun {
+        scenario,
+        plan,
+        options,
+        hooks,
+        event_log,
+        proxies: &proxies,
     };
-    let outcome = outcome.await;
+    let outcome = run.run(&mut signals, background_task).await;
     if options.progress && std::io::stderr().is_terminal() {
         eprintln!();
     }
@@ -238,7 +244,88 @@
     outcome
 }
 
-/// Tells each second how far it has come; never ends.
+/// One run of a plan in an environment that has been started.
+struct PlanRun<'a> {
+    scenario: &'a Scenario,
+    plan: &'a Plan,
+    options: &'a Options,
+    hooks: &'a Hooks,
+    event_log: EventLog,
+    proxies: &'a Rc<Proxies>,
+}
+
+impl PlanRun<'_> {
+    /// Runs the plan; returns whether it was stopped before its end.
+    async fn run(
+        &self,
+        signals: &mut StopSignals,
+        background_task: Option<BackgroundTask>,
+    ) -> Result<bool, RehearsalError> {
+        let clock = self.event_log.clock;
+        self.start_proxies().await?;
+        let progress = Arc::new(Progress::default());
+        let client_threads = self.start_clients(progress.clone())?;
+        let background_thread =
+            background_task.map(|start| start(clock, self.proxies.front.doors().to_vec()));
+        let actions = spawn_local(self.proxies.clone().play(self.plan.actions.clone()));
+        let show = self.options.progress;
+        let stopped = select! {
+            () = clock.sleep_until(self.end_seconds()) => false,
+            () = watch(self.scenario, self.plan, &progress, clock, show) => false,
+            () = signals.received() => true,
+        };
+        progress.stop.store(true, Ordering::Relaxed);
+        actions.abort();
+        for thread in client_threads.into_iter().chain(background_thread) {
+            join_client_thread(thread).await?;
+        }
+        Ok(stopped)
+    }
+
+    async fn start_proxies(&self) -> Result<(), RehearsalError> {
+        for proxy in 0..self.scenario.proxies.count as u16 {
+            self.proxies.start(proxy).await?;
+        }
+        if self.event_log.clock.now() > 0.0 {
+            return Err(RehearsalError::StartedTooLate);
+        }
+        Ok(())
+    }
+
+    fn start_clients(
+        &self,
+        progress: Arc<Progress>,
+    ) -> Result<Vec<JoinHandle<()>>, RehearsalError> {
+        clients::start(
+            self.scenario.clone(),
+            self.plan.clone(),
+            self.event_log.clone(),
+            self.proxies.front.clone(),
+            progress,
+            self.hooks.clone(),
+        )
+        .map_err(RehearsalError::SpawnClients)
+    }
+
+    /// Returns when the run ends: after the last deadline and a time for late answers, in seconds.
+    fn end_seconds(&self) -> f64 {
+        let deadlines = self.scenario.methods.iter().map(|method| method.deadline.0);
+        let longest = deadlines.fold(0.0, f64::max);
+        self.plan.length + longest + TAIL_SECONDS
+    }
+}
+
+/// Waits for the end of a thread without blocking the tasks of this one.
+async fn join_client_thread(thread: JoinHandle<()>) -> Result<(), RehearsalError> {
+    while !thread.is_finished() {
+        sleep(THREAD_CHECK_INTERVAL).await;
+    }
+    thread
+        .join()
+        .map_err(|_| RehearsalError::ThreadPanicked(RehearsalThread::Clients))
+}
+
+/// Writes a progress line each second; never returns.
 async fn watch(scenario: &Scenario, plan: &Plan, progress: &Progress, clock: Clock, show: bool) {
     let mut seconds = interval(Duration::from_secs(1));
     seconds.set_missed_tick_behavior(MissedTickBehavior::Skip);
@@ -246,16 +333,17 @@
     loop {
         seconds.tick().await;
         let now = clock.now();
-        // Where nobody sees the line change, every tenth second will do.
-        if !show || (!terminal && !(now.max(0.0) as u64).is_multiple_of(10)) {
+        // Outside a terminal each line stays, so there are fewer of them.
+        let due = terminal || (now.max(0.0) as u64).is_multiple_of(PROGRESS_INTERVAL_SECONDS);
+        if !show || !due {
             continue;
         }
-        let count = |of: &std::sync::atomic::AtomicUsize| of.load(Ordering::Relaxed);
-        let lasting = plan
+        let count = |counter: &AtomicUsize| counter.load(Ordering::Relaxed);
+        let current = plan
             .faults
             .iter()
-            .filter(|t| t.from <= now && now < t.until);
-        let troubles: Vec<_> = lasting.map(|t| t.name.as_str()).collect();
+            .filter(|fault| fault.from <= now && now < fault.until);
+        let faults: Vec<_> = current.map(|fault| fault.name.as_str()).collect();
         let line = format!(
             "{}: {:5.1} of {:.0} s  asked {}  ok {}  pushed back {}  failed {}  {}",
             scenario.name,
@@ -265,7 +353,7 @@
             count(&progress.ok),
             count(&progress.rejected),
             count(&progress.failed),
-            troubles.join(", ")
+            faults.join(", ")
         );
         let mut to = std::io::stderr();
         let _ = if terminal {
