--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -2,7 +2,7 @@
 //! as the scenario says.
 use crate::hooks::Hooks;
 use crate::plan::{Arrival, Plan};
-use crate::proxies::Front;
+use crate::proxies::FrontLoadBalancer;
 use crate::scenario::{Clients as ClientSettings, Method, MethodKind, Scenario};
 use birchhub_audit::{Answer, DeduplicationScope, Event, Idempotency};
 use birchhub_emulator::fleet::request_id_of;
@@ -42,7 +42,7 @@
     scenario: Scenario,
     plan: Plan,
     event_log: EventLog,
-    front: Arc<Front>,
+    front: Arc<FrontLoadBalancer>,
     progress: Arc<Progress>,
     hooks: Hooks,
 ) -> std::io::Result<Vec<JoinHandle<()>>> {
@@ -106,7 +106,7 @@
     seed: u64,
     event_log: EventLog,
     client: Client,
-    front: Arc<Front>,
+    front: Arc<FrontLoadBalancer>,
     progress: Arc<Progress>,
     hooks: Hooks,
 }
@@ -148,7 +148,7 @@
                 break;
             };
             let random = arrival.deal.rotate_left(u32::from(number) * 8);
-            let (proxy, address) = self.front.deal(arrival.zone, random);
+            let (proxy, address) = self.front.assign(arrival.zone, random);
             let request = self.request(rpc, number, &arrival, proxy, client_timeout);
             let answer = self.client.send(&request, address).await;
             self.count(answer);
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -266,8 +266,8 @@
         let progress = Arc::new(Progress::default());
         let client_threads = self.start_clients(progress.clone())?;
         let background_thread =
-            background_task.map(|start| start(clock, self.proxies.front.doors().to_vec()));
-        let actions = spawn_local(self.proxies.clone().play(self.plan.actions.clone()));
+            background_task.map(|start| start(clock, self.proxies.front.addresses().to_vec()));
+        let actions = spawn_local(self.proxies.clone().execute_all(self.plan.actions.clone()));
         let show = self.options.progress;
         let stopped = select! {
             () = clock.sleep_until(self.end_seconds()) => false,
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -3,7 +3,7 @@
 use super::{NETWORK_DELAY_SECONDS, World};
 use birchhub_audit::{Answer, Event};
 use birchhub_rehearsal::clients;
-use birchhub_rehearsal::proxies::deal;
+use birchhub_rehearsal::proxies::assign_proxy;
 
 /// Time in seconds that a client listens beyond its timeout: a response that was sent in time may arrive later.
 const CLIENT_GRACE_SECONDS: f64 = 0.25;
@@ -92,7 +92,7 @@
             .rotate_left(u32::from(number) * REQUEST_NUMBER_BITS);
         let accepts = |proxy: &usize| self.accepts_traffic[*proxy];
         let zones = self.scenario.fleet.zones.len();
-        deal(self.proxies.len(), zones, arrival.zone, chance, accepts) as u16
+        assign_proxy(self.proxies.len(), zones, arrival.zone, chance, accepts) as u16
     }
 
     /// Delivers a response to a client, which retries if its policy says so. Further responses are dropped.
