--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -1,5 +1,5 @@
-//! `birchhub ledger` and `birchhub audit`: what is left of a rehearsal, read back.
-use crate::{Fault, print};
+//! `birchhub ledger` and `birchhub audit`: print and judge the ledger of a rehearsal.
+use crate::{CommandError, print};
 use birchhub_audit::timeline::Timeline;
 use birchhub_rehearsal::{Report, run::open};
 use clap::{Args, Subcommand};
@@ -40,14 +40,14 @@
     json: bool,
 }
 
-pub(crate) fn run(arguments: Arguments) -> Result<u8, Fault> {
+pub(crate) fn run(arguments: Arguments) -> Result<u8, CommandError> {
     let Verb::Show {
         file,
         rpc,
         from,
         until,
     } = arguments.verb;
-    let (head, entries) = open(&file).map_err(Fault::input)?;
+    let (head, entries) = open(&file).map_err(CommandError::input)?;
     let timeline = Timeline::new(&head, &entries);
     let mut text = String::new();
     for entry in entries.iter().filter(|e| e.at >= from && e.at <= until) {
@@ -57,7 +57,7 @@
         }
     }
     if let Some(rpc) = rpc.filter(|_| text.is_empty()) {
-        return Err(Fault::Input(format!(
+        return Err(CommandError::Input(format!(
             "{}: there is no RPC {rpc} in it",
             file.display()
         )));
@@ -66,8 +66,8 @@
     Ok(0)
 }
 
-pub(crate) fn audit(arguments: Audit) -> Result<u8, Fault> {
-    let (head, entries) = open(&arguments.file).map_err(Fault::input)?;
+pub(crate) fn audit(arguments: Audit) -> Result<u8, CommandError> {
+    let (head, entries) = open(&arguments.file).map_err(CommandError::input)?;
     let report = Report::of(&head, &entries, false, None);
     match arguments.json {
         true => print(&(report.json() + "\n")),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `birchhub`, the project's command line. Each verb has a file of its own.
+//! `birchhub`, the command line of rehearsals, soak tests, audits and capacity measurements: one module for each command.
 mod ledger;
 mod rehearse;
 mod scale;
@@ -10,8 +10,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-const BAD_INPUT: u8 = 64; // as sysexits has it: told apart from every verdict
-const FAILED: u8 = 70; // it could not be done, and the input is not to blame
+/// Exit code for invalid input: `EX_USAGE` of sysexits, which no verdict uses.
+const BAD_INPUT: u8 = 64;
+/// Exit code for an operation that failed with valid input: `EX_SOFTWARE` of sysexits.
+const FAILED: u8 = 70;
 
 /// Rehearse failures, look at what happened, and measure what a fleet of the planned size costs.
 ///
@@ -38,15 +40,15 @@
     },
 }
 
-/// The reason for which a verb ended without its result, as the text that is printed.
-enum Fault {
+/// The reason for which a command ended without its result, as the text that is printed.
+enum CommandError {
     /// The input is invalid.
     Input(String),
     /// The operation failed with valid input.
     Failed(String),
 }
 
-impl Fault {
+impl CommandError {
     /// An error that invalid input caused.
     fn input(error: impl Display) -> Self {
         Self::Input(error.to_string())
@@ -61,10 +63,10 @@
 fn main() -> ExitCode {
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
-        Err(fault) => {
-            let _ = fault.print();
-            // Help and version are asked for; anything else is bad input.
-            return ExitCode::from(if fault.use_stderr() { BAD_INPUT } else { 0 });
+        Err(error) => {
+            let _ = error.print();
+            // Help and version are printed to standard output; anything else is invalid input.
+            return ExitCode::from(if error.use_stderr() { BAD_INPUT } else { 0 });
         }
     };
     birchhub_logging::start();
@@ -87,36 +89,37 @@
     };
     match outcome {
         Ok(code) => ExitCode::from(code),
-        Err(Fault::Input(fault)) => {
-            eprintln!("birchhub: {fault}");
+        Err(CommandError::Input(error)) => {
+            eprintln!("birchhub: {error}");
             ExitCode::from(BAD_INPUT)
         }
-        Err(Fault::Failed(fault)) => {
-            eprintln!("birchhub: {fault}");
+        Err(CommandError::Failed(error)) => {
+            eprintln!("birchhub: {error}");
             ExitCode::from(FAILED)
         }
     }
 }
 
-/// Writes to standard output; a reader that has left, as `head` does, is no fault.
+/// Writes to standard output. Errors are ignored: a reader such as `head` may close the pipe early.
 fn print(text: &str) {
     use std::io::Write;
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-/// The proxies' program: the one that was named, else `birchhubd` beside this one.
-fn daemon(named: Option<PathBuf>) -> Result<PathBuf, Fault> {
+/// Returns the proxies' program: the one named on the command line, else `birchhubd` beside this program.
+fn proxy_program(named: Option<PathBuf>) -> Result<PathBuf, CommandError> {
     let program = match named {
         Some(program) => program,
         None => {
-            let own =
-                std::env::current_exe().map_err(|e| Fault::Failed(format!("where am I? {e}")))?;
-            own.with_file_name("birchhubd")
+            let own_path = std::env::current_exe().map_err(|e| {
+                CommandError::Failed(format!("the path of this program is unknown: {e}"))
+            })?;
+            own_path.with_file_name("birchhubd")
         }
     };
     match program.is_file() {
         true => Ok(program),
-        false => Err(Fault::Input(format!(
+        false => Err(CommandError::Input(format!(
             "there is no proxy program at {}; build it, or name it with --proxies",
             program.display()
         ))),
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,5 +1,5 @@
 //! `birchhub rehearse`: plays a scenario against real proxies.
-use crate::{Fault, print, scenario};
+use crate::{CommandError, print, scenario};
 use birchhub_audit::{Entry, Head, ledger};
 use birchhub_rehearsal::{Options, Plan, Report, Scenario, rehearse};
 use birchhub_simulation::simulate;
@@ -32,14 +32,14 @@
     quiet: bool,
 }
 
-pub(crate) fn run(arguments: Arguments) -> Result<u8, Fault> {
+pub(crate) fn run(arguments: Arguments) -> Result<u8, CommandError> {
     let found = scenario::find(&arguments.scenario)?;
     let plan = Plan::generate(&found.scenario, arguments.seed, &found.file, &found.text);
-    let plan = plan.map_err(Fault::input)?;
+    let plan = plan.map_err(CommandError::input)?;
     if arguments.simulated {
         return simulated(&found.scenario, &plan, &arguments.out);
     }
-    let program = crate::daemon(arguments.proxies)?;
+    let program = crate::proxy_program(arguments.proxies)?;
     let Arguments {
         seed, out, quiet, ..
     } = arguments;
@@ -58,7 +58,7 @@
             plan.nodes.len()
         );
     }
-    let report = rehearse(&found.scenario, &plan, &options).map_err(Fault::failed)?;
+    let report = rehearse(&found.scenario, &plan, &options).map_err(CommandError::failed)?;
     print(&report.text());
     print(&format!(
         "  {}\n",
@@ -67,15 +67,15 @@
     Ok(report.verdict.exit_code())
 }
 
-fn simulated(scenario: &Scenario, plan: &Plan, out: &Path) -> Result<u8, Fault> {
+fn simulated(scenario: &Scenario, plan: &Plan, out: &Path) -> Result<u8, CommandError> {
     let begun = Instant::now();
-    let played = simulate(scenario, plan).map_err(Fault::input)?;
+    let played = simulate(scenario, plan).map_err(CommandError::input)?;
     let took = begun.elapsed().as_secs_f64();
     let report = Report::of(&played.head, &played.entries, false, None);
-    write_ledger(&played.head, &played.entries, out).map_err(Fault::failed)?;
+    write_ledger(&played.head, &played.entries, out).map_err(CommandError::failed)?;
     report
         .write(&played.head, &played.entries, out)
-        .map_err(Fault::failed)?;
+        .map_err(CommandError::failed)?;
     print(&report.text());
     print(&format!(
         "  simulated; {}\n",
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -1,5 +1,5 @@
-//! `birchhub scale`: measures what a fleet of the planned size costs, and makes the page's tables of it.
-use crate::{Fault, print};
+//! `birchhub scale`: measures the cost of size and generates the tables of the capacity page.
+use crate::{CommandError, print};
 use birchhub_capacity::{Options, Plan, Report, measure, page};
 use clap::{Args, Subcommand};
 use std::path::{Path, PathBuf};
@@ -58,14 +58,14 @@
     check: bool,
 }
 
-pub(crate) fn run(arguments: Arguments) -> Result<u8, Fault> {
+pub(crate) fn run(arguments: Arguments) -> Result<u8, CommandError> {
     match arguments.verb {
-        Verb::Run(run) => slopes(run),
-        Verb::Page(page) => tables(&page),
+        Verb::Run(run) => measure_slopes(run),
+        Verb::Page(page) => renew_page(&page),
     }
 }
 
-fn slopes(arguments: Run) -> Result<u8, Fault> {
+fn measure_slopes(arguments: Run) -> Result<u8, CommandError> {
     let Run {
         seed,
         quick,
@@ -74,14 +74,10 @@
         folder,
         quiet,
     } = arguments;
-    let program = crate::daemon(proxies)?;
-    // Found out before minutes are spent.
-    if out.is_dir()
-        || !out
-            .parent()
-            .is_none_or(|parent| parent.as_os_str().is_empty() || parent.is_dir())
-    {
-        return Err(Fault::Input(format!(
+    let program = crate::proxy_program(proxies)?;
+    // Checked first, because the measurement takes minutes.
+    if !is_writable_place(&out) {
+        return Err(CommandError::Input(format!(
             "{}: no file can be written there",
             out.display()
         )));
@@ -99,8 +95,8 @@
             progress: !quiet,
         },
     )
-    .map_err(Fault::failed)?;
-    report.write(&out).map_err(Fault::failed)?;
+    .map_err(CommandError::failed)?;
+    report.write(&out).map_err(CommandError::failed)?;
     print(&format!(
         "{}: {} series in {:.0} s\n",
         out.display(),
@@ -110,16 +106,16 @@
     Ok(0)
 }
 
-fn tables(arguments: &Page) -> Result<u8, Fault> {
+fn renew_page(arguments: &Page) -> Result<u8, CommandError> {
     let Page {
         result,
         page: path,
         check,
     } = arguments;
-    let report = Report::read(result).map_err(Fault::input)?;
-    let told = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|e| Fault::Input(told(&e)))?;
-    let renewed = page::renew(&text, &report).map_err(|e| Fault::Input(told(&e)))?;
+    let report = Report::read(result).map_err(CommandError::input)?;
+    let with_path = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
+    let text = std::fs::read_to_string(path).map_err(|e| CommandError::Input(with_path(&e)))?;
+    let renewed = page::renew(&text, &report).map_err(|e| CommandError::Input(with_path(&e)))?;
     if text == renewed {
         print(&format!(
             "{} is that of {}\n",
@@ -136,14 +132,22 @@
         ));
         return Ok(1);
     }
-    replace(path, &renewed).map_err(|e| Fault::Failed(told(&e)))?;
+    replace_file(path, &renewed).map_err(|e| CommandError::Failed(with_path(&e)))?;
     print(&format!("{} made anew\n", path.display()));
     Ok(0)
 }
 
-/// Whole or not at all.
-fn replace(path: &Path, text: &str) -> std::io::Result<()> {
-    let part = path.with_extension("part");
-    std::fs::write(&part, text)?;
-    std::fs::rename(part, path)
+/// Whether a file of this name may be created: its folder exists, and it is no folder itself.
+fn is_writable_place(path: &Path) -> bool {
+    let has_folder = path
+        .parent()
+        .is_none_or(|parent| parent.as_os_str().is_empty() || parent.is_dir());
+    has_folder && !path.is_dir()
+}
+
+/// Replaces a file at once, so that it is never truncated.
+fn replace_file(path: &Path, text: &str) -> std::io::Result<()> {
+    let temporary_path = path.with_extension("part");
+    std::fs::write(&temporary_path, text)?;
+    std::fs::rename(temporary_path, path)
 }
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -1,5 +1,5 @@
-//! `birchhub scenario`: what ships, what a file says, and what a plan would do.
-use crate::{Fault, print};
+//! `birchhub scenario`: lists and prints shipped scenarios, checks scenario files, and prints schedules.
+use crate::{CommandError, print};
 use birchhub_rehearsal::{Plan, Scenario, shipped};
 use clap::{Args, Subcommand};
 use std::fmt::Write;
@@ -27,15 +27,15 @@
     },
 }
 
-/// A scenario with the file that faults name.
+/// A scenario, its text, and the file name that error messages use.
 pub(crate) struct Found {
     pub scenario: Scenario,
     pub file: String,
     pub text: String,
 }
 
-/// A file, or one that ships.
-pub(crate) fn find(name: &str) -> Result<Found, Fault> {
+/// Reads a shipped scenario by its name, or a scenario file.
+pub(crate) fn find(name: &str) -> Result<Found, CommandError> {
     let (file, text) = match shipped::find(name) {
         Some(shipped) => (format!("{name} (shipped)"), shipped.text.to_owned()),
         None => {
@@ -43,11 +43,11 @@
             let hint = "; `birchhub scenario list` names those that ship";
             (
                 name.to_owned(),
-                text.map_err(|e| Fault::Input(format!("{name}: {e}{hint}")))?,
+                text.map_err(|e| CommandError::Input(format!("{name}: {e}{hint}")))?,
             )
         }
     };
-    let scenario = Scenario::read(&file, &text).map_err(Fault::input)?;
+    let scenario = Scenario::read(&file, &text).map_err(CommandError::input)?;
     Ok(Found {
         scenario,
         file,
@@ -55,51 +55,65 @@
     })
 }
 
-fn plan(found: &Found, seed: u64) -> Result<Plan, Fault> {
-    Plan::generate(&found.scenario, seed, &found.file, &found.text).map_err(Fault::input)
+fn plan(found: &Found, seed: u64) -> Result<Plan, CommandError> {
+    Plan::generate(&found.scenario, seed, &found.file, &found.text).map_err(CommandError::input)
 }
 
-pub(crate) fn run(arguments: Arguments) -> Result<u8, Fault> {
+pub(crate) fn run(arguments: Arguments) -> Result<u8, CommandError> {
     match arguments.verb {
-        Verb::List => {
-            for shipped in shipped::ALL {
-                let found = find(shipped.name)?;
-                let length = found.scenario.duration.0;
-                print(&format!(
-                    "{:<18} {length:>4.0} s  {}\n",
-                    shipped.name, found.scenario.description
-                ));
-            }
-        }
-        Verb::Show { name } => match shipped::find(&name) {
-            Some(shipped) => print(shipped.text),
-            None => return Err(Fault::Input(format!("no scenario called {name} ships"))),
-        },
-        Verb::Check { scenario } => {
-            let found = find(&scenario)?;
-            let plan = plan(&found, 1)?;
-            let (nodes, proxies) = (plan.first_nodes(), found.scenario.proxies.count);
-            print(&format!(
-                "{}: {nodes} nodes, {proxies} proxies, {} methods, {} troubles, {:.0} s\n",
-                found.scenario.name,
-                found.scenario.methods.len(),
-                plan.faults.len(),
-                plan.length
-            ));
-        }
-        Verb::Plan { scenario, seed } => {
-            let plan = plan(&find(&scenario)?, seed)?;
-            let mut text = format!(
-                "plan {}: {} RPCs in {:.0} s\n",
-                plan.hash(),
-                plan.arrivals.len(),
-                plan.length
-            );
-            for (at, act) in &plan.actions {
-                let _ = writeln!(text, "{at:9.3}  {act:?}");
-            }
-            print(&text);
-        }
+        Verb::List => list()?,
+        Verb::Show { name } => show(&name)?,
+        Verb::Check { scenario } => check(&scenario)?,
+        Verb::Plan { scenario, seed } => print_plan(&scenario, seed)?,
     }
     Ok(0)
 }
+
+fn list() -> Result<(), CommandError> {
+    for shipped in shipped::ALL {
+        let found = find(shipped.name)?;
+        let length = found.scenario.duration.0;
+        print(&format!(
+            "{:<18} {length:>4.0} s  {}\n",
+            shipped.name, found.scenario.description
+        ));
+    }
+    Ok(())
+}
+
+fn show(name: &str) -> Result<(), CommandError> {
+    let unknown = || CommandError::Input(format!("no scenario called {name} ships"));
+    let shipped = shipped::find(name).ok_or_else(unknown)?;
+    print(shipped.text);
+    Ok(())
+}
+
+fn check(name: &str) -> Result<(), CommandError> {
+    let found = find(name)?;
+    let plan = plan(&found, 1)?;
+    let nodes = plan.first_nodes();
+    let proxies = found.scenario.proxies.count;
+    print(&format!(
+        "{}: {nodes} nodes, {proxies} proxies, {} methods, {} troubles, {:.0} s\n",
+        found.scenario.name,
+        found.scenario.methods.len(),
+        plan.faults.len(),
+        plan.length
+    ));
+    Ok(())
+}
+
+fn print_plan(name: &str, seed: u64) -> Result<(), CommandError> {
+    let plan = plan(&find(name)?, seed)?;
+    let mut text = format!(
+        "plan {}: {} RPCs in {:.0} s\n",
+        plan.hash(),
+        plan.arrivals.len(),
+        plan.length
+    );
+    for (at, action) in &plan.actions {
+        let _ = writeln!(text, "{at:9.3}  {action:?}");
+    }
+    print(&text);
+    Ok(())
+}
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -1,11 +1,11 @@
 //! `birchhub soak`: random, overlapping faults over real proxies.
-use crate::{Fault, print};
+use crate::{CommandError, print};
 use birchhub_soak::{SoakError, SoakOptions, SoakPlan, SoakResult, shrink};
 use clap::Args;
 use std::path::PathBuf;
 
 const SECONDS_PER_MINUTE: f64 = 60.0;
-/// The library that makes system calls fail, as cargo names it.
+/// File name of the library that makes system calls fail.
 const SHIM: &str = "libbirchhub_fault_shim.so";
 const PASSED: u8 = 0;
 const FAILED: u8 = 1;
@@ -50,25 +50,26 @@
     shim: Option<PathBuf>,
 }
 
-pub(crate) fn run(arguments: Arguments) -> Result<u8, Fault> {
+pub(crate) fn run(arguments: Arguments) -> Result<u8, CommandError> {
     let plans = plans(&arguments)?;
     if arguments.print_plan {
         plans.iter().for_each(|plan| print(&plan.to_text()));
         return Ok(PASSED);
     }
-    let program = crate::daemon(arguments.program.clone())?;
+    let program = crate::proxy_program(arguments.program.clone())?;
     let shim = arguments
         .shim
         .clone()
         .unwrap_or_else(|| program.with_file_name(SHIM));
-    let (mut failed, mut void) = (0, 0);
+    let mut failed = 0;
+    let mut void = 0;
     for plan in &plans {
         let options = SoakOptions {
             program: program.clone(),
             shim: shim.clone(),
             out: arguments.out.join(format!("seed-{}", plan.seed)),
         };
-        let result = birchhub_soak::run(plan, &options).map_err(fault)?;
+        let result = birchhub_soak::run(plan, &options).map_err(command_error)?;
         print(&format!("seed {}: {result}\n", plan.seed));
         failed += usize::from(result.has_failed());
         void += usize::from(result.is_void);
@@ -85,9 +86,9 @@
     })
 }
 
-fn plans(arguments: &Arguments) -> Result<Vec<SoakPlan>, Fault> {
+fn plans(arguments: &Arguments) -> Result<Vec<SoakPlan>, CommandError> {
     if let Some(file) = &arguments.plan {
-        return Ok(vec![SoakPlan::read(file).map_err(fault)?]);
+        return Ok(vec![SoakPlan::read(file).map_err(command_error)?]);
     }
     let seeds = arguments.seed..arguments.seed + arguments.seeds;
     let seconds = arguments.minutes * SECONDS_PER_MINUTE;
@@ -97,21 +98,24 @@
 }
 
 /// The smallest plan that still fails.
-fn shrunk(plan: &SoakPlan, options: &SoakOptions) -> Result<SoakPlan, Fault> {
+fn shrunk(plan: &SoakPlan, options: &SoakOptions) -> Result<SoakPlan, CommandError> {
     let fails = |plan: &SoakPlan| {
         let result = birchhub_soak::run(plan, options)?;
         let (left, word) = (plan.faults.len(), result.word());
         eprintln!("with {left} faults: {word}");
         Ok(SoakResult::has_failed(&result))
     };
-    shrink(plan, fails).map_err(fault)
+    shrink(plan, fails).map_err(command_error)
 }
 
-fn fault(error: SoakError) -> Fault {
+/// Sorts an error of a soak run into invalid input and other failures.
+fn command_error(error: SoakError) -> CommandError {
     match error {
         SoakError::Parse(_) | SoakError::Scenario(_) | SoakError::Io { .. } => {
-            Fault::Input(error.to_string())
+            CommandError::Input(error.to_string())
+        }
+        SoakError::MissingShim(_) | SoakError::Rehearsal(_) => {
+            CommandError::Failed(error.to_string())
         }
-        SoakError::MissingShim(_) | SoakError::Rehearsal(_) => Fault::Failed(error.to_string()),
     }
 }
