--- a/crates/capacity/tests/fits.rs
+++ b/crates/capacity/tests/fits.rs
@@ -1,10 +1,10 @@
-//! Fitted lines, and the figures as a page writes them.
+//! Lines fitted through points, and numbers as formatted on the page.
 use birchhub_capacity::fit::Fit;
 use birchhub_capacity::page::figure;
 
 #[test]
 fn a_line_is_fitted_with_its_residual() {
-    let exact = Fit::of(&[(10.0, 25.0), (20.0, 45.0), (40.0, 85.0)]).expect("a line");
+    let exact = Fit::of(&[(10.0, 25.0), (20.0, 45.0), (40.0, 85.0)]).expect("a fitted line");
     assert!(
         (exact.slope - 2.0).abs() < 1e-9
             && (exact.base - 5.0).abs() < 1e-9
@@ -12,7 +12,8 @@
     );
     assert!((exact.at(8_700.0) - 17_405.0).abs() < 1e-6);
     // A level line with points one above and one below it.
-    let rough = Fit::of(&[(0.0, 1.0), (1.0, -1.0), (2.0, -1.0), (3.0, 1.0)]).expect("a line");
+    let rough =
+        Fit::of(&[(0.0, 1.0), (1.0, -1.0), (2.0, -1.0), (3.0, 1.0)]).expect("a fitted line");
     assert!(
         rough.slope.abs() < 1e-9 && (rough.residual - 1.0).abs() < 1e-9,
         "{rough:?}"
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn one_size_gives_no_line() {
+fn no_line_is_fitted_through_a_single_size() {
     for points in [vec![], vec![(1.0, 2.0)], vec![(1.0, 2.0), (1.0, 3.0)]] {
         assert_eq!(Fit::of(&points), None, "{points:?}");
     }
@@ -28,7 +29,7 @@
 
 #[test]
 fn figures_have_three_significant_digits() {
-    let told = [
+    let expected = [
         (0.0, "0"),
         (128.0, "128"),
         (8_713.2, "8710"),
@@ -39,7 +40,7 @@
         (9.999, "10"),
         (f64::INFINITY, "-"),
     ];
-    for (value, text) in told {
+    for (value, text) in expected {
         assert_eq!(figure(value), text, "{value}");
     }
 }
--- a/crates/capacity/tests/lists.rs
+++ b/crates/capacity/tests/lists.rs
@@ -9,12 +9,13 @@
 const PROXIES: u32 = 20;
 const UPDATE_TIMEOUT: Duration = Duration::from_secs(60);
 
-fn play<T>(act: impl AsyncFnOnce() -> T) -> T {
+/// Runs a test on an event loop with local tasks.
+fn run_locally<T>(test: impl AsyncFnOnce() -> T) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("an event loop");
-    LocalSet::new().block_on(&runtime, act())
+    LocalSet::new().block_on(&runtime, test())
 }
 
 /// Returns the usage once the service has counted `calls` responses: it counts a response after it has sent it, so a proxy
@@ -29,8 +30,8 @@
 }
 
 #[test]
-fn each_proxy_gets_each_change_once_and_nothing_else() {
-    play(async || {
+fn each_change_reaches_each_proxy_once() {
+    run_locally(async || {
         let backends = StubBackends::start(UPDATE_TIMEOUT).expect("backends");
         let discovery = SyntheticDiscoveryService::start(500, backends.endpoints(), 10)
             .expect("a discovery service");
@@ -58,7 +59,7 @@
         let calls = joined.calls + 5 * u64::from(PROXIES);
         let usage = usage_after(&discovery, calls).await.since(joined);
         assert!(usage.calls >= 5 * u64::from(PROXIES), "{usage:?}");
-        // An answer with one endpoint is little longer than its line: the full list has 500 of them.
+        // A response with one endpoint is little longer than the endpoint: a snapshot has 500 of them.
         assert!(
             usage.bytes < usage.calls * (line + 400),
             "{usage:?}, {line} bytes a line"
@@ -67,10 +68,10 @@
     });
 }
 
-/// Prevents the loss of a change that falls between two calls.
+/// Prevents the loss of a change between two polls.
 #[test]
-fn changes_in_a_row_are_all_applied_at_the_end() {
-    play(async || {
+fn consecutive_changes_all_reach_the_proxies() {
+    run_locally(async || {
         let backends = StubBackends::start(UPDATE_TIMEOUT).expect("backends");
         let discovery = SyntheticDiscoveryService::start(50, backends.endpoints(), 10)
             .expect("a discovery service");
@@ -85,8 +86,8 @@
 }
 
 #[test]
-fn proxies_that_are_not_updated_in_time_are_counted() {
-    play(async || {
+fn timeout_error_counts_the_proxies_without_the_version() {
+    run_locally(async || {
         let backends = StubBackends::start(UPDATE_TIMEOUT).expect("backends");
         let discovery = SyntheticDiscoveryService::start(5, backends.endpoints(), 1)
             .expect("a discovery service");
--- a/crates/capacity/tests/pages.rs
+++ b/crates/capacity/tests/pages.rs
@@ -1,10 +1,11 @@
-//! The tables of the page: made of a result, and stale if they are those of another one.
+//! The estimates, and the tables of the page that are generated from a report.
 use birchhub_capacity::{PageError, Plan, Report, SeriesError, estimate, page, planned_size};
 
-const MARKS: [&str; 5] = ["targets", "roles", "hours", "candidates", "slopes"];
+/// The names in the markers of all tables.
+const MARKERS: [&str; 5] = ["targets", "roles", "hours", "candidates", "slopes"];
 
-/// A result in which each series is `base + slope * x`.
-fn made(line: impl Fn(&str) -> (f64, f64)) -> Report {
+/// Creates a report in which each series is the line `base + slope * x`.
+fn report_with_lines(line: impl Fn(&str) -> (f64, f64)) -> Report {
     let mut report = Report::new(&Plan::long(1));
     let names: Vec<_> = report.series.iter().map(|s| s.name.clone()).collect();
     for name in names {
@@ -14,52 +15,60 @@
         }
     }
     report.finish();
-    // However busy the machine of the test is.
+    // The load of the machine that runs the test has no influence.
     report.series.iter_mut().for_each(|s| s.load_average = 0.0);
     report
 }
 
-fn blank() -> String {
-    let marks = MARKS.map(|name| format!("<!-- scale: {name} -->\nold\n<!-- end of {name} -->\n"));
-    format!("# A page\n\n{}\nand its end\n", marks.join("own words\n"))
+/// A page with old tables between its markers.
+fn page_with_old_tables() -> String {
+    let tables =
+        MARKERS.map(|name| format!("<!-- scale: {name} -->\nold\n<!-- end of {name} -->\n"));
+    format!("# A page\n\n{}\nand its end\n", tables.join("own words\n"))
 }
 
 #[test]
-fn tables_are_renewed_between_their_marks_only() {
-    let report = made(|_| (1.0, 0.001));
-    let once = page::renew(&blank(), &report).expect("a page");
+fn tables_are_replaced_between_their_markers_only() {
+    let report = report_with_lines(|_| (1.0, 0.001));
+    let once = page::renew(&page_with_old_tables(), &report).expect("a page");
     assert!(
         once.starts_with("# A page\n")
             && once.ends_with("\nand its end\n")
             && !once.contains("old\n")
     );
-    assert_eq!(once.matches("own words").count(), MARKS.len() - 1);
+    assert_eq!(once.matches("own words").count(), MARKERS.len() - 1);
     assert_eq!(
         page::renew(&once, &report).as_ref(),
         Ok(&once),
         "made twice it is the same"
     );
-    let other = page::renew(&once, &made(|_| (1.0, 0.002))).expect("a page");
+    let other = page::renew(&once, &report_with_lines(|_| (1.0, 0.002))).expect("a page");
     assert_ne!(once, other, "another result makes another page");
 }
 
 #[test]
-fn a_missing_mark_or_series_is_named() {
-    let report = made(|_| (1.0, 0.001));
-    let fault =
-        page::renew(&blank().replace("<!-- scale: hours -->", ""), &report).expect_err("no mark");
+fn errors_name_the_missing_marker_or_series() {
+    let report = report_with_lines(|_| (1.0, 0.001));
+    let fault = page::renew(
+        &page_with_old_tables().replace("<!-- scale: hours -->", ""),
+        &report,
+    )
+    .expect_err("no marker");
     assert_eq!(fault.to_string(), "there is no line <!-- scale: hours -->");
-    let fault =
-        page::renew(&blank().replace("<!-- end of hours -->", ""), &report).expect_err("no mark");
+    let fault = page::renew(
+        &page_with_old_tables().replace("<!-- end of hours -->", ""),
+        &report,
+    )
+    .expect_err("no marker");
     assert_eq!(
         fault.to_string(),
         "there is no line <!-- end of hours --> below its begin"
     );
     let mut report = report;
     report.series.retain(|s| s.name != "idle.backends");
-    let fault = page::renew(&blank(), &report).expect_err("a series less");
+    let fault = page::renew(&page_with_old_tables(), &report).expect_err("a series less");
     assert_eq!(fault.to_string(), "there is no series idle.backends");
-    report = made(|_| (1.0, 0.001));
+    report = report_with_lines(|_| (1.0, 0.001));
     report
         .series
         .iter_mut()
@@ -67,7 +76,7 @@
         .for_each(|s| s.points.truncate(1));
     report.finish();
     assert_eq!(
-        page::renew(&blank(), &report),
+        page::renew(&page_with_old_tables(), &report),
         Err(PageError::Series(SeriesError::TooFewPoints(
             "list.bytes".into()
         )))
@@ -75,8 +84,8 @@
 }
 
 #[test]
-fn memory_is_the_sum_of_its_lines_at_the_planned_size() {
-    let report = made(|name| match name {
+fn memory_estimate_is_the_sum_of_its_series_at_the_planned_size() {
+    let report = report_with_lines(|name| match name {
         "memory.busy.backends" => (4.0, 0.007),
         "memory.tenants" => (4.0, 0.0005),
         "memory.methods" => (4.0, 0.001),
@@ -93,15 +102,15 @@
 }
 
 #[test]
-fn candidates_are_ordered_by_the_targets_they_miss() {
-    let heavy = made(|name| {
+fn candidates_are_ordered_by_the_factor_of_their_missed_targets() {
+    let heavy = report_with_lines(|name| {
         if name == "memory.busy.backends" {
             (0.0, 10.0)
         } else {
             (0.001, 0.0)
         }
     });
-    let slow = made(|name| {
+    let slow = report_with_lines(|name| {
         if name.starts_with("latency") {
             (1e6, 0.0)
         } else {
@@ -112,7 +121,7 @@
         (heavy, "the list told as what this proxy needs"),
         (slow, "subsets"),
     ] {
-        let text = page::renew(&blank(), &report).expect("a page");
+        let text = page::renew(&page_with_old_tables(), &report).expect("a page");
         let row = text
             .lines()
             .find(|line| line.starts_with("| 1 |"))
@@ -128,7 +137,7 @@
 #[test]
 fn a_wall_clock_on_a_busy_machine_proves_no_missed_target() {
     let on_busy_machine = |latency: f64| {
-        let mut report = made(|name| {
+        let mut report = report_with_lines(|name| {
             if name == "latency.rate" {
                 (latency, 0.0)
             } else {
@@ -156,7 +165,7 @@
 /// Each key of a candidate names an estimate, at least one of them with a target; a candidate without a target has no rank.
 #[test]
 fn each_candidate_key_names_an_estimate() {
-    let lines = estimate::targets(&made(|_| (1.0, 0.0))).expect("estimates");
+    let lines = estimate::targets(&report_with_lines(|_| (1.0, 0.0))).expect("estimates");
     for candidate in estimate::CANDIDATES {
         for key in candidate.keys {
             assert!(
@@ -176,7 +185,7 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_plan_and_another_one_another() {
+fn plan_order_depends_on_the_seed_only() {
     assert_eq!(Plan::long(7), Plan::long(7));
     let orders: std::collections::HashSet<_> =
         (0..20).map(|seed| Plan::long(seed).backends).collect();
--- a/crates/capacity/tests/stored_form.rs
+++ b/crates/capacity/tests/stored_form.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_result_of_another_form_is_refused_by_name() {
+fn error_names_an_unsupported_form() {
     let text = std::fs::read_to_string(in_crate("tests/fixtures/result-form-1.json")).unwrap();
     let path = std::env::temp_dir().join(format!("birchhub-capacity-{}-form", std::process::id()));
     std::fs::write(&path, text.replacen("\"form\": 1", "\"form\": 2", 1)).expect("a file");
