--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,7 +1,10 @@
 //! The command line: verdicts as exit codes, errors that name place and value, and a clean end on Ctrl-C.
-use std::path::{Path, PathBuf};
-use std::process::{Command, Output, Stdio};
+mod support;
+
+use std::path::Path;
+use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
+use support::{Folder, birchhub, result_of};
 
 const SHORT: &str = r#"
 name = "short"
@@ -34,45 +37,11 @@
 rate = 50
 "#;
 
-/// A folder of one test.
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("birchhub-cli-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Self(path)
-    }
-    fn scenario(&self, length: &str) -> String {
-        let path = self.0.join("short.toml");
-        std::fs::write(&path, SHORT.replace("LENGTH", length)).expect("a file");
-        path.display().to_string()
-    }
-    fn path(&self, name: &str) -> String {
-        self.0.join(name).display().to_string()
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
-}
-
-fn birchhub(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_birchhub"))
-        .args(arguments)
-        .output()
-        .expect("birchhub")
-}
-
-fn result_of(output: &Output) -> (i32, String, String) {
-    let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (
-        output.status.code().unwrap_or(-1),
-        text(&output.stdout),
-        text(&output.stderr),
-    )
+/// Writes a short scenario of a length into the folder of a test. Returns its path.
+fn write_scenario(folder: &Folder, length: &str) -> String {
+    let path = folder.path("short.toml");
+    std::fs::write(&path, SHORT.replace("LENGTH", length)).expect("a file");
+    path
 }
 
 /// The daemon beside the command line: `cargo test --workspace` builds both.
@@ -88,7 +57,7 @@
 fn a_rehearsal_ends_with_its_verdict_and_its_ledger_can_be_read() {
     has_daemon();
     let folder = Folder::new("run");
-    let (scenario, out) = (folder.scenario("2s"), folder.path("out"));
+    let (scenario, out) = (write_scenario(&folder, "2s"), folder.path("out"));
     let (code, text, _) = result_of(&birchhub(&[
         "rehearse", &scenario, "--quiet", "--out", &out, "--seed", "4",
     ]));
@@ -128,10 +97,10 @@
 #[test]
 fn bad_input_is_named_and_exits_with_64() {
     let folder = Folder::new("bad");
-    let scenario = folder.scenario("2 parsecs");
+    let scenario = write_scenario(&folder, "2 parsecs");
     let out = folder.path("out");
     let good = Folder::new("good");
-    let fine = good.scenario("2s");
+    let fine = write_scenario(&good, "2s");
     for (arguments, expected) in [
         (
             vec!["rehearse", &scenario],
@@ -165,7 +134,7 @@
 #[test]
 fn a_proxy_that_exits_at_once_is_reported() {
     let folder = Folder::new("exits");
-    let (scenario, out) = (folder.scenario("2s"), folder.path("out"));
+    let (scenario, out) = (write_scenario(&folder, "2s"), folder.path("out"));
     let (code, _, fault) = result_of(&birchhub(&[
         "rehearse",
         &scenario,
@@ -216,7 +185,7 @@
 fn ctrl_c_ends_cleanly_with_a_partial_report() {
     has_daemon();
     let folder = Folder::new("ctrl-c");
-    let (scenario, out) = (folder.scenario("60s"), folder.path("out"));
+    let (scenario, out) = (write_scenario(&folder, "60s"), folder.path("out"));
     let mut start = Command::new(env!("CARGO_BIN_EXE_birchhub"));
     start
         .args(["rehearse", &scenario, "--quiet", "--out", &out])
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -1,42 +1,14 @@
 //! `birchhub scale`: the quick form from end to end, by counts, and bad input.
+mod support;
+
 use serde_json::Value;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::process::Command;
 use std::time::{Duration, Instant};
-
-/// A folder of one test.
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Self {
-        let path =
-            std::env::temp_dir().join(format!("birchhub-capacity-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Self(path)
-    }
-    fn path(&self, name: &str) -> String {
-        self.0.join(name).display().to_string()
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
-}
+use support::{Folder, birchhub, result_of};
 
 fn scale(arguments: &[&str]) -> (i32, String, String) {
-    let output = Command::new(env!("CARGO_BIN_EXE_birchhub"))
-        .arg("scale")
-        .args(arguments)
-        .output();
-    let output = output.expect("birchhub");
-    let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (
-        output.status.code().unwrap_or(-1),
-        text(&output.stdout),
-        text(&output.stderr),
-    )
+    result_of(&birchhub(&[&["scale"], arguments].concat()))
 }
 
 fn blank() -> String {
