--- a/crates/invariants/src/guard.rs
+++ b/crates/invariants/src/guard.rs
@@ -123,6 +123,8 @@
     if !facts.is_backend_ready {
         return Err(Violation::BackendDraining);
     }
+    // The deduplication window has expired since the start. Reported as `UnsafeRepeat`, because the facts of a send do not
+    // include the window; it counts for the same rule as `DeduplicationWindowExpired`.
     if facts.repeat_time_left == Some(Duration::ZERO) {
         return Err(Violation::UnsafeRepeat);
     }
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -9,7 +9,7 @@
 use crate::method;
 use crate::parsed::{Named, ParsedSettings};
 use crate::reader::JsonReader;
-use crate::sections::{Sections, check_target_nines};
+use crate::sections::{Sections, check_target_availability};
 use serde_json::Value;
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 
 /// Parses the text of a settings object.
 ///
-/// The result is that of [`parse_value`], but many accounts take less memory meanwhile.
+/// The result is that of [`parse_value`], but the function uses less memory if there are many accounts.
 ///
 /// # Errors
 ///
@@ -78,7 +78,7 @@
     let (methods, method_settings) = unzip(methods.collect::<Result<_, _>>()?);
     let (tenants, tenant_settings) = unzip(accounts.parse(&root)?);
     let sections = Sections::parse(&root, &ceilings, &contract)?;
-    check_target_nines(&root)?;
+    check_target_availability(&root)?;
     let settings = sections.settings(method_settings, tenant_settings);
     Ok(ParsedSettings {
         digest: settings_digest(document, &tenants, &settings),
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -183,7 +183,7 @@
 }
 
 /// Rejects a target availability of 0 nines, by which losses cannot be divided. The target may be missing.
-pub(crate) fn check_target_nines(document: &JsonReader) -> Result<(), SettingsError> {
+pub(crate) fn check_target_availability(document: &JsonReader) -> Result<(), SettingsError> {
     match document.section("goal").optional("nines-wanted") {
         Some(nines) if nines.number()? == 0.0 => Err(SettingsError::ZeroTargetNines {
             path: nines.path().clone(),
