--- a/crates/daemon/src/decision/balancer_calls.rs
+++ b/crates/daemon/src/decision/balancer_calls.rs
@@ -9,8 +9,8 @@
 const PANIC_RECOVERY_DELAY_SECONDS: f64 = 0.01;
 
 impl DecisionActor {
-    /// Calls the balancer at the present time. A panic ends neither the process nor other RPCs: the listener responds
-    /// to the RPCs that the balancer lost.
+    /// Calls the balancer at the present time. A panic ends neither the process nor other RPCs: the RPC service
+    /// responds to the RPCs that the balancer lost, at their deadline.
     pub(super) fn call_balancer(&mut self, call: impl FnOnce(&mut Self)) {
         self.platform.update_now();
         if catch_unwind(AssertUnwindSafe(|| call(self))).is_err() {
--- a/crates/daemon/src/decision/client_events.rs
+++ b/crates/daemon/src/decision/client_events.rs
@@ -42,7 +42,7 @@
     pub(super) fn on_client_disconnected(&mut self, id: u64) {
         let is_known_to_balancer = self.rpcs.contains_key(&id);
         if !is_known_to_balancer {
-            // The balancer lost this RPC when it panicked.
+            // The balancer lost this RPC when it panicked. The call below then only reads the clock, for the replay.
             self.platform.in_flight.remove(&id);
         }
         self.call_rpc(id, |rpc, platform| {
--- a/crates/daemon/src/decision/platform.rs
+++ b/crates/daemon/src/decision/platform.rs
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Sends an exchange to the endpoint actor of a backend. If that fails, the dropped completion guard reports it.
+    /// Sends an exchange to the endpoint actor of a backend. If the decision actor's mailbox is full, the exchange is
+    /// added to `unsent`. Otherwise its completion guard reports the end, even if the endpoint actor is gone.
     fn start_exchange(&mut self, backend: u32, kind: ExchangeKind, request: ExchangeRequest) {
         let Ok(permit) = self.events.clone().try_reserve_owned() else {
             log::error!(backend; "decision actor mailbox is full, attempt or health check not sent");
--- a/crates/daemon/src/decision/timers.rs
+++ b/crates/daemon/src/decision/timers.rs
@@ -58,15 +58,15 @@
         }
     }
 
-    /// Returns the outcome of an exchange, or `unknown` for a timeout right after the process was suspended: the
+    /// Returns the outcome of an exchange, or `if_suspended` for a timeout right after the process was suspended: the
     /// suspension may have caused that timeout, so it says nothing about the backend.
     pub(super) fn reliable_outcome(
         &self,
         outcome: AttemptOutcome,
-        unknown: AttemptOutcome,
+        if_suspended: AttemptOutcome,
     ) -> AttemptOutcome {
         if outcome == AttemptOutcome::TimedOut && self.heartbeat.has_just_resumed() {
-            unknown
+            if_suspended
         } else {
             outcome
         }
--- a/crates/daemon/src/discovery/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -33,14 +33,14 @@
 pub(super) enum WatchEnd {
     /// The address of the discovery service has changed.
     AddressChanged,
-    /// A poll failed, and so did its immediate retries.
+    /// A poll and its immediate retries failed.
     Failed(DiscoveryError),
     /// See [`DecisionActorEnded`].
     DecisionActorEnded,
 }
 
 impl EndpointWatch {
-    /// Polls until a poll fails for good. The first poll uses `connection` if there is one.
+    /// Polls until a poll and its immediate retries fail, or the decision actor ends. The first poll uses `connection` if there is one.
     pub(super) async fn run(&mut self, mut connection: Option<Connection>) -> WatchEnd {
         let mut mode = self.poller.initial_mode();
         let mut retries = 0;
@@ -49,17 +49,12 @@
             let call = self.poller.next_call(mode, is_ready);
             let started = Instant::now();
             let previous_response = self.poller.last_response();
-            let is_watch = call.is_watch && previous_response.is_some();
+            let is_watch = call.is_watch;
             match self.poller.poll(&mut connection, call).await {
                 Ok(update) => {
                     mode = PollMode::Watch;
                     retries = 0;
-                    let changed_since = if is_watch {
-                        // The service responds to a watch as soon as there is a change.
-                        self.poller.last_response()
-                    } else {
-                        previous_response
-                    };
+                    let changed_since = self.earliest_change(is_watch, previous_response);
                     if self.deliver(update, changed_since).await.is_err() {
                         return WatchEnd::DecisionActorEnded;
                     }
@@ -77,6 +72,21 @@
         }
     }
 
+    /// Returns the earliest time at which the changes of the latest response may have happened; none if it is unknown,
+    /// as for the first response. The service responds to a watch as soon as there is a change, so the time of a watch's
+    /// own response is returned. The changes of any other poll may have happened since the response before.
+    fn earliest_change(
+        &self,
+        is_watch: bool,
+        previous_response: Option<Instant>,
+    ) -> Option<Instant> {
+        if is_watch && previous_response.is_some() {
+            self.poller.last_response()
+        } else {
+            previous_response
+        }
+    }
+
     /// Delivers the update of an overdue call unless it is outdated. Returns the call's connection.
     pub(super) async fn accept_late(
         &mut self,
--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -183,6 +183,7 @@
             // A higher rank for lingering would let rejected clients crowd out others.
             ConnectionPhase::Idle { .. } | ConnectionPhase::Lingering { .. } => EvictionRank::Idle,
             ConnectionPhase::ReadingHead { .. } => EvictionRank::ReadingHead,
+            // The last two are busy: `enter` withdraws them from eviction.
             ConnectionPhase::ReadingBody { .. }
             | ConnectionPhase::RpcInFlight { .. }
             | ConnectionPhase::WritingResponse { .. } => EvictionRank::ReadingBody,
@@ -205,6 +206,7 @@
             return close;
         }
         if self.is_evicted.get() {
+            // Closes at once: the time is past, and earlier than the deadline of any phase.
             close = close.earlier(ScheduledClose::new(self.opened_at, EndReason::Evicted));
         }
         if let Some(drain) = drain {
@@ -291,12 +293,13 @@
 }
 
 impl Evictable for ClientConnection {
+    /// Tells the connection's task to close the connection. Returns false if an RPC is in flight: it is not evicted then.
     fn evict(&self) -> bool {
-        let is_idle = !self.is_busy();
-        if is_idle {
+        let may_be_evicted = !self.is_busy();
+        if may_be_evicted {
             self.is_evicted.set(true);
             self.changed.notify_one();
         }
-        is_idle
+        may_be_evicted
     }
 }
--- a/crates/daemon/src/net/socket_budget.rs
+++ b/crates/daemon/src/net/socket_budget.rs
@@ -26,9 +26,9 @@
     Backends,
 }
 
-/// An idle connection that can be evicted to make room for another one.
+/// A connection that can be evicted to make room for another one while no exchange uses it.
 pub(crate) trait Evictable {
-    /// Closes the connection if it is still idle; false if it is not.
+    /// Closes the connection, or has it closed by its task. Returns false, and does nothing, if it is in use.
     fn evict(&self) -> bool;
 }
 
