--- a/crates/daemon/src/lifecycle/state_store.rs
+++ b/crates/daemon/src/lifecycle/state_store.rs
@@ -10,11 +10,12 @@
 use tokio::sync::{Mutex, watch};
 use tokio::time::sleep;
 
-/// Interval of polling the siblings' slots and the shared administrative state. The drain grace is six times as long.
+/// Interval of polling the siblings' slots and the shared administrative state. Must be well below the backends' drain
+/// grace.
 pub(crate) const SIBLING_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Largest number of known endpoint names. Some fleets give endpoints new names with each start.
 const MAX_KNOWN_NAMES: usize = 20_000;
-/// Number of sibling polls between writes of pending changes.
+/// Number of sibling polls between writes of pending changes, which makes one write a second.
 const POLLS_PER_WRITE: u32 = 20;
 
 /// The owner of the [`ProxyState`].
@@ -122,7 +123,7 @@
         self.applied_generation.send_replace(generation);
     }
 
-    /// Executes an admin command and returns once the decision actor has applied it.
+    /// Puts an admin command in force and returns once the decision actor has applied it.
     ///
     /// # Errors
     ///
@@ -131,7 +132,7 @@
         self.pending.add_command(TimedCommand::now(command.clone()));
         let result = self.write_pending().await;
         let generation = self.current().admin_generation;
-        log::info!("admin command {command:?} executed: {}", *self.current());
+        log::info!("admin command {command:?} recorded: {}", *self.current());
         self.await_applied(generation).await;
         let Err(error) = result else {
             return Ok(());
@@ -208,17 +209,11 @@
         let batch = self.pending.take_batch();
         let mut own = self.state.borrow().admin_state.clone();
         match self.update_stored(&own, &batch).await {
-            Ok(Some(admin_state)) => {
+            Ok(admin_state) => {
                 self.replace_admin_state(admin_state);
                 self.pending.remove_stored(&batch);
                 Ok(())
             }
-            Ok(None) => {
-                batch.apply_to(&mut own);
-                self.replace_admin_state(own);
-                self.pending.remove_stored(&batch);
-                Ok(())
-            }
             Err(error) => {
                 batch.apply_to(&mut own);
                 self.replace_admin_state(own);
@@ -228,18 +223,20 @@
         }
     }
 
-    /// Applies changes to the stored state and returns the new state; `None` without a process group.
+    /// Applies changes to the stored state and returns the new state. Without a process group nothing is stored, and the
+    /// changes apply to a copy of this process's `own` state.
     async fn update_stored(
         &self,
         own: &AdminState,
         batch: &ChangeBatch,
-    ) -> Result<Option<AdminState>, ProcessGroupError> {
+    ) -> Result<AdminState, ProcessGroupError> {
         let Some(group) = &self.process_group else {
-            return Ok(None);
+            let mut admin_state = own.clone();
+            batch.apply_to(&mut admin_state);
+            return Ok(admin_state);
         };
         let mut group = group.lock().await;
-        let admin_state = group.update(own, |state| batch.apply_to(state)).await?;
-        Ok(Some(admin_state))
+        group.update(own, |state| batch.apply_to(state)).await
     }
 
     fn replace_admin_state(&self, admin_state: AdminState) {
