--- a/crates/daemon/src/downstream/rpc_log.rs
+++ b/crates/daemon/src/downstream/rpc_log.rs
@@ -1,4 +1,4 @@
-//! Logs the begin and the end of each RPC.
+//! Logs the start and the end of each RPC.
 use crate::downstream::request::ReceivedRpc;
 use crate::end_reason::EndReason;
 use crate::invariants::Invariants;
@@ -18,8 +18,8 @@
 }
 
 impl RpcLog {
-    /// Logs the begin of an RPC.
-    pub(super) fn begin(rpc: &ReceivedRpc, connection: u64, invariants: Rc<Invariants>) -> Self {
+    /// Logs that an RPC was received.
+    pub(super) fn start(rpc: &ReceivedRpc, connection: u64, invariants: Rc<Invariants>) -> Self {
         invariants.record_rpc();
         let request_id = rpc.request.id_text().to_owned();
         let streamed = rpc.request.upload().is_some();
--- a/crates/daemon/src/downstream/rpc_service.rs
+++ b/crates/daemon/src/downstream/rpc_service.rs
@@ -91,7 +91,7 @@
             response_deadline: response_deadline(&rpc),
         });
         let upload = rpc.request.upload().cloned();
-        let log = RpcLog::begin(&rpc, connection.id(), self.invariants.clone());
+        let log = RpcLog::start(&rpc, connection.id(), self.invariants.clone());
         let timeout = rpc.timeout;
         let buffered_at = rpc.received_at;
         let outcome = self.decide(rpc, client, log.request_id()).await;
@@ -132,6 +132,7 @@
         let guard = RpcGuard::new(id, permit);
         let upload = rpc.request.upload().cloned();
         let timeout = client_timeout(upload.as_deref(), rpc.received_at, rpc.timeout);
+        // An RPC that the decision actor drops without a response ends at one of the deadlines.
         select! {
             biased;
             outcome = incomplete_upload(upload.as_deref()) => outcome,
@@ -140,13 +141,12 @@
                 RpcOutcome::decided(response)
             }
             () = timeout => {
-                log::error!("RPC {log_id} exceeded its deadline without a response");
+                log::error!(request:% = log_id; "RPC exceeded its deadline without a response");
                 RpcOutcome::new(ProxyResponse::Failed, EndReason::DeadlineExceeded)
             }
             () = self.shutdown_deadline() => {
                 RpcOutcome::new(ProxyResponse::Failed, EndReason::ShuttingDown)
             }
-            else => RpcOutcome::new(ProxyResponse::Failed, EndReason::LostByDecisions),
         }
     }
 
--- a/crates/daemon/src/end_reason.rs
+++ b/crates/daemon/src/end_reason.rs
@@ -40,8 +40,6 @@
     ShuttingDown,
     /// RPC: the mailbox of the decision actor is full.
     Overloaded,
-    /// RPC: the decision actor dropped it.
-    LostByDecisions,
     /// RPC: the client's message is not a valid request.
     InvalidRequest,
     /// RPC: its streamed body stalled, or was not complete in time.
@@ -81,7 +79,6 @@
             Self::DeadlineExceeded => "deadline-exceeded",
             Self::ShuttingDown => "shutting-down",
             Self::Overloaded => "overloaded",
-            Self::LostByDecisions => "lost-by-decisions",
             Self::InvalidRequest => "invalid-request",
             Self::BodyStalled => "body-stalled",
             Self::Completed => "completed",
@@ -102,7 +99,6 @@
                 | Self::FailedByDecision
                 | Self::DeadlineExceeded
                 | Self::Overloaded
-                | Self::LostByDecisions
         )
     }
 
