--- a/crates/daemon/src/decision/in_flight.rs
+++ b/crates/daemon/src/decision/in_flight.rs
@@ -3,7 +3,7 @@
 use crate::downstream::request_ids::RequestIdGuard;
 use crate::downstream::response::ProxyResponse;
 use crate::net::inbound_stream::ClientLiveness;
-use crate::upstream::exchange::{Deadlines, ExchangeRequest};
+use crate::upstream::exchange::{Deadlines, ExchangeRequest, WithdrawIfUnsent};
 use birchhub::interface::{AttemptOutcome, Idempotency, MethodSettings, Settings};
 use birchhub_invariants::{AttemptStart, RepeatRule, Violation};
 use std::time::Duration;
@@ -30,9 +30,9 @@
 
 /// An attempt of an RPC.
 struct InFlightAttempt {
-    /// Dropped to cancel the attempt, or sent to in order to withdraw it if unsent. `None` once either was done or the
-    /// attempt ended.
-    cancel: Option<oneshot::Sender<()>>,
+    /// Dropped to cancel the attempt even if it was sent, or used to send [`WithdrawIfUnsent`]. `None` once either was
+    /// done or the attempt ended.
+    cancel: Option<oneshot::Sender<WithdrawIfUnsent>>,
     /// Start time, or `None` if the backend certainly did not execute the attempt.
     may_have_run_since: Option<Instant>,
 }
@@ -142,7 +142,7 @@
         for attempt in &mut self.attempts {
             if let Some(cancel) = attempt.cancel.take() {
                 // The receiver is gone if the attempt has ended.
-                let _ = cancel.send(());
+                let _ = cancel.send(WithdrawIfUnsent);
             }
         }
     }
--- a/crates/daemon/src/downstream/request.rs
+++ b/crates/daemon/src/downstream/request.rs
@@ -115,8 +115,9 @@
         }
     }
 
-    /// Whether a backend may have received the complete request once any byte of it was sent.
-    pub(crate) fn may_be_complete(&self) -> bool {
+    /// Whether the last byte of the request was received and, if the body is streamed, handed over to an attempt. Before
+    /// that, no backend can have the complete request.
+    pub(crate) fn is_fully_received(&self) -> bool {
         self.upload().is_none_or(|upload| upload.is_complete())
     }
 }
--- a/crates/daemon/src/end_reason.rs
+++ b/crates/daemon/src/end_reason.rs
@@ -54,8 +54,8 @@
     SendWindowClosed,
     /// Attempt: no response before the timeout.
     TimedOut,
-    /// Attempt: a streamed request stalled.
-    UploadStalled,
+    /// Attempt: the body of a streamed request was truncated or too large, or the client or the backend stalled.
+    UploadFailed,
 }
 
 impl EndReason {
@@ -86,7 +86,7 @@
             Self::EndpointUnavailable => "endpoint-unavailable",
             Self::SendWindowClosed => "send-window-closed",
             Self::TimedOut => "timed-out",
-            Self::UploadStalled => "upload-stalled",
+            Self::UploadFailed => "upload-failed",
         }
     }
 
@@ -112,7 +112,7 @@
                 | Self::ResponseStalled
                 | Self::InvalidRequest
                 | Self::BodyStalled
-                | Self::UploadStalled
+                | Self::UploadFailed
         )
     }
 
--- a/crates/daemon/src/upstream/attempt/early_end.rs
+++ b/crates/daemon/src/upstream/attempt/early_end.rs
@@ -3,7 +3,7 @@
 use super::RunningExchange;
 use crate::clock;
 use crate::time_limits::UPLOAD_STALL_TIMEOUT;
-use crate::upstream::exchange::CancelSignal;
+use crate::upstream::exchange::{CancelSignal, WithdrawIfUnsent};
 use std::future::pending;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
@@ -19,14 +19,12 @@
         }
     }
 
-    /// Waits until the exchange is cancelled. A cancel message, other than a dropped sender, has no effect once a byte
-    /// may have been sent.
+    /// Waits until the exchange is cancelled, see [`CancelSignal`].
     pub(super) async fn cancelled(&self, cancel: CancelSignal) {
-        let is_sender_dropped = match cancel {
-            Some(cancel) => cancel.await.is_err(),
-            None => pending().await,
+        let Some(cancel) = cancel else {
+            return pending().await;
         };
-        if !is_sender_dropped {
+        if let Ok(WithdrawIfUnsent) = cancel.await {
             self.unless_sent().await;
         }
     }
--- a/crates/daemon/src/upstream/attempt/mod.rs
+++ b/crates/daemon/src/upstream/attempt/mod.rs
@@ -48,8 +48,8 @@
         () = running.send_window_closed() => ExchangeEnd::Withdrawn(EndReason::SendWindowClosed),
         result = running.exchange() => ExchangeEnd::Completed(result),
         () = running.timed_out() => ExchangeEnd::TimedOut,
-        () = running.upload_failed() => ExchangeEnd::UploadStalled,
-        () = running.backend_stalled() => ExchangeEnd::UploadStalled,
+        () = running.upload_failed() => ExchangeEnd::UploadFailed,
+        () = running.backend_stalled() => ExchangeEnd::UploadFailed,
     };
     // The connection of an exchange that ended early is closed by now, before the decision actor learns of the end.
     let reason = end.reason();
@@ -65,8 +65,8 @@
     Completed(ExchangeResult),
     /// There was no response before the timeout.
     TimedOut,
-    /// A streamed request stalled.
-    UploadStalled,
+    /// The body of a streamed request was truncated or too large, or the client or the backend stalled.
+    UploadFailed,
 }
 
 impl ExchangeEnd {
@@ -76,7 +76,7 @@
             Self::Withdrawn(reason) => *reason,
             Self::Completed(_) => EndReason::Completed,
             Self::TimedOut => EndReason::TimedOut,
-            Self::UploadStalled => EndReason::UploadStalled,
+            Self::UploadFailed => EndReason::UploadFailed,
         }
     }
 }
@@ -114,9 +114,11 @@
         let upload = self.request.upload();
         let outcome = match end {
             ExchangeEnd::Completed(result) => return Some(result),
-            ExchangeEnd::Withdrawn(_) if !self.request.may_be_complete() => AttemptOutcome::NotSent,
+            ExchangeEnd::Withdrawn(_) if !self.request.is_fully_received() => {
+                AttemptOutcome::NotSent
+            }
             ExchangeEnd::Withdrawn(_) => return None,
-            ExchangeEnd::UploadStalled
+            ExchangeEnd::UploadFailed
                 if upload.is_some_and(|upload| upload.is_waiting_for_client()) =>
             {
                 AttemptOutcome::NotSent
@@ -126,7 +128,7 @@
                 self.endpoint.idle.close_unused_since(self.started_at);
                 AttemptOutcome::TimedOut
             }
-            ExchangeEnd::TimedOut | ExchangeEnd::UploadStalled => AttemptOutcome::ConnectFailed,
+            ExchangeEnd::TimedOut | ExchangeEnd::UploadFailed => AttemptOutcome::ConnectFailed,
         };
         Some(outcome.into())
     }
--- a/crates/daemon/src/upstream/attempt/send.rs
+++ b/crates/daemon/src/upstream/attempt/send.rs
@@ -27,7 +27,7 @@
             let facts = self.send_facts(self.is_client_disconnected().await);
             if !self.may_send(&facts) {
                 if facts.is_client_disconnected {
-                    return pending().await;
+                    return wait_for_cancellation().await;
                 }
                 return AttemptOutcome::NotSent.into();
             }
@@ -51,7 +51,7 @@
         let now = Instant::now();
         // The client's deadline of a streamed request is not known before its last byte.
         let client_deadline = self.deadlines.client_deadline;
-        let client_deadline = client_deadline.filter(|_| self.request.may_be_complete());
+        let client_deadline = client_deadline.filter(|_| self.request.is_fully_received());
         let send_deadline = self.deadlines.send_deadline;
         SendFacts {
             is_client_disconnected,
@@ -139,10 +139,15 @@
     /// Returns the outcome on a connection that failed: a backend can't have started a request whose last byte was not
     /// written.
     fn broken_outcome(&self) -> AttemptOutcome {
-        if self.request.may_be_complete() {
+        if self.request.is_fully_received() {
             AttemptOutcome::Reset
         } else {
             AttemptOutcome::ConnectFailed
         }
     }
 }
+
+/// Never returns: another branch of the `select!` in [`super::run`] ends the exchange, normally its cancellation.
+async fn wait_for_cancellation() -> ExchangeResult {
+    pending().await
+}
--- a/crates/daemon/src/upstream/exchange.rs
+++ b/crates/daemon/src/upstream/exchange.rs
@@ -33,9 +33,14 @@
     }
 }
 
-/// Cancels an exchange; none if it can't be cancelled. A dropped sender cancels it in any case, a message only if
-/// nothing was sent yet.
-pub(crate) type CancelSignal = Option<oneshot::Receiver<()>>;
+/// Ends an exchange unless a byte of it may have been sent.
+pub(crate) struct WithdrawIfUnsent;
+
+/// Cancels an exchange; none if it can't be cancelled.
+///
+/// - If the sender is dropped, the exchange is cancelled, whether or not it was sent.
+/// - If [`WithdrawIfUnsent`] is received, it is cancelled only if nothing was sent.
+pub(crate) type CancelSignal = Option<oneshot::Receiver<WithdrawIfUnsent>>;
 
 /// The deadlines of an exchange.
 #[derive(Clone, Copy)]
--- a/crates/daemon/src/upstream/idle_connections.rs
+++ b/crates/daemon/src/upstream/idle_connections.rs
@@ -1,5 +1,5 @@
 //! The pool of a backend's idle connections. A connection leaves it in one of four ways: the next exchange takes it, its
-//! watch task drops it when the backend closes it or its reuse time is over, the socket budget evicts it to make room
+//! close task drops it when the backend closes it or its reuse time is over, the socket budget evicts it to make room
 //! for another socket, or the endpoint actor clears the pool.
 use crate::net::connection::Connection;
 use crate::net::socket_budget::{Evictable, EvictionCandidate, SocketBudget, SocketClass};
@@ -25,13 +25,14 @@
 /// Eviction rank of all idle connections to backends: the one that has been idle for the longest is evicted first.
 const EVICTION_RANK: u8 = 0;
 
-/// An idle connection, its registration as an eviction candidate and the task that watches it.
+/// An idle connection, its registration as an eviction candidate and the task that waits for its close.
 struct IdleConnection {
     /// None once the connection was taken or evicted.
     connection: RefCell<Option<Connection>>,
     last_used: Instant,
     candidate: RefCell<Option<EvictionCandidate>>,
-    watch: RefCell<Option<JoinHandle<()>>>,
+    /// Removes the connection from the pool when it is closed or expires.
+    close_task: RefCell<Option<JoinHandle<()>>>,
 }
 
 impl IdleConnection {
@@ -41,7 +42,7 @@
             connection: RefCell::new(Some(connection)),
             last_used,
             candidate: RefCell::default(),
-            watch: RefCell::default(),
+            close_task: RefCell::default(),
         }
     }
 }
@@ -54,8 +55,8 @@
 
 impl Drop for IdleConnection {
     fn drop(&mut self) {
-        if let Some(watch) = self.watch.take() {
-            watch.abort();
+        if let Some(close_task) = self.close_task.take() {
+            close_task.abort();
         }
     }
 }
@@ -142,14 +143,16 @@
             .register_evictable(SocketClass::Backends, EVICTION_RANK, &idle);
         idle.candidate.replace(Some(candidate));
         let expiry = idle.last_used + self.reuse_time.get();
-        let watch = self.clone().watch(Rc::downgrade(&idle), expiry);
-        idle.watch.replace(Some(spawn_local(watch)));
+        let removal = self
+            .clone()
+            .remove_when_closed(Rc::downgrade(&idle), expiry);
+        idle.close_task.replace(Some(spawn_local(removal)));
         self.idle.borrow_mut().push(idle);
     }
 
-    /// Watches one idle connection and drops it when the backend closes it, or at `expiry`. Each connection has a task of
+    /// Removes one idle connection from the pool when the backend closes it, or at `expiry`. Each connection has a task of
     /// its own, woken by its socket, so that the cost of a response doesn't grow with the number of idle connections.
-    async fn watch(self: Rc<Self>, idle: Weak<IdleConnection>, expiry: Instant) {
+    async fn remove_when_closed(self: Rc<Self>, idle: Weak<IdleConnection>, expiry: Instant) {
         let closed = poll_fn(|cx| {
             let is_closed = |idle: Rc<IdleConnection>| {
                 let mut connection = idle.connection.borrow_mut();
