--- a/crates/daemon/src/end_reason.rs
+++ b/crates/daemon/src/end_reason.rs
@@ -40,8 +40,6 @@
     ShuttingDown,
     /// RPC: the mailbox of the decision actor is full.
     Overloaded,
-    /// RPC: the decision actor dropped it.
-    LostByDecisions,
     /// RPC: the client's message is not a valid request.
     InvalidRequest,
     /// RPC: its streamed body stalled, or was not complete in time.
@@ -56,8 +54,8 @@
     SendWindowClosed,
     /// Attempt: no response before the timeout.
     TimedOut,
-    /// Attempt: a streamed request stalled.
-    UploadStalled,
+    /// Attempt: the body of a streamed request was truncated or too large, or the client or the backend stalled.
+    UploadFailed,
 }
 
 impl EndReason {
@@ -81,7 +79,6 @@
             Self::DeadlineExceeded => "deadline-exceeded",
             Self::ShuttingDown => "shutting-down",
             Self::Overloaded => "overloaded",
-            Self::LostByDecisions => "lost-by-decisions",
             Self::InvalidRequest => "invalid-request",
             Self::BodyStalled => "body-stalled",
             Self::Completed => "completed",
@@ -89,7 +86,7 @@
             Self::EndpointUnavailable => "endpoint-unavailable",
             Self::SendWindowClosed => "send-window-closed",
             Self::TimedOut => "timed-out",
-            Self::UploadStalled => "upload-stalled",
+            Self::UploadFailed => "upload-failed",
         }
     }
 
@@ -102,7 +99,6 @@
                 | Self::FailedByDecision
                 | Self::DeadlineExceeded
                 | Self::Overloaded
-                | Self::LostByDecisions
         )
     }
 
@@ -116,7 +112,7 @@
                 | Self::ResponseStalled
                 | Self::InvalidRequest
                 | Self::BodyStalled
-                | Self::UploadStalled
+                | Self::UploadFailed
         )
     }
 
