--- a/tests/common/sockets/backend.rs
+++ b/tests/common/sockets/backend.rs
@@ -2,7 +2,7 @@
 use super::http::{Message, read_message, reply};
 use super::shared::{EVENT_TIMEOUT, Log, Shared};
 use std::io::{BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::thread::spawn;
 use std::time::Duration;
@@ -82,7 +82,9 @@
                         events.iter().any(|recorded| recorded.ends_with(&event))
                     });
                     if rest.is_empty() {
-                        // Closed before the event is recorded: whoever waits for it finds the connection closed.
+                        // Closed before the event is recorded: whoever waits for it finds the connection closed. Dropping
+                        // the socket is not enough: a process that another test is just starting may still hold a copy.
+                        let _ = stream.shutdown(Shutdown::Both);
                         drop((input, stream));
                         return log.record(format!("{name} done with {id}"));
                     }
