--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum SimulationEvent {
     /// The planned action with this index is due.
-    PlannedAct(usize),
+    PlannedAction(usize),
     /// A planned RPC is due at its client.
     RpcDue(u32),
     /// A client retries an RPC.
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! The acts of the plan: faults of machines, proxies and the endpoint list service, and the deployments among them.
+//! Planned actions: faults of machines, proxies and the endpoint list service, and deployments.
 use super::backends::Retirement;
 use super::endpoint_list::ListEntry;
 use super::event::{ProcessEvent, SimulationEvent};
@@ -11,13 +11,13 @@
 use birchhub_rehearsal::plan::{Action, BackendFault};
 use rand::Rng;
 
-/// s, the shortest pause that a proxy notices: it sets its clock back, and blames no backend for time-outs meanwhile.
-const NOTICEABLE_PAUSE: f64 = 0.02;
+/// Shortest pause in seconds that a proxy notices: it sets its clock back, and blames no backend for timeouts meanwhile.
+const NOTICEABLE_PAUSE_SECONDS: f64 = 0.02;
 
 impl World<'_> {
-    /// Does what the plan has for now.
-    pub(super) fn apply_planned_act(&mut self, act: Action) {
-        match act {
+    /// Executes a planned action.
+    pub(super) fn apply_planned_action(&mut self, action: Action) {
+        match action {
             Action::BeginFault { fault } => self.record_fault(fault, true),
             Action::EndFault { fault } => self.record_fault(fault, false),
             Action::Stall { node, number, on } => self.set_stalled(node, number, on),
@@ -70,7 +70,7 @@
         });
     }
 
-    /// The endpoint list will say that a backend drains.
+    /// Schedules the publication of a backend as draining.
     fn announce_drain(&mut self, node: u32) {
         let machine = &self.machines[node as usize];
         if let Some(incarnation) = machine.incarnation() {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// A backend turns new work away.
+    /// Starts draining a backend, which then rejects new work.
     fn drain_backend(&mut self, node: u32) {
         if let Some(backend) = self.machines[node as usize].backend.as_mut() {
             let incarnation = backend.incarnation;
@@ -99,10 +99,10 @@
         }
     }
 
-    fn set_faulty(&mut self, node: u32, number: u64, trick: BackendFault, on: bool) {
+    fn set_faulty(&mut self, node: u32, number: u64, kind: BackendFault, on: bool) {
         let faults = &mut self.machines[node as usize].faults;
         if on {
-            faults.push(InjectedFault { number, trick });
+            faults.push(InjectedFault { number, kind });
         } else {
             faults.retain(|fault| fault.number != number);
         }
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Begins or ends a stall of a machine; what arrived meanwhile is handled when the last stall ends.
+    /// Begins or ends a stall of a machine. Events that arrived meanwhile are handled when the last stall ends.
     fn set_stalled(&mut self, node: u32, number: u64, on: bool) {
         let machine = &mut self.machines[node as usize];
         if machine.backend.is_none() {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// A paused proxy goes on, and handles what arrived meanwhile.
+    /// Resumes a paused proxy, which handles the events that arrived meanwhile.
     fn resume_proxy(&mut self, proxy: u16) {
         let now = self.now;
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
@@ -162,13 +162,13 @@
         let Some(since) = running.paused.take() else {
             return;
         };
-        let is_noticed = now - since > NOTICEABLE_PAUSE;
+        let is_noticed = now - since > NOTICEABLE_PAUSE_SECONDS;
         if is_noticed {
             self.set_clock_back(proxy, now - since);
         }
         for event in std::mem::take(&mut self.deferred_events[proxy as usize]) {
             match event {
-                // A time-out during a noticed pause says nothing of the backend.
+                // A timeout during a noticed pause says nothing about the backend.
                 SimulationEvent::ToProcess {
                     event: ProcessEvent::AttemptTimeout { attempt_id },
                     ..
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Sets a proxy's clock back by a pause. Its timer moves with it: the earlier event is passed over.
+    /// Sets a proxy's clock back by the duration of a pause. Its timer moves with it; the earlier event is ignored.
     fn set_clock_back(&mut self, proxy: u16, pause: f64) {
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
@@ -191,21 +191,22 @@
         }
     }
 
-    /// The fault that an attempt at a machine meets: drawn by attempt, with the chance that it has on sockets too.
+    /// Returns the fault that affects an attempt at a machine. It is drawn for each attempt, with the same probability as on
+    /// sockets.
     pub(super) fn injected_fault(&self, node: u32, request_id: u64) -> Option<BackendFault> {
         let hits = |fault: &&InjectedFault| {
-            let share = affected_share(&fault.trick);
+            let share = affected_share(&fault.kind);
             let seed = self.plan.seed ^ fault.number;
             share > 0.0 && generator(seed, request_id).random::<f64>() < share
         };
         let fault = self.machines[node as usize].faults.iter().find(hits);
-        fault.map(|fault| fault.trick.clone())
+        fault.map(|fault| fault.kind.clone())
     }
 
-    /// Whether nothing passes between a machine and a proxy.
+    /// Returns whether a partition separates a machine from a proxy.
     pub(super) fn is_partitioned(&self, node: u32, proxy: u16) -> bool {
         let mut faults = self.machines[node as usize].faults.iter();
-        faults.any(|fault| match fault.trick {
+        faults.any(|fault| match fault.kind {
             BackendFault::Partition { proxy: blocked } => {
                 blocked.is_none_or(|blocked| blocked == proxy)
             }
@@ -214,9 +215,9 @@
     }
 }
 
-/// The share of the attempts at a machine that meet its fault one by one.
-fn affected_share(trick: &BackendFault) -> f64 {
-    match trick {
+/// Returns the fraction of the attempts at a machine that a fault affects.
+fn affected_share(kind: &BackendFault) -> f64 {
+    match kind {
         BackendFault::ConnectionReset { share }
         | BackendFault::TruncatedResponse { share }
         | BackendFault::MalformedResponse { share } => *share,
--- a/crates/simulation/src/world/machine.rs
+++ b/crates/simulation/src/world/machine.rs
@@ -19,7 +19,7 @@
     /// The number of the fault in the plan, by which it is ended.
     pub(super) number: u64,
     /// The kind of fault, with the fraction of attempts that it affects.
-    pub(super) trick: BackendFault,
+    pub(super) kind: BackendFault,
 }
 
 /// A machine of the deployment.
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -167,8 +167,8 @@
         for proxy in 0..self.proxies.len() as u16 {
             self.start_proxy(proxy);
         }
-        for (act, (at, _)) in self.plan.actions.iter().enumerate() {
-            self.queue.put(*at, SimulationEvent::PlannedAct(act));
+        for (action, (at, _)) in self.plan.actions.iter().enumerate() {
+            self.queue.put(*at, SimulationEvent::PlannedAction(action));
         }
         for (rpc, arrival) in (0..).zip(&self.plan.arrivals) {
             self.queue.put(arrival.due, SimulationEvent::RpcDue(rpc));
@@ -199,7 +199,9 @@
     fn dispatch(&mut self, event: SimulationEvent) {
         use SimulationEvent as Due;
         match event {
-            Due::PlannedAct(act) => self.apply_planned_act(self.plan.actions[act].1.clone()),
+            Due::PlannedAction(action) => {
+                self.apply_planned_action(self.plan.actions[action].1.clone())
+            }
             Due::RpcDue(rpc) => self.start_rpc(rpc),
             Due::SendClientRequest { rpc, number } => self.send_client_request(rpc, number),
             Due::RequestAtProxy { request_id, proxy } => {
