--- a/crates/rehearsal/src/shipped.rs
+++ b/crates/rehearsal/src/shipped.rs
@@ -1,15 +1,17 @@
-//! The scenarios that ship inside the program.
+//! The scenarios that are compiled into the program.
 
-/// One of them.
+/// A scenario compiled into the program.
 #[derive(Clone, Copy, Debug)]
 pub struct Shipped {
+    /// Name by which commands refer to it.
     pub name: &'static str,
+    /// Text of its file.
     pub text: &'static str,
 }
 
 macro_rules! shipped {
     ($($name:literal),* $(,)?) => {
-        /// All of them, by the names by which they are called.
+        /// All scenarios, in the order in which they are listed.
         pub const ALL: &[Shipped] = &[$(Shipped { name: $name, text: include_str!(concat!("../scenarios/", $name, ".toml")) }),*];
     };
 }
@@ -27,6 +29,7 @@
     "season",
 ];
 
+/// Returns the scenario with this name.
 pub fn find(name: &str) -> Option<Shipped> {
     ALL.iter().find(|shipped| shipped.name == name).copied()
 }
