--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -1,42 +1,27 @@
-//! What proxies are told of the deployment: the platform's settings object, from the scenario.
-use crate::plan::proxy_name;
-use crate::scenario::{LoadReports, MethodKind, Scenario};
-use birchhub_audit::{DeduplicationScope, Head, Method, Rules, head};
+//! Mapping of a scenario to what the parts of a rehearsal are configured with: the settings of proxies, the specification of
+//! backends, and the head of the ledger.
+use crate::plan::{Plan, PlannedNode, proxy_name};
+use crate::scenario::{LoadReports, Method, MethodKind, Scenario, Tenant};
+use birchhub_audit::{DeduplicationScope, Head, Rules, head};
 use birchhub_backend_model::Spec;
 use serde_json::{Value, json};
 
-fn ns(seconds: f64) -> u64 {
+/// Connect timeout of proxies.
+const CONNECT_TIMEOUT_NS: u64 = 250_000_000;
+
+fn nanoseconds(seconds: f64) -> u64 {
     (seconds * 1e9).round() as u64
 }
 
-/// The settings for a proxy.
-#[expect(clippy::too_many_lines)]
+/// Returns the settings of a proxy, under the keys of the platform's settings object.
 pub fn settings(scenario: &Scenario, proxy: u16) -> Value {
     let rules = &scenario.rules;
-    let methods: Vec<_> = scenario
-        .methods
+    let methods: Vec<_> = scenario.methods.iter().map(method_settings).collect();
+    let total_weight: f64 = scenario.tenants.iter().map(|t| t.traffic_weight).sum();
+    let accounts: Vec<_> = scenario
+        .tenants
         .iter()
-        .map(|m| {
-            let idempotency = match m.kind {
-                MethodKind::Idempotent => "read_like",
-                MethodKind::NonIdempotent => "non_idempotent",
-                MethodKind::Deduplicated => "idempotency_key",
-            };
-            let scope = match m.deduplication_scope {
-                None | Some(DeduplicationScope::All) => "all",
-                Some(DeduplicationScope::Zone) => "zone",
-                Some(DeduplicationScope::Rack) => "cell",
-            };
-            json!({"name": m.name, "idempotency": idempotency, "dedup-scope": scope,
-                "window-ns": ns(m.deduplication_window.map_or(0.0, |w| w.0)), "latency-target-ns": ns(m.latency_target.0),
-                "hard-limit-ns": ns(m.deadline.0), "utility": m.utility, "tardy-utility": m.late_utility,
-                "streaming": false})
-        })
-        .collect();
-    let total: f64 = scenario.tenants.iter().map(|t| t.traffic_weight).sum();
-    let tenants = scenario.tenants.iter();
-    let accounts: Vec<_> = tenants
-        .map(|t| json!({"name": t.name, "quota-per-s": t.quota_per_second, "share": t.traffic_weight / total}))
+        .map(|tenant| tenant_settings(tenant, total_weight))
         .collect();
     let how = match scenario.fleet.load_reports {
         LoadReports::Responses => "answers",
@@ -46,13 +31,13 @@
     json!({
         "accounts": accounts, "balancers": scenario.proxies.count, "me": proxy,
         "callers": {"marks-retry": scenario.clients.marks_retries},
-        "ceilings": {"cancel": rules.cancellation_allowed, "conn-idle-ns": ns(scenario.fleet.idle_timeout.0),
-            "connect-timeout-ns": 250_000_000u64, "max-retry-after-ns": ns(rules.max_retry_after.0),
+        "ceilings": {"cancel": rules.cancellation_allowed, "conn-idle-ns": nanoseconds(scenario.fleet.idle_timeout.0),
+            "connect-timeout-ns": CONNECT_TIMEOUT_NS, "max-retry-after-ns": nanoseconds(rules.max_retry_after.0),
             "most-picks": rules.max_attempts, "probes": rules.health_checks_allowed, "retry-after": rules.max_retry_after.0 > 0.0,
             "second-copies": rules.hedging_allowed},
-        "contract": {"ask-within-ns": ns(rules.poll_within.0), "cold-from": rules.initial_capacity,
-            "cold-ns": ns(rules.warm_up.0), "drain-grace-ns": ns(rules.drain_grace.0),
-            "fall-multiple": rules.collapse_factor, "tip-after-ns": ns(rules.overload_window.0)},
+        "contract": {"ask-within-ns": nanoseconds(rules.poll_within.0), "cold-from": rules.initial_capacity,
+            "cold-ns": nanoseconds(rules.warm_up.0), "drain-grace-ns": nanoseconds(rules.drain_grace.0),
+            "fall-multiple": rules.collapse_factor, "tip-after-ns": nanoseconds(rules.overload_window.0)},
         "failure-domains": scenario.fleet.zones, "my-zone": zone_of(scenario, proxy),
         "membership-mode": "on_request", "methods": methods,
         "overage-utility": rules.over_quota_utility,
@@ -61,14 +46,42 @@
     })
 }
 
-/// The zone that a proxy stands in.
+fn method_settings(method: &Method) -> Value {
+    let idempotency = match method.kind {
+        MethodKind::Idempotent => "read_like",
+        MethodKind::NonIdempotent => "non_idempotent",
+        MethodKind::Deduplicated => "idempotency_key",
+    };
+    let scope = match method.deduplication_scope {
+        None | Some(DeduplicationScope::All) => "all",
+        Some(DeduplicationScope::Zone) => "zone",
+        Some(DeduplicationScope::Rack) => "cell",
+    };
+    let window = method.deduplication_window.map_or(0.0, |window| window.0);
+    json!({
+        "name": method.name, "idempotency": idempotency, "dedup-scope": scope,
+        "window-ns": nanoseconds(window), "latency-target-ns": nanoseconds(method.latency_target.0),
+        "hard-limit-ns": nanoseconds(method.deadline.0), "utility": method.utility,
+        "tardy-utility": method.late_utility, "streaming": false
+    })
+}
+
+fn tenant_settings(tenant: &Tenant, total_weight: f64) -> Value {
+    json!({
+        "name": tenant.name, "quota-per-s": tenant.quota_per_second,
+        "share": tenant.traffic_weight / total_weight
+    })
+}
+
+/// Returns the name of a proxy's zone.
 pub fn zone_of(scenario: &Scenario, proxy: u16) -> &str {
     &scenario.fleet.zones[usize::from(proxy) % scenario.fleet.zones.len()]
 }
 
-/// What a planned node is, for sockets and simulated time alike.
-pub fn spec(scenario: &Scenario, planned: &crate::plan::PlannedNode) -> Spec {
-    let (machine, rules) = (&scenario.fleet.machines[planned.machine], &scenario.rules);
+/// Returns the specification of a planned backend, for sockets and for simulated time.
+pub fn spec(scenario: &Scenario, planned: &PlannedNode) -> Spec {
+    let machine = &scenario.fleet.machines[planned.machine];
+    let rules = &scenario.rules;
     Spec {
         cores: machine.cores,
         speed: machine.speed,
@@ -84,10 +97,10 @@
     }
 }
 
-/// The head of the ledger.
-pub fn head(scenario: &Scenario, plan: &crate::Plan) -> Head {
+/// Returns the head of the ledger.
+pub fn head(scenario: &Scenario, plan: &Plan) -> Head {
     let rules = &scenario.rules;
-    let method = |m: &crate::scenario::Method| Method {
+    let method = |m: &Method| head::Method {
         name: m.name.clone(),
         kind: m.idempotency(),
         target: m.latency_target.0,
@@ -95,7 +108,7 @@
         utility: m.utility,
         late_utility: m.late_utility,
     };
-    let backend = |n: &crate::plan::PlannedNode| head::Backend {
+    let backend = |n: &PlannedNode| head::Backend {
         name: n.name.clone(),
         zone: n.zone,
         rack: n.rack,
