--- a/crates/rehearsal/tests/wrong.rs
+++ b/crates/rehearsal/tests/faulty_proxies.rs
@@ -1,11 +1,11 @@
-//! Proxies that break a rule on purpose fail a rehearsal by that rule, and one that keeps the rules passes the same one.
-//! Judged by rules alone: time limits have a slack that no noise of the machine uses up.
+//! Faulty proxies: each violates one rule and fails a rehearsal by that rule alone; one that keeps the rules passes it.
+//! The time limits are too wide for a busy machine to exceed them, so only the rules decide.
 use birchhub_audit::Rule;
 use birchhub_rehearsal::{Options, Plan, Report, Scenario, Verdict, rehearse};
 use std::path::PathBuf;
 
 const SCENARIO: &str = r#"
-name = "wrong"
+name = "faulty-proxy"
 about = "One drain, one cold node, some resets."
 length = "7s"
 
@@ -68,15 +68,15 @@
 /// Runs the rehearsal with the misbehaviour of this name.
 fn run_with(misbehaviour: &str) -> Report {
     let folder = std::env::temp_dir().join(format!(
-        "birchhub-wrong-{}-{misbehaviour}",
+        "birchhub-faulty-proxy-{}-{misbehaviour}",
         std::process::id()
     ));
     std::fs::create_dir_all(&folder).expect("a folder");
     let program = folder.join(misbehaviour);
     std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_birchhub-faulty-proxy"), &program)
         .expect("a link");
-    let scenario = Scenario::read("wrong.toml", SCENARIO).expect("a scenario");
-    let plan = Plan::generate(&scenario, 3, "wrong.toml", SCENARIO).expect("a plan");
+    let scenario = Scenario::read("faulty-proxy.toml", SCENARIO).expect("a scenario");
+    let plan = Plan::generate(&scenario, 3, "faulty-proxy.toml", SCENARIO).expect("a plan");
     let out: PathBuf = folder.join("out");
     let options = Options {
         seed: 3,
@@ -89,12 +89,16 @@
     report
 }
 
-/// It fails, and only by this rule.
-fn check_failure(misbehaviour: &str, rule: Rule, what: &str) {
+/// Checks that a run fails, and that every violation is one of this rule.
+fn check_violation(misbehaviour: &str, rule: Rule, what: &str) {
     let report = run_with(misbehaviour);
     assert_eq!(report.verdict, Verdict::Fail, "{}", report.text());
     assert!(
-        report.findings.violations.iter().all(|b| b.rule == rule),
+        report
+            .findings
+            .violations
+            .iter()
+            .all(|violation| violation.rule == rule),
         "{}",
         report.text()
     );
@@ -102,8 +106,8 @@
 }
 
 #[test]
-fn a_proxy_that_keeps_the_rules_passes() {
-    let report = run_with("honest");
+fn proxy_that_keeps_every_rule_passes() {
+    let report = run_with("compliant");
     assert_eq!(report.verdict, Verdict::Pass, "{}", report.text());
     assert!(
         report.findings.counts.aborted > 0,
@@ -113,16 +117,16 @@
 }
 
 #[test]
-fn a_proxy_that_retries_what_may_have_run_fails_by_rule_2() {
-    check_failure("resends", Rule::NoDuplicateEffect, "ran 2 times");
+fn proxy_that_retries_a_non_idempotent_rpc_violates_rule_2() {
+    check_violation("resends", Rule::NoDuplicateEffect, "ran 2 times");
 }
 
 #[test]
-fn a_proxy_that_ignores_drains_fails_by_rule_3() {
-    check_failure("ignores-drains", Rule::Draining, "sent to z-0-0");
+fn proxy_that_ignores_draining_violates_rule_3() {
+    check_violation("ignores-drains", Rule::Draining, "sent to z-0-0");
 }
 
 #[test]
-fn a_proxy_that_overloads_nodes_in_slow_start_fails_by_rule_4() {
-    check_failure("floods-cold", Rule::SlowStart, "z-0-1: pushed over");
+fn proxy_that_overloads_a_backend_in_slow_start_violates_rule_4() {
+    check_violation("floods-cold", Rule::SlowStart, "z-0-1: pushed over");
 }
--- a/crates/rehearsal/tests/verdicts.rs
+++ b/crates/rehearsal/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! The verdict: rules, bars, and whether the kit itself was on time.
+//! Verdicts by rules, targets and the lateness of the emulated clients and backends.
 use birchhub_audit::event::{Admission, ReceivedAttempt};
 use birchhub_audit::{Answer, Entry, Event, Head};
 use birchhub_rehearsal::{Plan, Report, Scenario, Verdict, settings, shipped};
@@ -10,7 +10,7 @@
     settings::head(&scenario, &plan)
 }
 
-fn asked(due: f64, rpc: u32, method: u8, answered: Option<f64>) -> Vec<Entry> {
+fn rpc_events(due: f64, rpc: u32, method: u8, answered: Option<f64>) -> Vec<Entry> {
     let request_id = u64::from(rpc) << 8;
     let mut entries = vec![
         Entry {
@@ -42,10 +42,10 @@
     entries
 }
 
-/// A hundred RPCs in time, then these; the kit was late by so much with every RPC.
+/// Judges a hundred RPCs in time and further events; `late` is the lateness of each request of the clients, in seconds.
 fn verdict(late: f32, more: Vec<Entry>, partial: bool) -> (Verdict, Vec<String>) {
     let mut entries: Vec<_> = (0..100)
-        .flat_map(|n| asked(f64::from(n) * 0.1, n, 0, Some(f64::from(n) * 0.1 + 0.05)))
+        .flat_map(|n| rpc_events(f64::from(n) * 0.1, n, 0, Some(f64::from(n) * 0.1 + 0.05)))
         .collect();
     entries.extend((0..100).map(|n| Entry {
         at: f64::from(n) * 0.1,
@@ -77,21 +77,21 @@
         }),
     };
     [
-        asked(20.0, rpc, 1, Some(20.2)),
+        rpc_events(20.0, rpc, 1, Some(20.2)),
         vec![received(20.01, 1), received(20.1, 2)],
     ]
     .concat()
 }
 
 #[test]
-fn a_rehearsal_without_a_breach_passes() {
+fn run_without_a_violation_passes() {
     assert_eq!(verdict(0.001, vec![], false), (Verdict::Pass, vec![]));
 }
 
 #[test]
-fn a_missed_bar_fails_and_names_both_figures() {
+fn missed_target_fails_and_reports_both_figures() {
     let missed = (500..520)
-        .flat_map(|rpc| asked(15.0, rpc, 0, Some(15.5)))
+        .flat_map(|rpc| rpc_events(15.0, rpc, 0, Some(15.5)))
         .collect();
     let (verdict, reasons) = verdict(0.001, missed, false);
     assert_eq!(
@@ -104,10 +104,10 @@
 }
 
 #[test]
-fn a_late_kit_voids_time_limits_only() {
-    let late_answer = asked(20.0, 200, 0, Some(20.7));
-    let (on_time, _) = verdict(0.001, late_answer.clone(), false);
-    let (late, reasons) = verdict(0.02, late_answer, false);
+fn late_clients_void_only_the_timing_dependent_rules() {
+    let late_response = rpc_events(20.0, 200, 0, Some(20.7));
+    let (on_time, _) = verdict(0.001, late_response.clone(), false);
+    let (late, reasons) = verdict(0.02, late_response, false);
     assert_eq!((on_time, late), (Verdict::Fail, Verdict::Void));
     assert!(
         reasons[0].contains("too busy") && reasons.len() == 1,
@@ -120,15 +120,15 @@
     );
 }
 
-/// Late stand-ins look like slow nodes: that is no fault of the proxies.
+/// Late emulated backends look like slow ones, which is no fault of the proxies.
 #[test]
-fn late_stand_ins_make_the_verdict_void() {
+fn late_emulated_backends_void_the_verdict() {
     let missed = || {
         (500..520)
-            .flat_map(|rpc| asked(15.0, rpc, 0, Some(15.5)))
+            .flat_map(|rpc| rpc_events(15.0, rpc, 0, Some(15.5)))
             .collect::<Vec<_>>()
     };
-    let stage = |by| {
+    let emulator_late = |by| {
         (0..50).map(move |n| Entry {
             at: f64::from(n) * 0.1,
             event: Event::EmulatorLate { by },
@@ -137,7 +137,7 @@
     assert_eq!(
         verdict(
             0.001,
-            missed().into_iter().chain(stage(0.001)).collect(),
+            missed().into_iter().chain(emulator_late(0.001)).collect(),
             false
         )
         .0,
@@ -145,7 +145,7 @@
     );
     let (late, reasons) = verdict(
         0.001,
-        missed().into_iter().chain(stage(0.05)).collect(),
+        missed().into_iter().chain(emulator_late(0.05)).collect(),
         false,
     );
     assert!(
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_stopped_rehearsal_is_void_unless_a_rule_is_broken() {
+fn stopped_run_is_void_unless_a_rule_is_violated() {
     assert_eq!(verdict(0.001, vec![], true).0, Verdict::Void);
     assert_eq!(verdict(0.001, second_attempt(200), true).0, Verdict::Fail);
 }
