--- a/crates/rehearsal/src/environment/mod.rs
+++ b/crates/rehearsal/src/environment/mod.rs
@@ -45,7 +45,7 @@
     Stop,
 }
 
-/// What a starting proxy is told of its discovery service.
+/// Discovery service of a proxy that starts.
 pub struct ProxyDiscovery {
     /// Address of the discovery service for this proxy.
     pub address: SocketAddr,
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,8 +1,8 @@
-//! Rehearsals: a scenario tells a small deployment and its troubles, a plan is drawn from it and a seed, and `run` plays
-//! the plan against real `birchhubd` processes among stand-ins, keeps a ledger, and has it judged.
+//! Rehearsals: a scenario describes a small deployment and its faults, a plan is generated from it and a seed, and `run`
+//! carries out the plan with real `birchhubd` processes among emulated backends, records a ledger and has it audited.
 //!
-//! The way of a rehearsal: `scenario` (the file) → `select` and `plan` (what will happen) → `run` (`environment`: backends and discovery;
-//! `proxies`: processes; `clients`: RPCs, open loop) → the ledger and audit of `birchhub-audit` → `report`.
+//! The steps of a rehearsal: `scenario` (the file) → `select` and `plan` (what will happen) → `run` (`environment`: backends
+//! and discovery; `proxies`: processes; `clients`: RPCs, open loop) → ledger and audit of `birchhub-audit` → `report`.
 #![expect(
     missing_docs,
     reason = "docs/ROADMAP.md lists the crates that are not documented yet"
--- a/crates/rehearsal/src/report/mod.rs
+++ b/crates/rehearsal/src/report/mod.rs
@@ -20,7 +20,7 @@
     pub proxies: f64,
 }
 
-/// Report on one run of a scenario. The names of its fields are those of `report.json`.
+/// Report on one run of a scenario. It serializes to `report.json`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
     /// Name of the scenario.
@@ -40,7 +40,8 @@
     /// Findings of the audit.
     pub findings: Findings,
     /// Processor time, unless the ledger was read back or the run was simulated.
-    pub kit: Option<ProcessorTime>,
+    #[serde(rename = "kit")]
+    pub processor_time: Option<ProcessorTime>,
 }
 
 impl Report {
@@ -62,7 +63,7 @@
             partial,
             length: head.length,
             findings,
-            kit: processor_time,
+            processor_time,
         }
     }
 
--- a/crates/rehearsal/src/report/text.rs
+++ b/crates/rehearsal/src/report/text.rs
@@ -109,7 +109,7 @@
     fn write_lateness(&self, text: &mut String) {
         let clients = self.findings.client_lateness;
         let backends = self.findings.emulator_lateness;
-        let processor_time = self.kit.map_or(String::new(), |time| {
+        let processor_time = self.processor_time.map_or(String::new(), |time| {
             format!(
                 "; processor time {:.1} s, its proxies {:.1} s",
                 time.seconds, time.proxies
