--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -3,10 +3,6 @@
 //!
 //! The steps of a rehearsal: `scenario` (the file) → `select` and `plan` (what will happen) → `run` (`environment`: backends
 //! and discovery; `proxies`: processes; `clients`: RPCs, open loop) → ledger and audit of `birchhub-audit` → `report`.
-#![expect(
-    missing_docs,
-    reason = "docs/ROADMAP.md lists the crates that are not documented yet"
-)]
 
 pub mod clients;
 pub mod duration;
