--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -1,4 +1,4 @@
-//! `birchhub ledger` and `birchhub audit`: print and judge the ledger of a rehearsal.
+//! `birchhub ledger` and `birchhub audit`: print and audit the ledger of a rehearsal.
 use crate::{CommandError, print};
 use birchhub_audit::timeline::Timeline;
 use birchhub_rehearsal::{Report, run::open};
@@ -14,23 +14,23 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Tell what happened, in order: everything, or the whole life of one RPC
+    /// Print the events in order: all of them, or those of one RPC
     Show {
         /// The file `ledger` in the folder of a run
         file: PathBuf,
-        /// Only this RPC, by its number
+        /// Only events of the RPC with this number
         #[arg(long)]
         rpc: Option<u32>,
-        /// Only from this time on, s
+        /// Only events from this time on, in seconds
         #[arg(long, default_value_t = f64::NEG_INFINITY)]
         from: f64,
-        /// Only until this time, s
+        /// Only events until this time, in seconds
         #[arg(long, default_value_t = f64::INFINITY)]
         until: f64,
     },
 }
 
-/// Judge a ledger again: the same verdict, text and exit code as its rehearsal
+/// Audit a ledger again: the same verdict, text and exit code as its rehearsal
 #[derive(Args)]
 pub(crate) struct Audit {
     /// The file `ledger` in the folder of a run
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -15,10 +15,10 @@
 /// Exit code for an operation that failed with valid input: `EX_SOFTWARE` of sysexits.
 const FAILED: u8 = 70;
 
-/// Rehearse failures, look at what happened, and measure what a fleet of the planned size costs.
+/// Rehearse failures, inspect the results, and measure what a fleet of the planned size costs.
 ///
-/// Verdicts are exit codes: 0 PASS, 1 FAIL (a rule or a bar), 2 VOID (this machine was too busy to say, or the run was stopped).
-/// 64 is bad input, 70 anything else that went wrong. BIRCHHUB_LOG sets the level of the log on standard error.
+/// Verdicts are exit codes: 0 PASS, 1 FAIL (a violated rule or a missed target), 2 VOID (this machine was too busy for a
+/// verdict, or the run was stopped). 64 is invalid input, 70 any other failure. BIRCHHUB_LOG sets the level of the log on standard error.
 #[derive(Parser)]
 #[command(name = "birchhub", version, max_term_width = 110)]
 struct Arguments {
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,4 +1,4 @@
-//! `birchhub rehearse`: plays a scenario against real proxies.
+//! `birchhub rehearse`: runs a scenario against real proxies.
 use crate::{CommandError, print, scenario};
 use birchhub_audit::{Entry, Head, ledger};
 use birchhub_rehearsal::{Options, Plan, Report, Scenario, rehearse};
@@ -7,24 +7,24 @@
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-/// Play a scenario against birchhubd on this machine and judge it
+/// Run a scenario against birchhubd on this machine and print the verdict
 ///
-/// Starts stand-in nodes, a list service, clients and several birchhubd on loopback addresses, plays the scenario's troubles,
-/// and ends with a verdict. The ledger, report.json, report.html and the proxies' logs are left in the folder --out.
+/// Starts emulated backends, discovery, clients and several birchhubd on loopback addresses, injects the scenario's faults,
+/// and ends with a verdict. The ledger, report.json, report.html and the proxies' logs are written to the folder --out.
 #[derive(Args)]
 pub(crate) struct Arguments {
     /// A scenario file, or the name of one that ships (see `birchhub scenario list`)
     scenario: String,
-    /// Chance starts from this number; the same seed draws the same plan
+    /// Seed of the random numbers; the same seed generates the same plan
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Folder for what is left of the run
+    /// Folder for the files of the run
     #[arg(long, value_name = "DIR", default_value = "rehearsal")]
     out: PathBuf,
-    /// The proxies' program; else birchhubd beside this one
+    /// The proxies' program; by default birchhubd beside this one
     #[arg(long, value_name = "PATH")]
     proxies: Option<PathBuf>,
-    /// In simulated time, without sockets or processes: the same output for a seed on any machine
+    /// Simulate time, without sockets or processes: the same output for a seed on any machine
     #[arg(long, conflicts_with = "proxies")]
     simulated: bool,
     /// No progress line
@@ -89,7 +89,7 @@
     Ok(report.verdict.exit_code())
 }
 
-/// The reason for which the ledger of a simulated run was not written.
+/// The ledger of a simulated run was not written.
 #[derive(Debug, thiserror::Error)]
 enum LedgerFileError {
     /// The folder or the file could not be created.
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -19,17 +19,17 @@
 
 /// Measure the slopes and write them as JSON
 ///
-/// Starts real birchhubd before hollow backends, and hollow proxies at a list service, one size after another, and fits a line
-/// through the points of each series. Takes some minutes, one to three cores and up to a few GB; with --quick seconds and little.
+/// Starts real birchhubd in front of stub backends, and simulated proxies at a discovery service, one size after another, and
+/// fits a line through the points of each series. Takes minutes, one to three cores and up to a few GB; with --quick seconds.
 #[derive(Args)]
 struct Run {
-    /// The order of the sizes and all chance start from this number
+    /// Seed of the order of the sizes and of all random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Small sizes for some seconds: shows that all parts work, and nothing of the planned size
+    /// Small sizes for a few seconds: shows that all parts work, but says nothing about the planned size
     #[arg(long)]
     quick: bool,
-    /// The proxies' program; else birchhubd beside this one
+    /// The proxies' program; by default birchhubd beside this one
     #[arg(long, value_name = "PATH")]
     proxies: Option<PathBuf>,
     /// File for the result
@@ -43,17 +43,17 @@
     quiet: bool,
 }
 
-/// Make the tables of a page anew from a result
+/// Regenerate the tables of a page from a result
 ///
-/// Each table stands between <!-- scale: NAME --> and <!-- end of NAME -->; the rest of the page stays as it is.
+/// Each table is between <!-- scale: NAME --> and <!-- end of NAME -->; the rest of the page is not changed.
 #[derive(Args)]
 struct Page {
-    /// What `birchhub scale run` has written
+    /// The file that `birchhub scale run` has written
     result: PathBuf,
     /// The page
     #[arg(long, value_name = "FILE", default_value = "docs/CAPACITY.md")]
     page: PathBuf,
-    /// Write nothing; 1 where the page's tables are not those of the result
+    /// Write nothing; exit with 1 if the page's tables are not those of the result
     #[arg(long)]
     check: bool,
 }
@@ -137,7 +137,7 @@
     Ok(0)
 }
 
-/// Whether a file of this name may be created: its folder exists, and it is no folder itself.
+/// Returns whether a file of this name can be created: its folder exists, and it is not a folder itself.
 fn is_writable_place(path: &Path) -> bool {
     let has_folder = path
         .parent()
@@ -145,7 +145,7 @@
     has_folder && !path.is_dir()
 }
 
-/// Replaces a file at once, so that it is never truncated.
+/// Replaces a file atomically, so that it is never truncated.
 fn replace_file(path: &Path, text: &str) -> std::io::Result<()> {
     let temporary_path = path.with_extension("part");
     std::fs::write(&temporary_path, text)?;
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -4,7 +4,7 @@
 use clap::{Args, Subcommand};
 use std::fmt::Write;
 
-/// Look at scenarios without playing them
+/// Inspect scenarios without running them
 #[derive(Args)]
 pub(crate) struct Arguments {
     #[command(subcommand)]
@@ -13,13 +13,13 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Name the scenarios that ship
+    /// List the shipped scenarios
     List,
-    /// Print one that ships, to start a file of your own from
+    /// Print a shipped scenario, as a template for your own
     Show { name: String },
     /// Check a file: exit code 64 and file, line and key if it is wrong
     Check { scenario: String },
-    /// Tell the plan that a seed draws: its hash, and every act at its time
+    /// Print the plan generated from a seed: its hash, and every action with its time
     Plan {
         scenario: String,
         #[arg(long, default_value_t = 1)]
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -11,41 +11,42 @@
 const FAILED: u8 = 1;
 const VOID: u8 = 2;
 
-/// Play random, overlapping faults over real proxies and judge them by their invariants
+/// Run random, overlapping faults over real proxies and check their invariants
 ///
-/// Starts stand-in backends, discovery, fault proxies, clients of all kinds and several birchhubd on loopback addresses,
-/// and plays the faults that the seed draws. Judged by the invariants that the proxies count, by the audit of the ledger and
-/// by clients that stop in a request. Plan, ledger, report and the proxies' logs of each seed are left in the folder --out.
+/// Starts emulated backends, discovery, fault-injecting relays, clients of all kinds and several birchhubd on loopback
+/// addresses, and injects the faults that are generated from the seed. The run fails by the invariants that the proxies
+/// count, by the audit of the ledger, or by clients that stall in a request and get no response or close in time. Plan,
+/// ledger, report and the proxies' logs of each seed are written to the folder --out.
 #[derive(Args)]
 pub(crate) struct Arguments {
     /// The first seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// So many seeds, one after another
+    /// Number of seeds, run one after another
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Length of each run
+    /// Duration of each run
     #[arg(long, default_value_t = 0.25)]
     minutes: f64,
     /// Number of proxies
     #[arg(long, default_value_t = 24)]
     proxies: usize,
-    /// Play the plan of this file
+    /// Run the plan in this file
     #[arg(long, value_name = "FILE", conflicts_with_all = ["seed", "seeds", "minutes", "proxies"])]
     plan: Option<PathBuf>,
-    /// Print the plan and do not play it
+    /// Print the plan without running it
     #[arg(long)]
     print_plan: bool,
-    /// Leave out faults of a plan that fails for as long as it still does, and print what is left
+    /// Remove faults from a failing plan while it still fails, and print the remaining plan
     #[arg(long)]
     shrink: bool,
-    /// Folder for what is left of the runs
+    /// Folder for the files of the runs
     #[arg(long, value_name = "DIR", default_value = "soak")]
     out: PathBuf,
-    /// The proxies' program; else birchhubd beside this one
+    /// The proxies' program; by default birchhubd beside this one
     #[arg(long, value_name = "PATH")]
     program: Option<PathBuf>,
-    /// The library that makes system calls fail; else the one beside this program
+    /// The library that makes system calls fail; by default the one beside this program
     #[arg(long, value_name = "PATH")]
     shim: Option<PathBuf>,
 }
@@ -97,18 +98,18 @@
         .collect())
 }
 
-/// The smallest plan that still fails.
+/// Returns the smallest plan that still fails.
 fn shrunk(plan: &SoakPlan, options: &SoakOptions) -> Result<SoakPlan, CommandError> {
     let fails = |plan: &SoakPlan| {
         let result = birchhub_soak::run(plan, options)?;
-        let (left, word) = (plan.faults.len(), result.word());
-        eprintln!("with {left} faults: {word}");
+        let fault_count = plan.faults.len();
+        eprintln!("with {fault_count} faults: {}", result.word());
         Ok(SoakResult::has_failed(&result))
     };
     shrink(plan, fails).map_err(command_error)
 }
 
-/// Sorts an error of a soak run into invalid input and other failures.
+/// Classifies an error of a soak run as invalid input or another failure.
 fn command_error(error: SoakError) -> CommandError {
     match error {
         SoakError::Parse(_) | SoakError::Scenario(_) | SoakError::Io { .. } => {
