--- a/crates/capacity/src/estimate.rs
+++ b/crates/capacity/src/estimate.rs
@@ -9,7 +9,7 @@
 pub use scenarios::scenarios;
 pub use targets::targets;
 
-use crate::page::figure;
+use crate::figure::figure;
 
 /// Whether all inputs of an estimate are measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod clients;
 pub mod error;
 pub mod estimate;
+mod figure;
 pub mod fit;
 pub mod measurement;
 pub mod page;
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -1,5 +1,7 @@
 //! Generates the tables of `docs/CAPACITY.md` from a report and puts them between their markers.
 use crate::error::{PageError, SeriesError};
+pub use crate::figure::figure;
+
 use crate::estimate::{self, Basis, Candidate, Estimate};
 use crate::fit::Fit;
 use crate::report::Report;
@@ -21,26 +23,6 @@
 /// Units of x to which a slope on the page refers.
 const SLOPE_UNITS: f64 = 1e3;
 
-/// Formats a number with three significant digits and without an exponent.
-pub fn figure(value: f64) -> String {
-    if value == 0.0 {
-        return "0".into();
-    }
-    if !value.is_finite() {
-        return "-".into();
-    }
-    let exponent = value.abs().log10().floor() as i32;
-    let decimal_places = (2 - exponent).clamp(0, 6) as usize;
-    let last_digit = 10_f64.powi(exponent - 2);
-    let rounded = (value / last_digit).round() * last_digit;
-    let text = format!("{rounded:.decimal_places$}");
-    if text.contains('.') {
-        text.trim_end_matches('0').trim_end_matches('.').to_owned()
-    } else {
-        text
-    }
-}
-
 fn targets(report: &Report) -> Result<String, SeriesError> {
     Ok(table(
         &[
--- a/crates/daemon/src/downstream/request_error.rs
+++ b/crates/daemon/src/downstream/request_error.rs
@@ -1,6 +1,4 @@
 //! The errors in a client's message, and the responses to them.
-use crate::config::name_table::MethodError;
-use crate::downstream::response::ProxyResponse;
 use hyper::StatusCode;
 
 /// A client's message is not a valid RPC.
@@ -28,7 +26,8 @@
 
 impl RequestError {
     /// The status of the response.
-    fn status(self) -> StatusCode {
+    /// Returns the status of the response.
+    pub(super) fn status(self) -> StatusCode {
         match self {
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
@@ -38,7 +37,7 @@
     }
 
     /// The body of the response. These texts are on the wire and stay as they are.
-    fn message(self) -> &'static str {
+    pub(super) fn message(self) -> &'static str {
         match self {
             Self::AmbiguousFraming => "its length is told twice, or in a way that is not taken\n",
             Self::DuplicateHeader => "a header is there twice\n",
@@ -52,25 +51,3 @@
         }
     }
 }
-
-impl From<RequestError> for ProxyResponse {
-    fn from(error: RequestError) -> Self {
-        Self::ClientError {
-            status: error.status(),
-            message: error.message(),
-        }
-    }
-}
-
-impl From<MethodError> for ProxyResponse {
-    fn from(error: MethodError) -> Self {
-        let (status, message) = match error {
-            MethodError::UnknownMethod => (StatusCode::NOT_FOUND, "no such method\n"),
-            MethodError::WrongHttpMethod => {
-                (StatusCode::BAD_REQUEST, "the HTTP method does not fit\n")
-            }
-            MethodError::MissingIdempotencyKey => (StatusCode::BAD_REQUEST, "no Idempotency-Key\n"),
-        };
-        Self::ClientError { status, message }
-    }
-}
--- a/crates/daemon/src/downstream/response.rs
+++ b/crates/daemon/src/downstream/response.rs
@@ -1,5 +1,7 @@
 //! Responses to clients and their encoding.
+use crate::config::name_table::MethodError;
 use crate::downstream::client_protocol::{FAILED_BODY, NOT_READY_BODY, READY_BODY, REJECTED_BODY};
+use crate::downstream::request_error::RequestError;
 use crate::net::body::{ResponseBody, StreamedBody};
 use bytes::Bytes;
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
@@ -92,3 +94,25 @@
 fn text(text: &'static str) -> ResponseBody {
     ResponseBody::buffered(Bytes::from_static(text.as_bytes()))
 }
+
+impl From<RequestError> for ProxyResponse {
+    fn from(error: RequestError) -> Self {
+        Self::ClientError {
+            status: error.status(),
+            message: error.message(),
+        }
+    }
+}
+
+impl From<MethodError> for ProxyResponse {
+    fn from(error: MethodError) -> Self {
+        let (status, message) = match error {
+            MethodError::UnknownMethod => (StatusCode::NOT_FOUND, "no such method\n"),
+            MethodError::WrongHttpMethod => {
+                (StatusCode::BAD_REQUEST, "the HTTP method does not fit\n")
+            }
+            MethodError::MissingIdempotencyKey => (StatusCode::BAD_REQUEST, "no Idempotency-Key\n"),
+        };
+        Self::ClientError { status, message }
+    }
+}
--- a/crates/daemon/src/upstream/completion_guard.rs
+++ b/crates/daemon/src/upstream/completion_guard.rs
@@ -2,7 +2,7 @@
 use crate::end_reason::EndReason;
 use crate::messages::Event;
 use crate::net::body::StreamedBody;
-use crate::upstream::exchange::ExchangeKind;
+use crate::upstream::exchange_kind::ExchangeKind;
 use crate::upstream::result::ExchangeResult;
 use birchhub::interface::AttemptOutcome;
 use std::cell::Cell;
--- a/crates/daemon/src/upstream/exchange.rs
+++ b/crates/daemon/src/upstream/exchange.rs
@@ -1,38 +1,10 @@
 //! The messages that start an exchange with a backend: an attempt of an RPC or a health check.
 use crate::downstream::request::ParsedRequest;
-use crate::messages::{AttemptId, Event};
 use crate::net::inbound_stream::ClientLiveness;
 use crate::upstream::completion_guard::CompletionGuard;
-use crate::upstream::result::ExchangeResult;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The purpose of an exchange.
-#[derive(Clone, Copy)]
-pub(crate) enum ExchangeKind {
-    /// One attempt of an RPC.
-    Attempt(AttemptId),
-    /// A health check of this backend.
-    HealthCheck {
-        /// The backend's number.
-        backend: u32,
-    },
-}
-
-impl ExchangeKind {
-    /// Creates the event that reports the end of the exchange to the decision actor.
-    pub(crate) fn completion_event(self, result: ExchangeResult) -> Event {
-        match self {
-            Self::Attempt(attempt) => Event::AttemptEnded { attempt, result },
-            Self::HealthCheck { backend } => Event::HealthChecked {
-                backend,
-                outcome: result.outcome,
-                report: result.report,
-            },
-        }
-    }
-}
-
 /// Ends an exchange unless a byte of it may have been sent.
 pub(crate) struct WithdrawIfUnsent;
 
--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -6,6 +6,7 @@
 pub(crate) mod endpoint;
 pub(crate) mod endpoint_state;
 pub(crate) mod exchange;
+pub(crate) mod exchange_kind;
 mod idle_connections;
 mod response_stream;
 pub(crate) mod result;
--- a/crates/emulator/src/backend.rs
+++ b/crates/emulator/src/backend.rs
@@ -3,6 +3,7 @@
 //!
 //! Each incarnation has tasks of its own: one that accepts for each listener, one for each connection, and the driver
 //! of the model. All of them end with the incarnation.
+mod connection_slot;
 mod connections;
 mod driver;
 mod incarnation;
--- a/crates/emulator/src/backend/connections.rs
+++ b/crates/emulator/src/backend/connections.rs
@@ -1,5 +1,6 @@
 //! Connections of proxies to an emulated backend: accepting, partitions, stalls and the order of requests.
 use super::EmulatedBackend;
+use super::connection_slot::{ConnectionSlot, NextStep};
 use super::incarnation::Shutdown;
 use super::requests::ReceivedRequest;
 use crate::protocol::{HEALTH_CHECK_PATH, LOAD_REPORT_PATH};
@@ -17,36 +18,6 @@
 /// Pause before accepting again after an error, such as a lack of file descriptors.
 const ACCEPT_RETRY: Duration = Duration::from_millis(5);
 
-/// What a connection does after a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NextStep {
-    /// Reads the next request.
-    Read,
-    /// Closes the connection.
-    Close,
-    /// Resets the connection.
-    Reset,
-}
-
-/// A connection's place among those that the backend accepts, released when it is dropped.
-pub(super) struct ConnectionSlot {
-    backend: Rc<EmulatedBackend>,
-    /// Number of the incarnation that accepted the connection.
-    pub incarnation: u32,
-    /// Whether the backend had a place left. A connection without one gets a rejection.
-    pub is_granted: bool,
-}
-
-impl Drop for ConnectionSlot {
-    fn drop(&mut self) {
-        if self.is_granted {
-            self.backend.with(self.incarnation, |incarnation| {
-                incarnation.model.disconnect()
-            });
-        }
-    }
-}
-
 impl EmulatedBackend {
     /// Accepts the connections of one proxy until the incarnation ends.
     pub(super) async fn accept(
--- a/crates/emulator/src/backend/requests.rs
+++ b/crates/emulator/src/backend/requests.rs
@@ -1,6 +1,6 @@
 //! Requests at an emulated backend: admission of RPCs, their execution, and health checks.
 use super::EmulatedBackend;
-use super::connections::{ConnectionSlot, NextStep};
+use super::connection_slot::{ConnectionSlot, NextStep};
 use super::incarnation::Completion;
 use super::responses::{load_report_text, write_response};
 use crate::faults::Fault;
--- a/crates/emulator/src/backend/responses.rs
+++ b/crates/emulator/src/backend/responses.rs
@@ -1,6 +1,6 @@
 //! Responses of an emulated backend: load reports, and the faults that spoil a response on the connection.
 use super::EmulatedBackend;
-use super::connections::NextStep;
+use super::connection_slot::NextStep;
 use crate::faults::Fault;
 use crate::protocol::LOAD_REPORT;
 use crate::wire::{Peer, response};
--- a/crates/invariants/src/guard.rs
+++ b/crates/invariants/src/guard.rs
@@ -4,7 +4,6 @@
 //! became wrong between the decision and its first byte, as when the client disconnects in between, is a refusal: that
 //! race is unavoidable, and the attempt is safely not sent.
 use crate::facts::{AttemptStart, RepeatRule, SendFacts};
-use crate::report::Report;
 use crate::rule::Rule;
 use crate::violation::Violation;
 use crate::{DEADLINE_SLACK, LATENESS_SLACK};
@@ -87,11 +86,6 @@
     pub fn refusals(&self, rule: Rule) -> u64 {
         self.refusals[rule as usize].get()
     }
-
-    /// Returns the counts of all rules, as text.
-    pub fn report(&self) -> Report<'_> {
-        Report(self)
-    }
 }
 
 fn increment(counts: &RuleCounts, rule: Rule) {
--- a/crates/invariants/src/report.rs
+++ b/crates/invariants/src/report.rs
@@ -7,6 +7,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Report<'a>(pub(crate) &'a Guard);
 
+impl Guard {
+    /// Returns the counts of all rules, as text.
+    pub fn report(&self) -> Report<'_> {
+        Report(self)
+    }
+}
+
 impl Report<'_> {
     /// Returns the number of violations of all rules.
     pub fn violations(&self) -> u64 {
--- a/crates/rehearsal/src/plan/backend_faults.rs
+++ b/crates/rehearsal/src/plan/backend_faults.rs
@@ -1,6 +1,6 @@
 //! The actions of faults of backends, their machines and their sockets.
 use super::action::{Action, BackendFault};
-use super::fault_actions::FaultBuilder;
+use super::fault_builder::FaultBuilder;
 use crate::scenario::FaultKind;
 use rand::Rng;
 
--- a/crates/rehearsal/src/plan/discovery_faults.rs
+++ b/crates/rehearsal/src/plan/discovery_faults.rs
@@ -1,6 +1,6 @@
 //! The actions of faults of the discovery service.
 use super::action::Action;
-use super::fault_actions::FaultBuilder;
+use super::fault_builder::FaultBuilder;
 
 /// Additional delay of updates if the scenario has none, in seconds.
 const DEFAULT_DELAY_SECONDS: f64 = 1.0;
--- a/crates/rehearsal/src/plan/fault_actions.rs
+++ b/crates/rehearsal/src/plan/fault_actions.rs
@@ -1,11 +1,11 @@
 //! The actions of a scenario's faults.
 use super::action::Action;
+use super::fault_builder::FaultBuilder;
 use super::topology::PlannedNode;
 use super::{backend_faults, discovery_faults, proxy_faults, select};
-use crate::scenario::{Fault, FaultKind, InvalidValue, Scenario};
+use crate::scenario::{FaultKind, InvalidValue, Scenario};
 use birchhub_audit::head;
 use birchhub_backend_model::work::generator;
-use rand_pcg::Pcg64Mcg;
 
 /// The actions of all faults, in the order of the faults, and the faults as the ledger describes them.
 #[derive(Default)]
@@ -14,40 +14,6 @@
     pub faults: Vec<head::Fault>,
 }
 
-/// A fault while its actions are generated.
-pub(super) struct FaultBuilder<'a> {
-    pub scenario: &'a Scenario,
-    pub fault: &'a Fault,
-    /// Start and duration, in seconds.
-    pub start: f64,
-    pub duration: f64,
-    /// End, in seconds; deploys and restarts of proxies end with their last action.
-    pub end: f64,
-    /// The selected backends.
-    pub backends: Vec<u32>,
-    /// The selected proxies; all if the fault has no selector.
-    pub proxies: Vec<u16>,
-    /// Random numbers of this fault.
-    pub random: Pcg64Mcg,
-    /// All backends of the plan; deploys add successors.
-    pub nodes: &'a mut Vec<PlannedNode>,
-    last_number: u64,
-    actions: Vec<(f64, Action)>,
-}
-
-impl FaultBuilder<'_> {
-    /// Adds an action at a time in seconds.
-    pub(super) fn push(&mut self, at: f64, action: Action) {
-        self.actions.push((at, action));
-    }
-
-    /// Returns a number for a stall or an injected fault, unique in the plan.
-    pub(super) fn next_number(&mut self) -> u64 {
-        self.last_number += 1;
-        self.last_number
-    }
-}
-
 /// Generates the actions of all faults; adds the successors of deploys to `nodes`.
 ///
 /// # Errors
--- a/crates/rehearsal/src/plan/mod.rs
+++ b/crates/rehearsal/src/plan/mod.rs
@@ -6,6 +6,7 @@
 mod backend_faults;
 mod discovery_faults;
 mod fault_actions;
+mod fault_builder;
 mod proxy_faults;
 mod select;
 mod topology;
--- a/crates/rehearsal/src/plan/proxy_faults.rs
+++ b/crates/rehearsal/src/plan/proxy_faults.rs
@@ -1,6 +1,6 @@
 //! The actions of faults of proxies' processes.
 use super::action::Action;
-use super::fault_actions::FaultBuilder;
+use super::fault_builder::FaultBuilder;
 use crate::scenario::FaultKind;
 use rand::Rng;
 
--- a/crates/rehearsal/src/report/mod.rs
+++ b/crates/rehearsal/src/report/mod.rs
@@ -4,11 +4,8 @@
 
 pub use verdict::Verdict;
 
-use crate::error::RehearsalError;
-use crate::page;
 use birchhub_audit::{Audit, Entry, Findings, Head};
 use serde::Serialize;
-use std::path::Path;
 use verdict::{Judgement, judge};
 
 /// Processor time that a rehearsal used, in seconds.
@@ -67,20 +64,6 @@
         }
     }
 
-    /// Writes `report.json` and `report.html` into a folder.
-    ///
-    /// # Errors
-    ///
-    /// Returns [`RehearsalError::Io`] if a file can't be written.
-    pub fn write(&self, head: &Head, entries: &[Entry], out: &Path) -> Result<(), RehearsalError> {
-        let write = |name: &str, text: String| {
-            let path = out.join(name);
-            std::fs::write(&path, text).map_err(RehearsalError::io(&path))
-        };
-        write("report.json", self.json() + "\n")?;
-        write("report.html", page::render(self, head, entries))
-    }
-
     /// Returns the report as indented JSON.
     pub fn json(&self) -> String {
         // The report holds numbers, texts and lists only, all of which JSON can represent.
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -4,6 +4,7 @@
 use crate::environment::{self, AddressBlock};
 use crate::error::{RehearsalError, RehearsalThread};
 use crate::hooks::{BackgroundTask, Hooks};
+use crate::options::Options;
 use crate::plan::Plan;
 use crate::proxies::Proxies;
 use crate::report::{ProcessorTime, Report};
@@ -15,7 +16,7 @@
 use nix::sys::resource::{UsageWho, getrusage};
 use std::fs::File;
 use std::io::{BufReader, BufWriter, IsTerminal, Write};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -40,19 +41,6 @@
 /// Interval between progress lines that are not written to a terminal, in seconds.
 const PROGRESS_INTERVAL_SECONDS: u64 = 10;
 
-/// Options for running a rehearsal.
-#[derive(Clone, Debug)]
-pub struct Options {
-    /// Seed of the proxies' own random numbers.
-    pub seed: u64,
-    /// Folder of the ledger, the report and the proxies' logs.
-    pub out: PathBuf,
-    /// The proxies' program.
-    pub program: PathBuf,
-    /// Whether progress lines are written to standard error.
-    pub progress: bool,
-}
-
 /// Runs a scenario on loopback sockets and returns the report.
 ///
 /// # Errors
--- a/crates/rehearsal/src/scenario/fault_validation.rs
+++ b/crates/rehearsal/src/scenario/fault_validation.rs
@@ -1,6 +1,6 @@
 //! Validation of a fault: which keys its kind requires or permits, and their values. Keys of errors are relative to the
 //! fault.
-use super::validation::{Checked, fraction};
+use super::checks::{Checked, fraction};
 use super::{Fault, FaultKind, InvalidValue, Scenario};
 use FaultKind::{
     Crash, Deploy, Error, ListDown, ListLate, ListStale, Mute, Neighbour, Partition, ProxyKill,
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -1,5 +1,6 @@
 //! The scenario file: a TOML description of a deployment, its traffic, the faults injected into it, and the targets that it
 //! is judged by. Unknown keys are rejected, and every duration carries its unit.
+mod checks;
 mod clients;
 mod discovery;
 mod error;
--- a/crates/rehearsal/src/scenario/validation.rs
+++ b/crates/rehearsal/src/scenario/validation.rs
@@ -1,5 +1,6 @@
 //! Validation of a scenario beyond what the types of its keys ensure. Checks run in a fixed order, and the first error is
 //! reported.
+use super::checks::{Checked, fraction};
 use super::fault_validation::validate_fault;
 use super::{InvalidValue, Method, MethodKind, Scenario};
 use std::collections::HashSet;
@@ -9,9 +10,6 @@
 /// Most methods, and most tenants.
 const MAX_METHODS: usize = 200;
 
-/// Result of a check.
-pub(super) type Checked = Result<(), InvalidValue>;
-
 /// Validates all sections.
 pub(super) fn validate(scenario: &Scenario) -> Checked {
     validate_numbers(scenario)?;
@@ -145,15 +143,6 @@
     }
 }
 
-/// Checks that a value is from 0 to 1.
-pub(super) fn fraction(key: &str, value: f64) -> Checked {
-    if (0.0..=1.0).contains(&value) {
-        Ok(())
-    } else {
-        Err(InvalidValue::new(key, "must be from 0 to 1"))
-    }
-}
-
 /// Checks that no two items of a section have the same name.
 fn unique<'a>(section: &str, names: impl Iterator<Item = &'a String>) -> Checked {
     let mut seen = HashSet::new();
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -3,6 +3,7 @@
 use super::event::{ProcessEvent, SimulationEvent};
 use super::machine::BackendProcess;
 use super::process::ProcessId;
+use super::retirement::Retirement;
 use super::{DRAIN_CHECK_SECONDS, NETWORK_DELAY_SECONDS, World};
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::event::AttemptEnd;
@@ -12,19 +13,6 @@
 /// Timeout of a health check in seconds, by the proxy's own clock.
 const HEALTH_CHECK_TIMEOUT_SECONDS: f64 = 0.1;
 
-/// The planned replacement of a backend.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct Retirement {
-    /// The machine whose backend ends once it is idle.
-    pub(super) node: u32,
-    /// When it ends at the latest, in seconds.
-    pub(super) by: f64,
-    /// The machine on which its successor starts.
-    pub(super) successor: u32,
-    /// Seconds from its end to the successor's start.
-    pub(super) after: f64,
-}
-
 impl World<'_> {
     /// Starts a backend on a machine and returns its incarnation.
     pub(super) fn start_backend(&mut self, node: u32, how: Start) -> u32 {
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -1,7 +1,7 @@
 //! Events of the simulation, and events for a proxy's process.
-use super::backends::Retirement;
 use super::endpoint_list::ListEntry;
 use super::process::ProcessId;
+use super::retirement::Retirement;
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::Answer;
 
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -1,8 +1,8 @@
 //! Planned actions: faults of machines, proxies and the endpoint list service, and deployments.
-use super::backends::Retirement;
 use super::endpoint_list::ListEntry;
 use super::event::{ProcessEvent, SimulationEvent};
 use super::machine::InjectedFault;
+use super::retirement::Retirement;
 use super::{NETWORK_DELAY_SECONDS, World};
 use birchhub::interface::AttemptOutcome;
 use birchhub_audit::event::ProxyEnd;
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -11,6 +11,7 @@
 mod platform;
 mod process;
 mod proxies;
+mod retirement;
 mod rpcs;
 
 use crate::queue::Queue;
--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -2,7 +2,8 @@
 use crate::backend::Backend;
 use crate::estimates::NO_RESPONSE_FACTOR;
 use crate::interface::AttemptOutcome;
-use crate::report_quality::{LoadLevel, recent_load_level};
+use crate::load_level::LoadLevel;
+use crate::report_quality::recent_load_level;
 use std::rc::Rc;
 
 /// How the backend of an attempt was chosen.
--- a/src/backend.rs
+++ b/src/backend.rs
@@ -2,7 +2,7 @@
 use crate::attempt_window::AttemptWindow;
 use crate::ewma::Ewma;
 use crate::interface::{AttemptOutcome, Endpoint, Readiness};
-use crate::report_quality::LoadLevel;
+use crate::load_level::LoadLevel;
 use std::cell::Cell;
 
 /// Number of subsets of the backend index that one backend can be in at once.
--- a/src/keyed_queue/mod.rs
+++ b/src/keyed_queue/mod.rs
@@ -1,6 +1,7 @@
 //! Queues of the RPCs that run one at a time for each key, in the order in which they were accepted.
 //!
 //! After an attempt that may still run at its backend, a key cools down before its next RPC is ready.
+use crate::queue_position::KeyPosition;
 use crate::rpc_state::RpcState;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -8,15 +9,6 @@
 #[cfg(test)]
 mod tests;
 
-/// Position among the RPCs of one key.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct KeyPosition {
-    /// The key.
-    key: u64,
-    /// Number of the RPC in the order in which RPCs were accepted.
-    sequence: u64,
-}
-
 /// The RPCs of one key.
 #[derive(Default)]
 struct KeyState {
--- a/src/pending_queue/mod.rs
+++ b/src/pending_queue/mod.rs
@@ -1,6 +1,6 @@
 //! Queue of the RPCs that wait for a backend, ordered by precedence and by the end of their wait.
+use crate::queue_position::PendingPosition;
 use crate::rpc_state::RpcState;
-use crate::tenant::QuotaClass;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 use std::rc::Rc;
@@ -8,20 +8,6 @@
 #[cfg(test)]
 mod tests;
 
-/// Position in the pending queue: by quota class, then priority weight, then arrival. RPCs that wait
-/// for their key come last, as they can not be sent yet.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct PendingPosition {
-    /// The RPC waits for RPCs with the same key.
-    key_blocked: bool,
-    /// Class of the RPC by its tenant's quota.
-    quota_class: QuotaClass,
-    /// Inverted bits of the priority weight, so that the highest weight comes first.
-    inverted_priority: u64,
-    /// Number of the insertion.
-    sequence: u64,
-}
-
 /// The pending RPCs in two orders.
 #[derive(Default)]
 pub(crate) struct PendingQueue {
--- a/src/pending_queue/tests.rs
+++ b/src/pending_queue/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::tenant::QuotaClass;
 use crate::test_fixtures::rpc_state;
 use quickcheck::{Gen, QuickCheck};
 
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -5,7 +5,7 @@
 //! of checks follows from their cost by a token bucket, and a backend is also checked proactively
 //! while no RPC is pending, so that the next one finds the queue filled.
 use super::idle_queue::entry_lifetime;
-use super::load_reports::IdleSignal;
+use super::idle_signal::IdleSignal;
 use super::outlier_detection::is_healthy;
 use crate::backend::Backend;
 use crate::backend_index::Subset;
--- a/src/policy/idle_queue.rs
+++ b/src/policy/idle_queue.rs
@@ -5,7 +5,7 @@
 //! responses instead of reports fill the queue, the quickest backends come first, so that not every
 //! proxy uses every backend; and the queue is not used while attempts through it are slow, as reports
 //! may be out of date.
-use super::load_reports::IdleSignal;
+use super::idle_signal::IdleSignal;
 use super::outlier_detection::is_healthy;
 use crate::attempt::CompletedAttempt;
 use crate::backend::Backend;
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -5,10 +5,12 @@
 //! capacities and load levels differ, and a fixed threshold would fit few of them. Reports that do not
 //! predict durations (late, frozen or untrue ones) are replaced by the responses themselves.
 use super::health_checks::HealthCheckUse;
+use super::idle_signal::IdleSignal;
 use crate::backend::Backend;
 use crate::fleet::Fleet;
 use crate::interface::{LoadReport, Settings};
-use crate::report_quality::{LoadLevel, ReportQuality};
+use crate::load_level::LoadLevel;
+use crate::report_quality::ReportQuality;
 
 /// Highest load of an idle backend, as a fraction of the mean reported load. While backends have one RPC
 /// each, only a load of 0 is below it.
@@ -29,15 +31,6 @@
     HealthCheck,
 }
 
-/// What puts a backend into the idle queue.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum IdleSignal {
-    /// A report of low load.
-    LowLoad,
-    /// Any response: it has just released capacity of the backend.
-    Response,
-}
-
 /// What is known of load reports.
 #[derive(Default)]
 pub(crate) struct LoadReports {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -12,6 +12,7 @@
 pub(crate) mod fallback;
 pub(crate) mod health_checks;
 pub(crate) mod idle_queue;
+pub(crate) mod idle_signal;
 pub(crate) mod load_reports;
 pub(crate) mod outlier_detection;
 pub(crate) mod retry_budget;
--- a/src/policy/throttle.rs
+++ b/src/policy/throttle.rs
@@ -4,7 +4,7 @@
 //! of good attempts. What differs: the throttle covers a method or a tenant at all backends,
 //! so that a slow one does not use up the capacity of the others; and where nothing tells loads only
 //! prompt attempts count as good, as backends would otherwise fill up until no response is in time.
-use super::load_reports::IdleSignal;
+use super::idle_signal::IdleSignal;
 use crate::attempt::CompletedAttempt;
 use crate::rng::Rng;
 use crate::rpc_state::RpcState;
--- a/src/report_quality.rs
+++ b/src/report_quality.rs
@@ -1,6 +1,7 @@
 //! Estimator of how well load reports predict the duration of attempts.
 use crate::backend::{Backend, LastReport};
 use crate::ewma::Ewma;
+use crate::load_level::LoadLevel;
 
 /// Time constant in seconds, long enough to hold some samples at a few attempts a second.
 const TIME_CONSTANT_SECONDS: f64 = 12.0;
@@ -11,15 +12,6 @@
 /// Time for which a report tells the load of its backend, in seconds.
 const REPORT_LIFETIME_SECONDS: f64 = 4.0;
 
-/// The load of a backend by a report, compared with that of other backends.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LoadLevel {
-    /// At or below the threshold at which a backend counts as idle.
-    Low,
-    /// Above it.
-    High,
-}
-
 /// How many reports tell a low load, and how long attempts take after reports of each level.
 pub(crate) struct ReportQuality {
     /// Fraction of the reports that tell a low load.
