--- a/tests/common/fleets.rs
+++ b/tests/common/fleets.rs
@@ -1,22 +1,22 @@
-//! Proxies before fleets of backends that several tests start from.
+//! Proxies with fleets of backends that several tests start from.
 use super::fixtures::{endpoint, settings};
 use super::proxy::Proxy;
 use birchhub::interface::*;
 
-/// A proxy of the backends from 0 on.
+/// Returns a proxy with this many backends, numbered from 0.
 pub(crate) fn proxy_of(backends: u32, conf: Settings) -> Proxy {
     let listed: Vec<_> = (0..backends).map(endpoint).collect();
     Proxy::new(conf, 7, &listed)
 }
 
-/// Method 0 has half of the highest priority weight: load is shed from the lowest weight on.
+/// Returns a proxy with two methods, of which method 0 has half of the priority weight.
 pub(crate) fn with_two_priority_weights(backends: u32) -> Proxy {
     let mut conf = settings(&[Idempotency::NonIdempotent, Idempotency::NonIdempotent]);
     conf.methods[1].priority_weight = 2.0;
     proxy_of(backends, conf)
 }
 
-/// Load shows only in responses.
+/// Returns a proxy that can not send health checks.
 pub(crate) fn without_health_checks(backends: u32) -> Proxy {
     proxy_of(
         backends,
@@ -27,7 +27,7 @@
     )
 }
 
-/// A health check costs more than even the first of an RPC gains.
+/// Returns a proxy whose health checks cost more than they are worth.
 pub(crate) fn with_expensive_health_checks(backends: u32) -> Proxy {
     let conf = Settings {
         load_report_source: LoadReportSource::HealthChecks,
@@ -37,7 +37,8 @@
     proxy_of(backends, conf)
 }
 
-/// With key affinity: ten cells of four backends each; load shows in how long health checks take.
+/// Returns a proxy with key affinity and ten cells of four backends each, where only the duration of health
+/// checks tells loads.
 pub(crate) fn with_key_affinity(seed: u64) -> Proxy {
     let conf = Settings {
         key_affinity: true,
