--- a/crates/audit/src/audit/draining.rs
+++ b/crates/audit/src/audit/draining.rs
@@ -36,7 +36,7 @@
         };
         let late = first_byte_at - since;
         self.latest_after_notification = self.latest_after_notification.max(late);
-        let rules = &tracker.head.rules;
+        let rules = &tracker.header.rules;
         if late > rules.drain_grace + rules.slack {
             let rpc = tracker
                 .requests
@@ -44,9 +44,9 @@
                 .map_or(u32::MAX, |request| request.rpc);
             let description = format!(
                 "sent to {} {:.0} ms after {} was told that it takes nothing new",
-                tracker.head.backend_name(known.backend),
+                tracker.header.backend_name(known.backend),
                 late * 1e3,
-                tracker.head.proxy_name(proxy)
+                tracker.header.proxy_name(proxy)
             );
             violations.add(Violation {
                 rule: Rule::Draining,
--- a/crates/audit/src/audit/mod.rs
+++ b/crates/audit/src/audit/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::event::{Admission, Answer, AttemptEnd, Entry, Event};
 use crate::findings::{Counts, Findings, LatenessSummary};
-use crate::head::Head;
+use crate::header::Header;
 use crate::service::Totals;
 use draining::Draining;
 use no_duplicate_effect::NoDuplicateEffect;
@@ -38,24 +38,24 @@
 
 impl<'a> Audit<'a> {
     /// Returns an audit that has seen no entry.
-    pub fn new(head: &'a Head) -> Self {
+    pub fn new(header: &'a Header) -> Self {
         Self {
-            tracker: Tracker::new(head),
+            tracker: Tracker::new(header),
             one_answer: OneAnswer::default(),
             no_duplicate_effect: NoDuplicateEffect::default(),
             draining: Draining::default(),
             slow_start: SlowStart::default(),
             violations: Violations::default(),
             counts: Counts::default(),
-            totals: Totals::new(head),
+            totals: Totals::new(header),
             client_lateness: Vec::new(),
             emulator_lateness: Vec::new(),
         }
     }
 
     /// Audits a complete ledger, whose entries are in the order of time.
-    pub fn of(head: &'a Head, entries: &[Entry]) -> Findings {
-        let mut audit = Self::new(head);
+    pub fn of(header: &'a Header, entries: &[Entry]) -> Findings {
+        let mut audit = Self::new(header);
         for entry in entries {
             audit.feed(entry);
         }
--- a/crates/audit/src/audit/no_duplicate_effect.rs
+++ b/crates/audit/src/audit/no_duplicate_effect.rs
@@ -4,7 +4,7 @@
 use super::violations::{Violations, rpc_subject};
 use crate::event::{Answer, Entry, Event};
 use crate::findings::{Rule, Violation};
-use crate::head::Idempotency;
+use crate::header::Idempotency;
 use std::collections::HashMap;
 
 /// State of rule 2.
@@ -122,7 +122,7 @@
     }
 
     fn check_attempt_count(&self, index: usize, attempt: &Attempt, violations: &mut Violations) {
-        let allowed = self.tracker.head.rules.max_attempts;
+        let allowed = self.tracker.header.rules.max_attempts;
         if index >= allowed {
             let description = format!("{} picks, {allowed} are allowed", index + 1);
             self.report(attempt.first_byte_at, description, false, violations);
@@ -131,7 +131,7 @@
 
     /// Checks that no attempt began while an earlier one was open, unless hedging is allowed.
     fn check_hedging(&self, earlier: &[Attempt], attempt: &Attempt, violations: &mut Violations) {
-        let rules = &self.tracker.head.rules;
+        let rules = &self.tracker.header.rules;
         let begun = attempt.first_byte_at;
         let overlaps = |earlier: &Attempt| {
             earlier.may_have_run()
@@ -147,19 +147,19 @@
 
     /// Checks that the RPC may be attempted again after `first`, which may have run.
     fn check_repetition(&self, first: &Attempt, attempt: &Attempt, violations: &mut Violations) {
-        let head = self.tracker.head;
+        let header = self.tracker.header;
         let one = self.tracker.backend_of(first.incarnation);
         let other = self.tracker.backend_of(attempt.incarnation);
         let (fault, timing_dependent) = match self.idempotency {
             Idempotency::Idempotent => return,
             Idempotency::NonIdempotent => ("sent again after it may have run", false),
             Idempotency::Deduplicated { group, .. }
-                if !head.shares_deduplication(group, one, other) =>
+                if !header.shares_deduplication(group, one, other) =>
             {
                 ("sent again outside the group that drops repeats", false)
             }
             Idempotency::Deduplicated { window, .. }
-                if attempt.first_byte_at > first.first_byte_at + window + head.rules.slack =>
+                if attempt.first_byte_at > first.first_byte_at + window + header.rules.slack =>
             {
                 ("sent again after repeats are forgotten", true)
             }
@@ -167,9 +167,9 @@
         };
         let description = format!(
             "{fault}: {} at {:.3}, {} at {:.3}",
-            head.backend_name(one),
+            header.backend_name(one),
             first.first_byte_at,
-            head.backend_name(other),
+            header.backend_name(other),
             attempt.first_byte_at
         );
         self.report(
--- a/crates/audit/src/audit/one_answer.rs
+++ b/crates/audit/src/audit/one_answer.rs
@@ -37,7 +37,7 @@
             }
             Event::ProxyEnded { proxy, how } => {
                 if how == ProxyEnd::Crashed {
-                    let name = tracker.head.proxy_name(proxy);
+                    let name = tracker.header.proxy_name(proxy);
                     violations.add(Violation {
                         rule: Rule::OneAnswer,
                         at: entry.at,
@@ -74,7 +74,7 @@
         tracker: &Tracker<'_>,
         violations: &mut Violations,
     ) {
-        let slack = tracker.head.rules.slack;
+        let slack = tracker.header.rules.slack;
         let answer = request.answer.map(|(_, answer)| answer);
         let unanswered = match answer {
             Some(Answer::Lost | Answer::TimedOut) => true,
@@ -97,7 +97,7 @@
             Some(Answer::Lost) => "its connection ended without an answer",
             _ => "no answer by its deadline",
         };
-        let proxy = tracker.head.proxy_name(request.proxy);
+        let proxy = tracker.header.proxy_name(request.proxy);
         violations.add(Violation {
             rule: Rule::OneAnswer,
             at: until,
@@ -144,7 +144,7 @@
         report(description, false);
     }
     let deadline = request.deadline();
-    if answer.is_final() && at > deadline + tracker.head.rules.slack {
+    if answer.is_final() && at > deadline + tracker.header.rules.slack {
         let late_ms = (at - deadline) * 1e3;
         let description = format!("answered {late_ms:.0} ms after its deadline");
         report(description, true);
@@ -171,7 +171,7 @@
     tracker: &Tracker<'_>,
     violations: &mut Violations,
 ) {
-    let slack = tracker.head.rules.slack;
+    let slack = tracker.header.rules.slack;
     let begun = attempt.first_byte_at;
     let mut report = |description: String| {
         violations.add(Violation {
--- a/crates/audit/src/audit/slow_start.rs
+++ b/crates/audit/src/audit/slow_start.rs
@@ -84,7 +84,7 @@
             work: f64::from(received.work),
             informed: tracker.knows_incarnation(received.proxy, known.backend, incarnation),
         });
-        let oldest = at - tracker.head.rules.overload_window;
+        let oldest = at - tracker.header.rules.overload_window;
         while load.recent.front().is_some_and(|first| first.at < oldest) {
             load.recent.pop_front();
         }
@@ -112,7 +112,7 @@
         violations.add(Violation {
             rule: Rule::SlowStart,
             at,
-            subject: tracker.head.backend_name(known.backend).to_owned(),
+            subject: tracker.header.backend_name(known.backend).to_owned(),
             description: format!(
                 "pushed over {age:.1} s after its start, {informed_percent:.0}% of it by proxies that knew of the start"
             ),
@@ -125,7 +125,7 @@
         let cold = tracker.incarnations.iter().filter(|(_, known)| known.cold);
         let mut cold_starts: Vec<_> = cold
             .map(|(incarnation, known)| ColdStart {
-                backend: tracker.head.backend_name(known.backend).to_owned(),
+                backend: tracker.header.backend_name(known.backend).to_owned(),
                 started_at: known.started_at,
                 peak_overload: self
                     .loads
--- a/crates/audit/src/audit/tracker.rs
+++ b/crates/audit/src/audit/tracker.rs
@@ -1,6 +1,6 @@
 //! Shared state of the rules: RPCs, client requests and their attempts, backends, and what proxies know of them.
 use crate::event::{Admission, Answer, EndpointState, Entry, Event, ReceivedAttempt};
-use crate::head::{Head, Idempotency};
+use crate::header::{Header, Idempotency};
 use std::collections::{BTreeMap, HashMap};
 
 /// An attempt of a proxy at a backend.
@@ -52,7 +52,7 @@
 /// One run of a backend's process.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Incarnation {
-    /// Index of the backend in the ledger's head.
+    /// Index of the backend in the ledger's header.
     pub(super) backend: u32,
     /// When the process started, in seconds.
     pub(super) started_at: f64,
@@ -70,7 +70,7 @@
 
 /// The state that the events of a ledger describe, up to the last one recorded.
 pub(super) struct Tracker<'a> {
-    pub(super) head: &'a Head,
+    pub(super) header: &'a Header,
     /// Time of the latest event, in seconds.
     pub(super) now: f64,
     /// Client requests by id.
@@ -85,9 +85,9 @@
 }
 
 impl<'a> Tracker<'a> {
-    pub(super) fn new(head: &'a Head) -> Self {
+    pub(super) fn new(header: &'a Header) -> Self {
         Self {
-            head,
+            header,
             now: 0.0,
             requests: BTreeMap::new(),
             methods: HashMap::new(),
@@ -100,7 +100,7 @@
     /// Returns whether the RPC may run again; `None` if the RPC or its method is unknown.
     pub(super) fn idempotency(&self, rpc: u32) -> Option<Idempotency> {
         let method = self.methods.get(&rpc)?;
-        self.head.methods.get(*method).map(|method| method.kind)
+        self.header.methods.get(*method).map(|method| method.kind)
     }
 
     /// Returns the client request that an attempt serves.
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -163,7 +163,7 @@
 /// - `request_id` identifies one request of a client for an RPC: its first one or a retry.
 /// - `attempt_id` identifies an attempt of a proxy at a backend.
 /// - `incarnation` identifies one run of a backend's process.
-/// - `method`, `tenant`, `proxy` and `backend` are indices in the ledger's head.
+/// - `method`, `tenant`, `proxy` and `backend` are indices in the ledger's header.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// An RPC was due, whether or not it could be sent.
@@ -317,7 +317,7 @@
     /// A planned fault began or ended.
     #[serde(rename = "Trouble")]
     Fault {
-        /// Index of the fault in the ledger's head.
+        /// Index of the fault in the ledger's header.
         number: u16,
         /// Whether it begins.
         begins: bool,
--- a/crates/audit/src/head.rs
+++ b/crates/audit/src/header.rs
@@ -1,7 +1,7 @@
-//! The head of a ledger: the deployment, the methods, the planned faults, and the figures that the audit judges by.
+//! The header of a ledger: the deployment, the methods, the planned faults, and the figures that the audit judges by.
 use serde::{Deserialize, Serialize};
 
-/// Shown in place of a name that the head does not have.
+/// Shown in place of a name that the header does not have.
 const UNKNOWN_NAME: &str = "?";
 
 /// Shown in place of the tenant of an RPC without one.
@@ -145,9 +145,9 @@
     pub worst_tenant: Option<f64>,
 }
 
-/// The head of a ledger. Events refer to methods, tenants, proxies, backends and faults by their index in it.
+/// The header of a ledger. Events refer to methods, tenants, proxies, backends and faults by their index in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct Header {
     /// Name of the scenario.
     pub scenario: String,
     /// Seed from which the plan was generated.
@@ -175,7 +175,7 @@
     pub faults: Vec<Fault>,
 }
 
-impl Head {
+impl Header {
     /// Whether duplicates of an RPC that one backend received are dropped at the other; both are given by index.
     pub fn shares_deduplication(&self, scope: DeduplicationScope, one: u32, other: u32) -> bool {
         let backend = |index: u32| self.backends.get(index as usize);
--- a/crates/audit/src/ledger.rs
+++ b/crates/audit/src/ledger.rs
@@ -1,7 +1,7 @@
-//! The ledger file: a first line that names the format, the head as one line of JSON, and then the entries as
+//! The ledger file: a first line that names the format, the header as one line of JSON, and then the entries as
 //! length-prefixed postcard records. A file whose writer was stopped can be read up to its last complete record.
 use crate::event::Entry;
-use crate::head::Head;
+use crate::header::Header;
 use std::io::{self, BufRead, Read, Write};
 
 /// First line of every ledger; the number grows when older readers can't read a new form.
@@ -19,15 +19,15 @@
     /// The file is not a ledger, or one of another version.
     #[error("not a ledger of this version: the first line is not \"{MAGIC}\"")]
     Magic,
-    /// The head can't be parsed or written.
-    #[error("the head, line 2: {0}")]
-    Head(#[from] serde_json::Error),
+    /// The header can't be parsed or written.
+    #[error("the header, line 2: {0}")]
+    Header(#[from] serde_json::Error),
     /// A record is damaged.
     #[error("record {number} at byte {byte}: {damage}")]
     Record {
         /// Index of the record.
         number: usize,
-        /// Position of its length prefix, in bytes from the end of the head.
+        /// Position of its length prefix, in bytes from the end of the header.
         byte: usize,
         /// What is wrong with it.
         damage: RecordDamage,
@@ -57,10 +57,10 @@
 }
 
 impl<W: Write> Writer<W> {
-    /// Writes the head.
-    pub fn new(mut output: W, head: &Head) -> Result<Self, LedgerError> {
+    /// Writes the header.
+    pub fn new(mut output: W, header: &Header) -> Result<Self, LedgerError> {
         writeln!(output, "{MAGIC}")?;
-        serde_json::to_writer(&mut output, head)?;
+        serde_json::to_writer(&mut output, header)?;
         writeln!(output)?;
         Ok(Self { output })
     }
@@ -84,8 +84,8 @@
 /// A ledger that was read back.
 #[derive(Debug)]
 pub struct Ledger {
-    /// The head.
-    pub head: Head,
+    /// The header.
+    pub header: Header,
     /// The entries, in the order of time.
     pub entries: Vec<Entry>,
     /// Whether the last record is incomplete because the writer was stopped.
@@ -94,20 +94,20 @@
 
 /// Reads a ledger. A damaged record is an error, an incomplete one at the end is not.
 pub fn read(mut input: impl BufRead) -> Result<Ledger, LedgerError> {
-    let head = read_head(&mut input)?;
+    let header = read_header(&mut input)?;
     let mut bytes = Vec::new();
     input.read_to_end(&mut bytes)?;
     let (mut entries, truncated) = decode_records(&bytes)?;
     // Several threads write: the order in the file is not quite that of time.
     entries.sort_by(|a, b| a.at.total_cmp(&b.at));
     Ok(Ledger {
-        head,
+        header,
         entries,
         truncated,
     })
 }
 
-fn read_head(input: &mut impl BufRead) -> Result<Head, LedgerError> {
+fn read_header(input: &mut impl BufRead) -> Result<Header, LedgerError> {
     let mut line = String::new();
     input
         .by_ref()
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,6 +1,6 @@
 //! The ledger of a rehearsal, and the audit of the four rules over it.
 //!
-//! - [`event`] and [`head`]: what can happen, and in which deployment.
+//! - [`event`] and [`header`]: what can happen, and in which deployment.
 //! - [`ledger`]: the file that stores both.
 //! - [`audit`]: checks the rules; [`findings`] holds its results and [`service`] the quality of service.
 //! - [`timeline`]: the entries as text.
@@ -10,7 +10,7 @@
 pub mod audit;
 pub mod event;
 pub mod findings;
-pub mod head;
+pub mod header;
 pub mod ledger;
 pub mod service;
 pub mod timeline;
@@ -18,5 +18,5 @@
 pub use audit::Audit;
 pub use event::{Answer, EndpointState, Entry, Event};
 pub use findings::{Findings, Rule, Violation};
-pub use head::{DeduplicationScope, Head, Idempotency, Method, Rules};
+pub use header::{DeduplicationScope, Header, Idempotency, Method, Rules};
 pub use service::Service;
--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -1,7 +1,7 @@
 //! Quality of service of a rehearsal: the share of the requested utility that was obtained, and latencies.
 //!
 //! An RPC counts from the time at which it was due. Retries of a client belong to its first request.
-use crate::head::{Head, Method};
+use crate::header::{Header, Method};
 use serde::Serialize;
 use std::collections::HashMap;
 
@@ -19,9 +19,9 @@
     /// Start of the worst window, in seconds since the rehearsal began.
     #[serde(rename = "worst_from")]
     pub worst_10s_from: f64,
-    /// Share of each method, in the order of the ledger's head.
+    /// Share of each method, in the order of the ledger's header.
     pub methods: Vec<NamedShare>,
-    /// Share of each tenant within its quota, in the order of the ledger's head.
+    /// Share of each tenant within its quota, in the order of the ledger's header.
     pub tenants: Vec<NamedShare>,
     /// Utility by the second in which RPCs were due.
     pub seconds: Vec<Utility>,
@@ -145,7 +145,7 @@
 
 /// Running totals of the requested and the obtained utility.
 pub(crate) struct Totals<'a> {
-    head: &'a Head,
+    header: &'a Header,
     open: HashMap<u32, OpenRpc>,
     overall: Utility,
     methods: Vec<Utility>,
@@ -155,13 +155,13 @@
 }
 
 impl<'a> Totals<'a> {
-    pub(crate) fn new(head: &'a Head) -> Self {
+    pub(crate) fn new(header: &'a Header) -> Self {
         Self {
-            head,
+            header,
             open: HashMap::new(),
             overall: Utility::default(),
-            methods: vec![Utility::default(); head.methods.len()],
-            tenants: vec![Utility::default(); head.tenants.len()],
+            methods: vec![Utility::default(); header.methods.len()],
+            tenants: vec![Utility::default(); header.tenants.len()],
             seconds: Vec::new(),
             latencies: Vec::new(),
         }
@@ -198,11 +198,11 @@
         tenant: usize,
         within_quota: bool,
     ) {
-        let full = self.head.methods.get(method).map_or(0.0, |m| m.utility);
+        let full = self.header.methods.get(method).map_or(0.0, |m| m.utility);
         let utility = if within_quota {
             full
         } else {
-            full * self.head.rules.over_quota_utility
+            full * self.header.rules.over_quota_utility
         };
         let open = OpenRpc {
             due,
@@ -224,7 +224,7 @@
         let Some(open) = self.open.remove(&rpc) else {
             return;
         };
-        let Some(method) = self.head.methods.get(open.method) else {
+        let Some(method) = self.header.methods.get(open.method) else {
             return;
         };
         let latency = at - open.due;
@@ -253,13 +253,13 @@
 
     pub(crate) fn finish(mut self) -> Service {
         let (worst_10s, worst_10s_from) = self.worst_window();
-        let method_names = self.head.methods.iter().map(|method| &method.name);
+        let method_names = self.header.methods.iter().map(|method| &method.name);
         Service {
             overall: self.overall.share().unwrap_or(0.0),
             worst_10s,
             worst_10s_from,
             methods: named_shares(method_names, &self.methods),
-            tenants: named_shares(self.head.tenants.iter(), &self.tenants),
+            tenants: named_shares(self.header.tenants.iter(), &self.tenants),
             latency: LatencySummary::of(&mut self.latencies),
             seconds: self.seconds,
         }
--- a/crates/audit/src/timeline.rs
+++ b/crates/audit/src/timeline.rs
@@ -1,11 +1,11 @@
 //! The timeline of a rehearsal or of one RPC: one line of text for each entry of the ledger.
 use crate::event::{Entry, Event, ReceivedAttempt};
-use crate::head::Head;
+use crate::header::Header;
 use std::collections::HashMap;
 
 /// Writes entries as text, and tells to which RPC an event belongs.
 pub struct Timeline<'a> {
-    head: &'a Head,
+    header: &'a Header,
     /// RPC of each client request.
     rpcs: HashMap<u64, u32>,
     /// Client request of each attempt.
@@ -16,9 +16,9 @@
 
 impl<'a> Timeline<'a> {
     /// Indexes the entries of a ledger.
-    pub fn new(head: &'a Head, entries: &[Entry]) -> Self {
+    pub fn new(header: &'a Header, entries: &[Entry]) -> Self {
         let mut timeline = Self {
-            head,
+            header,
             rpcs: HashMap::new(),
             request_ids: HashMap::new(),
             backends: HashMap::new(),
@@ -85,7 +85,7 @@
 
     fn incarnation(&self, incarnation: u32) -> String {
         let backend = self.backends.get(&incarnation);
-        let name = backend.map_or("?", |backend| self.head.backend_name(*backend));
+        let name = backend.map_or("?", |backend| self.header.backend_name(*backend));
         format!("{name} (life {incarnation})")
     }
 
@@ -98,8 +98,8 @@
                 tenant,
                 within_quota,
             } => {
-                let method = self.head.method_name(*method);
-                let tenant = self.head.tenant_name(*tenant);
+                let method = self.header.method_name(*method);
+                let tenant = self.header.tenant_name(*tenant);
                 let quota = if *within_quota {
                     ""
                 } else {
@@ -113,7 +113,7 @@
                 proxy,
                 client_timeout,
             } => {
-                let proxy = self.head.proxy_name(*proxy);
+                let proxy = self.header.proxy_name(*proxy);
                 format!(
                     "rpc {rpc} try {request_id:016x} sent to {proxy}, waits {client_timeout:.3} s"
                 )
@@ -149,7 +149,7 @@
             received.request_id,
             received.attempt_id,
             self.incarnation(received.incarnation),
-            self.head.proxy_name(received.proxy),
+            self.header.proxy_name(received.proxy),
             received.first_byte_at,
             received.work * 1e3,
             received.overload * 1e2,
@@ -191,7 +191,7 @@
                 incarnation,
                 state,
             } => {
-                let backend = self.head.backend_name(*backend);
+                let backend = self.header.backend_name(*backend);
                 format!("{backend} (life {incarnation}) is {state:?}")
             }
             Event::ProxyNotified {
@@ -200,8 +200,8 @@
                 incarnation,
                 state,
             } => {
-                let proxy = self.head.proxy_name(*proxy);
-                let backend = self.head.backend_name(*backend);
+                let proxy = self.header.proxy_name(*proxy);
+                let backend = self.header.backend_name(*backend);
                 format!("{proxy} told: {backend} (life {incarnation}) is {state:?}")
             }
             _ => return None,
@@ -211,10 +211,10 @@
     /// Describes an event of a proxy's process.
     fn proxy_text(&self, event: &Event) -> Option<String> {
         Some(match event {
-            Event::ProxyStarted { proxy } => format!("{} started", self.head.proxy_name(*proxy)),
-            Event::ProxyReady { proxy } => format!("{} ready", self.head.proxy_name(*proxy)),
+            Event::ProxyStarted { proxy } => format!("{} started", self.header.proxy_name(*proxy)),
+            Event::ProxyReady { proxy } => format!("{} ready", self.header.proxy_name(*proxy)),
             Event::ProxyEnded { proxy, how } => {
-                format!("{} ended: {how:?}", self.head.proxy_name(*proxy))
+                format!("{} ended: {how:?}", self.header.proxy_name(*proxy))
             }
             _ => return None,
         })
@@ -224,7 +224,7 @@
     fn rehearsal_text(&self, event: &Event) -> Option<String> {
         Some(match event {
             Event::Fault { number, begins } => {
-                let name = self.head.fault_name(*number);
+                let name = self.header.fault_name(*number);
                 format!("trouble {name} {}", if *begins { "begins" } else { "ends" })
             }
             Event::EmulatorLate { by } => format!("a stand-in is {:.2} ms late", by * 1e3),
--- a/crates/audit/tests/audit/builder.rs
+++ b/crates/audit/tests/audit/builder.rs
@@ -1,8 +1,8 @@
 //! Ledgers written by hand, event by event.
 use birchhub_audit::event::{Admission, AttemptEnd, ProxyEnd, ReceivedAttempt};
-use birchhub_audit::head::{Backend, ServiceTargets};
+use birchhub_audit::header::{Backend, ServiceTargets};
 use birchhub_audit::{
-    Answer, Audit, DeduplicationScope, Entry, Event, Findings, Head, Idempotency, Method, Rule,
+    Answer, Audit, DeduplicationScope, Entry, Event, Findings, Header, Idempotency, Method, Rule,
     Rules,
 };
 
@@ -10,7 +10,7 @@
 pub(crate) const BOOK: u8 = 1;
 pub(crate) const LOG: u8 = 2;
 
-pub(crate) fn head() -> Head {
+pub(crate) fn header() -> Header {
     let method = |name: &str, kind| Method {
         name: name.into(),
         kind,
@@ -24,7 +24,7 @@
         zone: 0,
         rack,
     };
-    Head {
+    Header {
         scenario: "by hand".into(),
         seed: 1,
         plan: "0".into(),
@@ -175,7 +175,7 @@
             },
         );
         self.0.sort_by(|a, b| a.at.total_cmp(&b.at));
-        Audit::of(&head(), &self.0)
+        Audit::of(&header(), &self.0)
     }
 
     /// Asserts that the audit finds one violation, with this rule and subject.
--- a/crates/audit/tests/audit/ledger_file.rs
+++ b/crates/audit/tests/audit/ledger_file.rs
@@ -1,5 +1,5 @@
 //! The ledger file read back, and the timeline of one RPC.
-use crate::builder::{BOOK, LOG, LedgerBuilder, head};
+use crate::builder::{BOOK, LOG, LedgerBuilder, header};
 use birchhub_audit::timeline::Timeline;
 use birchhub_audit::{Entry, ledger};
 
@@ -12,7 +12,7 @@
 
 fn written(entries: &[Entry]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    let mut writer = ledger::Writer::new(&mut bytes, &head()).expect("a head");
+    let mut writer = ledger::Writer::new(&mut bytes, &header()).expect("a header");
     for entry in entries {
         writer.write(entry).expect("a record");
     }
@@ -22,8 +22,8 @@
 /// Position of the first record: behind the second line.
 fn first_record(bytes: &[u8]) -> usize {
     let mut line_ends = bytes.iter().enumerate().filter(|(_, byte)| **byte == b'\n');
-    let (head_end, _) = line_ends.nth(1).expect("a head");
-    head_end + 1
+    let (header_end, _) = line_ends.nth(1).expect("a header");
+    header_end + 1
 }
 
 #[test]
@@ -33,8 +33,8 @@
     let read = ledger::read(bytes.as_slice()).expect("a ledger");
     builder.0.sort_by(|a, b| a.at.total_cmp(&b.at));
     assert_eq!(
-        (&read.head, &read.entries, read.truncated),
-        (&head(), &builder.0, false)
+        (&read.header, &read.entries, read.truncated),
+        (&header(), &builder.0, false)
     );
     let truncated = ledger::read(&bytes[..bytes.len() - 3]).expect("a ledger");
     assert_eq!(
@@ -57,8 +57,8 @@
 fn the_timeline_of_one_rpc_is_in_order() {
     let mut builder = two_rpcs();
     builder.0.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let head = head();
-    let timeline = Timeline::new(&head, &builder.0);
+    let header = header();
+    let timeline = Timeline::new(&header, &builder.0);
     let lines: Vec<_> = builder
         .0
         .iter()
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -1,10 +1,10 @@
 //! The stored form of a ledger. `fixtures/ledger-1` and `fixtures/records.jsonl` were written by the code of
 //! 2026-12-02; ledgers of that time can be read, and new ones have the same bytes.
 use birchhub_audit::event::{Admission, AttemptEnd, ProxyEnd, ReceivedAttempt};
-use birchhub_audit::head::{Backend, Fault, ServiceTargets};
+use birchhub_audit::header::{Backend, Fault, ServiceTargets};
 use birchhub_audit::timeline::Timeline;
 use birchhub_audit::{
-    Answer, Audit, DeduplicationScope, EndpointState, Entry, Event, Head, Idempotency, Method,
+    Answer, Audit, DeduplicationScope, EndpointState, Entry, Event, Header, Idempotency, Method,
     Rules, ledger,
 };
 
@@ -45,8 +45,8 @@
     Idempotency::Deduplicated { group, window: 4.0 }
 }
 
-fn head() -> Head {
-    Head {
+fn header() -> Header {
+    Header {
         scenario: "every-record".into(),
         seed: 7,
         plan: "0123abcd".into(),
@@ -212,9 +212,9 @@
     events.into_iter().enumerate().map(timed).collect()
 }
 
-/// A ledger with the fixture's head and one record of these bytes after its time.
+/// A ledger with the fixture's header and one record of these bytes after its time.
 fn with_record(event: &[u8]) -> Result<ledger::Ledger, ledger::LedgerError> {
-    let mut file = format!("{MAGIC}\n{}\n", serde_json::to_string(&head()).unwrap()).into_bytes();
+    let mut file = format!("{MAGIC}\n{}\n", serde_json::to_string(&header()).unwrap()).into_bytes();
     let record = [&1.0_f64.to_le_bytes(), event].concat();
     file.extend((record.len() as u16).to_le_bytes());
     file.extend(record);
@@ -225,14 +225,14 @@
 fn a_stored_ledger_is_read_with_its_meaning() {
     let stored = ledger::read(LEDGER).expect("a ledger");
     assert!(!stored.truncated, "the fixture is complete");
-    assert_eq!(stored.head, head());
+    assert_eq!(stored.header, header());
     assert_eq!(stored.entries, entries());
 }
 
 #[test]
 fn a_ledger_is_written_byte_for_byte_as_before() {
     let mut written = Vec::new();
-    let mut writer = ledger::Writer::new(&mut written, &head()).expect("a head");
+    let mut writer = ledger::Writer::new(&mut written, &header()).expect("a header");
     for entry in entries() {
         writer.write(&entry).expect("a record");
     }
@@ -253,9 +253,12 @@
 
 #[test]
 fn the_head_keeps_its_names_and_the_order_of_its_fields() {
-    let line = LEDGER.split(|byte| *byte == b'\n').nth(1).expect("a head");
+    let line = LEDGER
+        .split(|byte| *byte == b'\n')
+        .nth(1)
+        .expect("a header");
     let line = std::str::from_utf8(line).expect("text");
-    assert_eq!(serde_json::to_string(&head()).expect("JSON"), line);
+    assert_eq!(serde_json::to_string(&header()).expect("JSON"), line);
     for name in [
         "non-idempotent",
         "\"group\":\"all\"",
@@ -296,10 +299,10 @@
 /// The bytes of an event as the ledger has them behind its length and time.
 fn postcard_bytes(event: &Event) -> Vec<u8> {
     let mut file = Vec::new();
-    let mut writer = ledger::Writer::new(&mut file, &head()).expect("a head");
+    let mut writer = ledger::Writer::new(&mut file, &header()).expect("a header");
     let start = {
         let mut empty = Vec::new();
-        ledger::Writer::new(&mut empty, &head()).expect("a head");
+        ledger::Writer::new(&mut empty, &header()).expect("a header");
         empty.len()
     };
     let entry = Entry {
@@ -313,9 +316,9 @@
 /// `fixtures/timeline.txt` is what `birchhub ledger show` printed of the stored ledger on 2026-12-03.
 #[test]
 fn the_timeline_of_a_stored_ledger_keeps_its_text() {
-    let head = head();
+    let header = header();
     let entries = entries();
-    let timeline = Timeline::new(&head, &entries);
+    let timeline = Timeline::new(&header, &entries);
     let lines: Vec<_> = entries.iter().map(|entry| timeline.line(entry)).collect();
     assert_eq!(lines, TIMELINE.lines().collect::<Vec<_>>());
 }
@@ -323,7 +326,7 @@
 /// `fixtures/findings.json` is the part of `report.json` that an audit of the stored ledger wrote on 2026-12-03.
 #[test]
 fn the_findings_keep_their_keys_and_the_order_of_their_fields() {
-    let findings = Audit::of(&head(), &entries());
+    let findings = Audit::of(&header(), &entries());
     let json = serde_json::to_string_pretty(&findings).expect("JSON");
     assert_eq!(json, FINDINGS.trim_end());
 }
--- a/crates/cli/src/ledger.rs
+++ b/crates/cli/src/ledger.rs
@@ -47,8 +47,8 @@
         from,
         until,
     } = arguments.verb;
-    let (head, entries) = open(&file).map_err(CommandError::input)?;
-    let timeline = Timeline::new(&head, &entries);
+    let (header, entries) = open(&file).map_err(CommandError::input)?;
+    let timeline = Timeline::new(&header, &entries);
     let mut text = String::new();
     for entry in entries.iter().filter(|e| e.at >= from && e.at <= until) {
         if rpc.is_none() || timeline.rpc(&entry.event) == rpc {
@@ -67,8 +67,8 @@
 }
 
 pub(crate) fn audit(arguments: Audit) -> Result<u8, CommandError> {
-    let (head, entries) = open(&arguments.file).map_err(CommandError::input)?;
-    let report = Report::of(&head, &entries, false, None);
+    let (header, entries) = open(&arguments.file).map_err(CommandError::input)?;
+    let report = Report::of(&header, &entries, false, None);
     match arguments.json {
         true => print(&(report.json() + "\n")),
         false => print(&report.text()),
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,6 +1,6 @@
 //! `birchhub rehearse`: runs a scenario against real proxies.
 use crate::{CommandError, print, scenario};
-use birchhub_audit::{Entry, Head, ledger};
+use birchhub_audit::{Entry, Header, ledger};
 use birchhub_rehearsal::{Options, Plan, Report, Scenario, rehearse};
 use birchhub_simulation::simulate;
 use clap::Args;
@@ -71,10 +71,10 @@
     let begun = Instant::now();
     let played = simulate(scenario, plan).map_err(CommandError::input)?;
     let took = begun.elapsed().as_secs_f64();
-    let report = Report::of(&played.head, &played.entries, false, None);
-    write_ledger(&played.head, &played.entries, out).map_err(CommandError::failed)?;
+    let report = Report::of(&played.header, &played.entries, false, None);
+    write_ledger(&played.header, &played.entries, out).map_err(CommandError::failed)?;
     report
-        .write(&played.head, &played.entries, out)
+        .write(&played.header, &played.entries, out)
         .map_err(CommandError::failed)?;
     print(&report.text());
     print(&format!(
@@ -107,7 +107,7 @@
 }
 
 /// Writes the ledger into the folder of the run.
-fn write_ledger(head: &Head, entries: &[Entry], out: &Path) -> Result<(), LedgerFileError> {
+fn write_ledger(header: &Header, entries: &[Entry], out: &Path) -> Result<(), LedgerFileError> {
     let io_error = |path: &Path, source| LedgerFileError::Io {
         path: path.to_owned(),
         source,
@@ -115,15 +115,15 @@
     std::fs::create_dir_all(out).map_err(|source| io_error(out, source))?;
     let path = out.join("ledger");
     let file = std::fs::File::create(&path).map_err(|source| io_error(&path, source))?;
-    write_entries(file, head, entries).map_err(|source| LedgerFileError::Ledger { path, source })
+    write_entries(file, header, entries).map_err(|source| LedgerFileError::Ledger { path, source })
 }
 
 fn write_entries(
     file: std::fs::File,
-    head: &Head,
+    header: &Header,
     entries: &[Entry],
 ) -> Result<(), ledger::LedgerError> {
-    let mut writer = ledger::Writer::new(std::io::BufWriter::new(file), head)?;
+    let mut writer = ledger::Writer::new(std::io::BufWriter::new(file), header)?;
     for entry in entries {
         writer.write(entry)?;
     }
--- a/crates/cli/tests/exit_codes.rs
+++ b/crates/cli/tests/exit_codes.rs
@@ -1,7 +1,7 @@
 //! The exit codes of `birchhub`: 0 PASS, 1 FAIL, 2 VOID, 64 bad input, 70 anything else that went wrong. Scripts and CI
 //! of those who use it go by these numbers.
-use birchhub_audit::head::ServiceTargets;
-use birchhub_audit::{Answer, Entry, Event, Head, Idempotency, Method, Rules, ledger};
+use birchhub_audit::header::ServiceTargets;
+use birchhub_audit::{Answer, Entry, Event, Header, Idempotency, Method, Rules, ledger};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
@@ -43,8 +43,8 @@
     }
 }
 
-fn head() -> Head {
-    Head {
+fn header() -> Header {
+    Header {
         scenario: "by hand".into(),
         seed: 1,
         plan: "0".into(),
@@ -97,7 +97,7 @@
 
 fn audit(name: &str, events: Vec<(f64, Event)>) -> (i32, String) {
     let mut file = Vec::new();
-    let mut writer = ledger::Writer::new(&mut file, &head()).expect("a head");
+    let mut writer = ledger::Writer::new(&mut file, &header()).expect("a header");
     for (at, event) in events {
         writer.write(&Entry { at, event }).expect("a record");
     }
--- a/crates/rehearsal/src/error.rs
+++ b/crates/rehearsal/src/error.rs
@@ -30,9 +30,9 @@
         /// Error of the ledger.
         source: LedgerError,
     },
-    /// The head of the ledger could not be written.
+    /// The header of the ledger could not be written.
     #[error(transparent)]
-    LedgerHead(LedgerError),
+    LedgerHeader(LedgerError),
     /// An event loop could not be created.
     #[error("no event loop: {0}")]
     EventLoop(#[source] io::Error),
--- a/crates/rehearsal/src/page/backend_rows.rs
+++ b/crates/rehearsal/src/page/backend_rows.rs
@@ -1,6 +1,6 @@
 //! Plot of the RPCs in flight at each backend: one row a backend, one field a second.
 use super::svg::{FaultExtent, LABEL_GAP, LEFT, TimeAxis, escape, fault_colour, frame};
-use birchhub_audit::{Entry, Event, Head};
+use birchhub_audit::{Entry, Event, Header};
 use std::collections::HashMap;
 use std::fmt::Write;
 
@@ -81,8 +81,8 @@
 }
 
 /// Returns the highest number of RPCs in flight, by backend and second.
-fn highest_in_flight(head: &Head, entries: &[Entry], seconds: usize) -> Vec<Vec<u32>> {
-    let mut in_flight = InFlight::new(head.backends.len(), seconds);
+fn highest_in_flight(header: &Header, entries: &[Entry], seconds: usize) -> Vec<Vec<u32>> {
+    let mut in_flight = InFlight::new(header.backends.len(), seconds);
     let mut second = 0;
     for entry in entries {
         while second + 1 < seconds && entry.at >= (second + 1) as f64 {
@@ -95,17 +95,17 @@
 }
 
 /// Returns the plot with its explanation.
-pub(super) fn render(head: &Head, entries: &[Entry], axis: &TimeAxis) -> String {
-    let rows = head.backends.len().min(MAX_ROWS);
+pub(super) fn render(header: &Header, entries: &[Entry], axis: &TimeAxis) -> String {
+    let rows = header.backends.len().min(MAX_ROWS);
     let seconds = axis.length_seconds.ceil().max(1.0) as usize;
-    let in_flight = highest_in_flight(head, entries, seconds);
+    let in_flight = highest_in_flight(header, entries, seconds);
     let highest = in_flight.iter().flatten().copied().max().unwrap_or(1);
     let highest = highest.max(1);
     let height = rows as f64 * ROW_HEIGHT;
     let mut body = String::new();
-    for (row, backend) in display_order(head).into_iter().take(rows).enumerate() {
+    for (row, backend) in display_order(header).into_iter().take(rows).enumerate() {
         let top = row as f64 * ROW_HEIGHT;
-        let name = escape(&head.backends[backend].name);
+        let name = escape(&header.backends[backend].name);
         let _ = write!(
             body,
             "<text x='{}' y='{:.1}' text-anchor='end'>{name}</text>",
@@ -113,10 +113,10 @@
             top + NAME_BASELINE
         );
         write_fields(&mut body, axis, &name, top, &in_flight[backend], highest);
-        write_fault_lines(&mut body, axis, head, backend, top);
+        write_fault_lines(&mut body, axis, header, backend, top);
     }
     axis.write_ticks(&mut body, height);
-    let omitted = head.backends.len() - rows;
+    let omitted = header.backends.len() - rows;
     let remark = if omitted > 0 {
         format!("<p class='k'>{omitted} more nodes are not drawn.</p>")
     } else {
@@ -129,10 +129,10 @@
 }
 
 /// Returns the backends by zone, rack and name; a successor follows the backend that it replaces.
-fn display_order(head: &Head) -> Vec<usize> {
-    let mut order: Vec<_> = (0..head.backends.len()).collect();
+fn display_order(header: &Header) -> Vec<usize> {
+    let mut order: Vec<_> = (0..header.backends.len()).collect();
     order.sort_by_key(|index| {
-        let backend = &head.backends[*index];
+        let backend = &header.backends[*index];
         (backend.zone, backend.rack, &backend.name)
     });
     order
@@ -164,8 +164,14 @@
 }
 
 /// Adds a line for each fault of the backend.
-fn write_fault_lines(body: &mut String, axis: &TimeAxis, head: &Head, backend: usize, top: f64) {
-    for (index, fault) in head.faults.iter().enumerate() {
+fn write_fault_lines(
+    body: &mut String,
+    axis: &TimeAxis,
+    header: &Header,
+    backend: usize,
+    top: f64,
+) {
+    for (index, fault) in header.faults.iter().enumerate() {
         if !fault.backends.contains(&(backend as u32)) {
             continue;
         }
--- a/crates/rehearsal/src/page/mod.rs
+++ b/crates/rehearsal/src/page/mod.rs
@@ -5,7 +5,7 @@
 mod svg;
 
 use crate::report::Report;
-use birchhub_audit::{Entry, Findings, Head};
+use birchhub_audit::{Entry, Findings, Header};
 use std::fmt::Write;
 use svg::{TimeAxis, escape, fault_colour};
 
@@ -19,7 +19,7 @@
 .VOID{background:#7a6a00}svg text{font:11px system-ui,sans-serif;fill:#394b59}.k{color:#5c7080}";
 
 /// Renders the page.
-pub fn render(report: &Report, head: &Head, entries: &[Entry]) -> String {
+pub fn render(report: &Report, header: &Header, entries: &[Entry]) -> String {
     let axis = TimeAxis {
         length_seconds: report.length.max(1.0),
     };
@@ -30,14 +30,14 @@
         page,
         "<h2>Service by second</h2>\n{}<p class='k'>Blue: utility answered within the latency target, of what was asked \
          for. Grey: what was asked for, against its highest second.</p><p>{}</p>\n",
-        service_plot::render(report, head, &axis),
-        fault_legend(head)
+        service_plot::render(report, header, &axis),
+        fault_legend(header)
     );
     page += &service_table(findings);
     let _ = write!(
         page,
         "<h2>RPCs held by node</h2>\n{}",
-        backend_rows::render(head, entries, &axis)
+        backend_rows::render(header, entries, &axis)
     );
     let _ = write!(page, "<h2>Counts</h2>\n{}", counts_table(findings));
     page += &cold_starts(findings);
@@ -77,8 +77,8 @@
 }
 
 /// Returns the colour, name, kind, time and extent of each fault.
-fn fault_legend(head: &Head) -> String {
-    let line = |(index, fault): (usize, &birchhub_audit::head::Fault)| {
+fn fault_legend(header: &Header) -> String {
+    let line = |(index, fault): (usize, &birchhub_audit::header::Fault)| {
         let colour = fault_colour(index);
         let affected = match (fault.backends.len(), fault.proxies.len()) {
             (0, 0) => String::new(),
@@ -93,7 +93,7 @@
             fault.from, fault.until
         )
     };
-    head.faults.iter().enumerate().map(line).collect()
+    header.faults.iter().enumerate().map(line).collect()
 }
 
 fn service_table(findings: &Findings) -> String {
--- a/crates/rehearsal/src/page/service_plot.rs
+++ b/crates/rehearsal/src/page/service_plot.rs
@@ -1,7 +1,7 @@
 //! Plot of the service level by second, with the faults as shaded bands.
 use super::svg::{LABEL_GAP, LEFT, PLOT, TimeAxis, frame};
 use crate::report::Report;
-use birchhub_audit::Head;
+use birchhub_audit::Header;
 use std::fmt::Write;
 
 /// Height of the plot, in pixels.
@@ -12,9 +12,9 @@
 const LABEL_BASELINE: f64 = 4.0;
 
 /// Returns the plot as an `svg` element.
-pub(super) fn render(report: &Report, head: &Head, axis: &TimeAxis) -> String {
+pub(super) fn render(report: &Report, header: &Header, axis: &TimeAxis) -> String {
     let mut body = String::new();
-    axis.write_fault_bands(&mut body, head, HEIGHT);
+    axis.write_fault_bands(&mut body, header, HEIGHT);
     write_grid(&mut body);
     let seconds = &report.findings.service.seconds;
     let highest = seconds
--- a/crates/rehearsal/src/page/svg.rs
+++ b/crates/rehearsal/src/page/svg.rs
@@ -1,5 +1,5 @@
 //! Time axis and frame that the plots of the page share.
-use birchhub_audit::Head;
+use birchhub_audit::Header;
 use std::fmt::Write;
 
 /// Width of a plot with its margins, in pixels.
@@ -93,8 +93,8 @@
     }
 
     /// Adds a shaded band for each fault to a plot of this height.
-    pub(super) fn write_fault_bands(&self, body: &mut String, head: &Head, height: f64) {
-        for (index, fault) in head.faults.iter().enumerate() {
+    pub(super) fn write_fault_bands(&self, body: &mut String, header: &Header, height: f64) {
+        for (index, fault) in header.faults.iter().enumerate() {
             let FaultExtent { left, width } = self.fault_extent(fault.from, fault.until);
             let colour = fault_colour(index);
             let _ = write!(
--- a/crates/rehearsal/src/plan/fault_actions.rs
+++ b/crates/rehearsal/src/plan/fault_actions.rs
@@ -4,14 +4,14 @@
 use super::topology::PlannedNode;
 use super::{backend_faults, discovery_faults, proxy_faults, select};
 use crate::scenario::{FaultKind, InvalidValue, Scenario};
-use birchhub_audit::head;
+use birchhub_audit::header;
 use birchhub_backend_model::work::generator;
 
 /// The actions of all faults, in the order of the faults, and the faults as the ledger describes them.
 #[derive(Default)]
 pub(super) struct PlannedFaults {
     pub actions: Vec<(f64, Action)>,
-    pub faults: Vec<head::Fault>,
+    pub faults: Vec<header::Fault>,
 }
 
 /// Generates the actions of all faults; adds the successors of deploys to `nodes`.
@@ -68,7 +68,7 @@
     builder.push(builder.end, Action::EndFault { fault: index });
     planned.actions.extend(builder.actions);
     let fault = builder.fault;
-    planned.faults.push(head::Fault {
+    planned.faults.push(header::Fault {
         name: fault.name.clone(),
         kind: format!("{:?}", fault.kind),
         from: builder.start,
--- a/crates/rehearsal/src/plan/mod.rs
+++ b/crates/rehearsal/src/plan/mod.rs
@@ -16,7 +16,7 @@
 pub use topology::{PlannedNode, proxy_name};
 
 use crate::scenario::{Scenario, ScenarioError};
-use birchhub_audit::head;
+use birchhub_audit::header;
 use serde::Serialize;
 use sha2::{Digest, Sha256};
 
@@ -38,7 +38,7 @@
     pub actions: Vec<(f64, Action)>,
     /// The faults as the ledger describes them.
     #[serde(skip)]
-    pub faults: Vec<head::Fault>,
+    pub faults: Vec<header::Fault>,
 }
 
 impl Plan {
--- a/crates/rehearsal/src/report/mod.rs
+++ b/crates/rehearsal/src/report/mod.rs
@@ -4,7 +4,7 @@
 
 pub use verdict::Verdict;
 
-use birchhub_audit::{Audit, Entry, Findings, Head};
+use birchhub_audit::{Audit, Entry, Findings, Header};
 use serde::Serialize;
 use verdict::{Judgement, judge};
 
@@ -44,21 +44,21 @@
 impl Report {
     /// Audits a ledger and judges the findings.
     pub fn of(
-        head: &Head,
+        header: &Header,
         entries: &[Entry],
         partial: bool,
         processor_time: Option<ProcessorTime>,
     ) -> Self {
-        let findings = Audit::of(head, entries);
-        let Judgement { verdict, reasons } = judge(head, &findings, partial);
+        let findings = Audit::of(header, entries);
+        let Judgement { verdict, reasons } = judge(header, &findings, partial);
         Self {
-            scenario: head.scenario.clone(),
-            seed: head.seed,
-            plan: head.plan.clone(),
+            scenario: header.scenario.clone(),
+            seed: header.seed,
+            plan: header.plan.clone(),
             verdict,
             reasons,
             partial,
-            length: head.length,
+            length: header.length,
             findings,
             processor_time,
         }
--- a/crates/rehearsal/src/report/verdict.rs
+++ b/crates/rehearsal/src/report/verdict.rs
@@ -1,5 +1,5 @@
 //! The verdict on a rehearsal and its reasons.
-use birchhub_audit::{Findings, Head, Violation};
+use birchhub_audit::{Findings, Header, Violation};
 use serde::Serialize;
 
 /// Outcome of a rehearsal.
@@ -44,13 +44,13 @@
 ///
 /// Violations that do not depend on time fail a run in any case. Those that do, and the targets, count only if the
 /// emulated clients and backends were on time themselves.
-pub(super) fn judge(head: &Head, findings: &Findings, partial: bool) -> Judgement {
+pub(super) fn judge(header: &Header, findings: &Findings, partial: bool) -> Judgement {
     let (timing_dependent, timing_independent): (Vec<_>, Vec<_>) = findings
         .violations
         .iter()
         .partition(|violation| violation.timing_dependent);
     let mut reasons: Vec<String> = timing_independent.into_iter().map(violation_line).collect();
-    if let Some(line) = excessive_lateness(head, findings) {
+    if let Some(line) = excessive_lateness(header, findings) {
         let verdict = if reasons.is_empty() {
             Verdict::Void
         } else {
@@ -61,7 +61,7 @@
     }
     reasons.extend(timing_dependent.into_iter().map(violation_line));
     if !partial {
-        reasons.extend(missed_targets(head, findings));
+        reasons.extend(missed_targets(header, findings));
     }
     let verdict = match (reasons.is_empty(), partial) {
         (false, _) => Verdict::Fail,
@@ -82,7 +82,7 @@
 }
 
 /// Returns a line if the emulated clients or backends were later than the rules allow.
-fn excessive_lateness(head: &Head, findings: &Findings) -> Option<String> {
+fn excessive_lateness(header: &Header, findings: &Findings) -> Option<String> {
     let clients = findings.client_lateness.percentile_99;
     let backends = findings.emulator_lateness.percentile_99;
     let (late, what) = if backends > clients {
@@ -90,7 +90,7 @@
     } else {
         (clients, "the RPCs went out")
     };
-    let allowed = head.rules.max_lateness;
+    let allowed = header.rules.max_lateness;
     (late > allowed).then(|| {
         format!(
             "this machine was too busy: 1% of {what} {:.1} ms late or later ({:.1} ms are allowed)",
@@ -101,8 +101,8 @@
 }
 
 /// Returns a line for each target of the service level that was missed.
-fn missed_targets(head: &Head, findings: &Findings) -> Vec<String> {
-    let targets = &head.targets;
+fn missed_targets(header: &Header, findings: &Findings) -> Vec<String> {
+    let targets = &header.targets;
     let service = &findings.service;
     let levels = [
         ("service", targets.service, Some(service.overall)),
--- a/crates/rehearsal/src/report_files.rs
+++ b/crates/rehearsal/src/report_files.rs
@@ -2,7 +2,7 @@
 use crate::error::RehearsalError;
 use crate::page;
 use crate::report::Report;
-use birchhub_audit::{Entry, Head};
+use birchhub_audit::{Entry, Header};
 use std::path::Path;
 
 impl Report {
@@ -11,12 +11,17 @@
     /// # Errors
     ///
     /// Returns [`RehearsalError::Io`] if a file can't be written.
-    pub fn write(&self, head: &Head, entries: &[Entry], out: &Path) -> Result<(), RehearsalError> {
+    pub fn write(
+        &self,
+        header: &Header,
+        entries: &[Entry],
+        out: &Path,
+    ) -> Result<(), RehearsalError> {
         let write = |name: &str, text: String| {
             let path = out.join(name);
             std::fs::write(&path, text).map_err(RehearsalError::io(&path))
         };
         write("report.json", self.json() + "\n")?;
-        write("report.html", page::render(self, head, entries))
+        write("report.html", page::render(self, header, entries))
     }
 }
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -11,7 +11,7 @@
 use crate::scenario::Scenario;
 use crate::settings;
 use birchhub_audit::ledger::{self, LedgerError};
-use birchhub_audit::{Entry, Head};
+use birchhub_audit::{Entry, Header};
 use birchhub_emulator::{Clock, EventLog};
 use nix::sys::resource::{UsageWho, getrusage};
 use std::fs::File;
@@ -73,9 +73,9 @@
     std::fs::create_dir_all(&options.out).map_err(RehearsalError::io(&options.out))?;
     let path = options.out.join("ledger");
     let file = File::create(&path).map_err(RehearsalError::io(&path))?;
-    let head = settings::head(scenario, plan);
+    let header = settings::header(scenario, plan);
     let writer =
-        ledger::Writer::new(BufWriter::new(file), &head).map_err(RehearsalError::LedgerHead)?;
+        ledger::Writer::new(BufWriter::new(file), &header).map_err(RehearsalError::LedgerHeader)?;
     let lead = LEAD_SECONDS + LEAD_PER_PROXY_SECONDS * scenario.proxies.count as f64;
     let clock = Clock::starting_in(Duration::from_secs_f64(lead));
     let (event_log, entries) = EventLog::new(clock);
@@ -100,7 +100,7 @@
 
 /// Judges a ledger and writes the report beside it.
 fn report_of(path: &Path, options: &Options, stopped: bool) -> Result<Report, RehearsalError> {
-    let (head, entries) = open(path)?;
+    let (header, entries) = open(path)?;
     let usage = |who| {
         let times = getrusage(who).map(|u| u.user_time() + u.system_time());
         times.map_or(0.0, |t| t.tv_sec() as f64 + t.tv_usec() as f64 / 1e6)
@@ -109,8 +109,8 @@
         seconds: usage(UsageWho::RUSAGE_SELF),
         proxies: usage(UsageWho::RUSAGE_CHILDREN),
     };
-    let report = Report::of(&head, &entries, stopped, Some(processor_time));
-    report.write(&head, &entries, &options.out)?;
+    let report = Report::of(&header, &entries, stopped, Some(processor_time));
+    report.write(&header, &entries, &options.out)?;
     Ok(report)
 }
 
@@ -119,7 +119,7 @@
 /// # Errors
 ///
 /// Returns [`RehearsalError::Io`] or [`RehearsalError::Ledger`] if the file can't be read.
-pub fn open(path: &Path) -> Result<(Head, Vec<Entry>), RehearsalError> {
+pub fn open(path: &Path) -> Result<(Header, Vec<Entry>), RehearsalError> {
     let file = File::open(path).map_err(RehearsalError::io(path))?;
     let read = ledger::read(BufReader::new(file)).map_err(RehearsalError::ledger(path))?;
     if read.truncated {
@@ -128,7 +128,7 @@
             path.display()
         );
     }
-    Ok((read.head, read.entries))
+    Ok((read.header, read.entries))
 }
 
 /// Starts the thread that writes the events to the ledger, and flushes it when there are none for a while.
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -25,7 +25,7 @@
 pub use workload::{Method, MethodKind, Tenant};
 
 use crate::duration::ScenarioDuration;
-use birchhub_audit::head::ServiceTargets;
+use birchhub_audit::header::ServiceTargets;
 use serde::Deserialize;
 
 /// A deployment, its traffic, its faults, and its service targets.
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -1,8 +1,8 @@
 //! Mapping of a scenario to what the parts of a rehearsal are configured with: the settings of proxies, the specification of
-//! backends, and the head of the ledger.
+//! backends, and the header of the ledger.
 use crate::plan::{Plan, PlannedNode, proxy_name};
 use crate::scenario::{LoadReports, Method, MethodKind, Scenario, Tenant};
-use birchhub_audit::{DeduplicationScope, Head, Rules, head};
+use birchhub_audit::{DeduplicationScope, Header, Rules, header};
 use birchhub_backend_model::Spec;
 use serde_json::{Value, json};
 
@@ -97,10 +97,10 @@
     }
 }
 
-/// Returns the head of the ledger.
-pub fn head(scenario: &Scenario, plan: &Plan) -> Head {
+/// Returns the header of the ledger.
+pub fn header(scenario: &Scenario, plan: &Plan) -> Header {
     let rules = &scenario.rules;
-    let method = |m: &Method| head::Method {
+    let method = |m: &Method| header::Method {
         name: m.name.clone(),
         kind: m.idempotency(),
         target: m.latency_target.0,
@@ -108,12 +108,12 @@
         utility: m.utility,
         late_utility: m.late_utility,
     };
-    let backend = |n: &PlannedNode| head::Backend {
+    let backend = |n: &PlannedNode| header::Backend {
         name: n.name.clone(),
         zone: n.zone,
         rack: n.rack,
     };
-    Head {
+    Header {
         scenario: scenario.name.clone(),
         seed: plan.seed,
         plan: plan.hash(),
--- a/crates/rehearsal/tests/report_files.rs
+++ b/crates/rehearsal/tests/report_files.rs
@@ -1,16 +1,16 @@
 //! The report of a fixed ledger, compared byte for byte with `report.json`, `report.html` and the printed text as they
 //! were first written.
 use birchhub_audit::event::{Admission, AttemptEnd, ReceivedAttempt};
-use birchhub_audit::{Answer, EndpointState, Entry, Event, Head};
+use birchhub_audit::{Answer, EndpointState, Entry, Event, Header};
 use birchhub_rehearsal::report::ProcessorTime;
 use birchhub_rehearsal::{Plan, Report, Scenario, settings};
 
 const SCENARIO: &str = include_str!("fixtures/report-scenario.toml");
 
-fn head() -> Head {
+fn header() -> Header {
     let scenario = Scenario::read("report.toml", SCENARIO).expect("a scenario");
     let plan = Plan::generate(&scenario, 7, "report.toml", SCENARIO).expect("a plan");
-    settings::head(&scenario, &plan)
+    settings::header(&scenario, &plan)
 }
 
 /// What the client of an RPC records; without an answer it stays open.
@@ -132,13 +132,13 @@
     expected: [&str; 3],
     name: &str,
 ) {
-    let head = head();
+    let header = header();
     let entries = ledger();
-    let report = Report::of(&head, &entries, partial, processor_time);
+    let report = Report::of(&header, &entries, partial, processor_time);
     let folder = std::env::temp_dir().join(format!("birchhub-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     report
-        .write(&head, &entries, &folder)
+        .write(&header, &entries, &folder)
         .expect("a written report");
     let read = |file| std::fs::read_to_string(folder.join(file)).expect("a file");
     let json = read("report.json");
--- a/crates/rehearsal/tests/scenario_file.rs
+++ b/crates/rehearsal/tests/scenario_file.rs
@@ -1,6 +1,6 @@
 //! The form of a scenario's file. `fixtures/every-key.toml` was written on 2026-12-02 and has each key of each table
 //! and each kind of fault; every key keeps its name and its meaning, and plans stay the plans that they were.
-use birchhub_audit::head::ServiceTargets;
+use birchhub_audit::header::ServiceTargets;
 use birchhub_audit::{DeduplicationScope, Idempotency};
 use birchhub_backend_model::work::Spread;
 use birchhub_rehearsal::duration::ScenarioDuration;
--- a/crates/rehearsal/tests/verdicts.rs
+++ b/crates/rehearsal/tests/verdicts.rs
@@ -1,13 +1,13 @@
 //! Verdicts by rules, targets and the lateness of the emulated clients and backends.
 use birchhub_audit::event::{Admission, ReceivedAttempt};
-use birchhub_audit::{Answer, Entry, Event, Head};
+use birchhub_audit::{Answer, Entry, Event, Header};
 use birchhub_rehearsal::{Plan, Report, Scenario, Verdict, settings, shipped};
 
-fn head() -> Head {
+fn header() -> Header {
     let text = shipped::find("calm").expect("it ships").text;
     let scenario = Scenario::read("calm", text).expect("a scenario");
     let plan = Plan::generate(&scenario, 1, "calm", text).expect("a plan");
-    settings::head(&scenario, &plan)
+    settings::header(&scenario, &plan)
 }
 
 fn rpc_events(due: f64, rpc: u32, method: u8, answered: Option<f64>) -> Vec<Entry> {
@@ -53,7 +53,7 @@
     }));
     entries.extend(more);
     entries.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let report = Report::of(&head(), &entries, partial, None);
+    let report = Report::of(&header(), &entries, partial, None);
     assert_eq!(
         report.text().lines().next().map(|line| &line[..4]),
         Some(report.verdict.word())
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -18,7 +18,7 @@
 use attempts::ProxyAttempt;
 use birchhub::interface::Settings;
 use birchhub_audit::event::ProxyEnd;
-use birchhub_audit::{Answer, EndpointState, Entry, Event, Head};
+use birchhub_audit::{Answer, EndpointState, Entry, Event, Header};
 use birchhub_backend_model::{DeduplicationCache, Start};
 use birchhub_rehearsal::plan::Plan;
 use birchhub_rehearsal::scenario::Scenario;
@@ -42,8 +42,8 @@
 
 /// The result of a simulation.
 pub struct Outcome {
-    /// The ledger's head, which describes the deployment and the plan.
-    pub head: Head,
+    /// The ledger's header, which describes the deployment and the plan.
+    pub header: Header,
     /// The ledger's entries, in order of time.
     pub entries: Vec<Entry>,
     /// Number of simulated events that were handled.
@@ -98,7 +98,7 @@
     let events = world.run(plan.length + world.longest_deadline + RUN_TAIL_SECONDS);
     world.entries.sort_by(|a, b| a.at.total_cmp(&b.at));
     Ok(Outcome {
-        head: settings::head(scenario, plan),
+        header: settings::header(scenario, plan),
         entries: world.entries,
         events,
     })
--- a/crates/simulation/tests/simulated.rs
+++ b/crates/simulation/tests/simulated.rs
@@ -10,7 +10,7 @@
 }
 
 fn report(outcome: &Outcome) -> Report {
-    Report::of(&outcome.head, &outcome.entries, false, None)
+    Report::of(&outcome.header, &outcome.entries, false, None)
 }
 
 #[test]
