--- a/crates/audit/src/audit/mod.rs
+++ b/crates/audit/src/audit/mod.rs
@@ -9,7 +9,7 @@
 mod tracker;
 mod violations;
 
-use crate::event::{Admission, Answer, AttemptEnd, Entry, Event};
+use crate::event::{Admission, AttemptEnd, Entry, Event, RequestOutcome};
 use crate::findings::{Counts, Findings, LatenessSummary};
 use crate::header::Header;
 use crate::service::Totals;
@@ -91,9 +91,10 @@
                     .record_arrival(entry.at, rpc, method, tenant, within_quota);
             }
             Event::RequestSent { .. } => counts.client_requests += 1,
-            Event::RequestAnswered { request_id, answer } => {
-                self.count_answer(entry.at, request_id, answer)
-            }
+            Event::RequestEnded {
+                request_id,
+                outcome,
+            } => self.count_outcome(entry.at, request_id, outcome),
             Event::AttemptReceived(received) => {
                 counts.attempts += 1;
                 counts.attempts_rejected += usize::from(received.admission == Admission::Rejected);
@@ -111,23 +112,23 @@
     }
 
     /// Counts the first answer of a request.
-    fn count_answer(&mut self, at: f64, request_id: u64, answer: Answer) {
+    fn count_outcome(&mut self, at: f64, request_id: u64, outcome: RequestOutcome) {
         let Some(request) = self.tracker.requests.get(&request_id) else {
             return;
         };
-        if request.answer_count > 1 {
+        if request.outcome_count > 1 {
             return;
         }
-        match answer {
-            Answer::Ok => {
+        match outcome {
+            RequestOutcome::Ok => {
                 self.counts.ok += 1;
                 self.totals.record_success(at, request.rpc);
             }
-            Answer::Rejected(_) => self.counts.rejected += 1,
-            Answer::Aborted(_) => self.counts.aborted += 1,
-            Answer::Unreachable => self.counts.unreachable += 1,
-            Answer::Cancelled => self.counts.cancelled += 1,
-            Answer::Lost | Answer::TimedOut | Answer::Malformed => {}
+            RequestOutcome::Rejected(_) => self.counts.rejected += 1,
+            RequestOutcome::Aborted(_) => self.counts.aborted += 1,
+            RequestOutcome::Unreachable => self.counts.unreachable += 1,
+            RequestOutcome::Cancelled => self.counts.cancelled += 1,
+            RequestOutcome::Lost | RequestOutcome::TimedOut | RequestOutcome::Malformed => {}
         }
     }
 
--- a/crates/audit/src/audit/no_duplicate_effect.rs
+++ b/crates/audit/src/audit/no_duplicate_effect.rs
@@ -2,7 +2,7 @@
 //! one only within its scope and window; an RPC is rejected after it may have run only where a retry is harmless.
 use super::tracker::{Attempt, ClientRequest, Tracker};
 use super::violations::{Violations, rpc_subject};
-use crate::event::{Answer, Entry, Event};
+use crate::event::{Entry, Event, RequestOutcome};
 use crate::findings::{Rule, Violation};
 use crate::header::Idempotency;
 use std::collections::HashMap;
@@ -182,7 +182,7 @@
 
     /// Checks that an RPC that may have run is not rejected, unless a retry is harmless.
     fn check_rejection(&self, violations: &mut Violations) {
-        let Some((at, Answer::Rejected(_))) = self.request.answer else {
+        let Some((at, RequestOutcome::Rejected(_))) = self.request.outcome else {
             return;
         };
         let may_have_run = self
--- a/crates/audit/src/audit/one_answer.rs
+++ b/crates/audit/src/audit/one_answer.rs
@@ -2,7 +2,7 @@
 //! after that.
 use super::tracker::{Attempt, ClientRequest, Tracker};
 use super::violations::{Violations, rpc_subject};
-use crate::event::{Answer, Entry, Event, ProxyEnd};
+use crate::event::{Entry, Event, ProxyEnd, RequestOutcome};
 use crate::findings::{Rule, Violation};
 use std::collections::HashMap;
 
@@ -30,9 +30,12 @@
         violations: &mut Violations,
     ) {
         match entry.event {
-            Event::RequestAnswered { request_id, answer } => {
+            Event::RequestEnded {
+                request_id,
+                outcome,
+            } => {
                 if let Some(request) = tracker.requests.get(&request_id) {
-                    check_answer(entry.at, answer, request, tracker, violations);
+                    check_outcome(entry.at, outcome, request, tracker, violations);
                 }
             }
             Event::ProxyEnded { proxy, how } => {
@@ -75,9 +78,9 @@
         violations: &mut Violations,
     ) {
         let slack = tracker.header.rules.slack;
-        let answer = request.answer.map(|(_, answer)| answer);
-        let unanswered = match answer {
-            Some(Answer::Lost | Answer::TimedOut) => true,
+        let outcome = request.outcome.map(|(_, outcome)| outcome);
+        let unanswered = match outcome {
+            Some(RequestOutcome::Lost | RequestOutcome::TimedOut) => true,
             Some(_) => false,
             // A request that is open when the ledger ends needs an answer only if its deadline has passed.
             None => tracker.now > request.deadline() + slack,
@@ -86,15 +89,15 @@
             return;
         }
         let until = request
-            .answer
+            .outcome
             .map_or(tracker.now.min(request.deadline()), |(at, _)| at);
         // A client retries what a killed proxy had accepted.
         if self.was_killed(request, until, slack) {
             self.lost_with_proxy += 1;
             return;
         }
-        let how = match answer {
-            Some(Answer::Lost) => "its connection ended without an answer",
+        let how = match outcome {
+            Some(RequestOutcome::Lost) => "its connection ended without an answer",
             _ => "no answer by its deadline",
         };
         let proxy = tracker.header.proxy_name(request.proxy);
@@ -103,7 +106,7 @@
             at: until,
             subject: rpc_subject(request.rpc),
             description: format!("{how}; {proxy} had taken it"),
-            timing_dependent: answer != Some(Answer::Lost),
+            timing_dependent: outcome != Some(RequestOutcome::Lost),
         });
     }
 
@@ -119,9 +122,9 @@
 }
 
 /// Checks that an answer is the first one of its request, is well-formed, and arrived before the deadline.
-fn check_answer(
+fn check_outcome(
     at: f64,
-    answer: Answer,
+    outcome: RequestOutcome,
     request: &ClientRequest,
     tracker: &Tracker<'_>,
     violations: &mut Violations,
@@ -135,16 +138,16 @@
             timing_dependent,
         });
     };
-    if let Some((_, first)) = request.answer.filter(|_| request.answer_count > 1) {
-        let description = format!("answered twice: Some({first}), then {answer}");
+    if let Some((_, first)) = request.outcome.filter(|_| request.outcome_count > 1) {
+        let description = format!("answered twice: Some({first}), then {outcome}");
         return report(description, false);
     }
-    if answer == Answer::Malformed {
+    if outcome == RequestOutcome::Malformed {
         let description = "the answer was none, or bytes came behind it".to_owned();
         report(description, false);
     }
     let deadline = request.deadline();
-    if answer.is_final() && at > deadline + tracker.header.rules.slack {
+    if outcome.is_final_response() && at > deadline + tracker.header.rules.slack {
         let late_ms = (at - deadline) * 1e3;
         let description = format!("answered {late_ms:.0} ms after its deadline");
         report(description, true);
@@ -182,16 +185,16 @@
             timing_dependent: true,
         });
     };
-    let follows_final_answer = request
-        .answer
-        .is_some_and(|(at, answer)| answer.is_final() && begun > at + slack);
-    if follows_final_answer {
+    let follows_final_response = request
+        .outcome
+        .is_some_and(|(at, outcome)| outcome.is_final_response() && begun > at + slack);
+    if follows_final_response {
         report("sent on after its final answer".to_owned());
     } else if begun > request.deadline() + slack {
         report("sent on after its deadline".to_owned());
     }
-    let follows_disconnect = request.answer.is_some_and(|(at, answer)| {
-        answer == Answer::Cancelled && begun > at + DISCONNECT_GRACE_SECONDS + slack
+    let follows_disconnect = request.outcome.is_some_and(|(at, outcome)| {
+        outcome == RequestOutcome::Cancelled && begun > at + DISCONNECT_GRACE_SECONDS + slack
     });
     if follows_disconnect {
         report("sent on after its client had hung up".to_owned());
--- a/crates/audit/src/audit/tracker.rs
+++ b/crates/audit/src/audit/tracker.rs
@@ -1,5 +1,5 @@
 //! Shared state of the rules: RPCs, client requests and their attempts, backends, and what proxies know of them.
-use crate::event::{Admission, Answer, EndpointState, Entry, Event, ReceivedAttempt};
+use crate::event::{Admission, EndpointState, Entry, Event, ReceivedAttempt, RequestOutcome};
 use crate::header::{Header, Idempotency};
 use std::collections::{BTreeMap, HashMap};
 
@@ -35,9 +35,9 @@
     /// How long the client waits for the answer, in seconds.
     client_timeout: f64,
     /// When the first answer arrived, in seconds, and the answer.
-    pub(super) answer: Option<(f64, Answer)>,
+    pub(super) outcome: Option<(f64, RequestOutcome)>,
     /// Number of answers received.
-    pub(super) answer_count: usize,
+    pub(super) outcome_count: usize,
     /// Attempts of the proxy, in the order in which backends received them.
     pub(super) attempts: Vec<Attempt>,
 }
@@ -153,8 +153,11 @@
                 proxy,
                 client_timeout,
             } => self.record_request(at, request_id, rpc, proxy, client_timeout),
-            Event::RequestAnswered { request_id, answer } => {
-                self.record_answer(at, request_id, answer);
+            Event::RequestEnded {
+                request_id,
+                outcome,
+            } => {
+                self.record_outcome(at, request_id, outcome);
             }
             Event::BackendStarted {
                 incarnation,
@@ -201,17 +204,17 @@
             proxy,
             sent_at: at,
             client_timeout: f64::from(client_timeout),
-            answer: None,
-            answer_count: 0,
+            outcome: None,
+            outcome_count: 0,
             attempts,
         };
         self.requests.insert(request_id, request);
     }
 
-    fn record_answer(&mut self, at: f64, request_id: u64, answer: Answer) {
+    fn record_outcome(&mut self, at: f64, request_id: u64, outcome: RequestOutcome) {
         if let Some(request) = self.requests.get_mut(&request_id) {
-            request.answer.get_or_insert((at, answer));
-            request.answer_count += 1;
+            request.outcome.get_or_insert((at, outcome));
+            request.outcome_count += 1;
         }
     }
 
@@ -257,8 +260,8 @@
                 proxy: u16::MAX,
                 sent_at: received.first_byte_at,
                 client_timeout: f64::INFINITY,
-                answer: None,
-                answer_count: 0,
+                outcome: None,
+                outcome_count: 0,
                 attempts: Vec::new(),
             });
         request.attempts.push(attempt);
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -7,7 +7,7 @@
 
 /// Outcome of a client request, as the client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum RequestOutcome {
     /// Success.
     Ok,
     /// Rejected by the proxy, with the Retry-After in seconds if it sent one.
@@ -30,15 +30,15 @@
     Malformed,
 }
 
-impl Answer {
+impl RequestOutcome {
     /// Whether it is a final answer of the proxy.
-    pub fn is_final(self) -> bool {
+    pub fn is_final_response(self) -> bool {
         matches!(self, Self::Ok | Self::Rejected(_) | Self::Aborted(_))
     }
 }
 
 /// Writes the stored word.
-impl fmt::Display for Answer {
+impl fmt::Display for RequestOutcome {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Ok => formatter.write_str("Ok"),
@@ -195,12 +195,13 @@
     },
     /// A client request has an outcome.
     #[serde(rename = "Answered")]
-    RequestAnswered {
+    RequestEnded {
         /// The request.
         #[serde(rename = "attempt")]
         request_id: u64,
         /// Its outcome.
-        answer: Answer,
+        #[serde(rename = "answer")]
+        outcome: RequestOutcome,
     },
     /// A backend's process started.
     #[serde(rename = "Born")]
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod timeline;
 
 pub use audit::Audit;
-pub use event::{Answer, EndpointState, Entry, Event};
+pub use event::{EndpointState, Entry, Event, RequestOutcome};
 pub use findings::{Findings, Rule, Violation};
 pub use header::{DeduplicationScope, Header, Idempotency, Method, Rules};
 pub use service::Service;
--- a/crates/audit/src/timeline.rs
+++ b/crates/audit/src/timeline.rs
@@ -55,7 +55,7 @@
     pub fn rpc(&self, event: &Event) -> Option<u32> {
         match event {
             Event::Arrival { rpc, .. } | Event::RequestSent { rpc, .. } => Some(*rpc),
-            Event::RequestAnswered { request_id, .. } => self.rpcs.get(request_id).copied(),
+            Event::RequestEnded { request_id, .. } => self.rpcs.get(request_id).copied(),
             Event::AttemptReceived(received) => self.rpcs.get(&received.request_id).copied(),
             Event::ExecutionStarted { attempt_id }
             | Event::DuplicateDropped { attempt_id }
@@ -118,8 +118,11 @@
                     "rpc {rpc} try {request_id:016x} sent to {proxy}, waits {client_timeout:.3} s"
                 )
             }
-            Event::RequestAnswered { request_id, answer } => {
-                format!("try {request_id:016x} answered: {answer}")
+            Event::RequestEnded {
+                request_id,
+                outcome,
+            } => {
+                format!("try {request_id:016x} answered: {outcome}")
             }
             _ => return None,
         })
--- a/crates/audit/tests/audit/builder.rs
+++ b/crates/audit/tests/audit/builder.rs
@@ -2,8 +2,8 @@
 use birchhub_audit::event::{Admission, AttemptEnd, ProxyEnd, ReceivedAttempt};
 use birchhub_audit::header::{Backend, ServiceTargets};
 use birchhub_audit::{
-    Answer, Audit, DeduplicationScope, Entry, Event, Findings, Header, Idempotency, Method, Rule,
-    Rules,
+    Audit, DeduplicationScope, Entry, Event, Findings, Header, Idempotency, Method, RequestOutcome,
+    Rule, Rules,
 };
 
 pub(crate) const READ: u8 = 0;
@@ -150,8 +150,19 @@
         self.at(at, Event::AttemptEnded { attempt_id, how })
     }
 
-    pub(crate) fn answered(&mut self, at: f64, request_id: u64, answer: Answer) -> &mut Self {
-        self.at(at, Event::RequestAnswered { request_id, answer })
+    pub(crate) fn answered(
+        &mut self,
+        at: f64,
+        request_id: u64,
+        outcome: RequestOutcome,
+    ) -> &mut Self {
+        self.at(
+            at,
+            Event::RequestEnded {
+                request_id,
+                outcome,
+            },
+        )
     }
 
     /// An RPC that succeeds.
@@ -162,7 +173,7 @@
             .attempt(at + 0.001, request_id, attempt_id, 0, Admission::Admitted)
             .executes(at + 0.001, attempt_id);
         self.attempt_ends(at + 0.06, attempt_id, AttemptEnd::Replied)
-            .answered(at + 0.061, request_id, Answer::Ok)
+            .answered(at + 0.061, request_id, RequestOutcome::Ok)
     }
 
     /// Audits the ledger, whose proxies end after 40 s.
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -4,8 +4,8 @@
 use birchhub_audit::header::{Backend, Fault, ServiceTargets};
 use birchhub_audit::timeline::Timeline;
 use birchhub_audit::{
-    Answer, Audit, DeduplicationScope, EndpointState, Entry, Event, Header, Idempotency, Method,
-    Rules, ledger,
+    Audit, DeduplicationScope, EndpointState, Entry, Event, Header, Idempotency, Method,
+    RequestOutcome, Rules, ledger,
 };
 
 const LEDGER: &[u8] = include_bytes!("fixtures/ledger-1");
@@ -14,8 +14,8 @@
 const FINDINGS: &str = include_str!("fixtures/findings.json");
 const MAGIC: &str = "birchhub-ledger 1";
 const EVENT_KINDS: u8 = 21;
-const ANSWER_KINDS: u8 = 8;
-/// Number of the kind of record that holds an answer.
+const OUTCOME_KINDS: u8 = 8;
+/// Number of the kind of record that holds an outcome.
 const REQUEST_ANSWERED: u8 = 2;
 
 fn method(name: &str, kind: Idempotency) -> Method {
@@ -83,17 +83,17 @@
     }
 }
 
-fn answers() -> [Answer; 9] {
+fn outcomes() -> [RequestOutcome; 9] {
     [
-        Answer::Ok,
-        Answer::Rejected(None),
-        Answer::Rejected(Some(0.5)),
-        Answer::Aborted(503),
-        Answer::Lost,
-        Answer::Unreachable,
-        Answer::TimedOut,
-        Answer::Cancelled,
-        Answer::Malformed,
+        RequestOutcome::Ok,
+        RequestOutcome::Rejected(None),
+        RequestOutcome::Rejected(Some(0.5)),
+        RequestOutcome::Aborted(503),
+        RequestOutcome::Lost,
+        RequestOutcome::Unreachable,
+        RequestOutcome::TimedOut,
+        RequestOutcome::Cancelled,
+        RequestOutcome::Malformed,
     ]
 }
 
@@ -186,9 +186,9 @@
             client_timeout: 0.5,
         },
     ];
-    events.extend(answers().map(|answer| Event::RequestAnswered {
+    events.extend(outcomes().map(|outcome| Event::RequestEnded {
         request_id: 5,
-        answer,
+        outcome,
     }));
     events.extend(backend_events());
     events.extend(endpoint_list_events());
@@ -270,30 +270,30 @@
     }
 }
 
-/// A new kind of record or answer has to join the fixture: it is added at the end, and `EVENT_KINDS` or
-/// `ANSWER_KINDS` grows.
+/// A new kind of record or outcome has to join the fixture: it is added at the end, and `EVENT_KINDS` or
+/// `OUTCOME_KINDS` grows.
 #[test]
-fn the_fixture_has_every_kind_of_record_and_answer() {
+fn the_fixture_has_every_kind_of_record_and_outcome() {
     let record = |event: &Event| postcard_bytes(event);
     let kinds: std::collections::BTreeSet<u8> = entries()
         .iter()
         .map(|entry| record(&entry.event)[0])
         .collect();
     assert_eq!(kinds, (0..EVENT_KINDS).collect());
-    let answer_kinds: std::collections::BTreeSet<u8> = answers()
+    let outcome_kinds: std::collections::BTreeSet<u8> = outcomes()
         .iter()
-        .map(|answer| {
-            record(&Event::RequestAnswered {
+        .map(|outcome| {
+            record(&Event::RequestEnded {
                 request_id: 5,
-                answer: *answer,
+                outcome: *outcome,
             })[2]
         })
         .collect();
-    assert_eq!(answer_kinds, (0..ANSWER_KINDS).collect());
+    assert_eq!(outcome_kinds, (0..OUTCOME_KINDS).collect());
     let zeros = [0; 32];
     assert!(with_record(&[&[EVENT_KINDS], &zeros[..]].concat()).is_err());
-    assert!(with_record(&[&[REQUEST_ANSWERED, 5, ANSWER_KINDS], &zeros[..]].concat()).is_err());
-    assert!(with_record(&[REQUEST_ANSWERED, 5, ANSWER_KINDS - 1]).is_ok());
+    assert!(with_record(&[&[REQUEST_ANSWERED, 5, OUTCOME_KINDS], &zeros[..]].concat()).is_err());
+    assert!(with_record(&[REQUEST_ANSWERED, 5, OUTCOME_KINDS - 1]).is_ok());
 }
 
 /// The bytes of an event as the ledger has them behind its length and time.
--- a/crates/cli/tests/exit_codes.rs
+++ b/crates/cli/tests/exit_codes.rs
@@ -1,7 +1,7 @@
 //! The exit codes of `birchhub`: 0 PASS, 1 FAIL, 2 VOID, 64 bad input, 70 anything else that went wrong. Scripts and CI
 //! of those who use it go by these numbers.
 use birchhub_audit::header::ServiceTargets;
-use birchhub_audit::{Answer, Entry, Event, Header, Idempotency, Method, Rules, ledger};
+use birchhub_audit::{Entry, Event, Header, Idempotency, Method, RequestOutcome, Rules, ledger};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
@@ -88,9 +88,9 @@
         proxy: 0,
         client_timeout: 0.5,
     };
-    let answered = Event::RequestAnswered {
+    let answered = Event::RequestEnded {
         request_id: 1,
-        answer: Answer::Aborted(502),
+        outcome: RequestOutcome::Aborted(502),
     };
     vec![(1.0, asked), (1.0, sent), (1.9, answered)]
 }
--- a/crates/emulator/src/client.rs
+++ b/crates/emulator/src/client.rs
@@ -5,7 +5,7 @@
 use crate::event_log::EventLog;
 use crate::protocol::RETRY_AFTER;
 use crate::wire::{ConnectionState, Message, MessageKind, Peer, ReadError};
-use birchhub_audit::{Answer, Event};
+use birchhub_audit::{Event, RequestOutcome};
 pub use request::{ClientRequest, SlowSend};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -37,19 +37,19 @@
     }
 
     /// Sends a request to the proxy at this address and waits for the response. Records both.
-    pub async fn send(&self, request: &ClientRequest, address: SocketAddr) -> Answer {
+    pub async fn send(&self, request: &ClientRequest, address: SocketAddr) -> RequestOutcome {
         let mut exchange = Exchange {
             client: self,
             request,
             address,
             is_recorded: false,
         };
-        let answer = exchange.run().await;
-        self.event_log.record(Event::RequestAnswered {
+        let outcome = exchange.run().await;
+        self.event_log.record(Event::RequestEnded {
             request_id: request.request_id,
-            answer,
+            outcome,
         });
-        answer
+        outcome
     }
 
     fn clock(&self) -> &Clock {
@@ -72,8 +72,8 @@
 
 /// Result of a request on one connection.
 enum ConnectionOutcome {
-    /// The request has its answer, or will have none.
-    Answered(Answer),
+    /// The request has its outcome.
+    Answered(RequestOutcome),
     /// A pooled connection was closed while the request was written: the proxy never read it.
     ClosedBeforeRead,
 }
@@ -88,25 +88,25 @@
 }
 
 impl Exchange<'_> {
-    async fn run(&mut self) -> Answer {
+    async fn run(&mut self) -> RequestOutcome {
         if let Some(peer) = self.client.pooled_connection(self.address)
-            && let ConnectionOutcome::Answered(answer) = self.send_on(peer, true).await
+            && let ConnectionOutcome::Answered(outcome) = self.send_on(peer, true).await
         {
-            return answer;
+            return outcome;
         }
         let connecting = timeout(CONNECT_TIMEOUT, Peer::connect(self.address));
         let Ok(Ok(peer)) = connecting.await else {
             // A proxy that closed the pooled connection is gone; what it had read is unknown.
-            let answer = match self.is_recorded {
-                true => Answer::Lost,
-                false => Answer::Unreachable,
+            let outcome = match self.is_recorded {
+                true => RequestOutcome::Lost,
+                false => RequestOutcome::Unreachable,
             };
             self.record_sent();
-            return answer;
+            return outcome;
         };
         match self.send_on(peer, false).await {
-            ConnectionOutcome::Answered(answer) => answer,
-            ConnectionOutcome::ClosedBeforeRead => Answer::Lost,
+            ConnectionOutcome::Answered(outcome) => outcome,
+            ConnectionOutcome::ClosedBeforeRead => RequestOutcome::Lost,
         }
     }
 
@@ -147,15 +147,15 @@
         // Recorded before the last bytes leave: no attempt at a backend may precede its request in the log.
         self.record_sent();
         if is_closed {
-            return ConnectionOutcome::Answered(Answer::Unreachable);
+            return ConnectionOutcome::Answered(RequestOutcome::Unreachable);
         }
         let sent_at = self.client.clock().now();
         // An error of the write shows when the response is read.
         let _ = peer.write(last_piece).await;
         match self.read_response(&mut peer, sent_at).await {
-            Err(answer) => ConnectionOutcome::Answered(answer),
+            Err(outcome) => ConnectionOutcome::Answered(outcome),
             Ok(Ok(message)) => ConnectionOutcome::Answered(self.finish(peer, &message)),
-            Ok(Err(ReadError::Malformed)) => ConnectionOutcome::Answered(Answer::Malformed),
+            Ok(Err(ReadError::Malformed)) => ConnectionOutcome::Answered(RequestOutcome::Malformed),
             // The proxy closed an idle connection at the moment of the send. After that time it may have read the
             // request, and only the client's retry rules say whether it is sent again.
             Ok(Err(ReadError::Closed | ReadError::Broken))
@@ -165,16 +165,16 @@
             {
                 ConnectionOutcome::ClosedBeforeRead
             }
-            Ok(Err(_)) => ConnectionOutcome::Answered(Answer::Lost),
+            Ok(Err(_)) => ConnectionOutcome::Answered(RequestOutcome::Lost),
         }
     }
 
-    /// Reads the response; an error is the answer of a client that stopped waiting for it.
+    /// Reads the response; an error is the outcome for a client that stopped waiting for it.
     async fn read_response(
         &self,
         peer: &mut Peer,
         sent_at: f64,
-    ) -> Result<Result<Message, ReadError>, Answer> {
+    ) -> Result<Result<Message, ReadError>, RequestOutcome> {
         let clock = self.client.clock();
         let cancel_at = self
             .request
@@ -185,15 +185,15 @@
             biased;
             read = peer.read(MessageKind::Response, clock) => Ok(read),
             () = clock.sleep_until(give_up_at.min(cancel_at)) => {
-                Err(if cancel_at <= give_up_at { Answer::Cancelled } else { Answer::TimedOut })
+                Err(if cancel_at <= give_up_at { RequestOutcome::Cancelled } else { RequestOutcome::TimedOut })
             }
         }
     }
 
     /// Classifies a response and returns the connection to the pool if it can be used again.
-    fn finish(&self, mut peer: Peer, message: &Message) -> Answer {
+    fn finish(&self, mut peer: Peer, message: &Message) -> RequestOutcome {
         match peer.state() {
-            ConnectionState::UnexpectedBytes => return Answer::Malformed,
+            ConnectionState::UnexpectedBytes => return RequestOutcome::Malformed,
             ConnectionState::Open if !message.is_last() => {
                 let mut idle = self.client.idle.borrow_mut();
                 idle.entry(self.address).or_default().push(peer);
@@ -205,19 +205,19 @@
 }
 
 /// Classifies a response. One with status 200 must carry the id of the request.
-fn classify(request: &ClientRequest, message: &Message) -> Answer {
+fn classify(request: &ClientRequest, message: &Message) -> RequestOutcome {
     match message.status {
         200 => {
             let expected = format!("{:016x} ", request.request_id);
             match message.body.starts_with(expected.as_bytes()) {
-                true => Answer::Ok,
-                false => Answer::Malformed,
+                true => RequestOutcome::Ok,
+                false => RequestOutcome::Malformed,
             }
         }
         429 | 503 => {
             let retry_after = message.header(RETRY_AFTER);
-            Answer::Rejected(retry_after.and_then(|value| value.parse().ok()))
+            RequestOutcome::Rejected(retry_after.and_then(|value| value.parse().ok()))
         }
-        status => Answer::Aborted(status),
+        status => RequestOutcome::Aborted(status),
     }
 }
--- a/crates/emulator/tests/emulator/client.rs
+++ b/crates/emulator/tests/emulator/client.rs
@@ -1,6 +1,6 @@
 //! Emulated clients: what they record of each response, and how they use pooled connections.
 use crate::common::{LOCALHOST, on_one_thread, recorded_events};
-use birchhub_audit::{Answer, Event};
+use birchhub_audit::{Event, RequestOutcome};
 use birchhub_emulator::wire::{self, MessageKind, Peer};
 use birchhub_emulator::{Client, ClientRequest, Clock};
 use std::net::SocketAddr;
@@ -50,25 +50,28 @@
             |request_id: u64| wire::response(200, &[], format!("{request_id:016x} n\n").as_bytes());
         let retry_after = [("Retry-After", "0.5")];
         let truncated = b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n".to_vec();
-        let cases: Vec<(Vec<u8>, Answer)> = vec![
-            (ok(1), Answer::Ok),
-            (ok(2), Answer::Malformed),
-            ([ok(1), ok(1)].concat(), Answer::Malformed),
+        let cases: Vec<(Vec<u8>, RequestOutcome)> = vec![
+            (ok(1), RequestOutcome::Ok),
+            (ok(2), RequestOutcome::Malformed),
+            ([ok(1), ok(1)].concat(), RequestOutcome::Malformed),
             (
                 wire::response(503, &retry_after, b""),
-                Answer::Rejected(Some(0.5)),
+                RequestOutcome::Rejected(Some(0.5)),
             ),
-            (wire::response(429, &[], b""), Answer::Rejected(None)),
-            (wire::response(502, &[], b""), Answer::Aborted(502)),
-            (truncated, Answer::Lost),
-            (vec![], Answer::Lost),
+            (
+                wire::response(429, &[], b""),
+                RequestOutcome::Rejected(None),
+            ),
+            (wire::response(502, &[], b""), RequestOutcome::Aborted(502)),
+            (truncated, RequestOutcome::Lost),
+            (vec![], RequestOutcome::Lost),
         ];
         for (bytes, expected) in cases {
             let at = answer_once(event_log.clock, bytes);
-            let answer = Client::new(event_log.clone())
+            let outcome = Client::new(event_log.clone())
                 .send(&request_of(1, 5.0), at)
                 .await;
-            assert_eq!(answer, expected);
+            assert_eq!(outcome, expected);
         }
     });
 }
@@ -79,16 +82,19 @@
         let silent = wire::listen((LOCALHOST, 0).into(), 8).expect("a listener");
         let at = silent.local_addr().expect("an address");
         let client = || Client::new(event_log.clone());
-        let answer = client().send(&request_of(1, 0.05), at).await;
-        assert_eq!(answer, Answer::TimedOut);
+        let outcome = client().send(&request_of(1, 0.05), at).await;
+        assert_eq!(outcome, RequestOutcome::TimedOut);
         let cancelling = ClientRequest {
             cancel_after: Some(0.01),
             ..request_of(1, 5.0)
         };
-        assert_eq!(client().send(&cancelling, at).await, Answer::Cancelled);
+        assert_eq!(
+            client().send(&cancelling, at).await,
+            RequestOutcome::Cancelled
+        );
         drop(silent);
-        let answer = client().send(&request_of(1, 5.0), at).await;
-        assert_eq!(answer, Answer::Unreachable);
+        let outcome = client().send(&request_of(1, 5.0), at).await;
+        assert_eq!(outcome, RequestOutcome::Unreachable);
     });
 }
 
@@ -114,7 +120,10 @@
         });
         let client = Client::new(event_log);
         for _ in 0..3 {
-            assert_eq!(client.send(&request_of(1, 5.0), at).await, Answer::Ok);
+            assert_eq!(
+                client.send(&request_of(1, 5.0), at).await,
+                RequestOutcome::Ok
+            );
             sleep(Duration::from_millis(5)).await;
         }
         assert_eq!(
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::plan::{Arrival, Plan};
 use crate::proxies::FrontLoadBalancer;
 use crate::scenario::{Clients as ClientSettings, Method, MethodKind, Scenario};
-use birchhub_audit::{Answer, DeduplicationScope, Event, Idempotency};
+use birchhub_audit::{DeduplicationScope, Event, Idempotency, RequestOutcome};
 use birchhub_emulator::fleet::request_id_of;
 use birchhub_emulator::{Client, ClientRequest, Clock, EventLog};
 use std::rc::Rc;
@@ -150,13 +150,15 @@
             let random = arrival.assignment.rotate_left(u32::from(number) * 8);
             let (proxy, address) = self.front.assign(arrival.zone, random);
             let request = self.request(rpc, number, &arrival, proxy, client_timeout);
-            let answer = self.client.send(&request, address).await;
-            self.count(answer);
-            if !may_retry(answer, method, clock.now() - arrival.due) {
+            let outcome = self.client.send(&request, address).await;
+            self.count(outcome);
+            if !may_retry(outcome, method, clock.now() - arrival.due) {
                 break;
             }
-            let retry_after = match answer {
-                Answer::Rejected(Some(seconds)) if clients.honors_retry_after => f64::from(seconds),
+            let retry_after = match outcome {
+                RequestOutcome::Rejected(Some(seconds)) if clients.honors_retry_after => {
+                    f64::from(seconds)
+                }
                 _ => 0.0,
             };
             clock
@@ -206,24 +208,24 @@
         }
     }
 
-    fn count(&self, answer: Answer) {
-        let counter = match answer {
-            Answer::Ok => &self.progress.ok,
-            Answer::Rejected(_) => &self.progress.rejected,
+    fn count(&self, outcome: RequestOutcome) {
+        let counter = match outcome {
+            RequestOutcome::Ok => &self.progress.ok,
+            RequestOutcome::Rejected(_) => &self.progress.rejected,
             _ => &self.progress.failed,
         };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Returns whether a client retries an RPC after this answer.
+/// Returns whether a client retries an RPC after this outcome.
 ///
 /// After a rejection, or if no proxy was reached, any RPC is retried. Otherwise only one that may run again on any
 /// backend, within its deduplication window. `since` is the time since the RPC was due, in seconds.
-pub fn may_retry(answer: Answer, method: &Method, since: f64) -> bool {
-    match (answer, method.idempotency()) {
-        (Answer::Ok | Answer::Cancelled, _) => false,
-        (Answer::Rejected(_) | Answer::Unreachable, _) => true,
+pub fn may_retry(outcome: RequestOutcome, method: &Method, since: f64) -> bool {
+    match (outcome, method.idempotency()) {
+        (RequestOutcome::Ok | RequestOutcome::Cancelled, _) => false,
+        (RequestOutcome::Rejected(_) | RequestOutcome::Unreachable, _) => true,
         (_, Idempotency::Idempotent) => true,
         (_, Idempotency::NonIdempotent) => false,
         (_, Idempotency::Deduplicated { group, window }) => {
--- a/crates/rehearsal/tests/report_files.rs
+++ b/crates/rehearsal/tests/report_files.rs
@@ -1,7 +1,7 @@
 //! The report of a fixed ledger, compared byte for byte with `report.json`, `report.html` and the printed text as they
 //! were first written.
 use birchhub_audit::event::{Admission, AttemptEnd, ReceivedAttempt};
-use birchhub_audit::{Answer, EndpointState, Entry, Event, Header};
+use birchhub_audit::{EndpointState, Entry, Event, Header, RequestOutcome};
 use birchhub_rehearsal::report::ProcessorTime;
 use birchhub_rehearsal::{Plan, Report, Scenario, settings};
 
@@ -14,7 +14,7 @@
 }
 
 /// What the client of an RPC records; without an answer it stays open.
-fn client_events(number: u32, answer: Option<Answer>) -> Vec<Entry> {
+fn client_events(number: u32, outcome: Option<RequestOutcome>) -> Vec<Entry> {
     let due = f64::from(number) * 0.1;
     let request_id = u64::from(number) << 8;
     let arrival = Event::Arrival {
@@ -33,9 +33,12 @@
     let mut entries: Vec<_> = [arrival, sent, late]
         .map(|event| Entry { at: due, event })
         .into();
-    entries.extend(answer.map(|answer| Entry {
+    entries.extend(outcome.map(|outcome| Entry {
         at: due + 0.05,
-        event: Event::RequestAnswered { request_id, answer },
+        event: Event::RequestEnded {
+            request_id,
+            outcome,
+        },
     }));
     entries
 }
@@ -113,13 +116,13 @@
 fn ledger() -> Vec<Entry> {
     let mut entries = fleet_events();
     for number in 0..150 {
-        let answer = match number % 30 {
-            7 => Some(Answer::Rejected(Some(0.5))),
-            11 => Some(Answer::Aborted(502)),
+        let outcome = match number % 30 {
+            7 => Some(RequestOutcome::Rejected(Some(0.5))),
+            11 => Some(RequestOutcome::Aborted(502)),
             13 => None,
-            _ => Some(Answer::Ok),
+            _ => Some(RequestOutcome::Ok),
         };
-        entries.extend(client_events(number, answer));
+        entries.extend(client_events(number, outcome));
         entries.extend(backend_events(number));
     }
     entries.sort_by(|a, b| a.at.total_cmp(&b.at));
--- a/crates/rehearsal/tests/verdicts.rs
+++ b/crates/rehearsal/tests/verdicts.rs
@@ -1,6 +1,6 @@
 //! Verdicts by rules, targets and the lateness of the emulated clients and backends.
 use birchhub_audit::event::{Admission, ReceivedAttempt};
-use birchhub_audit::{Answer, Entry, Event, Header};
+use birchhub_audit::{Entry, Event, Header, RequestOutcome};
 use birchhub_rehearsal::{Plan, Report, Scenario, Verdict, settings, shipped};
 
 fn header() -> Header {
@@ -34,9 +34,9 @@
     ];
     entries.extend(answered.map(|at| Entry {
         at,
-        event: Event::RequestAnswered {
+        event: Event::RequestEnded {
             request_id,
-            answer: Answer::Ok,
+            outcome: RequestOutcome::Ok,
         },
     }));
     entries
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -5,7 +5,7 @@
 use super::{NETWORK_DELAY_SECONDS, World};
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::event::{Admission, AttemptEnd, ReceivedAttempt};
-use birchhub_audit::{Answer, Event, Idempotency};
+use birchhub_audit::{Event, Idempotency, RequestOutcome};
 use birchhub_backend_model::{IdempotencyKey, IncomingWork, RejectionReason};
 use birchhub_rehearsal::plan::BackendFault;
 use birchhub_rehearsal::scenario::LoadReports;
@@ -88,7 +88,7 @@
             self.proxy_attempts.remove(&attempt_id);
         }
         if outcome == AttemptOutcome::Succeeded {
-            self.send_answer(proxy, request_id, Answer::Ok);
+            self.send_answer(proxy, request_id, RequestOutcome::Ok);
         }
         let running = self.proxies[proxy as usize].as_mut();
         let Some(held) = running.and_then(|running| running.in_flight.get_mut(&request_id)) else {
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: their requests, retries and disconnects.
 use super::event::{ProcessEvent, SimulationEvent};
 use super::{NETWORK_DELAY_SECONDS, World};
-use birchhub_audit::{Answer, Event};
+use birchhub_audit::{Event, RequestOutcome};
 use birchhub_rehearsal::clients;
 use birchhub_rehearsal::proxies::assign_proxy;
 
@@ -96,31 +96,34 @@
     }
 
     /// Delivers a response to a client, which retries if its policy says so. Further responses are dropped.
-    pub(super) fn answer_client(&mut self, request_id: u64, answer: Answer) {
+    pub(super) fn answer_client(&mut self, request_id: u64, outcome: RequestOutcome) {
         if self.client_requests.remove(&request_id).is_none() {
             return;
         }
-        self.record(Event::RequestAnswered { request_id, answer });
+        self.record(Event::RequestEnded {
+            request_id,
+            outcome,
+        });
         let rpc = rpc_of_request(request_id);
         let number = request_number(request_id);
         let arrival = &self.plan.arrivals[rpc as usize];
         let method = &self.scenario.methods[arrival.method as usize];
         let elapsed = self.now - arrival.due;
         let may_retry = number < self.scenario.clients.max_retries;
-        if may_retry && clients::may_retry(answer, method, elapsed) {
+        if may_retry && clients::may_retry(outcome, method, elapsed) {
             let number = number + 1;
             self.schedule(
-                self.retry_delay(number - 1, answer),
+                self.retry_delay(number - 1, outcome),
                 SimulationEvent::SendClientRequest { rpc, number },
             );
         }
     }
 
     /// Returns the seconds that a client waits after the request with this number.
-    fn retry_delay(&self, number: u8, answer: Answer) -> f64 {
+    fn retry_delay(&self, number: u8, outcome: RequestOutcome) -> f64 {
         let policy = &self.scenario.clients;
-        let retry_after = match answer {
-            Answer::Rejected(Some(after)) if policy.honors_retry_after => f64::from(after),
+        let retry_after = match outcome {
+            RequestOutcome::Rejected(Some(after)) if policy.honors_retry_after => f64::from(after),
             _ => 0.0,
         };
         let factor = if policy.exponential_backoff {
@@ -137,7 +140,7 @@
             return;
         };
         let proxy = sent.proxy;
-        self.answer_client(request_id, Answer::Cancelled);
+        self.answer_client(request_id, RequestOutcome::Cancelled);
         let disconnected = ProcessEvent::ClientDisconnected(request_id);
         self.send_to_process(proxy, NETWORK_DELAY_SECONDS, disconnected);
     }
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -6,7 +6,7 @@
 use super::{NETWORK_DELAY_SECONDS, World};
 use birchhub::balancer::{Balancer, RpcHandle};
 use birchhub::interface::AttemptOutcome;
-use birchhub_audit::Answer;
+use birchhub_audit::RequestOutcome;
 use std::collections::BTreeMap;
 
 /// Shortest delay of a timer in seconds: one that the clock can't tell from now would fire again and again.
@@ -76,10 +76,10 @@
                 retry_after,
             } => {
                 let retry_after = (retry_after > 0.0).then_some(retry_after as f32);
-                self.send_answer(proxy, request_id, Answer::Rejected(retry_after));
+                self.send_answer(proxy, request_id, RequestOutcome::Rejected(retry_after));
             }
             Command::Fail { request_id } => {
-                self.send_answer(proxy, request_id, Answer::Aborted(BAD_GATEWAY))
+                self.send_answer(proxy, request_id, RequestOutcome::Aborted(BAD_GATEWAY))
             }
             Command::HealthCheck { backend } => {
                 let node = backend;
@@ -173,7 +173,7 @@
     }
 
     /// Sends the response to a client, unless it was answered.
-    pub(super) fn send_answer(&mut self, proxy: u16, request_id: u64, answer: Answer) {
+    pub(super) fn send_answer(&mut self, proxy: u16, request_id: u64, outcome: RequestOutcome) {
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
         };
@@ -183,7 +183,10 @@
         if !std::mem::replace(&mut held.answered, true) {
             self.schedule(
                 NETWORK_DELAY_SECONDS,
-                SimulationEvent::AnswerAtClient { request_id, answer },
+                SimulationEvent::AnswerAtClient {
+                    request_id,
+                    outcome,
+                },
             );
         }
     }
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -3,7 +3,7 @@
 use super::process::ProcessId;
 use super::retirement::Retirement;
 use birchhub::interface::{AttemptOutcome, LoadReport};
-use birchhub_audit::Answer;
+use birchhub_audit::RequestOutcome;
 
 /// An event in the queue. `request_id` identifies a client's request, `attempt_id` a proxy's attempt at a backend, and `node`
 /// is the index of a machine.
@@ -31,7 +31,10 @@
     /// A proxy's health check arrives at a machine.
     HealthCheckAtBackend { process: ProcessId, node: u32 },
     /// A response arrives at the client.
-    AnswerAtClient { request_id: u64, answer: Answer },
+    AnswerAtClient {
+        request_id: u64,
+        outcome: RequestOutcome,
+    },
     /// The client's timeout for this request has passed.
     ClientGivesUp { request_id: u64 },
     /// The client closes its connection before it has a response.
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -18,7 +18,7 @@
 use attempts::ProxyAttempt;
 use birchhub::interface::Settings;
 use birchhub_audit::event::ProxyEnd;
-use birchhub_audit::{Answer, EndpointState, Entry, Event, Header};
+use birchhub_audit::{EndpointState, Entry, Event, Header, RequestOutcome};
 use birchhub_backend_model::{DeduplicationCache, Start};
 use birchhub_rehearsal::plan::Plan;
 use birchhub_rehearsal::scenario::Scenario;
@@ -216,8 +216,13 @@
             Due::BackendDue { node, version } => self.advance_backend(node, version),
             Due::ConnectionClosed { attempt_id } => self.close_connection(attempt_id),
             Due::HealthCheckAtBackend { process, node } => self.answer_health_check(process, node),
-            Due::AnswerAtClient { request_id, answer } => self.answer_client(request_id, answer),
-            Due::ClientGivesUp { request_id } => self.answer_client(request_id, Answer::TimedOut),
+            Due::AnswerAtClient {
+                request_id,
+                outcome,
+            } => self.answer_client(request_id, outcome),
+            Due::ClientGivesUp { request_id } => {
+                self.answer_client(request_id, RequestOutcome::TimedOut)
+            }
             Due::ClientDisconnects { request_id } => self.disconnect_client(request_id),
             Due::PublishEndpoint { node, list_entry } => self.publish_endpoint(node, list_entry),
             Due::ListCallArrives(process) => self.start_list_call(process),
--- a/crates/simulation/src/world/proxies.rs
+++ b/crates/simulation/src/world/proxies.rs
@@ -6,7 +6,7 @@
 use birchhub::balancer::Balancer;
 use birchhub::interface::EndpointUpdateKind;
 use birchhub_audit::event::ProxyEnd;
-use birchhub_audit::{Answer, Event};
+use birchhub_audit::{Event, RequestOutcome};
 use birchhub_backend_model::work::generator;
 use rand::Rng;
 
@@ -111,8 +111,11 @@
     }
 
     fn lose_client_attempt(&mut self, request_id: u64) {
-        let answer = Answer::Lost;
-        let lost = SimulationEvent::AnswerAtClient { request_id, answer };
+        let outcome = RequestOutcome::Lost;
+        let lost = SimulationEvent::AnswerAtClient {
+            request_id,
+            outcome,
+        };
         self.schedule(NETWORK_DELAY_SECONDS, lost);
     }
 
--- a/crates/simulation/src/world/rpcs.rs
+++ b/crates/simulation/src/world/rpcs.rs
@@ -6,7 +6,7 @@
 use super::process::{InFlightRpc, ProcessId};
 use super::{NETWORK_DELAY_SECONDS, World};
 use birchhub::interface::{AttemptOutcome, EndpointUpdateKind, IncomingRpc};
-use birchhub_audit::Answer;
+use birchhub_audit::RequestOutcome;
 
 /// Part of a client's timeout, in seconds, that the proxy reserves for its own response.
 const DEADLINE_MARGIN_SECONDS: f64 = 0.005;
@@ -35,8 +35,11 @@
             return;
         };
         let Some(running) = self.proxies[proxy as usize].as_ref() else {
-            let answer = Answer::Unreachable;
-            let refusal = SimulationEvent::AnswerAtClient { request_id, answer };
+            let outcome = RequestOutcome::Unreachable;
+            let refusal = SimulationEvent::AnswerAtClient {
+                request_id,
+                outcome,
+            };
             return self.schedule(NETWORK_DELAY_SECONDS, refusal);
         };
         let until = self.now + sent.client_timeout - NETWORK_DELAY_SECONDS;
@@ -124,7 +127,7 @@
         let running = self.proxies[proxy as usize].as_ref();
         let held = running.and_then(|running| running.in_flight.get(&request_id));
         if held.is_some_and(|held| !held.answered) {
-            self.send_answer(proxy, request_id, Answer::Aborted(BAD_GATEWAY));
+            self.send_answer(proxy, request_id, RequestOutcome::Aborted(BAD_GATEWAY));
             self.run_rpc_decision(proxy, request_id, |rpc, platform| {
                 rpc.on_client_disconnected(platform)
             });
--- a/crates/simulation/tests/simulated.rs
+++ b/crates/simulation/tests/simulated.rs
@@ -1,5 +1,5 @@
 //! Rehearsals in simulated time: the same ledger for a seed, and the rules in all shipped scenarios and at size.
-use birchhub_audit::{Answer, Event};
+use birchhub_audit::{Event, RequestOutcome};
 use birchhub_rehearsal::{Plan, Report, Scenario, Verdict, shipped};
 use birchhub_simulation::{Outcome, simulate};
 
@@ -35,15 +35,15 @@
         let sent = count(|e| matches!(e, Event::RequestSent { .. }));
         assert_eq!(
             sent,
-            count(|e| matches!(e, Event::RequestAnswered { .. })),
+            count(|e| matches!(e, Event::RequestEnded { .. })),
             "{}",
             shipped.name
         );
         assert_eq!(
             count(|e| matches!(
                 e,
-                Event::RequestAnswered {
-                    answer: Answer::TimedOut,
+                Event::RequestEnded {
+                    outcome: RequestOutcome::TimedOut,
                     ..
                 }
             )),
