--- a/crates/audit/src/header.rs
+++ b/crates/audit/src/header.rs
@@ -79,9 +79,9 @@
     pub late_utility: f64,
 }
 
-/// Figures that the rules are judged by.
+/// Limits and tolerances with which the audit checks the rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rules {
+pub struct RuleParameters {
     /// For how long new work may still reach a backend after its proxy learnt that it drains or is gone, in seconds.
     pub drain_grace: f64,
     /// Tolerance of each time limit for delays of sockets and of the rehearsal itself, in seconds.
@@ -156,8 +156,8 @@
     pub plan: String,
     /// Time of the last arrival, in seconds.
     pub length: f64,
-    /// Figures that the rules are judged by.
-    pub rules: Rules,
+    /// Limits and tolerances with which the audit checks the rules.
+    pub rules: RuleParameters,
     /// Service that the scenario expects.
     #[serde(rename = "bars")]
     pub targets: ServiceTargets,
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -18,5 +18,5 @@
 pub use audit::Audit;
 pub use event::{EndpointState, Entry, Event, RequestOutcome};
 pub use findings::{Findings, Rule, Violation};
-pub use header::{DeduplicationScope, Header, Idempotency, Method, Rules};
+pub use header::{DeduplicationScope, Header, Idempotency, Method, RuleParameters};
 pub use service::Service;
--- a/crates/audit/tests/audit/builder.rs
+++ b/crates/audit/tests/audit/builder.rs
@@ -3,7 +3,7 @@
 use birchhub_audit::header::{Backend, ServiceTargets};
 use birchhub_audit::{
     Audit, DeduplicationScope, Entry, Event, Findings, Header, Idempotency, Method, RequestOutcome,
-    Rule, Rules,
+    Rule, RuleParameters,
 };
 
 pub(crate) const READ: u8 = 0;
@@ -29,7 +29,7 @@
         seed: 1,
         plan: "0".into(),
         length: 30.0,
-        rules: Rules {
+        rules: RuleParameters {
             drain_grace: 0.3,
             slack: 0.05,
             overload_window: 1.0,
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -5,7 +5,7 @@
 use birchhub_audit::timeline::Timeline;
 use birchhub_audit::{
     Audit, DeduplicationScope, EndpointState, Entry, Event, Header, Idempotency, Method,
-    RequestOutcome, Rules, ledger,
+    RequestOutcome, RuleParameters, ledger,
 };
 
 const LEDGER: &[u8] = include_bytes!("fixtures/ledger-1");
@@ -29,8 +29,8 @@
     }
 }
 
-fn rules() -> Rules {
-    Rules {
+fn rules() -> RuleParameters {
+    RuleParameters {
         drain_grace: 0.3,
         slack: 0.05,
         overload_window: 1.5,
--- a/crates/cli/tests/exit_codes.rs
+++ b/crates/cli/tests/exit_codes.rs
@@ -1,7 +1,9 @@
 //! The exit codes of `birchhub`: 0 PASS, 1 FAIL, 2 VOID, 64 bad input, 70 anything else that went wrong. Scripts and CI
 //! of those who use it go by these numbers.
 use birchhub_audit::header::ServiceTargets;
-use birchhub_audit::{Entry, Event, Header, Idempotency, Method, RequestOutcome, Rules, ledger};
+use birchhub_audit::{
+    Entry, Event, Header, Idempotency, Method, RequestOutcome, RuleParameters, ledger,
+};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
@@ -49,7 +51,7 @@
         seed: 1,
         plan: "0".into(),
         length: 10.0,
-        rules: Rules {
+        rules: RuleParameters {
             drain_grace: 0.3,
             slack: 0.05,
             overload_window: 1.0,
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -2,7 +2,7 @@
 //! backends, and the header of the ledger.
 use crate::plan::{Plan, PlannedNode, proxy_name};
 use crate::scenario::{LoadReports, Method, MethodKind, Scenario, Tenant};
-use birchhub_audit::{DeduplicationScope, Header, Rules, header};
+use birchhub_audit::{DeduplicationScope, Header, RuleParameters, header};
 use birchhub_backend_model::Spec;
 use serde_json::{Value, json};
 
@@ -118,7 +118,7 @@
         seed: plan.seed,
         plan: plan.hash(),
         length: plan.length,
-        rules: Rules {
+        rules: RuleParameters {
             drain_grace: rules.drain_grace.0,
             slack: rules.time_tolerance.0,
             overload_window: rules.overload_window.0,
