--- a/crates/audit/src/audit/tracker.rs
+++ b/crates/audit/src/audit/tracker.rs
@@ -100,7 +100,10 @@
     /// Returns whether the RPC may run again; `None` if the RPC or its method is unknown.
     pub(super) fn idempotency(&self, rpc: u32) -> Option<Idempotency> {
         let method = self.methods.get(&rpc)?;
-        self.header.methods.get(*method).map(|method| method.kind)
+        self.header
+            .methods
+            .get(*method)
+            .map(|method| method.idempotency)
     }
 
     /// Returns the client request that an attempt serves.
--- a/crates/audit/src/header.rs
+++ b/crates/audit/src/header.rs
@@ -68,9 +68,11 @@
     /// Name of the method.
     pub name: String,
     /// Whether its RPCs may run again.
-    pub kind: Idempotency,
+    #[serde(rename = "kind")]
+    pub idempotency: Idempotency,
     /// Latency objective, in seconds: an answer within it has the full utility.
-    pub target: f64,
+    #[serde(rename = "target")]
+    pub latency_target: f64,
     /// Time after which an answer has no utility, in seconds.
     pub deadline: f64,
     /// Utility of an answer within the latency objective.
@@ -153,9 +155,11 @@
     /// Seed from which the plan was generated.
     pub seed: u64,
     /// Hash of the plan.
-    pub plan: String,
-    /// Time of the last arrival, in seconds.
-    pub length: f64,
+    #[serde(rename = "plan")]
+    pub plan_hash: String,
+    /// Duration of the scenario, in seconds: the last RPC arrives before its end.
+    #[serde(rename = "length")]
+    pub duration: f64,
     /// Limits and tolerances with which the audit checks the rules.
     pub rules: RuleParameters,
     /// Service that the scenario expects.
--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -268,7 +268,7 @@
 
 /// Returns the share of a method's utility that an answer after `latency` seconds obtains.
 fn utility_share(method: &Method, latency: f64) -> f64 {
-    if latency <= method.target {
+    if latency <= method.latency_target {
         1.0
     } else if latency <= method.deadline {
         method.late_utility
--- a/crates/audit/tests/audit/builder.rs
+++ b/crates/audit/tests/audit/builder.rs
@@ -11,10 +11,10 @@
 pub(crate) const LOG: u8 = 2;
 
 pub(crate) fn header() -> Header {
-    let method = |name: &str, kind| Method {
+    let method = |name: &str, idempotency| Method {
         name: name.into(),
-        kind,
-        target: 0.2,
+        idempotency,
+        latency_target: 0.2,
         deadline: 0.5,
         utility: 2.0,
         late_utility: 0.25,
@@ -27,8 +27,8 @@
     Header {
         scenario: "by hand".into(),
         seed: 1,
-        plan: "0".into(),
-        length: 30.0,
+        plan_hash: "0".into(),
+        duration: 30.0,
         rules: RuleParameters {
             drain_grace: 0.3,
             slack: 0.05,
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -18,11 +18,11 @@
 /// Number of the kind of record that holds an outcome.
 const REQUEST_ANSWERED: u8 = 2;
 
-fn method(name: &str, kind: Idempotency) -> Method {
+fn method(name: &str, idempotency: Idempotency) -> Method {
     Method {
         name: name.into(),
-        kind,
-        target: 0.2,
+        idempotency,
+        latency_target: 0.2,
         deadline: 0.5,
         utility: 2.0,
         late_utility: 0.25,
@@ -49,8 +49,8 @@
     Header {
         scenario: "every-record".into(),
         seed: 7,
-        plan: "0123abcd".into(),
-        length: 30.0,
+        plan_hash: "0123abcd".into(),
+        duration: 30.0,
         rules: rules(),
         targets: ServiceTargets {
             service: Some(0.99),
--- a/crates/cli/tests/exit_codes.rs
+++ b/crates/cli/tests/exit_codes.rs
@@ -49,8 +49,8 @@
     Header {
         scenario: "by hand".into(),
         seed: 1,
-        plan: "0".into(),
-        length: 10.0,
+        plan_hash: "0".into(),
+        duration: 10.0,
         rules: RuleParameters {
             drain_grace: 0.3,
             slack: 0.05,
@@ -63,8 +63,8 @@
         targets: ServiceTargets::default(),
         methods: vec![Method {
             name: "read".into(),
-            kind: Idempotency::Idempotent,
-            target: 0.2,
+            idempotency: Idempotency::Idempotent,
+            latency_target: 0.2,
             deadline: 0.5,
             utility: 1.0,
             late_utility: 0.0,
--- a/crates/rehearsal/src/report/mod.rs
+++ b/crates/rehearsal/src/report/mod.rs
@@ -54,11 +54,11 @@
         Self {
             scenario: header.scenario.clone(),
             seed: header.seed,
-            plan: header.plan.clone(),
+            plan: header.plan_hash.clone(),
             verdict,
             reasons,
             partial,
-            length: header.length,
+            length: header.duration,
             findings,
             processor_time,
         }
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -102,8 +102,8 @@
     let rules = &scenario.rules;
     let method = |m: &Method| header::Method {
         name: m.name.clone(),
-        kind: m.idempotency(),
-        target: m.latency_target.0,
+        idempotency: m.idempotency(),
+        latency_target: m.latency_target.0,
         deadline: m.deadline.0,
         utility: m.utility,
         late_utility: m.late_utility,
@@ -116,8 +116,8 @@
     Header {
         scenario: scenario.name.clone(),
         seed: plan.seed,
-        plan: plan.hash(),
-        length: plan.length,
+        plan_hash: plan.hash(),
+        duration: plan.length,
         rules: RuleParameters {
             drain_grace: rules.drain_grace.0,
             slack: rules.time_tolerance.0,
