--- a/crates/audit/src/audit/no_duplicate_effect.rs
+++ b/crates/audit/src/audit/no_duplicate_effect.rs
@@ -153,8 +153,8 @@
         let (fault, timing_dependent) = match self.idempotency {
             Idempotency::Idempotent => return,
             Idempotency::NonIdempotent => ("sent again after it may have run", false),
-            Idempotency::Deduplicated { group, .. }
-                if !header.shares_deduplication(group, one, other) =>
+            Idempotency::Deduplicated { scope, .. }
+                if !header.shares_deduplication(scope, one, other) =>
             {
                 ("sent again outside the group that drops repeats", false)
             }
--- a/crates/audit/src/header.rs
+++ b/crates/audit/src/header.rs
@@ -20,9 +20,9 @@
 }
 
 impl DeduplicationScope {
-    /// Returns the number of the group that a backend in this zone and rack belongs to. Groups of different scopes
-    /// have different numbers.
-    pub fn number(self, zone: u32, rack: u32) -> u64 {
+    /// Returns the id of the deduplication group that a backend in this zone and rack belongs to. Ids of groups of
+    /// different scopes differ.
+    pub fn group_id(self, zone: u32, rack: u32) -> u64 {
         match self {
             Self::All => 0,
             Self::Zone => 1 << 40 | u64::from(zone),
@@ -42,7 +42,8 @@
     /// Only where backends drop duplicates.
     Deduplicated {
         /// The backends that drop duplicates of each other's RPCs.
-        group: DeduplicationScope,
+        #[serde(rename = "group")]
+        scope: DeduplicationScope,
         /// For how long they drop duplicates, in seconds from the first attempt that may have run.
         window: f64,
     },
@@ -55,7 +56,7 @@
             self,
             Self::Idempotent
                 | Self::Deduplicated {
-                    group: DeduplicationScope::All,
+                    scope: DeduplicationScope::All,
                     ..
                 }
         )
--- a/crates/audit/tests/audit/builder.rs
+++ b/crates/audit/tests/audit/builder.rs
@@ -45,7 +45,7 @@
             method(
                 "log",
                 Idempotency::Deduplicated {
-                    group: DeduplicationScope::Rack,
+                    scope: DeduplicationScope::Rack,
                     window: 1.0,
                 },
             ),
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -41,8 +41,8 @@
     }
 }
 
-fn deduplicated(group: DeduplicationScope) -> Idempotency {
-    Idempotency::Deduplicated { group, window: 4.0 }
+fn deduplicated(scope: DeduplicationScope) -> Idempotency {
+    Idempotency::Deduplicated { scope, window: 4.0 }
 }
 
 fn header() -> Header {
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -111,8 +111,8 @@
         let cost = &self.costs[method];
         let usual_work = cost.work.sample(self.seed, u64::from(rpc_of(request_id)));
         let idempotency_key = match (cost.idempotency, key) {
-            (Idempotency::Deduplicated { group, window }, Some(key)) => Some(IdempotencyKey {
-                group: group.number(zone, rack),
+            (Idempotency::Deduplicated { scope, window }, Some(key)) => Some(IdempotencyKey {
+                group: scope.group_id(zone, rack),
                 key: hash(key),
                 window,
             }),
--- a/crates/emulator/tests/emulator/common.rs
+++ b/crates/emulator/tests/emulator/common.rs
@@ -44,7 +44,7 @@
         idempotency,
     };
     let deduplicated = Idempotency::Deduplicated {
-        group: DeduplicationScope::All,
+        scope: DeduplicationScope::All,
         window: 60.0,
     };
     let costs = vec![
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -228,8 +228,8 @@
         (RequestOutcome::Rejected(_) | RequestOutcome::Unreachable, _) => true,
         (_, Idempotency::Idempotent) => true,
         (_, Idempotency::NonIdempotent) => false,
-        (_, Idempotency::Deduplicated { group, window }) => {
-            group == DeduplicationScope::All && since < window
+        (_, Idempotency::Deduplicated { scope, window }) => {
+            scope == DeduplicationScope::All && since < window
         }
     }
 }
--- a/crates/rehearsal/src/scenario/workload.rs
+++ b/crates/rehearsal/src/scenario/workload.rs
@@ -63,8 +63,8 @@
             self.deduplication_scope,
             self.deduplication_window,
         ) {
-            (MethodKind::Deduplicated, Some(group), Some(window)) => Idempotency::Deduplicated {
-                group,
+            (MethodKind::Deduplicated, Some(scope), Some(window)) => Idempotency::Deduplicated {
+                scope,
                 window: window.0,
             },
             (MethodKind::NonIdempotent, ..) => Idempotency::NonIdempotent,
--- a/crates/rehearsal/tests/scenario_file.rs
+++ b/crates/rehearsal/tests/scenario_file.rs
@@ -135,11 +135,11 @@
 fn the_method_table_keeps_its_keys() {
     let methods = every_key().methods;
     let effects: Vec<_> = methods.iter().map(Method::idempotency).collect();
-    let (group, window) = (DeduplicationScope::Rack, 4.0);
+    let (scope, window) = (DeduplicationScope::Rack, 4.0);
     assert_eq!(
         effects,
         [
-            Idempotency::Deduplicated { group, window },
+            Idempotency::Deduplicated { scope, window },
             Idempotency::NonIdempotent,
             Idempotency::Idempotent
         ]
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -248,8 +248,8 @@
         let method = self.plan.arrivals[rpc as usize].method;
         let machine = &self.machines[received.node as usize];
         match self.scenario.methods[method as usize].idempotency() {
-            Idempotency::Deduplicated { group, window } => Some(IdempotencyKey {
-                group: group.number(machine.zone, machine.rack),
+            Idempotency::Deduplicated { scope, window } => Some(IdempotencyKey {
+                group: scope.group_id(machine.zone, machine.rack),
                 key: u64::from(rpc),
                 window,
             }),
