--- a/crates/backend-model/src/backend.rs
+++ b/crates/backend-model/src/backend.rs
@@ -9,7 +9,7 @@
 
 /// Properties of a backend.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spec {
+pub struct BackendParameters {
     /// Number of cores.
     pub cores: usize,
     /// Speed of a core, in standard cores.
@@ -36,7 +36,7 @@
 
 /// How a backend's process starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartMode {
     /// With its full capacity.
     Warm,
     /// With its initial capacity.
@@ -121,7 +121,7 @@
 /// Each call first lets everything happen that was due before `now`, in seconds, and appends it to `events`.
 #[derive(Debug)]
 pub struct Backend {
-    spec: Spec,
+    spec: BackendParameters,
     capacity: CapacityModel,
     /// By arrival number.
     queue: BTreeMap<u64, (AttemptId, AdmittedWork)>,
@@ -140,8 +140,8 @@
 
 impl Backend {
     /// Starts a process at `now`, in seconds.
-    pub fn new(spec: Spec, now: f64, start: Start) -> Self {
-        let cold = start == Start::Cold;
+    pub fn new(spec: BackendParameters, now: f64, start: StartMode) -> Self {
+        let cold = start == StartMode::Cold;
         Self {
             capacity: CapacityModel::new(
                 spec.speed,
--- a/crates/backend-model/src/lib.rs
+++ b/crates/backend-model/src/lib.rs
@@ -10,7 +10,8 @@
 pub mod work;
 
 pub use backend::{
-    AttemptId, Backend, BackendEvent, IncomingWork, LoadReport, RejectionReason, Spec, Start,
+    AttemptId, Backend, BackendEvent, BackendParameters, IncomingWork, LoadReport, RejectionReason,
+    StartMode,
 };
 pub use deduplication::{DeduplicationCache, IdempotencyKey};
 pub use work::Work;
--- a/crates/backend-model/tests/backend/deduplication.rs
+++ b/crates/backend-model/tests/backend/deduplication.rs
@@ -1,10 +1,10 @@
 //! Deduplication of RPCs with an idempotency key.
 use crate::harness::{TestBackend, incoming, spec};
-use birchhub_backend_model::{BackendEvent, IdempotencyKey, IncomingWork, Start};
+use birchhub_backend_model::{BackendEvent, IdempotencyKey, IncomingWork, StartMode};
 
 #[test]
 fn duplicates_are_dropped_within_their_group_and_window() {
-    let mut backend = TestBackend::new(spec(), Start::Warm);
+    let mut backend = TestBackend::new(spec(), StartMode::Warm);
     let mut is_dropped = |now: f64, attempt_id, group, key| {
         let idempotency_key = Some(IdempotencyKey {
             group,
--- a/crates/backend-model/tests/backend/execution.rs
+++ b/crates/backend-model/tests/backend/execution.rs
@@ -1,16 +1,16 @@
 //! Execution: cancellation, neighbours on the machine, and load reports.
 use crate::harness::{Completion, TestBackend, spec};
-use birchhub_backend_model::{Spec, Start};
+use birchhub_backend_model::{BackendParameters, StartMode};
 
 #[test]
 fn cancellation_stops_an_execution_only_where_the_backend_supports_it() {
     for stops in [true, false] {
-        let spec = Spec {
+        let spec = BackendParameters {
             cancel_stops_execution: stops,
             cores: 1,
             ..spec()
         };
-        let mut backend = TestBackend::new(spec, Start::Warm);
+        let mut backend = TestBackend::new(spec, StartMode::Warm);
         for attempt_id in 0..3 {
             backend
                 .receive(0.0, attempt_id, 1.0)
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_neighbour_slows_a_backend_and_load_reports_have_their_age() {
-    let mut backend = TestBackend::new(spec(), Start::Warm);
+    let mut backend = TestBackend::new(spec(), StartMode::Warm);
     backend.backend.report(0.0);
     backend.receive(0.1, 1, 1.0).expect("queue capacity");
     assert_eq!(backend.backend.report(0.2).in_flight, 0);
--- a/crates/backend-model/tests/backend/harness.rs
+++ b/crates/backend-model/tests/backend/harness.rs
@@ -1,12 +1,12 @@
 //! A backend with its deduplication cache and its events, driven by hand.
 use birchhub_backend_model::{
-    AttemptId, Backend, BackendEvent, DeduplicationCache, IncomingWork, RejectionReason, Spec,
-    Start,
+    AttemptId, Backend, BackendEvent, BackendParameters, DeduplicationCache, IncomingWork,
+    RejectionReason, StartMode,
 };
 
 /// Two cores and a queue of four, which warm up from a quarter of their capacity in 8 s.
-pub(crate) fn spec() -> Spec {
-    Spec {
+pub(crate) fn spec() -> BackendParameters {
+    BackendParameters {
         cores: 2,
         speed: 1.0,
         queue_capacity: 4,
@@ -47,7 +47,7 @@
 }
 
 impl TestBackend {
-    pub(crate) fn new(spec: Spec, start: Start) -> Self {
+    pub(crate) fn new(spec: BackendParameters, start: StartMode) -> Self {
         Self {
             backend: Backend::new(spec, 0.0, start),
             deduplication: DeduplicationCache::default(),
--- a/crates/backend-model/tests/backend/reference_model.rs
+++ b/crates/backend-model/tests/backend/reference_model.rs
@@ -1,6 +1,6 @@
 //! Generated input: completion times agree with a reference model in small steps, and no RPC is lost.
 use crate::harness::{Completion, TestBackend, spec};
-use birchhub_backend_model::{BackendEvent, Spec, Start};
+use birchhub_backend_model::{BackendEvent, BackendParameters, StartMode};
 use quickcheck::{Gen, QuickCheck, TestResult};
 use std::collections::VecDeque;
 
@@ -35,8 +35,8 @@
 /// Completion times by attempt id of the same backend in small steps: each core has its part of the speed; there is no
 /// work clock and no ordered map.
 fn reference_completions(
-    spec: &Spec,
-    start: Start,
+    spec: &BackendParameters,
+    start: StartMode,
     stall: Stall,
     arrivals: &[Arrival],
 ) -> Vec<Completion> {
@@ -78,10 +78,10 @@
     completions
 }
 
-fn warm_share(spec: &Spec, start: Start, now: f64) -> f64 {
+fn warm_share(spec: &BackendParameters, start: StartMode, now: f64) -> f64 {
     let age = match start {
-        Start::Cold => (now + STEP / 2.0) / spec.warm_up_seconds,
-        Start::Warm => 1.0,
+        StartMode::Cold => (now + STEP / 2.0) / spec.warm_up_seconds,
+        StartMode::Warm => 1.0,
     };
     spec.initial_capacity + (1.0 - spec.initial_capacity) * age.min(1.0)
 }
@@ -94,7 +94,12 @@
 }
 
 /// Completion times by attempt id of the backend that is tested.
-fn completions(spec: &Spec, start: Start, stall: Stall, arrivals: &[Arrival]) -> Vec<Completion> {
+fn completions(
+    spec: &BackendParameters,
+    start: StartMode,
+    stall: Stall,
+    arrivals: &[Arrival],
+) -> Vec<Completion> {
     let mut backend = TestBackend::new(spec.clone(), start);
     let mut calls = vec![
         (stall.from, Call::Stall(true)),
@@ -130,7 +135,7 @@
     if arrivals.is_empty() || arrivals.len() > 30 {
         return TestResult::discard();
     }
-    let spec = Spec {
+    let spec = BackendParameters {
         queue_capacity: 1000,
         collapse_factor: 1e9,
         ..spec()
@@ -146,7 +151,11 @@
         from: f64::from(stall.0) / 100.0,
         duration: f64::from(stall.1) / 200.0,
     };
-    let start = if cold { Start::Cold } else { Start::Warm };
+    let start = if cold {
+        StartMode::Cold
+    } else {
+        StartMode::Warm
+    };
     let found = completions(&spec, start, stall, &arrivals);
     let expected = reference_completions(&spec, start, stall, &arrivals);
     let agree = |(expected, found): (&Completion, &Completion)| {
@@ -158,7 +167,7 @@
 
 /// Every RPC is rejected, finished or cancelled: none is lost and none ends twice.
 fn each_rpc_ends_once(moves: Vec<(u8, u8, u8)>) -> bool {
-    let mut backend = TestBackend::new(spec(), Start::Warm);
+    let mut backend = TestBackend::new(spec(), StartMode::Warm);
     let mut now = 0.0;
     let mut admitted = 0;
     let mut cancelled = 0;
--- a/crates/emulator/src/backend.rs
+++ b/crates/emulator/src/backend.rs
@@ -13,7 +13,7 @@
 use crate::faults::{ActiveFaults, Fault};
 use crate::fleet::Fleet;
 use birchhub_audit::Event;
-use birchhub_backend_model::{BackendEvent, Spec, Start};
+use birchhub_backend_model::{BackendEvent, BackendParameters, StartMode};
 use incarnation::{Incarnation, Shutdown};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -34,7 +34,7 @@
     /// Number of its rack within the zone.
     pub rack: u32,
     /// Capacity, queue and slow start of its model.
-    pub model: Spec,
+    pub model: BackendParameters,
     /// Time after which an idle connection is closed, in seconds.
     pub idle_timeout_seconds: f64,
 }
@@ -98,7 +98,7 @@
     }
 
     /// Starts an incarnation and returns its number. The one before must have ended.
-    pub fn start(self: &Rc<Self>, start: Start) -> io::Result<u32> {
+    pub fn start(self: &Rc<Self>, start: StartMode) -> io::Result<u32> {
         incarnation::start(self, start)
     }
 
--- a/crates/emulator/src/backend/incarnation.rs
+++ b/crates/emulator/src/backend/incarnation.rs
@@ -2,7 +2,7 @@
 use super::EmulatedBackend;
 use crate::wire::listen;
 use birchhub_audit::Event;
-use birchhub_backend_model::{AttemptId, Backend, Start};
+use birchhub_backend_model::{AttemptId, Backend, StartMode};
 use std::collections::{BTreeSet, HashMap};
 use std::io;
 use std::rc::Rc;
@@ -47,7 +47,7 @@
 }
 
 /// Listens at the backend's addresses and starts the tasks of a new incarnation. Returns its number.
-pub(super) fn start(backend: &Rc<EmulatedBackend>, start: Start) -> io::Result<u32> {
+pub(super) fn start(backend: &Rc<EmulatedBackend>, start: StartMode) -> io::Result<u32> {
     let listeners = backend
         .addresses
         .iter()
@@ -67,7 +67,7 @@
     fleet.event_log.record(Event::BackendStarted {
         incarnation: number,
         backend: backend.spec.index,
-        cold: start == Start::Cold,
+        cold: start == StartMode::Cold,
         warm_capacity: (spec.cores as f64 * spec.speed) as f32,
     });
     let (shutdown, shutdown_seen) = watch::channel(Shutdown::Running);
--- a/crates/emulator/tests/emulator/backend_faults.rs
+++ b/crates/emulator/tests/emulator/backend_faults.rs
@@ -4,7 +4,7 @@
 };
 use birchhub_audit::Event;
 use birchhub_audit::event::{Admission, AttemptEnd, ReceivedAttempt};
-use birchhub_backend_model::Start;
+use birchhub_backend_model::StartMode;
 use birchhub_emulator::Fault;
 use birchhub_emulator::fleet::request_id_of;
 use birchhub_emulator::wire::{Peer, ReadError};
@@ -42,7 +42,7 @@
         {
             sleep(Duration::from_millis(1)).await;
         }
-        backend.start(Start::Warm).expect("an incarnation");
+        backend.start(StartMode::Warm).expect("an incarnation");
         Connection::open(&backend, &event_log, 0)
             .await
             .send(2)
--- a/crates/emulator/tests/emulator/backend_requests.rs
+++ b/crates/emulator/tests/emulator/backend_requests.rs
@@ -5,7 +5,7 @@
 };
 use birchhub_audit::Event;
 use birchhub_audit::event::{Admission, AttemptEnd, ReceivedAttempt};
-use birchhub_backend_model::Start;
+use birchhub_backend_model::StartMode;
 use birchhub_emulator::fleet::request_id_of;
 use birchhub_emulator::wire::{Peer, ReadError};
 use std::time::Duration;
@@ -152,7 +152,7 @@
 fn a_backend_overloaded_in_slow_start_collapses_and_stays_down() {
     on_one_thread(|event_log, entries| async move {
         let backend = backend(&event_log, 0.5);
-        backend.start(Start::Cold).expect("an incarnation");
+        backend.start(StartMode::Cold).expect("an incarnation");
         // The cold capacity is half of a core, and the backend collapses at three times that within a second.
         for request_id in 0..4 {
             Connection::open(&backend, &event_log, 0)
--- a/crates/emulator/tests/emulator/common.rs
+++ b/crates/emulator/tests/emulator/common.rs
@@ -1,6 +1,6 @@
 //! Helpers of the emulator's tests: a backend, a proxy's connection to it, and recorded events.
 use birchhub_audit::{DeduplicationScope, Entry, Event, Idempotency};
-use birchhub_backend_model::{Spec, Start, Work, work::Spread};
+use birchhub_backend_model::{BackendParameters, StartMode, Work, work::Spread};
 use birchhub_emulator::wire::{Message, MessageKind, Peer, ReadError};
 use birchhub_emulator::{BackendSpec, Clock, EmulatedBackend, EventLog, Fleet, MethodCost};
 use std::future::Future;
@@ -52,7 +52,7 @@
         method("log", deduplicated),
     ];
     let fleet = Rc::new(Fleet::new(event_log.clone(), 1, costs));
-    let model = Spec {
+    let model = BackendParameters {
         cores: 1,
         speed: 1.0,
         queue_capacity: 1,
@@ -79,7 +79,7 @@
 /// A backend that is started and warm.
 pub(crate) fn warm_backend(event_log: &EventLog, work: f64) -> Rc<EmulatedBackend> {
     let backend = backend(event_log, work);
-    backend.start(Start::Warm).expect("a start");
+    backend.start(StartMode::Warm).expect("a start");
     backend
 }
 
--- a/crates/rehearsal/src/environment/actions.rs
+++ b/crates/rehearsal/src/environment/actions.rs
@@ -2,7 +2,7 @@
 use super::Environment;
 use crate::plan::{Action, BackendFault};
 use birchhub_audit::{EndpointState, Event};
-use birchhub_backend_model::Start;
+use birchhub_backend_model::StartMode;
 use birchhub_emulator::Fault;
 use birchhub_emulator::discovery_service::Endpoint;
 use std::rc::Rc;
@@ -135,7 +135,7 @@
             return;
         }
         let delay_seconds = self.discovery_lag_seconds;
-        match backend.start(Start::Cold) {
+        match backend.start(StartMode::Cold) {
             Ok(incarnation) => {
                 self.publish(node, incarnation, EndpointState::Ready, delay_seconds);
             }
--- a/crates/rehearsal/src/environment/mod.rs
+++ b/crates/rehearsal/src/environment/mod.rs
@@ -14,7 +14,7 @@
 use crate::scenario::{LoadReports, Scenario};
 use crate::settings;
 use birchhub_audit::{EndpointState, Event};
-use birchhub_backend_model::{Start, Work};
+use birchhub_backend_model::{StartMode, Work};
 use birchhub_emulator::discovery_service::{Endpoint, ServiceCapacity};
 use birchhub_emulator::relay::{Relay, Window};
 use birchhub_emulator::{
@@ -231,7 +231,7 @@
     /// Starts the first `count` backends warm and publishes them at once.
     fn start_first_backends(&self, count: usize) -> io::Result<()> {
         for index in 0..count {
-            let incarnation = self.backends[index].start(Start::Warm)?;
+            let incarnation = self.backends[index].start(StartMode::Warm)?;
             let endpoint = Endpoint {
                 incarnation,
                 ..self.endpoints[index].clone()
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::plan::{Plan, PlannedNode, proxy_name};
 use crate::scenario::{LoadReports, Method, MethodKind, Scenario, Tenant};
 use birchhub_audit::{DeduplicationScope, Header, RuleParameters, header};
-use birchhub_backend_model::Spec;
+use birchhub_backend_model::BackendParameters;
 use serde_json::{Value, json};
 
 /// Connect timeout of proxies.
@@ -79,10 +79,10 @@
 }
 
 /// Returns the specification of a planned backend, for sockets and for simulated time.
-pub fn spec(scenario: &Scenario, planned: &PlannedNode) -> Spec {
+pub fn spec(scenario: &Scenario, planned: &PlannedNode) -> BackendParameters {
     let machine = &scenario.fleet.machines[planned.machine];
     let rules = &scenario.rules;
-    Spec {
+    BackendParameters {
         cores: machine.cores,
         speed: machine.speed,
         queue_capacity: machine.queue_capacity,
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -8,14 +8,14 @@
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_audit::event::AttemptEnd;
 use birchhub_audit::{EndpointState, Event};
-use birchhub_backend_model::{Backend, BackendEvent, DeduplicationCache, Start};
+use birchhub_backend_model::{Backend, BackendEvent, DeduplicationCache, StartMode};
 
 /// Timeout of a health check in seconds, by the proxy's own clock.
 const HEALTH_CHECK_TIMEOUT_SECONDS: f64 = 0.1;
 
 impl World<'_> {
     /// Starts a backend on a machine and returns its incarnation.
-    pub(super) fn start_backend(&mut self, node: u32, how: Start) -> u32 {
+    pub(super) fn start_backend(&mut self, node: u32, how: StartMode) -> u32 {
         let now = self.now;
         let incarnation = self.next_incarnation;
         self.next_incarnation += 1;
@@ -25,12 +25,12 @@
         model.scale(now, factor, &mut self.deduplication, &mut Vec::new());
         let warm_capacity = (machine.spec.cores as f64 * machine.spec.speed) as f32;
         machine.backend = Some(BackendProcess { incarnation, model });
-        machine.cold_started_at = (how == Start::Cold).then_some(now);
+        machine.cold_started_at = (how == StartMode::Cold).then_some(now);
         machine.stalls.clear();
         self.record(Event::BackendStarted {
             incarnation,
             backend: node,
-            cold: how == Start::Cold,
+            cold: how == StartMode::Cold,
             warm_capacity,
         });
         incarnation
@@ -42,7 +42,7 @@
             return;
         }
         let list_entry = ListEntry {
-            incarnation: self.start_backend(node, Start::Cold),
+            incarnation: self.start_backend(node, StartMode::Cold),
             state: EndpointState::Ready,
             started: Some(self.now),
         };
--- a/crates/simulation/src/world/machine.rs
+++ b/crates/simulation/src/world/machine.rs
@@ -1,6 +1,6 @@
 //! A machine of the deployment, and the backend process on it.
 use super::event::SimulationEvent;
-use birchhub_backend_model::{Backend, Spec};
+use birchhub_backend_model::{Backend, BackendParameters};
 use birchhub_rehearsal::plan::{BackendFault, PlannedNode};
 use birchhub_rehearsal::scenario::Scenario;
 use birchhub_rehearsal::settings;
@@ -25,7 +25,7 @@
 /// A machine of the deployment.
 pub(super) struct Machine {
     /// Its size and speed.
-    pub(super) spec: Spec,
+    pub(super) spec: BackendParameters,
     /// The zone that it is in.
     pub(super) zone: u32,
     /// The rack that it is in.
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -19,7 +19,7 @@
 use birchhub::interface::Settings;
 use birchhub_audit::event::ProxyEnd;
 use birchhub_audit::{EndpointState, Entry, Event, Header, RequestOutcome};
-use birchhub_backend_model::{DeduplicationCache, Start};
+use birchhub_backend_model::{DeduplicationCache, StartMode};
 use birchhub_rehearsal::plan::Plan;
 use birchhub_rehearsal::scenario::Scenario;
 use birchhub_rehearsal::settings;
@@ -159,7 +159,7 @@
     fn set_up(&mut self) {
         for node in 0..self.plan.first_nodes() as u32 {
             let list_entry = ListEntry {
-                incarnation: self.start_backend(node, Start::Warm),
+                incarnation: self.start_backend(node, StartMode::Warm),
                 state: EndpointState::Ready,
                 started: None,
             };
