--- a/crates/backend-model/src/lib.rs
+++ b/crates/backend-model/src/lib.rs
@@ -14,4 +14,4 @@
     StartMode,
 };
 pub use deduplication::{DeduplicationCache, IdempotencyKey};
-pub use work::Work;
+pub use work::WorkDistribution;
--- a/crates/backend-model/src/work.rs
+++ b/crates/backend-model/src/work.rs
@@ -19,7 +19,7 @@
 
 /// Work of a method's RPCs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Work {
+pub struct WorkDistribution {
     /// Mean, in seconds of a standard core.
     pub mean: f64,
     /// Distribution around the mean.
@@ -35,7 +35,7 @@
     Pcg64Mcg::seed_from_u64(z ^ (z >> 31))
 }
 
-impl Work {
+impl WorkDistribution {
     /// Returns the work of the RPC with this id, in seconds of a standard core.
     pub fn sample(&self, seed: u64, id: u64) -> f64 {
         let mut generator = generator(seed, id);
--- a/crates/backend-model/tests/work.rs
+++ b/crates/backend-model/tests/work.rs
@@ -1,5 +1,5 @@
 //! The work of RPCs.
-use birchhub_backend_model::Work;
+use birchhub_backend_model::WorkDistribution;
 use birchhub_backend_model::work::Spread;
 
 /// The same RPC has the same work at every backend, and the distribution is the one named.
@@ -10,7 +10,7 @@
         (Spread::Exponential, 1.0),
         (Spread::HeavyTail, 2.0),
     ] {
-        let work = Work { mean: 0.05, spread };
+        let work = WorkDistribution { mean: 0.05, spread };
         assert_eq!(work.sample(1, 7), work.sample(1, 7));
         let samples: Vec<f64> = (0..200_000).map(|id| work.sample(3, id)).collect();
         let mean = samples.iter().sum::<f64>() / samples.len() as f64;
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -2,7 +2,7 @@
 //! incarnations.
 use crate::event_log::EventLog;
 use birchhub_audit::Idempotency;
-use birchhub_backend_model::{DeduplicationCache, IdempotencyKey, Work, work};
+use birchhub_backend_model::{DeduplicationCache, IdempotencyKey, WorkDistribution, work};
 use rand::Rng;
 use std::cell::{Cell, RefCell};
 
@@ -16,7 +16,7 @@
     /// Name of the method: the first segment of the path.
     pub name: String,
     /// Distribution of the work.
-    pub work: Work,
+    pub work: WorkDistribution,
     /// Whether the method may be executed more than once, and which backends deduplicate it.
     pub idempotency: Idempotency,
 }
--- a/crates/emulator/tests/emulator/common.rs
+++ b/crates/emulator/tests/emulator/common.rs
@@ -1,6 +1,6 @@
 //! Helpers of the emulator's tests: a backend, a proxy's connection to it, and recorded events.
 use birchhub_audit::{DeduplicationScope, Entry, Event, Idempotency};
-use birchhub_backend_model::{BackendParameters, StartMode, Work, work::Spread};
+use birchhub_backend_model::{BackendParameters, StartMode, WorkDistribution, work::Spread};
 use birchhub_emulator::wire::{Message, MessageKind, Peer, ReadError};
 use birchhub_emulator::{BackendSpec, Clock, EmulatedBackend, EventLog, Fleet, MethodCost};
 use std::future::Future;
@@ -37,7 +37,7 @@
 pub(crate) fn backend(event_log: &EventLog, work: f64) -> Rc<EmulatedBackend> {
     let method = |name: &str, idempotency| MethodCost {
         name: name.into(),
-        work: Work {
+        work: WorkDistribution {
             mean: work,
             spread: Spread::Constant,
         },
--- a/crates/rehearsal/src/environment/mod.rs
+++ b/crates/rehearsal/src/environment/mod.rs
@@ -14,7 +14,7 @@
 use crate::scenario::{LoadReports, Scenario};
 use crate::settings;
 use birchhub_audit::{EndpointState, Event};
-use birchhub_backend_model::{StartMode, Work};
+use birchhub_backend_model::{StartMode, WorkDistribution};
 use birchhub_emulator::discovery_service::{Endpoint, ServiceCapacity};
 use birchhub_emulator::relay::{Relay, Window};
 use birchhub_emulator::{
@@ -141,7 +141,7 @@
 fn build_fleet(scenario: &Scenario, plan: &Plan, event_log: EventLog) -> Fleet {
     let costs = scenario.methods.iter().map(|method| MethodCost {
         name: method.name.clone(),
-        work: Work {
+        work: WorkDistribution {
             mean: method.mean_work.0,
             spread: method.spread,
         },
--- a/crates/rehearsal/src/plan/arrivals.rs
+++ b/crates/rehearsal/src/plan/arrivals.rs
@@ -1,6 +1,6 @@
 //! The arrivals of RPCs: a Poisson process with a varying rate, and the properties of each RPC.
 use crate::scenario::{Phase, Scenario, Tenant};
-use birchhub_backend_model::{Work, work::generator};
+use birchhub_backend_model::{WorkDistribution, work::generator};
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 use serde::Serialize;
@@ -126,7 +126,7 @@
             self.cancellation_random.random::<f64>() < self.scenario.clients.cancelling_fraction;
         let cancel_after = cancels.then(|| self.cancellation_random.random());
         let method = &self.scenario.methods[method_index];
-        let work = Work {
+        let work = WorkDistribution {
             mean: method.mean_work.0,
             spread: method.spread,
         };
