--- a/crates/audit/src/audit/mod.rs
+++ b/crates/audit/src/audit/mod.rs
@@ -9,9 +9,9 @@
 mod tracker;
 mod violations;
 
-use crate::event::{Admission, Answer, AttemptEnd, Entry, Event};
+use crate::event::{Admission, AttemptEnd, Entry, Event, RequestOutcome};
 use crate::findings::{Counts, Findings, LatenessSummary};
-use crate::head::Head;
+use crate::header::Header;
 use crate::service::Totals;
 use draining::Draining;
 use no_duplicate_effect::NoDuplicateEffect;
@@ -38,24 +38,24 @@
 
 impl<'a> Audit<'a> {
     /// Returns an audit that has seen no entry.
-    pub fn new(head: &'a Head) -> Self {
+    pub fn new(header: &'a Header) -> Self {
         Self {
-            tracker: Tracker::new(head),
+            tracker: Tracker::new(header),
             one_answer: OneAnswer::default(),
             no_duplicate_effect: NoDuplicateEffect::default(),
             draining: Draining::default(),
             slow_start: SlowStart::default(),
             violations: Violations::default(),
             counts: Counts::default(),
-            totals: Totals::new(head),
+            totals: Totals::new(header),
             client_lateness: Vec::new(),
             emulator_lateness: Vec::new(),
         }
     }
 
     /// Audits a complete ledger, whose entries are in the order of time.
-    pub fn of(head: &'a Head, entries: &[Entry]) -> Findings {
-        let mut audit = Self::new(head);
+    pub fn of(header: &'a Header, entries: &[Entry]) -> Findings {
+        let mut audit = Self::new(header);
         for entry in entries {
             audit.feed(entry);
         }
@@ -91,9 +91,10 @@
                     .record_arrival(entry.at, rpc, method, tenant, within_quota);
             }
             Event::RequestSent { .. } => counts.client_requests += 1,
-            Event::RequestAnswered { request_id, answer } => {
-                self.count_answer(entry.at, request_id, answer)
-            }
+            Event::RequestEnded {
+                request_id,
+                outcome,
+            } => self.count_outcome(entry.at, request_id, outcome),
             Event::AttemptReceived(received) => {
                 counts.attempts += 1;
                 counts.attempts_rejected += usize::from(received.admission == Admission::Rejected);
@@ -111,23 +112,23 @@
     }
 
     /// Counts the first answer of a request.
-    fn count_answer(&mut self, at: f64, request_id: u64, answer: Answer) {
+    fn count_outcome(&mut self, at: f64, request_id: u64, outcome: RequestOutcome) {
         let Some(request) = self.tracker.requests.get(&request_id) else {
             return;
         };
-        if request.answer_count > 1 {
+        if request.outcome_count > 1 {
             return;
         }
-        match answer {
-            Answer::Ok => {
+        match outcome {
+            RequestOutcome::Ok => {
                 self.counts.ok += 1;
                 self.totals.record_success(at, request.rpc);
             }
-            Answer::Rejected(_) => self.counts.rejected += 1,
-            Answer::Aborted(_) => self.counts.aborted += 1,
-            Answer::Unreachable => self.counts.unreachable += 1,
-            Answer::Cancelled => self.counts.cancelled += 1,
-            Answer::Lost | Answer::TimedOut | Answer::Malformed => {}
+            RequestOutcome::Rejected(_) => self.counts.rejected += 1,
+            RequestOutcome::Aborted(_) => self.counts.aborted += 1,
+            RequestOutcome::Unreachable => self.counts.unreachable += 1,
+            RequestOutcome::Cancelled => self.counts.cancelled += 1,
+            RequestOutcome::Lost | RequestOutcome::TimedOut | RequestOutcome::Malformed => {}
         }
     }
 
--- a/crates/audit/src/audit/tracker.rs
+++ b/crates/audit/src/audit/tracker.rs
@@ -1,6 +1,6 @@
 //! Shared state of the rules: RPCs, client requests and their attempts, backends, and what proxies know of them.
-use crate::event::{Admission, Answer, EndpointState, Entry, Event, ReceivedAttempt};
-use crate::head::{Head, Idempotency};
+use crate::event::{Admission, EndpointState, Entry, Event, ReceivedAttempt, RequestOutcome};
+use crate::header::{Header, Idempotency};
 use std::collections::{BTreeMap, HashMap};
 
 /// An attempt of a proxy at a backend.
@@ -35,9 +35,9 @@
     /// How long the client waits for the answer, in seconds.
     client_timeout: f64,
     /// When the first answer arrived, in seconds, and the answer.
-    pub(super) answer: Option<(f64, Answer)>,
+    pub(super) outcome: Option<(f64, RequestOutcome)>,
     /// Number of answers received.
-    pub(super) answer_count: usize,
+    pub(super) outcome_count: usize,
     /// Attempts of the proxy, in the order in which backends received them.
     pub(super) attempts: Vec<Attempt>,
 }
@@ -52,7 +52,7 @@
 /// One run of a backend's process.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Incarnation {
-    /// Index of the backend in the ledger's head.
+    /// Index of the backend in the ledger's header.
     pub(super) backend: u32,
     /// When the process started, in seconds.
     pub(super) started_at: f64,
@@ -70,7 +70,7 @@
 
 /// The state that the events of a ledger describe, up to the last one recorded.
 pub(super) struct Tracker<'a> {
-    pub(super) head: &'a Head,
+    pub(super) header: &'a Header,
     /// Time of the latest event, in seconds.
     pub(super) now: f64,
     /// Client requests by id.
@@ -85,9 +85,9 @@
 }
 
 impl<'a> Tracker<'a> {
-    pub(super) fn new(head: &'a Head) -> Self {
+    pub(super) fn new(header: &'a Header) -> Self {
         Self {
-            head,
+            header,
             now: 0.0,
             requests: BTreeMap::new(),
             methods: HashMap::new(),
@@ -100,7 +100,10 @@
     /// Returns whether the RPC may run again; `None` if the RPC or its method is unknown.
     pub(super) fn idempotency(&self, rpc: u32) -> Option<Idempotency> {
         let method = self.methods.get(&rpc)?;
-        self.head.methods.get(*method).map(|method| method.kind)
+        self.header
+            .methods
+            .get(*method)
+            .map(|method| method.idempotency)
     }
 
     /// Returns the client request that an attempt serves.
@@ -153,8 +156,11 @@
                 proxy,
                 client_timeout,
             } => self.record_request(at, request_id, rpc, proxy, client_timeout),
-            Event::RequestAnswered { request_id, answer } => {
-                self.record_answer(at, request_id, answer);
+            Event::RequestEnded {
+                request_id,
+                outcome,
+            } => {
+                self.record_outcome(at, request_id, outcome);
             }
             Event::BackendStarted {
                 incarnation,
@@ -201,17 +207,17 @@
             proxy,
             sent_at: at,
             client_timeout: f64::from(client_timeout),
-            answer: None,
-            answer_count: 0,
+            outcome: None,
+            outcome_count: 0,
             attempts,
         };
         self.requests.insert(request_id, request);
     }
 
-    fn record_answer(&mut self, at: f64, request_id: u64, answer: Answer) {
+    fn record_outcome(&mut self, at: f64, request_id: u64, outcome: RequestOutcome) {
         if let Some(request) = self.requests.get_mut(&request_id) {
-            request.answer.get_or_insert((at, answer));
-            request.answer_count += 1;
+            request.outcome.get_or_insert((at, outcome));
+            request.outcome_count += 1;
         }
     }
 
@@ -257,8 +263,8 @@
                 proxy: u16::MAX,
                 sent_at: received.first_byte_at,
                 client_timeout: f64::INFINITY,
-                answer: None,
-                answer_count: 0,
+                outcome: None,
+                outcome_count: 0,
                 attempts: Vec::new(),
             });
         request.attempts.push(attempt);
--- a/crates/audit/src/head.rs
+++ b/crates/audit/src/header.rs
@@ -1,7 +1,7 @@
-//! The head of a ledger: the deployment, the methods, the planned faults, and the figures that the audit judges by.
+//! The header of a ledger: the deployment, the methods, the planned faults, and the figures that the audit judges by.
 use serde::{Deserialize, Serialize};
 
-/// Shown in place of a name that the head does not have.
+/// Shown in place of a name that the header does not have.
 const UNKNOWN_NAME: &str = "?";
 
 /// Shown in place of the tenant of an RPC without one.
@@ -20,9 +20,9 @@
 }
 
 impl DeduplicationScope {
-    /// Returns the number of the group that a backend in this zone and rack belongs to. Groups of different scopes
-    /// have different numbers.
-    pub fn number(self, zone: u32, rack: u32) -> u64 {
+    /// Returns the id of the deduplication group that a backend in this zone and rack belongs to. Ids of groups of
+    /// different scopes differ.
+    pub fn group_id(self, zone: u32, rack: u32) -> u64 {
         match self {
             Self::All => 0,
             Self::Zone => 1 << 40 | u64::from(zone),
@@ -42,7 +42,8 @@
     /// Only where backends drop duplicates.
     Deduplicated {
         /// The backends that drop duplicates of each other's RPCs.
-        group: DeduplicationScope,
+        #[serde(rename = "group")]
+        scope: DeduplicationScope,
         /// For how long they drop duplicates, in seconds from the first attempt that may have run.
         window: f64,
     },
@@ -55,7 +56,7 @@
             self,
             Self::Idempotent
                 | Self::Deduplicated {
-                    group: DeduplicationScope::All,
+                    scope: DeduplicationScope::All,
                     ..
                 }
         )
@@ -68,9 +69,11 @@
     /// Name of the method.
     pub name: String,
     /// Whether its RPCs may run again.
-    pub kind: Idempotency,
+    #[serde(rename = "kind")]
+    pub idempotency: Idempotency,
     /// Latency objective, in seconds: an answer within it has the full utility.
-    pub target: f64,
+    #[serde(rename = "target")]
+    pub latency_target: f64,
     /// Time after which an answer has no utility, in seconds.
     pub deadline: f64,
     /// Utility of an answer within the latency objective.
@@ -79,9 +82,9 @@
     pub late_utility: f64,
 }
 
-/// Figures that the rules are judged by.
+/// Limits and tolerances with which the audit checks the rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rules {
+pub struct RuleParameters {
     /// For how long new work may still reach a backend after its proxy learnt that it drains or is gone, in seconds.
     pub drain_grace: f64,
     /// Tolerance of each time limit for delays of sockets and of the rehearsal itself, in seconds.
@@ -145,19 +148,21 @@
     pub worst_tenant: Option<f64>,
 }
 
-/// The head of a ledger. Events refer to methods, tenants, proxies, backends and faults by their index in it.
+/// The header of a ledger. Events refer to methods, tenants, proxies, backends and faults by their index in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct Header {
     /// Name of the scenario.
     pub scenario: String,
     /// Seed from which the plan was generated.
     pub seed: u64,
     /// Hash of the plan.
-    pub plan: String,
-    /// Time of the last arrival, in seconds.
-    pub length: f64,
-    /// Figures that the rules are judged by.
-    pub rules: Rules,
+    #[serde(rename = "plan")]
+    pub plan_hash: String,
+    /// Duration of the scenario, in seconds: the last RPC arrives before its end.
+    #[serde(rename = "length")]
+    pub duration: f64,
+    /// Limits and tolerances with which the audit checks the rules.
+    pub rules: RuleParameters,
     /// Service that the scenario expects.
     #[serde(rename = "bars")]
     pub targets: ServiceTargets,
@@ -175,7 +180,7 @@
     pub faults: Vec<Fault>,
 }
 
-impl Head {
+impl Header {
     /// Whether duplicates of an RPC that one backend received are dropped at the other; both are given by index.
     pub fn shares_deduplication(&self, scope: DeduplicationScope, one: u32, other: u32) -> bool {
         let backend = |index: u32| self.backends.get(index as usize);
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,6 +1,6 @@
 //! The ledger of a rehearsal, and the audit of the four rules over it.
 //!
-//! - [`event`] and [`head`]: what can happen, and in which deployment.
+//! - [`event`] and [`header`]: what can happen, and in which deployment.
 //! - [`ledger`]: the file that stores both.
 //! - [`audit`]: checks the rules; [`findings`] holds its results and [`service`] the quality of service.
 //! - [`timeline`]: the entries as text.
@@ -10,13 +10,13 @@
 pub mod audit;
 pub mod event;
 pub mod findings;
-pub mod head;
+pub mod header;
 pub mod ledger;
 pub mod service;
 pub mod timeline;
 
 pub use audit::Audit;
-pub use event::{Answer, EndpointState, Entry, Event};
+pub use event::{EndpointState, Entry, Event, RequestOutcome};
 pub use findings::{Findings, Rule, Violation};
-pub use head::{DeduplicationScope, Head, Idempotency, Method, Rules};
+pub use header::{DeduplicationScope, Header, Idempotency, Method, RuleParameters};
 pub use service::Service;
--- a/crates/audit/tests/audit/builder.rs
+++ b/crates/audit/tests/audit/builder.rs
@@ -1,20 +1,20 @@
 //! Ledgers written by hand, event by event.
 use birchhub_audit::event::{Admission, AttemptEnd, ProxyEnd, ReceivedAttempt};
-use birchhub_audit::head::{Backend, ServiceTargets};
+use birchhub_audit::header::{Backend, ServiceTargets};
 use birchhub_audit::{
-    Answer, Audit, DeduplicationScope, Entry, Event, Findings, Head, Idempotency, Method, Rule,
-    Rules,
+    Audit, DeduplicationScope, Entry, Event, Findings, Header, Idempotency, Method, RequestOutcome,
+    Rule, RuleParameters,
 };
 
 pub(crate) const READ: u8 = 0;
 pub(crate) const BOOK: u8 = 1;
 pub(crate) const LOG: u8 = 2;
 
-pub(crate) fn head() -> Head {
-    let method = |name: &str, kind| Method {
+pub(crate) fn header() -> Header {
+    let method = |name: &str, idempotency| Method {
         name: name.into(),
-        kind,
-        target: 0.2,
+        idempotency,
+        latency_target: 0.2,
         deadline: 0.5,
         utility: 2.0,
         late_utility: 0.25,
@@ -24,12 +24,12 @@
         zone: 0,
         rack,
     };
-    Head {
+    Header {
         scenario: "by hand".into(),
         seed: 1,
-        plan: "0".into(),
-        length: 30.0,
-        rules: Rules {
+        plan_hash: "0".into(),
+        duration: 30.0,
+        rules: RuleParameters {
             drain_grace: 0.3,
             slack: 0.05,
             overload_window: 1.0,
@@ -45,7 +45,7 @@
             method(
                 "log",
                 Idempotency::Deduplicated {
-                    group: DeduplicationScope::Rack,
+                    scope: DeduplicationScope::Rack,
                     window: 1.0,
                 },
             ),
@@ -150,8 +150,19 @@
         self.at(at, Event::AttemptEnded { attempt_id, how })
     }
 
-    pub(crate) fn answered(&mut self, at: f64, request_id: u64, answer: Answer) -> &mut Self {
-        self.at(at, Event::RequestAnswered { request_id, answer })
+    pub(crate) fn answered(
+        &mut self,
+        at: f64,
+        request_id: u64,
+        outcome: RequestOutcome,
+    ) -> &mut Self {
+        self.at(
+            at,
+            Event::RequestEnded {
+                request_id,
+                outcome,
+            },
+        )
     }
 
     /// An RPC that succeeds.
@@ -162,7 +173,7 @@
             .attempt(at + 0.001, request_id, attempt_id, 0, Admission::Admitted)
             .executes(at + 0.001, attempt_id);
         self.attempt_ends(at + 0.06, attempt_id, AttemptEnd::Replied)
-            .answered(at + 0.061, request_id, Answer::Ok)
+            .answered(at + 0.061, request_id, RequestOutcome::Ok)
     }
 
     /// Audits the ledger, whose proxies end after 40 s.
@@ -175,7 +186,7 @@
             },
         );
         self.0.sort_by(|a, b| a.at.total_cmp(&b.at));
-        Audit::of(&head(), &self.0)
+        Audit::of(&header(), &self.0)
     }
 
     /// Asserts that the audit finds one violation, with this rule and subject.
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -1,11 +1,11 @@
 //! The stored form of a ledger. `fixtures/ledger-1` and `fixtures/records.jsonl` were written by the code of
 //! 2026-12-02; ledgers of that time can be read, and new ones have the same bytes.
 use birchhub_audit::event::{Admission, AttemptEnd, ProxyEnd, ReceivedAttempt};
-use birchhub_audit::head::{Backend, Fault, ServiceTargets};
+use birchhub_audit::header::{Backend, Fault, ServiceTargets};
 use birchhub_audit::timeline::Timeline;
 use birchhub_audit::{
-    Answer, Audit, DeduplicationScope, EndpointState, Entry, Event, Head, Idempotency, Method,
-    Rules, ledger,
+    Audit, DeduplicationScope, EndpointState, Entry, Event, Header, Idempotency, Method,
+    RequestOutcome, RuleParameters, ledger,
 };
 
 const LEDGER: &[u8] = include_bytes!("fixtures/ledger-1");
@@ -14,23 +14,23 @@
 const FINDINGS: &str = include_str!("fixtures/findings.json");
 const MAGIC: &str = "birchhub-ledger 1";
 const EVENT_KINDS: u8 = 21;
-const ANSWER_KINDS: u8 = 8;
-/// Number of the kind of record that holds an answer.
+const OUTCOME_KINDS: u8 = 8;
+/// Number of the kind of record that holds an outcome.
 const REQUEST_ANSWERED: u8 = 2;
 
-fn method(name: &str, kind: Idempotency) -> Method {
+fn method(name: &str, idempotency: Idempotency) -> Method {
     Method {
         name: name.into(),
-        kind,
-        target: 0.2,
+        idempotency,
+        latency_target: 0.2,
         deadline: 0.5,
         utility: 2.0,
         late_utility: 0.25,
     }
 }
 
-fn rules() -> Rules {
-    Rules {
+fn rules() -> RuleParameters {
+    RuleParameters {
         drain_grace: 0.3,
         slack: 0.05,
         overload_window: 1.5,
@@ -41,16 +41,16 @@
     }
 }
 
-fn deduplicated(group: DeduplicationScope) -> Idempotency {
-    Idempotency::Deduplicated { group, window: 4.0 }
+fn deduplicated(scope: DeduplicationScope) -> Idempotency {
+    Idempotency::Deduplicated { scope, window: 4.0 }
 }
 
-fn head() -> Head {
-    Head {
+fn header() -> Header {
+    Header {
         scenario: "every-record".into(),
         seed: 7,
-        plan: "0123abcd".into(),
-        length: 30.0,
+        plan_hash: "0123abcd".into(),
+        duration: 30.0,
         rules: rules(),
         targets: ServiceTargets {
             service: Some(0.99),
@@ -83,17 +83,17 @@
     }
 }
 
-fn answers() -> [Answer; 9] {
+fn outcomes() -> [RequestOutcome; 9] {
     [
-        Answer::Ok,
-        Answer::Rejected(None),
-        Answer::Rejected(Some(0.5)),
-        Answer::Aborted(503),
-        Answer::Lost,
-        Answer::Unreachable,
-        Answer::TimedOut,
-        Answer::Cancelled,
-        Answer::Malformed,
+        RequestOutcome::Ok,
+        RequestOutcome::Rejected(None),
+        RequestOutcome::Rejected(Some(0.5)),
+        RequestOutcome::Aborted(503),
+        RequestOutcome::Lost,
+        RequestOutcome::Unreachable,
+        RequestOutcome::TimedOut,
+        RequestOutcome::Cancelled,
+        RequestOutcome::Malformed,
     ]
 }
 
@@ -186,9 +186,9 @@
             client_timeout: 0.5,
         },
     ];
-    events.extend(answers().map(|answer| Event::RequestAnswered {
+    events.extend(outcomes().map(|outcome| Event::RequestEnded {
         request_id: 5,
-        answer,
+        outcome,
     }));
     events.extend(backend_events());
     events.extend(endpoint_list_events());
@@ -212,9 +212,9 @@
     events.into_iter().enumerate().map(timed).collect()
 }
 
-/// A ledger with the fixture's head and one record of these bytes after its time.
+/// A ledger with the fixture's header and one record of these bytes after its time.
 fn with_record(event: &[u8]) -> Result<ledger::Ledger, ledger::LedgerError> {
-    let mut file = format!("{MAGIC}\n{}\n", serde_json::to_string(&head()).unwrap()).into_bytes();
+    let mut file = format!("{MAGIC}\n{}\n", serde_json::to_string(&header()).unwrap()).into_bytes();
     let record = [&1.0_f64.to_le_bytes(), event].concat();
     file.extend((record.len() as u16).to_le_bytes());
     file.extend(record);
@@ -225,14 +225,14 @@
 fn a_stored_ledger_is_read_with_its_meaning() {
     let stored = ledger::read(LEDGER).expect("a ledger");
     assert!(!stored.truncated, "the fixture is complete");
-    assert_eq!(stored.head, head());
+    assert_eq!(stored.header, header());
     assert_eq!(stored.entries, entries());
 }
 
 #[test]
 fn a_ledger_is_written_byte_for_byte_as_before() {
     let mut written = Vec::new();
-    let mut writer = ledger::Writer::new(&mut written, &head()).expect("a head");
+    let mut writer = ledger::Writer::new(&mut written, &header()).expect("a header");
     for entry in entries() {
         writer.write(&entry).expect("a record");
     }
@@ -253,9 +253,12 @@
 
 #[test]
 fn the_head_keeps_its_names_and_the_order_of_its_fields() {
-    let line = LEDGER.split(|byte| *byte == b'\n').nth(1).expect("a head");
+    let line = LEDGER
+        .split(|byte| *byte == b'\n')
+        .nth(1)
+        .expect("a header");
     let line = std::str::from_utf8(line).expect("text");
-    assert_eq!(serde_json::to_string(&head()).expect("JSON"), line);
+    assert_eq!(serde_json::to_string(&header()).expect("JSON"), line);
     for name in [
         "non-idempotent",
         "\"group\":\"all\"",
@@ -267,39 +270,39 @@
     }
 }
 
-/// A new kind of record or answer has to join the fixture: it is added at the end, and `EVENT_KINDS` or
-/// `ANSWER_KINDS` grows.
+/// A new kind of record or outcome has to join the fixture: it is added at the end, and `EVENT_KINDS` or
+/// `OUTCOME_KINDS` grows.
 #[test]
-fn the_fixture_has_every_kind_of_record_and_answer() {
+fn the_fixture_has_every_kind_of_record_and_outcome() {
     let record = |event: &Event| postcard_bytes(event);
     let kinds: std::collections::BTreeSet<u8> = entries()
         .iter()
         .map(|entry| record(&entry.event)[0])
         .collect();
     assert_eq!(kinds, (0..EVENT_KINDS).collect());
-    let answer_kinds: std::collections::BTreeSet<u8> = answers()
+    let outcome_kinds: std::collections::BTreeSet<u8> = outcomes()
         .iter()
-        .map(|answer| {
-            record(&Event::RequestAnswered {
+        .map(|outcome| {
+            record(&Event::RequestEnded {
                 request_id: 5,
-                answer: *answer,
+                outcome: *outcome,
             })[2]
         })
         .collect();
-    assert_eq!(answer_kinds, (0..ANSWER_KINDS).collect());
+    assert_eq!(outcome_kinds, (0..OUTCOME_KINDS).collect());
     let zeros = [0; 32];
     assert!(with_record(&[&[EVENT_KINDS], &zeros[..]].concat()).is_err());
-    assert!(with_record(&[&[REQUEST_ANSWERED, 5, ANSWER_KINDS], &zeros[..]].concat()).is_err());
-    assert!(with_record(&[REQUEST_ANSWERED, 5, ANSWER_KINDS - 1]).is_ok());
+    assert!(with_record(&[&[REQUEST_ANSWERED, 5, OUTCOME_KINDS], &zeros[..]].concat()).is_err());
+    assert!(with_record(&[REQUEST_ANSWERED, 5, OUTCOME_KINDS - 1]).is_ok());
 }
 
 /// The bytes of an event as the ledger has them behind its length and time.
 fn postcard_bytes(event: &Event) -> Vec<u8> {
     let mut file = Vec::new();
-    let mut writer = ledger::Writer::new(&mut file, &head()).expect("a head");
+    let mut writer = ledger::Writer::new(&mut file, &header()).expect("a header");
     let start = {
         let mut empty = Vec::new();
-        ledger::Writer::new(&mut empty, &head()).expect("a head");
+        ledger::Writer::new(&mut empty, &header()).expect("a header");
         empty.len()
     };
     let entry = Entry {
@@ -313,9 +316,9 @@
 /// `fixtures/timeline.txt` is what `birchhub ledger show` printed of the stored ledger on 2026-12-03.
 #[test]
 fn the_timeline_of_a_stored_ledger_keeps_its_text() {
-    let head = head();
+    let header = header();
     let entries = entries();
-    let timeline = Timeline::new(&head, &entries);
+    let timeline = Timeline::new(&header, &entries);
     let lines: Vec<_> = entries.iter().map(|entry| timeline.line(entry)).collect();
     assert_eq!(lines, TIMELINE.lines().collect::<Vec<_>>());
 }
@@ -323,7 +326,7 @@
 /// `fixtures/findings.json` is the part of `report.json` that an audit of the stored ledger wrote on 2026-12-03.
 #[test]
 fn the_findings_keep_their_keys_and_the_order_of_their_fields() {
-    let findings = Audit::of(&head(), &entries());
+    let findings = Audit::of(&header(), &entries());
     let json = serde_json::to_string_pretty(&findings).expect("JSON");
     assert_eq!(json, FINDINGS.trim_end());
 }
--- a/crates/cli/tests/exit_codes.rs
+++ b/crates/cli/tests/exit_codes.rs
@@ -1,7 +1,9 @@
 //! The exit codes of `birchhub`: 0 PASS, 1 FAIL, 2 VOID, 64 bad input, 70 anything else that went wrong. Scripts and CI
 //! of those who use it go by these numbers.
-use birchhub_audit::head::ServiceTargets;
-use birchhub_audit::{Answer, Entry, Event, Head, Idempotency, Method, Rules, ledger};
+use birchhub_audit::header::ServiceTargets;
+use birchhub_audit::{
+    Entry, Event, Header, Idempotency, Method, RequestOutcome, RuleParameters, ledger,
+};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
@@ -43,13 +45,13 @@
     }
 }
 
-fn head() -> Head {
-    Head {
+fn header() -> Header {
+    Header {
         scenario: "by hand".into(),
         seed: 1,
-        plan: "0".into(),
-        length: 10.0,
-        rules: Rules {
+        plan_hash: "0".into(),
+        duration: 10.0,
+        rules: RuleParameters {
             drain_grace: 0.3,
             slack: 0.05,
             overload_window: 1.0,
@@ -61,8 +63,8 @@
         targets: ServiceTargets::default(),
         methods: vec![Method {
             name: "read".into(),
-            kind: Idempotency::Idempotent,
-            target: 0.2,
+            idempotency: Idempotency::Idempotent,
+            latency_target: 0.2,
             deadline: 0.5,
             utility: 1.0,
             late_utility: 0.0,
@@ -88,16 +90,16 @@
         proxy: 0,
         client_timeout: 0.5,
     };
-    let answered = Event::RequestAnswered {
+    let answered = Event::RequestEnded {
         request_id: 1,
-        answer: Answer::Aborted(502),
+        outcome: RequestOutcome::Aborted(502),
     };
     vec![(1.0, asked), (1.0, sent), (1.9, answered)]
 }
 
 fn audit(name: &str, events: Vec<(f64, Event)>) -> (i32, String) {
     let mut file = Vec::new();
-    let mut writer = ledger::Writer::new(&mut file, &head()).expect("a head");
+    let mut writer = ledger::Writer::new(&mut file, &header()).expect("a header");
     for (at, event) in events {
         writer.write(&Entry { at, event }).expect("a record");
     }
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -2,7 +2,7 @@
 //! incarnations.
 use crate::event_log::EventLog;
 use birchhub_audit::Idempotency;
-use birchhub_backend_model::{DeduplicationCache, IdempotencyKey, Work, work};
+use birchhub_backend_model::{DeduplicationCache, IdempotencyKey, WorkDistribution, work};
 use rand::Rng;
 use std::cell::{Cell, RefCell};
 
@@ -16,7 +16,7 @@
     /// Name of the method: the first segment of the path.
     pub name: String,
     /// Distribution of the work.
-    pub work: Work,
+    pub work: WorkDistribution,
     /// Whether the method may be executed more than once, and which backends deduplicate it.
     pub idempotency: Idempotency,
 }
@@ -111,8 +111,8 @@
         let cost = &self.costs[method];
         let usual_work = cost.work.sample(self.seed, u64::from(rpc_of(request_id)));
         let idempotency_key = match (cost.idempotency, key) {
-            (Idempotency::Deduplicated { group, window }, Some(key)) => Some(IdempotencyKey {
-                group: group.number(zone, rack),
+            (Idempotency::Deduplicated { scope, window }, Some(key)) => Some(IdempotencyKey {
+                group: scope.group_id(zone, rack),
                 key: hash(key),
                 window,
             }),
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -1,9 +1,9 @@
 //! Mapping of a scenario to what the parts of a rehearsal are configured with: the settings of proxies, the specification of
-//! backends, and the head of the ledger.
+//! backends, and the header of the ledger.
 use crate::plan::{Plan, PlannedNode, proxy_name};
 use crate::scenario::{LoadReports, Method, MethodKind, Scenario, Tenant};
-use birchhub_audit::{DeduplicationScope, Head, Rules, head};
-use birchhub_backend_model::Spec;
+use birchhub_audit::{DeduplicationScope, Header, RuleParameters, header};
+use birchhub_backend_model::BackendParameters;
 use serde_json::{Value, json};
 
 /// Connect timeout of proxies.
@@ -79,10 +79,10 @@
 }
 
 /// Returns the specification of a planned backend, for sockets and for simulated time.
-pub fn spec(scenario: &Scenario, planned: &PlannedNode) -> Spec {
+pub fn spec(scenario: &Scenario, planned: &PlannedNode) -> BackendParameters {
     let machine = &scenario.fleet.machines[planned.machine];
     let rules = &scenario.rules;
-    Spec {
+    BackendParameters {
         cores: machine.cores,
         speed: machine.speed,
         queue_capacity: machine.queue_capacity,
@@ -97,28 +97,28 @@
     }
 }
 
-/// Returns the head of the ledger.
-pub fn head(scenario: &Scenario, plan: &Plan) -> Head {
+/// Returns the header of the ledger.
+pub fn header(scenario: &Scenario, plan: &Plan) -> Header {
     let rules = &scenario.rules;
-    let method = |m: &Method| head::Method {
+    let method = |m: &Method| header::Method {
         name: m.name.clone(),
-        kind: m.idempotency(),
-        target: m.latency_target.0,
+        idempotency: m.idempotency(),
+        latency_target: m.latency_target.0,
         deadline: m.deadline.0,
         utility: m.utility,
         late_utility: m.late_utility,
     };
-    let backend = |n: &PlannedNode| head::Backend {
+    let backend = |n: &PlannedNode| header::Backend {
         name: n.name.clone(),
         zone: n.zone,
         rack: n.rack,
     };
-    Head {
+    Header {
         scenario: scenario.name.clone(),
         seed: plan.seed,
-        plan: plan.hash(),
-        length: plan.length,
-        rules: Rules {
+        plan_hash: plan.hash(),
+        duration: plan.length,
+        rules: RuleParameters {
             drain_grace: rules.drain_grace.0,
             slack: rules.time_tolerance.0,
             overload_window: rules.overload_window.0,
--- a/crates/rehearsal/tests/scenario_file.rs
+++ b/crates/rehearsal/tests/scenario_file.rs
@@ -1,6 +1,6 @@
 //! The form of a scenario's file. `fixtures/every-key.toml` was written on 2026-12-02 and has each key of each table
 //! and each kind of fault; every key keeps its name and its meaning, and plans stay the plans that they were.
-use birchhub_audit::head::ServiceTargets;
+use birchhub_audit::header::ServiceTargets;
 use birchhub_audit::{DeduplicationScope, Idempotency};
 use birchhub_backend_model::work::Spread;
 use birchhub_rehearsal::duration::ScenarioDuration;
@@ -135,11 +135,11 @@
 fn the_method_table_keeps_its_keys() {
     let methods = every_key().methods;
     let effects: Vec<_> = methods.iter().map(Method::idempotency).collect();
-    let (group, window) = (DeduplicationScope::Rack, 4.0);
+    let (scope, window) = (DeduplicationScope::Rack, 4.0);
     assert_eq!(
         effects,
         [
-            Idempotency::Deduplicated { group, window },
+            Idempotency::Deduplicated { scope, window },
             Idempotency::NonIdempotent,
             Idempotency::Idempotent
         ]
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -18,8 +18,8 @@
 use attempts::ProxyAttempt;
 use birchhub::interface::Settings;
 use birchhub_audit::event::ProxyEnd;
-use birchhub_audit::{Answer, EndpointState, Entry, Event, Head};
-use birchhub_backend_model::{DeduplicationCache, Start};
+use birchhub_audit::{EndpointState, Entry, Event, Header, RequestOutcome};
+use birchhub_backend_model::{DeduplicationCache, StartMode};
 use birchhub_rehearsal::plan::Plan;
 use birchhub_rehearsal::scenario::Scenario;
 use birchhub_rehearsal::settings;
@@ -42,8 +42,8 @@
 
 /// The result of a simulation.
 pub struct Outcome {
-    /// The ledger's head, which describes the deployment and the plan.
-    pub head: Head,
+    /// The ledger's header, which describes the deployment and the plan.
+    pub header: Header,
     /// The ledger's entries, in order of time.
     pub entries: Vec<Entry>,
     /// Number of simulated events that were handled.
@@ -98,7 +98,7 @@
     let events = world.run(plan.length + world.longest_deadline + RUN_TAIL_SECONDS);
     world.entries.sort_by(|a, b| a.at.total_cmp(&b.at));
     Ok(Outcome {
-        head: settings::head(scenario, plan),
+        header: settings::header(scenario, plan),
         entries: world.entries,
         events,
     })
@@ -159,7 +159,7 @@
     fn set_up(&mut self) {
         for node in 0..self.plan.first_nodes() as u32 {
             let list_entry = ListEntry {
-                incarnation: self.start_backend(node, Start::Warm),
+                incarnation: self.start_backend(node, StartMode::Warm),
                 state: EndpointState::Ready,
                 started: None,
             };
@@ -216,8 +216,13 @@
             Due::BackendDue { node, version } => self.advance_backend(node, version),
             Due::ConnectionClosed { attempt_id } => self.close_connection(attempt_id),
             Due::HealthCheckAtBackend { process, node } => self.answer_health_check(process, node),
-            Due::AnswerAtClient { request_id, answer } => self.answer_client(request_id, answer),
-            Due::ClientGivesUp { request_id } => self.answer_client(request_id, Answer::TimedOut),
+            Due::AnswerAtClient {
+                request_id,
+                outcome,
+            } => self.answer_client(request_id, outcome),
+            Due::ClientGivesUp { request_id } => {
+                self.answer_client(request_id, RequestOutcome::TimedOut)
+            }
             Due::ClientDisconnects { request_id } => self.disconnect_client(request_id),
             Due::PublishEndpoint { node, list_entry } => self.publish_endpoint(node, list_entry),
             Due::ListCallArrives(process) => self.start_list_call(process),
