--- a/crates/settings/src/accounts.rs
+++ b/crates/settings/src/accounts.rs
@@ -1,7 +1,7 @@
 //! Parsing of the accounts of the settings object: the tenants and their quotas.
 //!
-//! There may be tens of thousands of accounts. In a text they are parsed one by one, as a [`Value`] tree of all would take
-//! several times the memory of the result.
+//! There may be tens of thousands of accounts. If the settings object is given as text, each account is parsed on its own,
+//! because a [`Value`] tree of all accounts would take several times the memory of the result.
 
 use crate::error::{JsonPath, SettingsError};
 use crate::keys;
@@ -16,16 +16,16 @@
 /// A tenant with its name.
 type Account = Named<TenantSettings>;
 
-/// The accounts of a settings object before they are parsed.
+/// Where the accounts of a settings object are read from.
 pub(crate) enum AccountSource<'a> {
-    /// The document contains the accounts.
+    /// The parsed document, which still contains the accounts.
     Document,
-    /// The text of each account, taken out of the document.
+    /// The JSON text of each account. The document no longer contains the accounts.
     Raw(Vec<&'a RawValue>),
 }
 
 impl AccountSource<'_> {
-    /// Parses the accounts of this document.
+    /// Parses the accounts. `document` is the settings object to which they belong.
     pub(crate) fn parse(&self, document: &JsonReader) -> Result<Vec<Account>, SettingsError> {
         match self {
             Self::Document => {
@@ -52,7 +52,7 @@
     })
 }
 
-/// The deserialized form of a valid account.
+/// An account as serde deserializes it if all its values are valid.
 #[derive(Deserialize)]
 struct ValidAccount<'a> {
     #[serde(borrow)]
@@ -70,7 +70,7 @@
             settings: TenantSettings { quota },
         });
     }
-    // Parse it again for an error that names the value.
+    // The account is invalid: parse it again with a reader whose error names the invalid value.
     let path = JsonPath::default().key(keys::ACCOUNTS).index(index);
     match serde_json::from_str::<Value>(account.get()) {
         Ok(value) => parse_account(&JsonReader::at(&value, path)),
