--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -1,4 +1,4 @@
-//! The difference between two settings objects.
+//! Comparison of the active settings with new ones.
 
 use crate::list_difference::{ListDifference, NamedList, compare};
 use crate::parsed::ParsedSettings;
@@ -9,22 +9,22 @@
 /// The difference between two settings objects.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Change {
-    /// Former index of each method and tenant, matched by name.
+    /// Index of each method and tenant in the active settings, matched by name.
     pub carried_over: CarriedOver,
     /// How the methods differ.
     pub methods: ListDifference,
     /// How the tenants differ.
     pub tenants: ListDifference,
-    /// Whether the names of the methods or tenants, or their order, differ.
+    /// Whether the lists of method or tenant names differ, also if only in their order.
     pub reordered: bool,
-    /// Other keys that differ and affect decisions at once.
+    /// Other keys that differ and affect decisions as soon as they are applied.
     pub decision_keys: Vec<&'static str>,
-    /// Keys that differ and take effect at the next start only.
+    /// Keys that differ and take effect only when the proxy is restarted.
     pub restart_keys: Vec<&'static str>,
 }
 
 impl Change {
-    /// Compares the active settings with new ones.
+    /// Returns the difference between the active settings and new ones.
     pub fn between(active: &ParsedSettings, new: &ParsedSettings) -> Self {
         let methods = compare(&methods(active), &methods(new));
         let tenants = compare(&tenants(active), &tenants(new));
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether nothing takes effect before a restart. Keys that need a restart may differ.
+    /// Whether applying the new settings has no effect. Keys that take effect only at a restart may differ.
     pub fn is_none(&self) -> bool {
         self.methods.is_none()
             && self.tenants.is_none()
