--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -36,7 +36,7 @@
             methods: methods.difference,
             tenants: tenants.difference,
             reordered: active.methods != new.methods || active.tenants != new.tenants,
-            decision_keys: decision_keys::differing(&active.settings, &new.settings),
+            decision_keys: decision_keys::differing_keys(&active.settings, &new.settings),
             restart_keys: restart::differing(active, new),
         }
     }
--- a/crates/settings/src/decision_keys.rs
+++ b/crates/settings/src/decision_keys.rs
@@ -1,20 +1,21 @@
-//! Comparison of the keys, besides methods and accounts, whose values affect decisions as soon as they change.
+//! Comparison of the keys that affect decisions as soon as new settings are applied, except methods and accounts.
 
 use birchhub::interface::Settings;
 
-/// Defines the comparison of the listed fields. Each is given with the path of its key in the settings object. Fields that
-/// other modules compare are listed apart, so that the comparison does not compile if a new field is in neither list.
+/// Defines `differing_keys`, which compares the fields in `decision_keys`. Each of them is given with the path of its key in
+/// the settings object. The fields that other modules compare are listed in `compared_elsewhere`: the function destructures
+/// [`Settings`] completely, so that it does not compile if a new field is in neither list.
 macro_rules! compare_fields {
     (
         decision_keys: { $($field:ident: $key:literal,)* },
         compared_elsewhere: [ $($other:ident,)* ] $(,)?
     ) => {
-        /// Returns the keys whose values differ.
-        pub(crate) fn differing(before: &Settings, now: &Settings) -> Vec<&'static str> {
-            let Settings { $($field,)* $($other: _,)* } = before;
+        /// Returns the paths of the keys whose values differ.
+        pub(crate) fn differing_keys(active: &Settings, new: &Settings) -> Vec<&'static str> {
+            let Settings { $($field,)* $($other: _,)* } = active;
             let mut keys = Vec::new();
             $(
-                if *$field != now.$field {
+                if *$field != new.$field {
                     keys.push($key);
                 }
             )*
@@ -47,7 +48,7 @@
         overload_multiple: "contract.fall-multiple",
         overload_window: "contract.tip-after-ns",
     },
-    // Methods and tenants are compared by name, the others take effect at a restart.
+    // `Change::between` compares methods and tenants by name. The other fields take effect only at a restart.
     compared_elsewhere: [
         methods,
         tenants,
