--- a/crates/settings/src/digest.rs
+++ b/crates/settings/src/digest.rs
@@ -1,4 +1,4 @@
-//! Hashes that are the same in every process and version: FNV-1a with 64 bits.
+//! Hashes that must be the same in every process and version: 64-bit FNV-1a.
 
 use crate::keys;
 use birchhub::interface::Settings;
@@ -7,7 +7,7 @@
 use std::hash::Hasher;
 use std::io::{self, Write};
 
-/// A writer that hashes the bytes written to it.
+/// Adapts the hasher to [`Write`], so that JSON is hashed while it is serialized.
 #[derive(Default)]
 struct HashWriter(FnvHasher);
 
@@ -22,15 +22,17 @@
     }
 }
 
-/// Returns the hash of an RPC's key, which is the same at every proxy.
+/// Returns the hash of an RPC's key. All proxies compute the same hash for a key.
 pub fn hash_key(text: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(text.as_bytes());
     hasher.finish()
 }
 
-/// Returns the digest of a settings object, which does not depend on the order of its keys. The proxy's own zone is left
-/// out, and so are all keys of an account but name and quota.
+/// Returns the digest of a settings object, which does not depend on the order of its keys.
+///
+/// The proxy's own zone is excluded, so that proxies with the same settings have the same digest in every zone. Accounts are
+/// hashed by name and quota, from their parsed form: the document may no longer contain them.
 pub(crate) fn settings_digest(document: &Value, tenants: &[String], settings: &Settings) -> u64 {
     let mut writer = HashWriter::default();
     let excluded = [keys::ACCOUNTS, keys::OWN_ZONE];
