--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of settings and load reports, and the paths of the values that caused them.
+//! Errors of settings objects and load reports, and the paths of the values that caused them.
 
 use serde_json::Value;
 use std::fmt;
@@ -30,20 +30,20 @@
     }
 }
 
-/// Why a settings object cannot be used.
+/// Why a settings object is invalid.
 ///
-/// The operators' pages quote these texts. They start with the path of the value, so that a caller can prepend the place
-/// of the settings object.
+/// The operators' documentation quotes the messages. Each starts with the path of the value, so that a caller can prepend
+/// the path of the settings object.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// The text of the object is not JSON.
+    /// The text is not valid JSON.
     #[error("is not JSON: {message}")]
     InvalidJson {
         /// The parser's error.
         message: String,
     },
-    /// The text of an account is not JSON, or contains a number that is out of range.
+    /// An account is not valid JSON, or contains a number that is out of range.
     #[error("{path} is not JSON: {message}")]
     InvalidAccountJson {
         /// Path of the account.
@@ -85,7 +85,7 @@
         /// Path of the value.
         path: JsonPath,
     },
-    /// A string is none of the known choices.
+    /// A string is none of the permitted values.
     #[error("{path} is not known: {value}")]
     UnknownChoice {
         /// Path of the value.
@@ -93,7 +93,7 @@
         /// The value.
         value: String,
     },
-    /// The target availability is 0 nines, by which losses cannot be divided.
+    /// The target availability is 0 nines, by which the objective cannot divide losses.
     #[error("{path} is 0: what is lost could not be set against it")]
     ZeroTargetNines {
         /// Path of the value.
@@ -101,22 +101,22 @@
     },
 }
 
-/// Why a load report cannot be read.
+/// Why a load report is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum LoadReportError {
-    /// A pair of the report has no separator.
+    /// A field of the report is not a name and a value with the separator in between.
     #[error("is not name{separator}value: {pair}")]
     NotAPair {
         /// Separator between name and value.
         separator: char,
-        /// The pair.
+        /// Text of the field.
         pair: String,
     },
     /// The value of a known field is not a number.
     #[error("is not a number: {pair}")]
     NotANumber {
-        /// The pair of name and value.
+        /// Text of the field: its name, the separator and its value.
         pair: String,
     },
 }
