--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -74,7 +74,7 @@
         value: Value,
     },
     /// A value is not a string.
-    #[error("{path} is not a text")]
+    #[error("{path} is not a string")]
     NotAString {
         /// Path of the value.
         path: JsonPath,
@@ -94,7 +94,7 @@
         value: String,
     },
     /// The target availability is 0 nines, by which the objective cannot divide losses.
-    #[error("{path} is 0: what is lost could not be set against it")]
+    #[error("{path} is 0: it must be greater than 0, because losses are divided by it")]
     ZeroTargetNines {
         /// Path of the value.
         path: JsonPath,
--- a/crates/settings/tests/errors.rs
+++ b/crates/settings/tests/errors.rs
@@ -148,7 +148,7 @@
         assert_error(
             pointer,
             json!(5),
-            &format!("{} is not a text", path_of(pointer)),
+            &format!("{} is not a string", path_of(pointer)),
         );
     }
 }
@@ -161,7 +161,8 @@
     let scope = "/methods/2/dedup-scope";
     let error = "methods[2].dedup-scope is not known: planet";
     assert_error(scope, json!("planet"), error);
-    let error = "goal.nines-wanted is 0: what is lost could not be set against it";
+    let error =
+        "goal.nines-wanted is 0: it must be greater than 0, because losses are divided by it";
     assert_error("/goal/nines-wanted", json!(0), error);
 }
 
@@ -200,17 +201,17 @@
 #[test]
 fn first_of_several_invalid_settings_is_reported() {
     const NOT_A_NUMBER: &str = "is not a number of 0 or more: \"x\"";
-    const ZERO_NINES: &str = "is 0: what is lost could not be set against it";
+    const ZERO_NINES: &str = "is 0: it must be greater than 0, because losses are divided by it";
     let wrong = || json!("x");
     assert_reported_in_order(&[
         ("/accounts", wrong(), "is not a list"),
         ("/ceilings/retry-after", json!(5), "is not true or false: 5"),
-        ("/report/how", json!(5), "is not a text"),
+        ("/report/how", json!(5), "is not a string"),
         ("/report/fields", wrong(), "is not a list"),
-        ("/weight-source", json!(5), "is not a text"),
-        ("/membership-mode", json!(5), "is not a text"),
+        ("/weight-source", json!(5), "is not a string"),
+        ("/membership-mode", json!(5), "is not a string"),
         ("/failure-domains", wrong(), "is not a list"),
-        ("/my-zone", json!(5), "is not a text"),
+        ("/my-zone", json!(5), "is not a string"),
         ("/ceilings/cancel", json!(5), "is not true or false: 5"),
         ("/extra/warm-keys", json!(5), "is not true or false: 5"),
         ("/penalties/probe", wrong(), NOT_A_NUMBER),
--- a/crates/settings/tests/parse.rs
+++ b/crates/settings/tests/parse.rs
@@ -139,7 +139,7 @@
     );
     let no_flag = "is not true or false: 1";
     assert_error("contract", "removal-not-binding", json!(1), no_flag);
-    let zero = "is 0: what is lost could not be set against it";
+    let zero = "is 0: it must be greater than 0, because losses are divided by it";
     assert_error("goal", "nines-wanted", json!(0), zero);
 }
 
