--- a/crates/settings/src/list_difference.rs
+++ b/crates/settings/src/list_difference.rs
@@ -1,4 +1,4 @@
-//! The difference between two lists of named values.
+//! Comparison of two lists of named values.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -6,11 +6,11 @@
 /// Number of names that were added, changed and removed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ListDifference {
-    /// Number of names that only the new list has.
+    /// Number of names that are only in the new list.
     pub added: usize,
     /// Number of names whose values differ.
     pub changed: usize,
-    /// Number of names that only the former list has.
+    /// Number of names that are only in the old list.
     pub removed: usize,
     /// Length of the new list.
     pub total: usize,
@@ -46,28 +46,28 @@
 
 /// The result of comparing two lists.
 pub(crate) struct Comparison {
-    /// Former index of each name of the new list; `None` for an added name.
+    /// Index in the old list for each item of the new list; `None` if the item is new.
     pub carried_over: Vec<Option<usize>>,
-    /// Counts of names that differ.
+    /// Number of names that differ.
     pub difference: ListDifference,
 }
 
 /// Compares two lists by name.
 ///
-/// If a name is listed several times, its last index counts. Each former index is carried over once: otherwise two tenants
-/// of the same name would both start with the state of one.
-pub(crate) fn compare<T: PartialEq>(before: &NamedList<T>, now: &NamedList<T>) -> Comparison {
-    // Most changes leave most of the list unchanged: only names after the common start are looked up.
-    let same = common_start(before.names, now.names);
-    let indexes_before: HashMap<&String, usize> = indexes_by_name(before.names, same);
-    let carried_over = carry_over(now.names, same, indexes_before.clone());
-    let carried = carried_over[same..].iter().flatten().count();
-    let names_now: HashSet<&String> = now.names[same..].iter().collect();
+/// If the old list contains a name several times after the common prefix, its last index is used. Each old index is carried
+/// over at most once: otherwise two tenants of the same name would both start with the state of one.
+pub(crate) fn compare<T: PartialEq>(old: &NamedList<T>, new: &NamedList<T>) -> Comparison {
+    // Most changes leave most of the list unchanged: only names after the common prefix are looked up.
+    let prefix_length = common_prefix_length(old.names, new.names);
+    let old_indexes: HashMap<&String, usize> = indexes_by_name(old.names, prefix_length);
+    let carried_over = carry_over(new.names, prefix_length, old_indexes.clone());
+    let carried = carried_over[prefix_length..].iter().flatten().count();
+    let new_names: HashSet<&String> = new.names[prefix_length..].iter().collect();
     let difference = ListDifference {
-        added: names_now.len() - carried,
-        changed: count_changed(before.values, now.values, &carried_over),
-        removed: indexes_before.len() - carried,
-        total: now.names.len(),
+        added: new_names.len() - carried,
+        changed: count_changed(old.values, new.values, &carried_over),
+        removed: old_indexes.len() - carried,
+        total: new.names.len(),
     };
     Comparison {
         carried_over,
@@ -75,33 +75,36 @@
     }
 }
 
-/// Returns the length of the common start of both lists.
-fn common_start(before: &[String], now: &[String]) -> usize {
-    let pairs = before.iter().zip(now);
-    pairs.take_while(|(before, now)| before == now).count()
+/// Returns the length of the common prefix of both lists.
+fn common_prefix_length(old: &[String], new: &[String]) -> usize {
+    let pairs = old.iter().zip(new);
+    pairs.take_while(|(old, new)| old == new).count()
 }
 
-/// Returns the last index of each name from this index on.
+/// Returns the last index of each name, among the names from index `from` on.
 fn indexes_by_name(names: &[String], from: usize) -> HashMap<&String, usize> {
     let names = names.iter().enumerate().skip(from);
     names.map(|(index, name)| (name, index)).collect()
 }
 
-/// Returns the former index of each name. The first `same` names are unchanged.
+/// Returns the old index of each name of the new list. The first `prefix_length` names are unchanged.
 fn carry_over(
     names: &[String],
-    same: usize,
-    mut indexes_before: HashMap<&String, usize>,
+    prefix_length: usize,
+    mut old_indexes: HashMap<&String, usize>,
 ) -> Vec<Option<usize>> {
-    let unchanged = (0..same).map(Some);
-    let looked_up = names[same..].iter().map(|name| indexes_before.remove(name));
+    let unchanged = (0..prefix_length).map(Some);
+    // Removing an index ensures that it is carried over only once.
+    let looked_up = names[prefix_length..]
+        .iter()
+        .map(|name| old_indexes.remove(name));
     unchanged.chain(looked_up).collect()
 }
 
-/// Returns the number of values that differ from their former values.
-fn count_changed<T: PartialEq>(before: &[T], now: &[T], carried_over: &[Option<usize>]) -> usize {
-    let pairs = carried_over.iter().zip(now);
+/// Returns the number of new values that differ from the old values with the same name.
+fn count_changed<T: PartialEq>(old: &[T], new: &[T], carried_over: &[Option<usize>]) -> usize {
+    let pairs = carried_over.iter().zip(new);
     pairs
-        .filter(|(index, now)| index.is_some_and(|index| before[index] != **now))
+        .filter(|(index, new)| index.is_some_and(|index| old[index] != **new))
         .count()
 }
