--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -1,30 +1,30 @@
-//! Load reports of backends.
+//! Parsing of the load reports of backends.
 
 use crate::error::LoadReportError;
 use birchhub::interface::LoadReport;
 
 /// Separator between the fields of a report.
 const FIELD_SEPARATOR: char = ',';
-/// Names of the number of RPCs in flight, in the settings and in the protocol.
+/// Field with the number of RPCs in flight: its name in the settings, and its name in the protocol.
 const IN_FLIGHT: [&str; 2] = ["concurrent", "inflight"];
-/// Names of the number of queued RPCs, in the settings and in the protocol.
+/// Field with the number of queued RPCs: its name in the settings, and its name in the protocol.
 const QUEUED: [&str; 2] = ["depth", "queue"];
-/// Names of the utilisation, in the settings and in the protocol.
+/// Field with the utilisation: its name in the settings, and its name in the protocol.
 const UTILISATION: [&str; 2] = ["load_share", "util"];
 
-/// Whether a field with this name counts RPCs at a backend.
-pub(crate) fn counts_rpcs(field: &str) -> bool {
+/// Whether the field with this name is a number of RPCs, in flight or queued.
+pub(crate) fn is_rpc_count(field: &str) -> bool {
     IN_FLIGHT.contains(&field) || QUEUED.contains(&field)
 }
 
-/// Parses a load report: pairs of name and value with `separator` in between, and commas between the pairs.
+/// Parses a load report: fields separated by commas, each a name and a value with `separator` in between.
 ///
-/// Fields have the names of the settings or those of the protocol. Unknown fields are ignored, and so are values that
-/// are negative or not finite.
+/// Fields have their names in the settings or those in the protocol. Unknown fields are ignored. A negative or infinite
+/// value, or NaN, counts as missing.
 ///
 /// # Errors
 ///
-/// A pair lacks the separator, or the value of a known field is not a number.
+/// A field lacks the separator, or the value of a known field is not a number.
 pub fn parse_load_report(text: &str, separator: char) -> Result<LoadReport, LoadReportError> {
     let mut report = LoadReport::default();
     for pair in text.trim().split(FIELD_SEPARATOR) {
@@ -33,7 +33,7 @@
             pair: pair.to_owned(),
         };
         let (name, value) = pair.split_once(separator).ok_or_else(not_a_pair)?;
-        let Some(field) = field_of(&mut report, name.trim()) else {
+        let Some(field) = field_by_name(&mut report, name.trim()) else {
             continue;
         };
         let not_a_number = |_| LoadReportError::NotANumber {
@@ -45,8 +45,8 @@
     Ok(report)
 }
 
-/// Returns the field of a report that has this name.
-fn field_of<'a>(report: &'a mut LoadReport, name: &str) -> Option<&'a mut Option<f64>> {
+/// Returns the field with this name; `None` if the name is unknown.
+fn field_by_name<'a>(report: &'a mut LoadReport, name: &str) -> Option<&'a mut Option<f64>> {
     if IN_FLIGHT.contains(&name) {
         Some(&mut report.in_flight)
     } else if QUEUED.contains(&name) {
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -2,7 +2,7 @@
 
 use crate::error::SettingsError;
 use crate::keys;
-use crate::load_report::counts_rpcs;
+use crate::load_report::is_rpc_count;
 use crate::reader::JsonReader;
 use birchhub::interface::{LoadReportSource, MethodSettings, Settings, TenantSettings};
 
@@ -102,7 +102,7 @@
         let fields = report.optional("fields");
         let fields = fields.map(|fields| fields.strings()).transpose()?;
         let include_queue =
-            fields.is_none_or(|fields| fields.iter().any(|field| counts_rpcs(field)));
+            fields.is_none_or(|fields| fields.iter().any(|field| is_rpc_count(field)));
         Ok(Self {
             source,
             include_queue,
