--- a/crates/settings/src/method.rs
+++ b/crates/settings/src/method.rs
@@ -1,11 +1,11 @@
-//! Parsing of the settings of methods.
+//! Parsing of the settings of methods (section `methods`).
 
 use crate::error::SettingsError;
 use crate::parsed::Named;
 use crate::reader::JsonReader;
 use birchhub::interface::{DeduplicationScope, Idempotency, MethodSettings};
 
-/// Parses an item of `methods`.
+/// Parses the settings of one method.
 pub(crate) fn parse(method: &JsonReader) -> Result<Named<MethodSettings>, SettingsError> {
     let settings = MethodSettings {
         idempotency: idempotency(method)?,
