--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -1,6 +1,6 @@
 //! Parsing of a whole settings object.
 //!
-//! Values are parsed in a fixed order, so that the same one of several errors is reported each time.
+//! Values are parsed in a fixed order, so that an object with several errors always yields the same one.
 
 use crate::accounts::AccountSource;
 use crate::digest::settings_digest;
@@ -14,21 +14,22 @@
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 
-/// Longest wait for a connection to a backend if the settings have none. The timeout of an attempt is usually shorter.
+/// Connect timeout if the settings contain none. The timeout of an attempt is usually shorter.
 const DEFAULT_CONNECT_TIMEOUT_SECONDS: f64 = 1.0;
-/// Idle time after which backends close a connection, if the settings have none. Short, as reopening a connection costs
-/// less than losing an RPC on it.
+/// Idle time after which backends are assumed to close a connection, if the settings contain none. The value is low
+/// because reopening a connection costs less than losing an RPC on one that the backend closes.
 const DEFAULT_IDLE_TIMEOUT_SECONDS: f64 = 1.0;
 
 /// Parses the text of a settings object.
 ///
-/// The result is that of [`parse_value`], but the function uses less memory if there are many accounts.
+/// The result is that of [`parse_value`], but less memory is used if there are many accounts.
 ///
 /// # Errors
 ///
-/// The text is not JSON, or a value is missing or cannot be used. The first such value is reported.
+/// The text is not JSON, or a value is missing or invalid. The first such value is reported.
 pub fn parse(text: &str) -> Result<ParsedSettings, SettingsError> {
     let Ok(mut fields) = serde_json::from_str::<BTreeMap<String, &RawValue>>(text) else {
+        // The text is not a JSON object: parsing it as a value finds out why.
         let document = serde_json::from_str(text).map_err(invalid_json)?;
         return parse_value(&document);
     };
@@ -39,11 +40,11 @@
     parse_document(&document, &accounts)
 }
 
-/// Parses a settings object that is a JSON value already.
+/// Parses a settings object that is given as a JSON value.
 ///
 /// # Errors
 ///
-/// A value is missing or cannot be used. The first such value is reported.
+/// A value is missing or invalid. The first such value is reported.
 pub fn parse_value(document: &Value) -> Result<ParsedSettings, SettingsError> {
     parse_document(document, &AccountSource::Document)
 }
@@ -54,7 +55,8 @@
     }
 }
 
-/// Takes the accounts out of the object if they are a list. Otherwise they stay, and parsing the document reports them.
+/// Removes the accounts from the object if they are a list. Otherwise they stay, and parsing the document reports
+/// an error unless they are null.
 fn take_raw_accounts<'a>(fields: &mut BTreeMap<String, &'a RawValue>) -> AccountSource<'a> {
     let accounts = fields.get(keys::ACCOUNTS);
     match accounts.and_then(|raw| serde_json::from_str(raw.get()).ok()) {
@@ -75,8 +77,8 @@
     let contract = root.required("contract")?;
     let method_list = root.required("methods")?.list()?;
     let methods = method_list.iter().map(method::parse);
-    let (methods, method_settings) = unzip(methods.collect::<Result<_, _>>()?);
-    let (tenants, tenant_settings) = unzip(accounts.parse(&root)?);
+    let (methods, method_settings) = split_names(methods.collect::<Result<_, _>>()?);
+    let (tenants, tenant_settings) = split_names(accounts.parse(&root)?);
     let sections = Sections::parse(&root, &ceilings, &contract)?;
     check_target_availability(&root)?;
     let settings = sections.settings(method_settings, tenant_settings);
@@ -95,7 +97,7 @@
 }
 
 /// Returns the names and the settings as separate lists.
-fn unzip<T>(named: Vec<Named<T>>) -> (Vec<String>, Vec<T>) {
+fn split_names<T>(named: Vec<Named<T>>) -> (Vec<String>, Vec<T>) {
     named
         .into_iter()
         .map(|named| (named.name, named.settings))
