--- a/crates/settings/src/parsed.rs
+++ b/crates/settings/src/parsed.rs
@@ -2,10 +2,10 @@
 
 use birchhub::interface::Settings;
 
-/// A parsed settings object: the settings of the decisions, and those of the proxy around them.
+/// A parsed settings object: the settings that the decision logic uses, and those that the rest of the proxy uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedSettings {
-    /// Settings of the decisions.
+    /// Settings of the decision logic.
     pub settings: Settings,
     /// Names of the methods, in the order of [`Settings::methods`].
     pub methods: Vec<String>,
@@ -15,17 +15,18 @@
     pub zones: Vec<String>,
     /// Whether the endpoint list contains the sizes of the endpoints.
     pub lists_endpoint_sizes: bool,
-    /// Longest wait for a connection to a backend, in seconds.
+    /// Timeout for connecting to a backend, in seconds.
     pub connect_timeout: f64,
-    /// Idle time after which backends close a connection, in seconds.
+    /// Idle time after which backends may close a connection, in seconds.
     pub idle_timeout: f64,
-    /// Longest deadline of any method, in seconds; `None` if a method has no deadline.
+    /// Longest of the methods' deadlines, in seconds; `None` if a method has no deadline.
     pub longest_deadline: Option<f64>,
-    /// Digest of the object without the proxy's own zone: proxies with the same settings have the same digest.
+    /// Digest of the settings object without the proxy's own zone: proxies of different zones that have otherwise the same
+    /// settings have the same digest.
     pub digest: u64,
 }
 
-/// The settings of a method or tenant, and its name.
+/// The settings of a method or tenant, with its name.
 pub(crate) struct Named<T> {
     pub name: String,
     pub settings: T,
