--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -5,7 +5,8 @@
 
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// Upper bound of durations. Longer ones have the same effect, and could overflow when added to a clock.
+/// Upper bound of durations, about 32 years. Longer durations have no different effect, but adding them to the time of a
+/// clock could overflow.
 const MAX_SECONDS: f64 = 1e9;
 
 /// A JSON value and its path in the document. A key whose value is null counts as missing.
@@ -15,7 +16,7 @@
 }
 
 impl<'a> JsonReader<'a> {
-    /// Returns a reader of a complete document.
+    /// Returns a reader of the root of a document.
     pub(crate) fn document(value: &'a Value) -> Self {
         Self::at(value, JsonPath::default())
     }
@@ -36,7 +37,7 @@
         Some(Self::at(value, self.path.key(key)))
     }
 
-    /// Returns the value of a key, which must not be missing.
+    /// Returns the value of a key, or an error if it is missing.
     pub(crate) fn required(&self, key: &str) -> Result<Self, SettingsError> {
         let missing = || SettingsError::Missing {
             path: self.path.key(key),
@@ -44,7 +45,7 @@
         self.optional(key).ok_or_else(missing)
     }
 
-    /// Returns the object of a key. A missing object reads as one without keys.
+    /// Returns the object of a key. A missing object is treated as an empty one.
     pub(crate) fn section(&self, key: &str) -> Self {
         let missing = || Self::at(&Value::Null, self.path.key(key));
         self.optional(key).unwrap_or_else(missing)
@@ -61,12 +62,12 @@
             })
     }
 
-    /// Converts a duration in nanoseconds into seconds.
+    /// Returns the value, a duration in nanoseconds, in seconds. It is limited to [`MAX_SECONDS`].
     pub(crate) fn seconds(&self) -> Result<f64, SettingsError> {
         Ok((self.number()? / NANOSECONDS_PER_SECOND).min(MAX_SECONDS))
     }
 
-    /// Converts a timeout in nanoseconds into seconds. The value 0 stands for no timeout.
+    /// Returns the value, a timeout in nanoseconds, in seconds. The value 0 means no timeout and yields [`MAX_SECONDS`].
     pub(crate) fn timeout(&self) -> Result<f64, SettingsError> {
         let seconds = self.seconds()?;
         Ok(if seconds > 0.0 { seconds } else { MAX_SECONDS })
@@ -111,7 +112,7 @@
             .collect()
     }
 
-    /// Returns the error for a string that is none of the known choices.
+    /// Returns the error for a string that is none of the permitted values.
     pub(crate) fn unknown_choice(&self, value: &str) -> SettingsError {
         SettingsError::UnknownChoice {
             path: self.path.clone(),
