--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -1,4 +1,4 @@
-//! Parsing of the sections of the settings object, which is everything except methods and accounts.
+//! Parsing of the settings object except its methods and accounts.
 
 use crate::error::SettingsError;
 use crate::keys;
@@ -6,18 +6,18 @@
 use crate::reader::JsonReader;
 use birchhub::interface::{LoadReportSource, MethodSettings, Settings, TenantSettings};
 
-/// Longest time between polls of the endpoint list if the settings have none. Short, so that it is within the limit of any
-/// deployment.
+/// Longest time allowed between polls of the endpoint list if the settings contain none. It is low, so that it is within the
+/// limit of any deployment.
 const DEFAULT_MAX_POLL_INTERVAL_SECONDS: f64 = 2.0;
 
-/// All of the settings object except its methods and accounts.
+/// The parsed settings object except its methods and accounts.
 pub(crate) struct Sections {
     max_retry_after: f64,
     reports: ReportSettings,
     /// Whether the endpoint list contains the sizes of the endpoints.
     pub lists_endpoint_sizes: bool,
     polls_endpoint_list: bool,
-    /// The zones, and the proxy's own.
+    /// The zones and the proxy's own zone.
     pub zones: Zones,
     proxy_count: usize,
     capabilities: Capabilities,
@@ -26,7 +26,7 @@
 }
 
 impl Sections {
-    /// Parses all sections of a document, of which `ceilings` and `contract` are two.
+    /// Parses all sections of a document. `ceilings` and `contract` are its sections of these names, which must be present.
     pub(crate) fn parse(
         document: &JsonReader,
         ceilings: &JsonReader,
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Returns the settings of the decisions, with these methods and tenants.
+    /// Returns the settings of the decision logic, with these methods and tenants.
     pub(crate) fn settings(
         &self,
         methods: Vec<MethodSettings>,
@@ -110,11 +110,11 @@
     }
 }
 
-/// The zones (`failure-domains`), and the proxy's own.
+/// Keys `failure-domains` and `my-zone`: the zones and the proxy's own zone.
 pub(crate) struct Zones {
     /// Names of the zones.
     pub names: Vec<String>,
-    /// Index of the proxy's own zone; the number of zones if it is not listed.
+    /// Index of the proxy's own zone in `names`; the length of `names` if it is not among them.
     pub own: usize,
 }
 
@@ -131,7 +131,7 @@
     }
 }
 
-/// The features that a proxy may use, and the limit of attempts (sections `ceilings` and `extra`).
+/// Sections `ceilings` and `extra`: the features that a proxy may use, and the limit on the attempts of an RPC.
 struct Capabilities {
     max_attempts: usize,
     can_cancel: bool,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Returns the longest `Retry-After` that clients honour, in seconds; 0 if responses carry none.
+/// Returns the longest `Retry-After` that clients honour, in seconds; 0 if responses do not contain the header.
 fn max_retry_after(ceilings: &JsonReader) -> Result<f64, SettingsError> {
     if ceilings.boolean_or_false("retry-after")? {
         ceilings.seconds_or("max-retry-after-ns", 0.0)
@@ -161,7 +161,7 @@
     }
 }
 
-/// Sections `penalties` and `goal`: the objective of the decisions.
+/// Sections `penalties` and `goal`: the objective that the decision logic optimises.
 struct Objective {
     health_check_cost: f64,
     cross_zone_cost: f64,
@@ -182,7 +182,7 @@
     }
 }
 
-/// Rejects a target availability of 0 nines, by which losses cannot be divided. The target may be missing.
+/// Returns an error if the target availability is 0 nines, by which losses cannot be divided. The target may be missing.
 pub(crate) fn check_target_availability(document: &JsonReader) -> Result<(), SettingsError> {
     match document.section("goal").optional("nines-wanted") {
         Some(nines) if nines.number()? == 0.0 => Err(SettingsError::ZeroTargetNines {
@@ -192,7 +192,7 @@
     }
 }
 
-/// Section `contract`: the behaviour that backends and the endpoint list guarantee.
+/// Section `contract`: what a proxy may expect of backends and of the endpoint list, and how often it must poll the list.
 struct Contract {
     max_poll_interval: f64,
     drain_grace: f64,
