--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -37,7 +37,7 @@
             tenants: tenants.difference,
             reordered: active.methods != new.methods || active.tenants != new.tenants,
             decision_keys: decision_keys::differing_keys(&active.settings, &new.settings),
-            restart_keys: restart::differing(active, new),
+            restart_keys: restart::differing_keys(active, new),
         }
     }
 
--- a/crates/settings/src/restart.rs
+++ b/crates/settings/src/restart.rs
@@ -1,29 +1,29 @@
-//! The keys of the settings object that take effect at the next start of a proxy only.
+//! Comparison of the keys that take effect only when the proxy is restarted.
 
 use crate::parsed::ParsedSettings;
 use birchhub::interface::Settings;
 
-/// Returns the keys whose values differ, by their path in the configuration file.
-pub(crate) fn differing(before: &ParsedSettings, now: &ParsedSettings) -> Vec<&'static str> {
-    let same_zones = before.zones == now.zones;
-    let other_own_zone = before.settings.own_zone != now.settings.own_zone;
-    let other_list_mode = before.settings.polls_endpoint_list != now.settings.polls_endpoint_list;
+/// Returns the keys whose values differ, as paths in the configuration file.
+pub(crate) fn differing_keys(active: &ParsedSettings, new: &ParsedSettings) -> Vec<&'static str> {
+    let same_zones = active.zones == new.zones;
+    let own_zone_differs = active.settings.own_zone != new.settings.own_zone;
+    let polling_differs = active.settings.polls_endpoint_list != new.settings.polls_endpoint_list;
     let keys = [
-        ("settings.membership-mode", other_list_mode),
+        ("settings.membership-mode", polling_differs),
         ("settings.failure-domains", !same_zones),
-        // The index of the own zone can be compared only among the same zones.
-        ("settings.my-zone", same_zones && other_own_zone),
+        // The indexes of the own zone can be compared only if they refer to the same list of zones.
+        ("settings.my-zone", same_zones && own_zone_differs),
         (
             "settings.weight-source",
-            before.lists_endpoint_sizes != now.lists_endpoint_sizes,
+            active.lists_endpoint_sizes != new.lists_endpoint_sizes,
         ),
         (
             "settings.ceilings.connect-timeout-ns",
-            before.connect_timeout != now.connect_timeout,
+            active.connect_timeout != new.connect_timeout,
         ),
         (
             "settings.ceilings.conn-idle-ns",
-            before.idle_timeout != now.idle_timeout,
+            active.idle_timeout != new.idle_timeout,
         ),
     ];
     keys.into_iter()
@@ -31,7 +31,7 @@
         .collect()
 }
 
-/// Returns the new settings with the active values of the keys that take effect at a start only.
+/// Returns the new settings, but with the active values of the keys that take effect only at a restart.
 pub fn with_restart_keys_from(active: &Settings, new: Settings) -> Settings {
     Settings {
         own_zone: active.own_zone,
@@ -42,7 +42,7 @@
 }
 
 impl ParsedSettings {
-    /// Returns these settings with the active values of the keys that take effect at a start only.
+    /// Returns these settings, but with the active values of the keys that take effect only at a restart.
     pub fn with_restart_keys_from(self, active: &Self) -> Self {
         Self {
             settings: with_restart_keys_from(&active.settings, self.settings),
