--- a/crates/settings/tests/errors.rs
+++ b/crates/settings/tests/errors.rs
@@ -1,4 +1,4 @@
-//! The texts of errors, which the operators' pages quote.
+//! Error messages of settings and load reports. The operators' documentation quotes them.
 mod fixtures;
 use birchhub_settings::{parse, parse_load_report, parse_value};
 use fixtures::{EVERY_KEY, every_key};
@@ -20,18 +20,19 @@
     );
 }
 
-/// Returns the fixture with another value at a JSON pointer.
-fn with(pointer: &str, value: Value) -> Value {
+/// Returns the settings object with every key, with this value at a JSON pointer.
+fn settings_with(pointer: &str, value: Value) -> Value {
     let mut settings = every_key();
-    let (place, key) = pointer.rsplit_once('/').expect("a pointer");
-    let place = settings.pointer_mut(place).expect("a place");
+    let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
+    let parent = settings.pointer_mut(parent).expect("a parent");
     match key.parse::<usize>() {
-        Ok(index) => place[index] = value,
-        Err(_) => place[key] = value,
+        Ok(index) => parent[index] = value,
+        Err(_) => parent[key] = value,
     }
     settings
 }
 
+/// Returns the error message of settings, which must be the same for text and value.
 fn error_of(settings: &Value) -> String {
     let error = parse(&settings.to_string()).expect_err("an error");
     assert_eq!(parse_value(settings).expect_err("an error"), error);
@@ -64,16 +65,20 @@
         ("/accounts/1/quota-per-s", "accounts[1].quota-per-s"),
         ("/accounts/0", "accounts[0].name"),
     ] {
-        let error = error_of(&with(pointer, Value::Null));
+        let error = error_of(&settings_with(pointer, Value::Null));
         assert_eq!(error, format!("{missing} is missing"), "{pointer}");
     }
 }
 
 fn assert_error(pointer: &str, value: Value, expected: &str) {
-    assert_eq!(error_of(&with(pointer, value)), expected, "{pointer}");
+    assert_eq!(
+        error_of(&settings_with(pointer, value)),
+        expected,
+        "{pointer}"
+    );
 }
 
-/// Returns the path in errors of the value at a JSON pointer.
+/// Converts a JSON pointer into the form that errors use for paths.
 fn path_of(pointer: &str) -> String {
     let mut path = String::new();
     for part in pointer[1..].split('/') {
@@ -155,9 +160,9 @@
 
 #[test]
 fn error_names_the_unknown_choice() {
-    let kind = "/methods/0/idempotency";
+    let idempotency = "/methods/0/idempotency";
     let error = "methods[0].idempotency is not known: perhaps";
-    assert_error(kind, json!("perhaps"), error);
+    assert_error(idempotency, json!("perhaps"), error);
     let scope = "/methods/2/dedup-scope";
     let error = "methods[2].dedup-scope is not known: planet";
     assert_error(scope, json!("planet"), error);
@@ -166,14 +171,14 @@
     assert_error("/goal/nines-wanted", json!(0), error);
 }
 
-/// Checks that each error is reported while all later ones are present as well.
+/// Checks that each of these errors is the reported one if it and all errors after it in the list are present.
 fn assert_reported_in_order(errors: &[(&str, Value, &str)]) {
     for from in 0..errors.len() {
         let mut settings = every_key();
         for (pointer, value, _) in errors[from..].iter().rev() {
-            let (place, key) = pointer.rsplit_once('/').expect("a pointer");
-            if let Some(Value::Object(place)) = settings.pointer_mut(place) {
-                place.insert(key.to_owned(), value.clone());
+            let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
+            if let Some(Value::Object(parent)) = settings.pointer_mut(parent) {
+                parent.insert(key.to_owned(), value.clone());
             }
         }
         let (pointer, _, error) = &errors[from];
@@ -202,30 +207,30 @@
 fn first_of_several_invalid_settings_is_reported() {
     const NOT_A_NUMBER: &str = "is not a number of 0 or more: \"x\"";
     const ZERO_NINES: &str = "is 0: it must be greater than 0, because losses are divided by it";
-    let wrong = || json!("x");
+    let invalid = || json!("x");
     assert_reported_in_order(&[
-        ("/accounts", wrong(), "is not a list"),
+        ("/accounts", invalid(), "is not a list"),
         ("/ceilings/retry-after", json!(5), "is not true or false: 5"),
         ("/report/how", json!(5), "is not a string"),
-        ("/report/fields", wrong(), "is not a list"),
+        ("/report/fields", invalid(), "is not a list"),
         ("/weight-source", json!(5), "is not a string"),
         ("/membership-mode", json!(5), "is not a string"),
-        ("/failure-domains", wrong(), "is not a list"),
+        ("/failure-domains", invalid(), "is not a list"),
         ("/my-zone", json!(5), "is not a string"),
         ("/ceilings/cancel", json!(5), "is not true or false: 5"),
         ("/extra/warm-keys", json!(5), "is not true or false: 5"),
-        ("/penalties/probe", wrong(), NOT_A_NUMBER),
-        ("/goal/log-loss-part", wrong(), NOT_A_NUMBER),
-        ("/contract/key-quiet-ns", wrong(), NOT_A_NUMBER),
+        ("/penalties/probe", invalid(), NOT_A_NUMBER),
+        ("/goal/log-loss-part", invalid(), NOT_A_NUMBER),
+        ("/contract/key-quiet-ns", invalid(), NOT_A_NUMBER),
         ("/goal/nines-wanted", json!(0), ZERO_NINES),
-        ("/methods/0/hard-limit-ns", wrong(), NOT_A_NUMBER),
-        ("/ceilings/connect-timeout-ns", wrong(), NOT_A_NUMBER),
-        ("/ceilings/conn-idle-ns", wrong(), NOT_A_NUMBER),
+        ("/methods/0/hard-limit-ns", invalid(), NOT_A_NUMBER),
+        ("/ceilings/connect-timeout-ns", invalid(), NOT_A_NUMBER),
+        ("/ceilings/conn-idle-ns", invalid(), NOT_A_NUMBER),
     ]);
 }
 
 #[test]
-fn errors_of_json_name_line_and_column() {
+fn json_errors_name_line_and_column() {
     let errors = ["", "{\"a\":", "{\"a\": tru}"].map(|text| {
         let error = parse(text).expect_err("an error");
         error.to_string()
@@ -239,7 +244,7 @@
 }
 
 #[test]
-fn errors_of_load_reports_name_the_pair() {
+fn load_report_errors_name_the_field() {
     let errors = ["", "inflight", "inflight=1, depth", "inflight=many"].map(|text| {
         let error = parse_load_report(text, '=').expect_err("an error");
         error.to_string()
