--- a/crates/settings/tests/parse.rs
+++ b/crates/settings/tests/parse.rs
@@ -3,7 +3,7 @@
 use birchhub_settings::{ParsedSettings, SettingsError, parse, parse_load_report, parse_value};
 use serde_json::{Value, json};
 
-/// The settings and the protocol name the fields differently: reports may use the names of either.
+/// The settings and the protocol have different names for the fields. A report may use either.
 #[test]
 fn load_reports_are_parsed_with_the_field_names_of_settings_and_protocol() {
     for text in ["concurrent=7,depth=2,new=x", " inflight=7,queue=2\n"] {
@@ -22,17 +22,17 @@
 }
 
 #[test]
-fn impossible_values_of_load_reports_are_ignored() {
+fn negative_values_of_load_reports_are_ignored() {
     let load = parse_load_report("util=-1", '=').expect("a report");
     assert_eq!(load.utilisation, None);
 }
 
-/// Parses minimal settings after a change, and returns those of the decisions.
+/// Applies a change to minimal settings, parses them and returns the settings of the decision logic.
 fn decision_settings(change: impl FnOnce(&mut Value)) -> Result<Settings, SettingsError> {
     parse_changed(change).map(|parsed| parsed.settings)
 }
 
-/// Parses minimal settings after a change.
+/// Applies a change to minimal settings and parses them.
 fn parse_changed(change: impl FnOnce(&mut Value)) -> Result<ParsedSettings, SettingsError> {
     let mut value = json!({"balancers": 2, "ceilings": {"most-picks": 3},
         "methods": [{"name": "move", "idempotency": "non_idempotent", "latency-target-ns": 4e8}],
@@ -42,7 +42,7 @@
     parse_value(&value)
 }
 
-/// The defaults do not depend on the deployment.
+/// The defaults are constants, so that they are the same in every deployment.
 #[test]
 fn missing_durations_have_defaults() {
     let parsed = parse_changed(|_| ()).expect("settings");
@@ -56,7 +56,7 @@
     assert_eq!(parsed.longest_deadline, None);
 }
 
-/// Longer durations could overflow when added to a clock.
+/// Longer durations could overflow when they are added to the time of a clock.
 #[test]
 fn unlimited_and_huge_durations_are_bounded() {
     let parsed = parse_changed(|settings| {
@@ -83,32 +83,38 @@
 
 #[test]
 fn optional_settings_are_parsed_and_have_defaults() {
-    let plain = decision_settings(|_| ()).expect("settings");
+    let defaults = decision_settings(|_| ()).expect("settings");
     assert_eq!(
         (
-            plain.key_cooldown,
-            plain.only_draining_is_binding,
-            plain.methods[0].ordered_by_key
+            defaults.key_cooldown,
+            defaults.only_draining_is_binding,
+            defaults.methods[0].ordered_by_key
         ),
         (0.0, false, false)
     );
-    assert_eq!((plain.log_loss_weight, plain.target_nines), (0.0, 0.0));
-    let given = decision_settings(|settings| {
+    assert_eq!(
+        (defaults.log_loss_weight, defaults.target_nines),
+        (0.0, 0.0)
+    );
+    let explicit = decision_settings(|settings| {
         settings["methods"][0]["keep-order"] = true.into();
         settings["contract"]["key-quiet-ns"] = 50_000_000.into();
         settings["contract"]["removal-not-binding"] = true.into();
         settings["goal"] = json!({"log-loss-part": 0.4, "nines-wanted": 2.0});
     });
-    let given = given.expect("settings");
+    let explicit = explicit.expect("settings");
     assert_eq!(
         (
-            given.key_cooldown,
-            given.only_draining_is_binding,
-            given.methods[0].ordered_by_key
+            explicit.key_cooldown,
+            explicit.only_draining_is_binding,
+            explicit.methods[0].ordered_by_key
         ),
         (0.05, true, true)
     );
-    assert_eq!((given.log_loss_weight, given.target_nines), (0.4, 2.0));
+    assert_eq!(
+        (explicit.log_loss_weight, explicit.target_nines),
+        (0.4, 2.0)
+    );
 }
 
 #[test]
@@ -118,27 +124,27 @@
         let error = parsed.expect_err("an error").to_string();
         assert_eq!(error, format!("{section}.{key} {expected}"));
     };
-    let no_number = "is not a number of 0 or more:";
+    let not_a_number = "is not a number of 0 or more:";
     assert_error(
         "contract",
         "key-quiet-ns",
         json!(-1),
-        &format!("{no_number} -1"),
+        &format!("{not_a_number} -1"),
     );
     assert_error(
         "contract",
         "key-quiet-ns",
         json!("5"),
-        &format!("{no_number} \"5\""),
+        &format!("{not_a_number} \"5\""),
     );
     assert_error(
         "goal",
         "log-loss-part",
         json!([]),
-        &format!("{no_number} []"),
+        &format!("{not_a_number} []"),
     );
-    let no_flag = "is not true or false: 1";
-    assert_error("contract", "removal-not-binding", json!(1), no_flag);
+    let not_a_boolean = "is not true or false: 1";
+    assert_error("contract", "removal-not-binding", json!(1), not_a_boolean);
     let zero = "is 0: it must be greater than 0, because losses are divided by it";
     assert_error("goal", "nines-wanted", json!(0), zero);
 }
@@ -150,7 +156,7 @@
     assert_eq!(parsed.expect_err("an error").to_string(), expected);
 }
 
-/// The accounts of a text are parsed one by one.
+/// In a text, accounts are parsed one by one instead of as a part of the whole document. Results and errors must not differ.
 #[test]
 fn accounts_are_parsed_alike_from_text_and_value() {
     let mut settings = json!({"balancers": 2, "ceilings": {"most-picks": 3}, "my-zone": "a", "methods": [],
