--- a/crates/settings/tests/compatibility.rs
+++ b/crates/settings/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! Compatibility with other versions: the parsed settings object with every key, its digest, the hash of an RPC's key, and
-//! the text of a change.
+//! What must stay the same in every version: how a settings object with every key is parsed, its digest, the hash of an
+//! RPC's key, and the text that describes a change.
 mod fixtures;
 use birchhub::interface::{
     DeduplicationScope, Idempotency, LoadReportSource, MethodSettings, Settings, TenantSettings,
@@ -98,7 +98,7 @@
     );
 }
 
-/// Operators compare digests of proxies of different versions.
+/// Operators compare the digests of proxies that run different versions.
 #[test]
 fn digest_is_the_same_in_every_version() {
     let digest = |value: &Value| {
@@ -127,7 +127,7 @@
     );
 }
 
-/// Proxies of different versions must agree on the hash of a key.
+/// Proxies that run different versions must compute the same hash for a key.
 #[test]
 fn hash_of_a_key_is_the_same_in_every_version() {
     let hashes = ["", "a", "entity-17", "\u{e9}\u{4e16}"].map(hash_key);
