--- a/crates/daemon/src/config/prepared_reload.rs
+++ b/crates/daemon/src/config/prepared_reload.rs
@@ -67,7 +67,7 @@
         Arc::unwrap_or_clone(new.parsed_settings).with_restart_keys_from(&active.settings);
     let shadow_settings =
         next_shadow_settings(active.shadow_settings.as_ref(), new.shadow_settings);
-    let changed = !change.is_none() || active.shadow_settings != shadow_settings;
+    let changed = !change.is_empty() || active.shadow_settings != shadow_settings;
     let state = ActiveState {
         config: active.config.reloaded(&settings, changed, restart_keys),
         settings: Arc::new(settings),
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -42,9 +42,9 @@
     }
 
     /// Whether applying the new settings has no effect. Keys that take effect only at a restart may differ.
-    pub fn is_none(&self) -> bool {
-        self.methods.is_none()
-            && self.tenants.is_none()
+    pub fn is_empty(&self) -> bool {
+        self.methods.is_empty()
+            && self.tenants.is_empty()
             && !self.reordered
             && self.decision_keys.is_empty()
     }
--- a/crates/settings/src/list_difference.rs
+++ b/crates/settings/src/list_difference.rs
@@ -18,7 +18,7 @@
 
 impl ListDifference {
     /// Whether no name was added, changed or removed. The order may have changed.
-    pub(crate) fn is_none(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         (self.added, self.changed, self.removed) == (0, 0, 0)
     }
 }
--- a/crates/settings/tests/change.rs
+++ b/crates/settings/tests/change.rs
@@ -144,7 +144,7 @@
     change.carried_over == carried_over
         && change.methods == expected_difference(&before.methods, &now.methods)
         && change.tenants == expected_difference(&before.tenants, &now.tenants)
-        && change.is_none() == is_same
+        && change.is_empty() == is_same
         && change.decision_keys.is_empty()
         && change.restart_keys.is_empty()
 }
@@ -266,7 +266,7 @@
         let ChangedSettings { active, new } = change_key(section, key, value);
         let change = Change::between(&active, &new);
         let key = format!("settings.{}", path(section, key));
-        assert!(change.is_none(), "{key}");
+        assert!(change.is_empty(), "{key}");
         assert_eq!(change.restart_keys, [key.as_str()]);
         let mut applied = new.with_restart_keys_from(&active);
         applied.digest = active.digest;
