--- a/crates/settings/tests/change.rs
+++ b/crates/settings/tests/change.rs
@@ -1,4 +1,4 @@
-//! Comparison of settings, checked against a linear search on generated pairs.
+//! Comparison of settings: generated pairs, checked against a linear search; and the keys and the digest.
 use birchhub::interface::CarriedOver;
 use birchhub_settings::{Change, ListDifference, ParsedSettings, parse_value};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -101,38 +101,38 @@
     list.iter().filter(is_first).copied().collect()
 }
 
-/// Returns the former index of each name, by linear search.
-fn expected_indexes(before: &[String], now: &[String]) -> Vec<Option<usize>> {
-    let index = |name: &String| before.iter().position(|other| other == name);
-    now.iter().map(index).collect()
+/// Returns the index in the old list of each name in the new list, by linear search.
+fn expected_indexes(old: &[String], new: &[String]) -> Vec<Option<usize>> {
+    let index = |name: &String| old.iter().position(|other| other == name);
+    new.iter().map(index).collect()
 }
 
 /// Returns the difference between two lists without duplicates, by linear search.
-fn expected_difference(before: &[Entry], now: &[Entry]) -> ListDifference {
+fn expected_difference(old: &[Entry], new: &[Entry]) -> ListDifference {
     let find = |list: &[Entry], name: u8| {
         let entry = list.iter().find(|other| other.name == name);
         entry.map(|entry| entry.value)
     };
     let mut difference = ListDifference {
-        total: now.len(),
+        total: new.len(),
         ..ListDifference::default()
     };
-    for Entry { name, value } in now {
-        match find(before, *name) {
+    for Entry { name, value } in new {
+        match find(old, *name) {
             None => difference.added += 1,
             Some(previous) => difference.changed += usize::from(previous != *value),
         }
     }
-    let is_removed = |entry: &&Entry| find(now, entry.name).is_none();
-    difference.removed = before.iter().filter(is_removed).count();
+    let is_removed = |entry: &&Entry| find(new, entry.name).is_none();
+    difference.removed = old.iter().filter(is_removed).count();
     difference
 }
 
-fn matches_linear_search(before: Lists, now: Lists) -> bool {
-    let before = before.without_duplicates();
-    let now = now.without_duplicates();
-    let active = parsed(&before.settings());
-    let new = parsed(&now.settings());
+fn matches_linear_search(active_lists: Lists, new_lists: Lists) -> bool {
+    let active_lists = active_lists.without_duplicates();
+    let new_lists = new_lists.without_duplicates();
+    let active = parsed(&active_lists.settings());
+    let new = parsed(&new_lists.settings());
     let change = Change::between(&active, &new);
     let carried_over = CarriedOver {
         methods: expected_indexes(&active.methods, &new.methods),
@@ -142,8 +142,8 @@
         && active.methods == new.methods
         && active.tenants == new.tenants;
     change.carried_over == carried_over
-        && change.methods == expected_difference(&before.methods, &now.methods)
-        && change.tenants == expected_difference(&before.tenants, &now.tenants)
+        && change.methods == expected_difference(&active_lists.methods, &new_lists.methods)
+        && change.tenants == expected_difference(&active_lists.tenants, &new_lists.tenants)
         && change.is_empty() == is_same
         && change.decision_keys.is_empty()
         && change.restart_keys.is_empty()
@@ -157,28 +157,26 @@
     check.quickcheck(matches_linear_search as fn(_, _) -> bool);
 }
 
-/// Whether each former index is carried over at most once and to its own name, and each name in both lists has one.
-fn is_carried_over_once(before: &[String], now: &[String], indexes: &[Option<usize>]) -> bool {
+/// Whether each index in the old list is carried over at most once and to the same name, and each name that is in both
+/// lists has one.
+fn is_carried_over_once(old: &[String], new: &[String], indexes: &[Option<usize>]) -> bool {
     let mut carried: Vec<_> = indexes.iter().flatten().collect();
     let count = carried.len();
     carried.sort();
     carried.dedup();
-    let pairs = || now.iter().zip(indexes);
-    let to_its_name =
-        |(name, index): (&String, &Option<usize>)| index.is_none_or(|index| before[index] == *name);
+    let pairs = || new.iter().zip(indexes);
+    let to_same_name =
+        |(name, index): (&String, &Option<usize>)| index.is_none_or(|index| old[index] == *name);
     let is_carried = |name: &String| pairs().any(|(other, index)| other == name && index.is_some());
     carried.len() == count
-        && indexes.len() == now.len()
-        && pairs().all(to_its_name)
-        && now
-            .iter()
-            .filter(|name| before.contains(name))
-            .all(is_carried)
+        && indexes.len() == new.len()
+        && pairs().all(to_same_name)
+        && new.iter().filter(|name| old.contains(name)).all(is_carried)
 }
 
-fn duplicates_are_carried_over_once(before: Lists, now: Lists) -> bool {
-    let active = parsed(&before.settings());
-    let new = parsed(&now.settings());
+fn duplicates_are_carried_over_once(active: Lists, new: Lists) -> bool {
+    let active = parsed(&active.settings());
+    let new = parsed(&new.settings());
     let CarriedOver { methods, tenants } = Change::between(&active, &new).carried_over;
     is_carried_over_once(&active.methods, &new.methods, &methods)
         && is_carried_over_once(&active.tenants, &new.tenants, &tenants)
@@ -192,23 +190,23 @@
     check.quickcheck(duplicates_are_carried_over_once as fn(_, _) -> bool);
 }
 
-/// Settings before and after a change.
+/// The active settings, and new settings with one changed key.
 struct ChangedSettings {
     active: ParsedSettings,
     new: ParsedSettings,
 }
 
-/// Changes a key of a section of minimal settings, or of the object itself.
+/// Changes a key of a section of minimal settings; with an empty section, a key of the object itself.
 fn change_key(section: &str, key: &str, value: Value) -> ChangedSettings {
-    let mut other = Lists::minimal().settings();
-    let active = parsed(&other);
+    let mut settings = Lists::minimal().settings();
+    let active = parsed(&settings);
     match section {
-        "" => other[key] = value,
-        section => other[section][key] = value,
+        "" => settings[key] = value,
+        section => settings[section][key] = value,
     }
     ChangedSettings {
         active,
-        new: parsed(&other),
+        new: parsed(&settings),
     }
 }
 
@@ -222,7 +220,7 @@
 }
 
 #[test]
-fn keys_of_decisions_are_listed_and_applied() {
+fn decision_keys_are_listed_and_applied() {
     for (section, key, value) in [
         ("", "balancers", json!(5)),
         ("ceilings", "most-picks", json!(4)),
@@ -254,7 +252,7 @@
 }
 
 #[test]
-fn keys_that_need_a_restart_are_listed_and_keep_their_active_value() {
+fn restart_keys_are_listed_and_keep_their_active_value() {
     for (section, key, value) in [
         ("", "membership-mode", json!("on_request")),
         ("", "failure-domains", json!(["b", "a"])),
@@ -281,32 +279,32 @@
 
 #[test]
 fn digest_does_not_depend_on_the_order_of_keys() {
-    let plain = Lists::minimal().settings();
-    let fields = plain.as_object().expect("an object").iter().rev();
+    let settings = Lists::minimal().settings();
+    let fields = settings.as_object().expect("an object").iter().rev();
     let fields: Vec<_> = fields
         .map(|(key, value)| format!(" {key:?} : {value}"))
         .collect();
     let reversed = format!("{{{}}}", fields.join(","));
     let reversed: Value = serde_json::from_str(&reversed).expect("JSON");
-    let text: Value = serde_json::from_str(&plain.to_string()).expect("JSON");
+    let text: Value = serde_json::from_str(&settings.to_string()).expect("JSON");
     assert_eq!(digest(&reversed), digest(&text));
 }
 
 #[test]
 fn digest_does_not_depend_on_the_own_zone() {
-    let plain = Lists::minimal().settings();
-    let mut elsewhere = plain.clone();
-    elsewhere["my-zone"] = "b".into();
-    assert_eq!(digest(&elsewhere), digest(&plain));
+    let settings = Lists::minimal().settings();
+    let mut other_zone = settings.clone();
+    other_zone["my-zone"] = "b".into();
+    assert_eq!(digest(&other_zone), digest(&settings));
 }
 
 #[test]
 fn digest_depends_on_methods_and_tenants() {
-    let plain = Lists::minimal().settings();
+    let settings = Lists::minimal().settings();
     let mut other_method = Lists::minimal();
     other_method.methods[0].value = 2;
-    assert_ne!(digest(&other_method.settings()), digest(&plain));
+    assert_ne!(digest(&other_method.settings()), digest(&settings));
     let mut other_tenant = Lists::minimal();
     other_tenant.tenants[0].name = 1;
-    assert_ne!(digest(&other_tenant.settings()), digest(&plain));
+    assert_ne!(digest(&other_tenant.settings()), digest(&settings));
 }
