--- a/crates/settings/src/accounts.rs
+++ b/crates/settings/src/accounts.rs
@@ -1,7 +1,7 @@
 //! Parsing of the accounts of the settings object: the tenants and their quotas.
 //!
-//! There may be tens of thousands of accounts. If the settings object is given as text, each account is parsed on its own,
-//! because a [`Value`] tree of all accounts would take several times the memory of the result.
+//! There may be tens of thousands of accounts. If the settings object is given as text, each account is parsed on its
+//! own, because a [`Value`] tree of all accounts would take several times the memory of the result.
 
 use crate::error::{JsonPath, SettingsError};
 use crate::keys;
--- a/crates/settings/src/decision_keys.rs
+++ b/crates/settings/src/decision_keys.rs
@@ -2,9 +2,9 @@
 
 use birchhub::interface::Settings;
 
-/// Defines `differing_keys`, which compares the fields in `decision_keys`. Each of them is given with the path of its key in
-/// the settings object. The fields that other modules compare are listed in `compared_elsewhere`: the function destructures
-/// [`Settings`] completely, so that it does not compile if a new field is in neither list.
+/// Defines `differing_keys`, which compares the fields in `decision_keys`. Each of them is given with the path of its
+/// key in the settings object. The fields that other modules compare are listed in `compared_elsewhere`: the function
+/// destructures [`Settings`] completely, so that it does not compile if a new field is in neither list.
 macro_rules! compare_fields {
     (
         decision_keys: { $($field:ident: $key:literal,)* },
--- a/crates/settings/src/digest.rs
+++ b/crates/settings/src/digest.rs
@@ -31,8 +31,8 @@
 
 /// Returns the digest of a settings object, which does not depend on the order of its keys.
 ///
-/// The proxy's own zone is excluded, so that proxies with the same settings have the same digest in every zone. Accounts are
-/// hashed by name and quota, from their parsed form: the document may no longer contain them.
+/// The proxy's own zone is excluded, so that proxies with the same settings have the same digest in every zone.
+/// Accounts are hashed by name and quota, from their parsed form: the document may no longer contain them.
 pub(crate) fn settings_digest(document: &Value, tenants: &[String], settings: &Settings) -> u64 {
     let mut writer = HashWriter::default();
     let excluded = [keys::ACCOUNTS, keys::OWN_ZONE];
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -32,8 +32,8 @@
 
 /// Why a settings object is invalid.
 ///
-/// The operators' documentation quotes the messages. Each starts with the path of the value, so that a caller can prepend
-/// the path of the settings object.
+/// The operators' documentation quotes the messages. Each starts with the path of the value, so that a caller can
+/// prepend the path of the settings object.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[non_exhaustive]
 pub enum SettingsError {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Parses the settings object that the platform gives to a proxy, compares it with the active settings, and computes its
-//! digest.
+//! Parses the settings object that the platform gives to a proxy, compares it with the active settings, and computes
+//! its digest.
 //!
 //! [`parse`] turns the text of a settings object into [`ParsedSettings`]. An invalid value is reported as a
-//! [`SettingsError`] with its path. [`Change::between`] compares two parsed objects and matches their methods and tenants
-//! by name. [`parse_load_report`] parses the load reports of backends.
+//! [`SettingsError`] with its path. [`Change::between`] compares two parsed objects and matches their methods and
+//! tenants by name. [`parse_load_report`] parses the load reports of backends.
 //!
 //! ```
 //! let error = birchhub_settings::parse(r#"{"ceilings": {}}"#).unwrap_err();
--- a/crates/settings/src/list_difference.rs
+++ b/crates/settings/src/list_difference.rs
@@ -54,8 +54,8 @@
 
 /// Compares two lists by name.
 ///
-/// If the old list contains a name several times after the common prefix, its last index is used. Each old index is carried
-/// over at most once: otherwise two tenants of the same name would both start with the state of one.
+/// If the old list contains a name several times after the common prefix, its last index is used. Each old index is
+/// carried over at most once: otherwise two tenants of the same name would both start with the state of one.
 pub(crate) fn compare<T: PartialEq>(old: &NamedList<T>, new: &NamedList<T>) -> Comparison {
     // Most changes leave most of the list unchanged: only names after the common prefix are looked up.
     let prefix_length = common_prefix_length(old.names, new.names);
--- a/crates/settings/src/parsed.rs
+++ b/crates/settings/src/parsed.rs
@@ -21,8 +21,8 @@
     pub idle_timeout: f64,
     /// Longest of the methods' deadlines, in seconds; `None` if a method has no deadline.
     pub longest_deadline: Option<f64>,
-    /// Digest of the settings object without the proxy's own zone: proxies of different zones that have otherwise the same
-    /// settings have the same digest.
+    /// Digest of the settings object without the proxy's own zone: proxies of different zones that have otherwise the
+    /// same settings have the same digest.
     pub digest: u64,
 }
 
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -5,8 +5,8 @@
 
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// Upper bound of durations, about 32 years. Longer durations have no different effect, but adding them to the time of a
-/// clock could overflow.
+/// Upper bound of durations, about 32 years. Longer durations have no different effect, but adding them to the time of
+/// a clock could overflow.
 const MAX_SECONDS: f64 = 1e9;
 
 /// A JSON value and its path in the document. A key whose value is null counts as missing.
@@ -67,7 +67,8 @@
         Ok((self.number()? / NANOSECONDS_PER_SECOND).min(MAX_SECONDS))
     }
 
-    /// Returns the value, a timeout in nanoseconds, in seconds. The value 0 means no timeout and yields [`MAX_SECONDS`].
+    /// Returns the value, a timeout in nanoseconds, in seconds. The value 0 means no timeout and yields
+    /// [`MAX_SECONDS`].
     pub(crate) fn timeout(&self) -> Result<f64, SettingsError> {
         let seconds = self.seconds()?;
         Ok(if seconds > 0.0 { seconds } else { MAX_SECONDS })
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -6,8 +6,8 @@
 use crate::reader::JsonReader;
 use birchhub::interface::{LoadReportSource, MethodSettings, Settings, TenantSettings};
 
-/// Longest time allowed between polls of the endpoint list if the settings contain none. It is low, so that it is within the
-/// limit of any deployment.
+/// Longest time allowed between polls of the endpoint list if the settings contain none. It is low, so that it is
+/// within the limit of any deployment.
 const DEFAULT_MAX_POLL_INTERVAL_SECONDS: f64 = 2.0;
 
 /// The parsed settings object except its methods and accounts.
@@ -26,7 +26,8 @@
 }
 
 impl Sections {
-    /// Parses all sections of a document. `ceilings` and `contract` are its sections of these names, which must be present.
+    /// Parses all sections of a document. `ceilings` and `contract` are its sections of these names, which must be
+    /// present.
     pub(crate) fn parse(
         document: &JsonReader,
         ceilings: &JsonReader,
@@ -182,7 +183,8 @@
     }
 }
 
-/// Returns an error if the target availability is 0 nines, by which losses cannot be divided. The target may be missing.
+/// Returns an error if the target availability is 0 nines, by which losses cannot be divided. The target may be
+/// missing.
 pub(crate) fn check_target_availability(document: &JsonReader) -> Result<(), SettingsError> {
     match document.section("goal").optional("nines-wanted") {
         Some(nines) if nines.number()? == 0.0 => Err(SettingsError::ZeroTargetNines {
@@ -192,7 +194,8 @@
     }
 }
 
-/// Section `contract`: what a proxy may expect of backends and of the endpoint list, and how often it must poll the list.
+/// Section `contract`: what a proxy may expect of backends and of the endpoint list, and how often it must poll the
+/// list.
 struct Contract {
     max_poll_interval: f64,
     drain_grace: f64,
--- a/crates/settings/tests/parse.rs
+++ b/crates/settings/tests/parse.rs
@@ -156,7 +156,8 @@
     assert_eq!(parsed.expect_err("an error").to_string(), expected);
 }
 
-/// In a text, accounts are parsed one by one instead of as a part of the whole document. Results and errors must not differ.
+/// In a text, accounts are parsed one by one instead of as a part of the whole document. Results and errors must not
+/// differ.
 #[test]
 fn accounts_are_parsed_alike_from_text_and_value() {
     let mut settings = json!({"balancers": 2, "ceilings": {"most-picks": 3}, "my-zone": "a", "methods": [],
