--- a/crates/invariants/src/rule.rs
+++ b/crates/invariants/src/rule.rs
@@ -5,24 +5,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
     /// An RPC has exactly one final response.
-    OneFinalAnswer,
+    OneFinalResponse,
     /// The response is sent before the deadline.
-    AnswerInTime,
+    ResponseBeforeDeadline,
     /// A request that was read has a response before its connection is closed.
-    NoRequestUnanswered,
+    NoRequestWithoutResponse,
     /// No attempt starts after the client has disconnected.
     NoAttemptAfterDisconnect,
     /// No attempt starts after the client's deadline, or forwards a timeout that exceeds the time left by more than
     /// [`crate::DEADLINE_SLACK`].
     NoAttemptBeyondDeadline,
     /// No attempt starts for an RPC that has its response.
-    NothingAfterEnd,
+    NoAttemptAfterEnd,
     /// No RPC is executed a second time that must be executed at most once.
-    NoSecondEffect,
+    NoDuplicateExecution,
     /// No attempt is sent to a draining or removed backend after the drain grace.
-    NothingToDraining,
+    NoAttemptToDrainingBackend,
     /// A warming backend is sent no more than [`crate::slow_start_limit`] allows.
-    SlowStartBudget,
+    SlowStartLimit,
     /// No client connection stays open after the deadline of its phase.
     NoConnectionPastDeadline,
 }
@@ -30,30 +30,30 @@
 impl Rule {
     /// All rules, in the order of their discriminants.
     pub const ALL: [Self; 10] = [
-        Self::OneFinalAnswer,
-        Self::AnswerInTime,
-        Self::NoRequestUnanswered,
+        Self::OneFinalResponse,
+        Self::ResponseBeforeDeadline,
+        Self::NoRequestWithoutResponse,
         Self::NoAttemptAfterDisconnect,
         Self::NoAttemptBeyondDeadline,
-        Self::NothingAfterEnd,
-        Self::NoSecondEffect,
-        Self::NothingToDraining,
-        Self::SlowStartBudget,
+        Self::NoAttemptAfterEnd,
+        Self::NoDuplicateExecution,
+        Self::NoAttemptToDrainingBackend,
+        Self::SlowStartLimit,
         Self::NoConnectionPastDeadline,
     ];
 
     /// Returns the name of the rule in logs and in the admin API, which must not change.
     pub fn name(self) -> &'static str {
         match self {
-            Self::OneFinalAnswer => "one-final-answer",
-            Self::AnswerInTime => "answer-in-time",
-            Self::NoRequestUnanswered => "no-request-unanswered",
+            Self::OneFinalResponse => "one-final-answer",
+            Self::ResponseBeforeDeadline => "answer-in-time",
+            Self::NoRequestWithoutResponse => "no-request-unanswered",
             Self::NoAttemptAfterDisconnect => "no-attempt-after-disconnect",
             Self::NoAttemptBeyondDeadline => "no-attempt-beyond-deadline",
-            Self::NothingAfterEnd => "nothing-after-end",
-            Self::NoSecondEffect => "no-second-effect",
-            Self::NothingToDraining => "nothing-to-draining",
-            Self::SlowStartBudget => "slow-start-budget",
+            Self::NoAttemptAfterEnd => "nothing-after-end",
+            Self::NoDuplicateExecution => "no-second-effect",
+            Self::NoAttemptToDrainingBackend => "nothing-to-draining",
+            Self::SlowStartLimit => "slow-start-budget",
             Self::NoConnectionPastDeadline => "no-connection-past-deadline",
         }
     }
--- a/crates/invariants/src/violation.rs
+++ b/crates/invariants/src/violation.rs
@@ -6,16 +6,16 @@
 /// A violation of a rule, or an attempt that was refused because it would be one.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum Violation {
-    /// See [`Rule::OneFinalAnswer`].
+    /// See [`Rule::OneFinalResponse`].
     #[error("a second response was decided")]
     SecondResponse,
-    /// See [`Rule::AnswerInTime`].
+    /// See [`Rule::ResponseBeforeDeadline`].
     #[error("the response was sent {late:?} after the deadline")]
     LateResponse {
         /// Time after the deadline.
         late: Duration,
     },
-    /// See [`Rule::NoRequestUnanswered`].
+    /// See [`Rule::NoRequestWithoutResponse`].
     #[error("the connection was closed before the request had a response")]
     NoResponse,
     /// See [`Rule::NoAttemptAfterDisconnect`].
@@ -37,13 +37,13 @@
         /// Time that the client has left.
         left: Duration,
     },
-    /// See [`Rule::NothingAfterEnd`].
+    /// See [`Rule::NoAttemptAfterEnd`].
     #[error("the RPC already has its response, or its client has disconnected")]
     AttemptAfterEnd,
-    /// See [`Rule::NoSecondEffect`].
+    /// See [`Rule::NoDuplicateExecution`].
     #[error("an earlier attempt may have been executed, and the RPC must not be repeated")]
     UnsafeRepeat,
-    /// See [`Rule::NoSecondEffect`].
+    /// See [`Rule::NoDuplicateExecution`].
     #[error(
         "the first attempt was {since_first:?} ago, but backends recognise duplicates for {window:?}"
     )]
@@ -53,10 +53,10 @@
         /// Time for which backends recognise duplicates.
         window: Duration,
     },
-    /// See [`Rule::NothingToDraining`].
+    /// See [`Rule::NoAttemptToDrainingBackend`].
     #[error("the backend is draining or removed")]
     BackendDraining,
-    /// See [`Rule::SlowStartBudget`].
+    /// See [`Rule::SlowStartLimit`].
     #[error(
         "{sent} requests were sent to a warming backend, but all proxies together may send {limit:.1}"
     )]
@@ -78,17 +78,19 @@
     /// Returns the violated rule.
     pub fn rule(&self) -> Rule {
         match self {
-            Self::SecondResponse => Rule::OneFinalAnswer,
-            Self::LateResponse { .. } => Rule::AnswerInTime,
-            Self::NoResponse => Rule::NoRequestUnanswered,
+            Self::SecondResponse => Rule::OneFinalResponse,
+            Self::LateResponse { .. } => Rule::ResponseBeforeDeadline,
+            Self::NoResponse => Rule::NoRequestWithoutResponse,
             Self::ClientDisconnected => Rule::NoAttemptAfterDisconnect,
             Self::DeadlinePassed { .. } | Self::ForwardedTimeoutTooLong { .. } => {
                 Rule::NoAttemptBeyondDeadline
             }
-            Self::AttemptAfterEnd => Rule::NothingAfterEnd,
-            Self::UnsafeRepeat | Self::DeduplicationWindowExpired { .. } => Rule::NoSecondEffect,
-            Self::BackendDraining => Rule::NothingToDraining,
-            Self::SlowStartLimitExceeded { .. } => Rule::SlowStartBudget,
+            Self::AttemptAfterEnd => Rule::NoAttemptAfterEnd,
+            Self::UnsafeRepeat | Self::DeduplicationWindowExpired { .. } => {
+                Rule::NoDuplicateExecution
+            }
+            Self::BackendDraining => Rule::NoAttemptToDrainingBackend,
+            Self::SlowStartLimitExceeded { .. } => Rule::SlowStartLimit,
             Self::LateClose { .. } => Rule::NoConnectionPastDeadline,
         }
     }
--- a/crates/invariants/tests/guard.rs
+++ b/crates/invariants/tests/guard.rs
@@ -71,10 +71,10 @@
     ] {
         assert_eq!(guard.check_start(&facts), Err(violation), "{facts:?}");
     }
-    assert_eq!(guard.violations(Rule::NothingAfterEnd), 1);
-    assert_eq!(guard.violations(Rule::NoSecondEffect), 1);
+    assert_eq!(guard.violations(Rule::NoAttemptAfterEnd), 1);
+    assert_eq!(guard.violations(Rule::NoDuplicateExecution), 1);
     assert_eq!(
-        guard.refusals(Rule::NoSecondEffect),
+        guard.refusals(Rule::NoDuplicateExecution),
         1,
         "the window has expired since"
     );
@@ -98,14 +98,14 @@
                 is_backend_ready: false,
                 ..SEND
             },
-            Rule::NothingToDraining,
+            Rule::NoAttemptToDrainingBackend,
         ),
         (
             SendFacts {
                 repeat_time_left: Some(Duration::ZERO),
                 ..SEND
             },
-            Rule::NoSecondEffect,
+            Rule::NoDuplicateExecution,
         ),
         (
             SendFacts {
@@ -179,6 +179,24 @@
     assert_eq!(slow_start_limit(0.0), 3.0);
 }
 
+/// Operators and tests of other packages search for these names.
+#[test]
+fn names_of_rules_are_the_same_in_every_version() {
+    let expected = [
+        "one-final-answer",
+        "answer-in-time",
+        "no-request-unanswered",
+        "no-attempt-after-disconnect",
+        "no-attempt-beyond-deadline",
+        "nothing-after-end",
+        "no-second-effect",
+        "nothing-to-draining",
+        "slow-start-budget",
+        "no-connection-past-deadline",
+    ];
+    assert_eq!(Rule::ALL.map(Rule::name), expected);
+}
+
 #[test]
 fn every_rule_has_its_own_name_and_index() {
     let mut names: Vec<_> = Rule::ALL.iter().map(|rule| rule.name()).collect();
