--- a/crates/invariants/src/rule.rs
+++ b/crates/invariants/src/rule.rs
@@ -1,29 +1,29 @@
-//! The rules that a proxy must keep.
+//! The invariants of a proxy and their names.
 use std::fmt;
 
-/// A rule that a proxy must keep.
+/// An invariant that a proxy must not violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
     /// An RPC has exactly one final response.
     OneFinalResponse,
-    /// The response is sent before the deadline.
+    /// The response is sent before the deadline of the RPC, or at most [`crate::LATENESS_SLACK`] later.
     ResponseBeforeDeadline,
-    /// A request that was read has a response before its connection is closed.
+    /// A request that was received gets a response before its connection is closed.
     NoRequestWithoutResponse,
     /// No attempt starts after the client has disconnected.
     NoAttemptAfterDisconnect,
-    /// No attempt starts after the client's deadline, or forwards a timeout that exceeds the time left by more than
-    /// [`crate::DEADLINE_SLACK`].
+    /// No attempt starts after the client's deadline, or forwards a timeout that exceeds the time left until then by more
+    /// than [`crate::DEADLINE_SLACK`].
     NoAttemptBeyondDeadline,
-    /// No attempt starts for an RPC that has its response.
+    /// No attempt starts for an RPC that already has its response or whose client has disconnected.
     NoAttemptAfterEnd,
-    /// No RPC is executed a second time that must be executed at most once.
+    /// An RPC that must be executed at most once is not sent again once a backend may have executed it.
     NoDuplicateExecution,
     /// No attempt is sent to a draining or removed backend after the drain grace.
     NoAttemptToDrainingBackend,
-    /// A warming backend is sent no more than [`crate::slow_start_limit`] allows.
+    /// A backend in slow start is sent no more requests than [`crate::slow_start_limit`] allows.
     SlowStartLimit,
-    /// No client connection stays open after the deadline of its phase.
+    /// No client connection stays open after the deadline of its phase, apart from [`crate::LATENESS_SLACK`].
     NoConnectionPastDeadline,
 }
 
@@ -42,7 +42,7 @@
         Self::NoConnectionPastDeadline,
     ];
 
-    /// Returns the name of the rule in logs and in the admin API, which must not change.
+    /// Returns the name of the rule in logs and in the admin API. Names must not change.
     pub fn name(self) -> &'static str {
         match self {
             Self::OneFinalResponse => "one-final-answer",
