--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,8 +1,8 @@
-//! The logger of all programs, behind the `log` crate.
+//! The logger of all birchhub programs. It implements the [`log`] facade.
 //!
-//! A record becomes one line: seconds since 1970, level, module, text, and its fields as ` name=value`. A thread of its
-//! own writes the lines to standard error, so that logging never blocks: lines that come faster than they can be
-//! written are dropped and counted.
+//! Each record becomes one line: the Unix time in seconds, the level, the module, the message, and its fields as
+//! ` name=value`. A dedicated thread writes the lines to standard error, so that logging never blocks: lines that are
+//! logged while the queue is full are dropped and counted.
 #[cfg(test)]
 mod tests;
 
@@ -15,26 +15,27 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Lines that may wait to be written.
+/// Maximum number of lines that are queued for the writer thread.
 const QUEUE_CAPACITY: usize = 1024;
-/// Time that a flush waits for the writing thread: the reader of standard error may be gone.
+/// Longest time that a flush waits for the writer thread, which may be blocked because nobody reads standard error.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Time between two attempts of a flush to queue its marker.
+/// Time between two attempts of a flush to queue its marker while the queue is full.
 const FLUSH_RETRY_INTERVAL: Duration = Duration::from_millis(1);
-/// Stack of the writing thread, in bytes.
+/// Stack size of the writer thread, in bytes.
 const WRITER_STACK_BYTES: usize = 64 << 10;
-/// Environment variable with the level.
+/// Environment variable that sets the log level.
 const LEVEL_VARIABLE: &str = "BIRCHHUB_LOG";
 
-/// A message to the writing thread.
+/// An entry of the queue to the writer thread.
 enum Entry {
-    /// A line to be written.
+    /// A line to write, including its line break.
     Line(String),
-    /// A marker of a flush. The thread drops it after all lines before it, which closes the channel.
+    /// Queued by a flush. The writer thread drops the marker after it has written all earlier lines, which closes the
+    /// channel on which the flush waits.
     FlushMarker { _written: SyncSender<()> },
 }
 
-/// Appends the fields of a record to its line.
+/// Appends the key-value pairs of a record to its line.
 struct Fields<'a>(&'a mut String);
 
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
@@ -43,10 +44,10 @@
     }
 }
 
-/// Formats records and queues their lines.
+/// Formats records as lines and queues them for the writer thread.
 struct Logger {
-    lines: SyncSender<Entry>,
-    /// Lines dropped since the last one that was written.
+    queue: SyncSender<Entry>,
+    /// Number of lines dropped since the writer thread last reported it.
     dropped: &'static AtomicUsize,
 }
 
@@ -59,47 +60,47 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let at = SystemTime::now()
+        let timestamp = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let module = record.target().rsplit("::").next().unwrap_or_default();
         let mut line = format!(
             "{:.3} {:5} {module}: {}",
-            at.as_secs_f64(),
+            timestamp.as_secs_f64(),
             record.level(),
             record.args()
         );
-        // Formatting into a string can't fail.
+        // Appending to a string cannot fail.
         let _ = record.key_values().visit(&mut Fields(&mut line));
         line.push('\n');
-        if self.lines.try_send(Entry::Line(line)).is_err() {
+        if self.queue.try_send(Entry::Line(line)).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Waits until the queued lines are written, at most for [`FLUSH_TIMEOUT`]. Otherwise the last lines would be lost when
-    /// the process exits.
+    /// Waits until the queued lines are written, or until [`FLUSH_TIMEOUT`] has passed. A program must flush before it
+    /// exits: lines that are still queued are lost.
     fn flush(&self) {
         let deadline = Instant::now() + FLUSH_TIMEOUT;
         let (_written, closed) = sync_channel(0);
         let mut entry = Entry::FlushMarker { _written };
-        while let Err(TrySendError::Full(back)) = self.lines.try_send(entry) {
+        while let Err(TrySendError::Full(unsent)) = self.queue.try_send(entry) {
             if Instant::now() >= deadline {
                 return;
             }
-            entry = back;
+            entry = unsent;
             sleep(FLUSH_RETRY_INTERVAL);
         }
         let _ = closed.recv_timeout(deadline.saturating_duration_since(Instant::now()));
     }
 }
 
-/// Writes the lines that are queued, until the logger is gone.
-fn write(lines: Receiver<Entry>, dropped: &AtomicUsize) {
+/// Writes the queued lines to standard error until the logger is dropped.
+fn write_lines(queue: Receiver<Entry>, dropped: &AtomicUsize) {
     let mut stderr = std::io::stderr();
-    for entry in lines {
+    for entry in queue {
         let Entry::Line(line) = entry else { continue };
-        // There is no other place to report that standard error failed.
+        // An error is ignored: there is nowhere else to report that standard error failed.
         let _ = stderr.write_all(line.as_bytes());
         match dropped.swap(0, Ordering::Relaxed) {
             0 => {}
@@ -108,21 +109,21 @@
     }
 }
 
-/// Starts logging at the level in `BIRCHHUB_LOG`, or at `info` if there is none or it is unknown.
+/// Installs the logger, at the level in the environment variable `BIRCHHUB_LOG`, or `info` if it is unset or invalid.
 ///
-/// Without a thread for it, or if another logger was started before, nothing is logged.
+/// Nothing is logged if the writer thread cannot be started or another logger is already installed.
 pub fn start() {
     let level = std::env::var(LEVEL_VARIABLE)
         .ok()
         .and_then(|level| level.parse().ok());
-    let (sender, lines) = sync_channel(QUEUE_CAPACITY);
+    let (sender, receiver) = sync_channel(QUEUE_CAPACITY);
     let dropped: &'static AtomicUsize = Box::leak(Box::default());
     let writer = std::thread::Builder::new()
         .name("log".into())
         .stack_size(WRITER_STACK_BYTES);
-    if writer.spawn(move || write(lines, dropped)).is_ok()
+    if writer.spawn(move || write_lines(receiver, dropped)).is_ok()
         && log::set_boxed_logger(Box::new(Logger {
-            lines: sender,
+            queue: sender,
             dropped,
         }))
         .is_ok()
--- a/crates/logging/src/tests.rs
+++ b/crates/logging/src/tests.rs
@@ -1,26 +1,29 @@
-//! Tests of the flush at the end of a process.
+//! Tests of [`Logger::flush`].
 use super::*;
 
-/// A flush waits for the writing thread, and gives up if nobody reads.
+/// A program flushes before it exits: it must neither lose queued lines nor hang while the writer thread is blocked.
 #[test]
 fn flush_writes_all_lines_or_times_out() {
-    let (lines, entries) = sync_channel(2);
+    let (queue, receiver) = sync_channel(2);
     let logger = Logger {
-        lines,
+        queue,
         dropped: Box::leak(Box::default()),
     };
-    let begun = Instant::now();
+    let start = Instant::now();
     logger.flush();
-    assert!(begun.elapsed() >= FLUSH_TIMEOUT, "nobody writes");
+    assert!(
+        start.elapsed() >= FLUSH_TIMEOUT,
+        "there is no writer thread"
+    );
     logger.flush();
     logger.flush();
     assert!(
-        begun.elapsed() >= FLUSH_TIMEOUT * 3,
-        "nobody writes, and the queue is full"
+        start.elapsed() >= FLUSH_TIMEOUT * 3,
+        "there is no writer thread, and the queue is full"
     );
-    let writer = std::thread::spawn(move || write(entries, &AtomicUsize::new(0)));
+    let writer = std::thread::spawn(move || write_lines(receiver, &AtomicUsize::new(0)));
     logger.flush();
     assert!(!writer.is_finished());
     drop(logger);
-    writer.join().expect("the writer ends");
+    writer.join().expect("the writer thread does not panic");
 }
