--- a/crates/daemon/src/invariants.rs
+++ b/crates/daemon/src/invariants.rs
@@ -1,8 +1,8 @@
-//! The invariants of the process: a [`Guard`] with the log and the suspensions that it needs.
+//! The invariants of the process: an [`InvariantChecker`] with the log and the suspensions that it needs.
 
 mod suspensions;
 
-use birchhub_invariants::{AttemptStart, Guard, Report, SendFacts, Violation};
+use birchhub_invariants::{AttemptStart, InvariantChecker, Report, SendFacts, Violation};
 use std::cell::Cell;
 use std::time::Duration;
 use suspensions::Suspensions;
@@ -11,19 +11,19 @@
 /// Logged in place of the request id for a violation that concerns no single RPC.
 pub(crate) const NO_REQUEST_ID: &str = "-";
 
-/// The one guard of a process, which judges every attempt, response and closed connection.
+/// The one checker of a process, which judges every attempt, response and closed connection.
 pub(crate) struct Invariants {
-    guard: Guard,
+    checker: InvariantChecker,
     suspensions: Suspensions,
     /// Number of RPCs that have no response yet and whose client is connected.
     open_rpcs: Cell<u64>,
 }
 
 impl Invariants {
-    /// Creates the guard of a process that starts now.
+    /// Creates the checker of a process that starts now.
     pub(crate) fn new() -> Self {
         Self {
-            guard: Guard::default(),
+            checker: InvariantChecker::default(),
             suspensions: Suspensions::new(),
             open_rpcs: Cell::new(0),
         }
@@ -36,13 +36,13 @@
 
     /// Returns whether an attempt that the decisions request may start.
     pub(crate) fn may_start(&self, request: &str, facts: &AttemptStart) -> bool {
-        let result = self.guard.check_start(facts);
+        let result = self.checker.check_start(facts);
         is_allowed(request, result)
     }
 
     /// Returns whether the first byte of an attempt may be sent.
     pub(crate) fn may_send(&self, request: &str, facts: &SendFacts) -> bool {
-        let result = self.guard.check_send(facts);
+        let result = self.checker.check_send(facts);
         is_allowed(request, result)
     }
 
@@ -86,22 +86,22 @@
     ) -> Result<(), Violation> {
         let late = deadline.elapsed();
         let suspended = self.suspensions.total_since(deadline);
-        self.guard.check_lateness(late, suspended, violation)
+        self.checker.check_lateness(late, suspended, violation)
     }
 
     /// Counts and logs a violation.
     pub(crate) fn record_violation(&self, request: &str, violation: &Violation) {
-        self.guard.count(violation);
+        self.checker.count(violation);
         log_violation(request, violation);
     }
 
     /// Returns the counts of violations and refusals so far.
     pub(crate) fn report(&self) -> Report<'_> {
-        self.guard.report()
+        self.checker.report()
     }
 }
 
-/// Returns whether an attempt is allowed, and logs why it is not. The guard has counted a violation, if it is one.
+/// Returns whether an attempt is allowed, and logs why it is not. The checker has counted a violation, if it is one.
 fn is_allowed(request: &str, result: Result<(), Violation>) -> bool {
     let Err(violation) = result else {
         return true;
--- a/crates/invariants/src/guard.rs
+++ b/crates/invariants/src/checker.rs
@@ -1,4 +1,4 @@
-//! The guard: judges attempts, responses and closed connections, and counts what it finds.
+//! The checker: judges attempts, responses and closed connections, and counts what it finds.
 //!
 //! An attempt that the decisions must never request is a violation, which is prevented and counted. An attempt that
 //! became wrong between the decision and its first byte, as when the client disconnects in between, is a refusal: that
@@ -15,14 +15,14 @@
 
 /// Judges by the rules, and counts violations and refusals.
 #[derive(Debug, Default)]
-pub struct Guard {
+pub struct InvariantChecker {
     violations: RuleCounts,
     refusals: RuleCounts,
 }
 
-impl Guard {
-    /// Judges an attempt that the decisions start. An expired deduplication window counts as a refusal, since it may have
-    /// expired while the process was suspended, which the clock of the decisions excludes.
+impl InvariantChecker {
+    /// Judges an attempt that the decisions start. An expired deduplication window counts as a refusal, since it may
+    /// have expired while the process was suspended, which the clock of the decisions excludes.
     ///
     /// # Errors
     ///
@@ -34,8 +34,8 @@
         })
     }
 
-    /// Judges an attempt before its first byte is sent. A forwarded timeout that is too long counts as a violation, since
-    /// the proxy itself has chosen it. All else counts as a refusal.
+    /// Judges an attempt before its first byte is sent. A forwarded timeout that is too long counts as a violation,
+    /// since the proxy itself has chosen it. All else counts as a refusal.
     ///
     /// # Errors
     ///
@@ -117,8 +117,8 @@
     if !facts.is_backend_ready {
         return Err(Violation::BackendDraining);
     }
-    // The deduplication window has expired since the start. Reported as `UnsafeRepeat`, because the facts of a send do not
-    // include the window; it counts for the same rule as `DeduplicationWindowExpired`.
+    // The deduplication window has expired since the start. Reported as `UnsafeRepeat`, because the facts of a send do
+    // not include the window; it counts for the same rule as `DeduplicationWindowExpired`.
     if facts.repeat_time_left == Some(Duration::ZERO) {
         return Err(Violation::UnsafeRepeat);
     }
--- a/crates/invariants/src/facts.rs
+++ b/crates/invariants/src/facts.rs
@@ -1,4 +1,4 @@
-//! The facts about an attempt by which the guard judges it.
+//! The facts about an attempt by which the checker judges it.
 use std::time::Duration;
 
 /// Whether an attempt of an RPC may follow one that a backend may have executed.
--- a/crates/invariants/src/report.rs
+++ b/crates/invariants/src/report.rs
@@ -1,13 +1,13 @@
-//! The report of a guard: its counts by rule, as text.
-use crate::guard::Guard;
+//! The report of a checker: its counts by rule, as text.
+use crate::checker::InvariantChecker;
 use crate::rule::Rule;
 use std::fmt;
 
-/// The counts of a guard. The text leaves out rules without violations and refusals.
+/// The counts of a checker. The text leaves out rules without violations and refusals.
 #[derive(Clone, Copy, Debug)]
-pub struct Report<'a>(pub(crate) &'a Guard);
+pub struct Report<'a>(pub(crate) &'a InvariantChecker);
 
-impl Guard {
+impl InvariantChecker {
     /// Returns the counts of all rules, as text.
     pub fn report(&self) -> Report<'_> {
         Report(self)
--- a/crates/invariants/src/rule.rs
+++ b/crates/invariants/src/rule.rs
@@ -12,8 +12,8 @@
     NoRequestWithoutResponse,
     /// No attempt starts after the client has disconnected.
     NoAttemptAfterDisconnect,
-    /// No attempt starts after the client's deadline, or forwards a timeout that exceeds the time left until then by more
-    /// than [`crate::DEADLINE_SLACK`].
+    /// No attempt starts after the client's deadline, or forwards a timeout that exceeds the time left until then by
+    /// more than [`crate::DEADLINE_SLACK`].
     NoAttemptBeyondDeadline,
     /// No attempt starts for an RPC that already has its response or whose client has disconnected.
     NoAttemptAfterEnd,
--- a/crates/invariants/src/slow_start.rs
+++ b/crates/invariants/src/slow_start.rs
@@ -3,9 +3,9 @@
 /// Allowed requests below which the wider tolerance applies.
 const FEW_REQUESTS: f64 = 30.0;
 
-/// Returns the largest number of requests of mean work that all proxies together may send to a warming backend within the
-/// overload window, if its settings allow `allowed` requests in that window. The tolerance is three standard deviations
-/// and three requests where few are allowed, and two of each otherwise.
+/// Returns the largest number of requests of mean work that all proxies together may send to a warming backend within
+/// the overload window, if its settings allow `allowed` requests in that window. The tolerance is three standard
+/// deviations and three requests where few are allowed, and two of each otherwise.
 pub fn slow_start_limit(allowed: f64) -> f64 {
     let standard_deviation = allowed.max(0.0).sqrt();
     if allowed < FEW_REQUESTS {
--- a/crates/invariants/tests/guard.rs
+++ b/crates/invariants/tests/checker.rs
@@ -1,6 +1,6 @@
-//! The guard's judgement of each rule.
+//! The checker's judgement of each rule.
 use birchhub_invariants::{
-    AttemptStart, Guard, RepeatRule, Rule, SendFacts, Violation, slow_start_limit,
+    AttemptStart, InvariantChecker, RepeatRule, Rule, SendFacts, Violation, slow_start_limit,
 };
 use std::time::Duration;
 
@@ -29,13 +29,13 @@
     }
 }
 
-fn all_violations(guard: &Guard) -> u64 {
-    guard.report().violations()
+fn all_violations(checker: &InvariantChecker) -> u64 {
+    checker.report().violations()
 }
 
 #[test]
 fn first_attempts_and_safe_repeats_may_start() {
-    let guard = Guard::default();
+    let checker = InvariantChecker::default();
     let window = RepeatRule::Within(SECOND);
     for facts in [
         start(false, RepeatRule::Never, None),
@@ -43,14 +43,14 @@
         start(false, window, Some(SECOND - MS)),
         start(false, RepeatRule::Always, Some(100 * SECOND)),
     ] {
-        assert_eq!(guard.check_start(&facts), Ok(()), "{facts:?}");
+        assert_eq!(checker.check_start(&facts), Ok(()), "{facts:?}");
     }
-    assert_eq!(all_violations(&guard), 0);
+    assert_eq!(all_violations(&checker), 0);
 }
 
 #[test]
 fn attempts_that_must_not_start_are_refused_and_counted() {
-    let guard = Guard::default();
+    let checker = InvariantChecker::default();
     let expired = Violation::DeduplicationWindowExpired {
         since_first: SECOND,
         window: SECOND,
@@ -69,22 +69,22 @@
             expired,
         ),
     ] {
-        assert_eq!(guard.check_start(&facts), Err(violation), "{facts:?}");
+        assert_eq!(checker.check_start(&facts), Err(violation), "{facts:?}");
     }
-    assert_eq!(guard.violations(Rule::NoAttemptAfterEnd), 1);
-    assert_eq!(guard.violations(Rule::NoDuplicateExecution), 1);
+    assert_eq!(checker.violations(Rule::NoAttemptAfterEnd), 1);
+    assert_eq!(checker.violations(Rule::NoDuplicateExecution), 1);
     assert_eq!(
-        guard.refusals(Rule::NoDuplicateExecution),
+        checker.refusals(Rule::NoDuplicateExecution),
         1,
         "the window has expired since"
     );
-    assert_eq!(all_violations(&guard), 2);
+    assert_eq!(all_violations(&checker), 2);
 }
 
 #[test]
 fn attempts_that_became_wrong_since_the_decision_are_refused_before_their_first_byte() {
-    let guard = Guard::default();
-    assert_eq!(guard.check_send(&SEND), Ok(()));
+    let checker = InvariantChecker::default();
+    assert_eq!(checker.check_send(&SEND), Ok(()));
     for (facts, rule) in [
         (
             SendFacts {
@@ -115,37 +115,41 @@
             Rule::NoAttemptBeyondDeadline,
         ),
     ] {
-        let refused = guard.check_send(&facts).expect_err("a refusal");
+        let refused = checker.check_send(&facts).expect_err("a refusal");
         assert_eq!(refused.rule(), rule, "{facts:?}");
-        assert_eq!(guard.refusals(rule), 1, "{facts:?}");
+        assert_eq!(checker.refusals(rule), 1, "{facts:?}");
     }
-    assert_eq!(all_violations(&guard), 0, "races are not violations");
+    assert_eq!(all_violations(&checker), 0, "races are not violations");
 }
 
 /// The slack is added to the time that is left.
 #[test]
 fn forwarded_timeout_does_not_exceed_the_time_left_to_the_client() {
-    let guard = Guard::default();
+    let checker = InvariantChecker::default();
     let with_timeout = |forwarded_timeout: Duration| SendFacts {
         forwarded_timeout,
         ..SEND
     };
-    assert_eq!(guard.check_send(&with_timeout(SECOND + 150 * MS)), Ok(()));
-    assert!(guard.check_send(&with_timeout(SECOND + 151 * MS)).is_err());
-    assert_eq!(guard.violations(Rule::NoAttemptBeyondDeadline), 1);
+    assert_eq!(checker.check_send(&with_timeout(SECOND + 150 * MS)), Ok(()));
+    assert!(
+        checker
+            .check_send(&with_timeout(SECOND + 151 * MS))
+            .is_err()
+    );
+    assert_eq!(checker.violations(Rule::NoAttemptBeyondDeadline), 1);
     let incomplete_request = SendFacts {
         time_left: None,
         forwarded_timeout: 60 * SECOND,
         ..SEND
     };
-    assert_eq!(guard.check_send(&incomplete_request), Ok(()));
+    assert_eq!(checker.check_send(&incomplete_request), Ok(()));
 }
 
 #[test]
 fn lateness_excludes_the_time_for_which_the_process_was_suspended() {
-    let guard = Guard::default();
+    let checker = InvariantChecker::default();
     let check = |late, suspended| {
-        guard
+        checker
             .check_lateness(late, suspended, |late| Violation::LateClose { late })
             .is_ok()
     };
@@ -153,20 +157,20 @@
     assert!(check(5 * SECOND, 5 * SECOND));
     assert!(!check(251 * MS, Duration::ZERO));
     assert!(!check(5 * SECOND, 4 * SECOND));
-    assert_eq!(guard.violations(Rule::NoConnectionPastDeadline), 2);
+    assert_eq!(checker.violations(Rule::NoConnectionPastDeadline), 2);
 }
 
 #[test]
 fn the_report_lists_violations_and_refusals_by_rule() {
-    let guard = Guard::default();
-    assert_eq!(guard.report().to_string(), "0 violations");
-    guard.count(&Violation::SecondResponse);
-    let _ = guard.check_send(&SendFacts {
+    let checker = InvariantChecker::default();
+    assert_eq!(checker.report().to_string(), "0 violations");
+    checker.count(&Violation::SecondResponse);
+    let _ = checker.check_send(&SendFacts {
         is_client_disconnected: true,
         ..SEND
     });
     assert_eq!(
-        guard.report().to_string(),
+        checker.report().to_string(),
         "1 violations, one-final-answer: 1 violated, 0 refused, \
          no-attempt-after-disconnect: 0 violated, 1 refused"
     );
