--- a/crates/daemon/src/decision/platform.rs
+++ b/crates/daemon/src/decision/platform.rs
@@ -161,8 +161,8 @@
         };
         let index = in_flight.attempt_count();
         let kind = ExchangeKind::Attempt(AttemptId { rpc, index });
-        let facts = in_flight.attempt_start();
-        if !self.invariants.may_start(in_flight.request_id(), &facts) {
+        let start = in_flight.attempt_start();
+        if !self.invariants.may_start(in_flight.request_id(), &start) {
             in_flight.record_refused_attempt();
             self.unsent.push(kind);
             return;
--- a/crates/daemon/src/invariants.rs
+++ b/crates/daemon/src/invariants.rs
@@ -2,7 +2,7 @@
 
 mod suspensions;
 
-use birchhub_invariants::{AttemptStart, InvariantChecker, Report, SendFacts, Violation};
+use birchhub_invariants::{AttemptSend, AttemptStart, InvariantChecker, Report, Violation};
 use std::cell::Cell;
 use std::time::Duration;
 use suspensions::Suspensions;
@@ -35,14 +35,14 @@
     }
 
     /// Returns whether an attempt that the decisions request may start.
-    pub(crate) fn may_start(&self, request: &str, facts: &AttemptStart) -> bool {
-        let result = self.checker.check_start(facts);
+    pub(crate) fn may_start(&self, request: &str, start: &AttemptStart) -> bool {
+        let result = self.checker.check_start(start);
         is_allowed(request, result)
     }
 
     /// Returns whether the first byte of an attempt may be sent.
-    pub(crate) fn may_send(&self, request: &str, facts: &SendFacts) -> bool {
-        let result = self.checker.check_send(facts);
+    pub(crate) fn may_send(&self, request: &str, send: &AttemptSend) -> bool {
+        let result = self.checker.check_send(send);
         is_allowed(request, result)
     }
 
--- a/crates/daemon/src/upstream/attempt/send.rs
+++ b/crates/daemon/src/upstream/attempt/send.rs
@@ -7,7 +7,7 @@
 use crate::upstream::response_stream::stream_response;
 use crate::upstream::result::ExchangeResult;
 use birchhub::interface::AttemptOutcome;
-use birchhub_invariants::SendFacts;
+use birchhub_invariants::AttemptSend;
 use std::future::pending;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,9 +24,9 @@
             };
             // Checked again now, however long the connect took and however late this process runs: no backend works for
             // a client that has disconnected. The decision actor will receive that event and cancel the exchange.
-            let facts = self.send_facts(self.is_client_disconnected().await);
-            if !self.may_send(&facts) {
-                if facts.is_client_disconnected {
+            let send = self.attempt_send(self.is_client_disconnected().await);
+            if !self.may_send(&send) {
+                if send.is_client_disconnected {
                     return wait_for_cancellation().await;
                 }
                 return AttemptOutcome::NotSent.into();
@@ -42,18 +42,18 @@
     }
 
     /// Whether the invariants permit to send the first byte now.
-    fn may_send(&self, facts: &SendFacts) -> bool {
+    fn may_send(&self, send: &AttemptSend) -> bool {
         let invariants = &self.endpoint.invariants;
-        invariants.may_send(self.request.id_text(), facts)
+        invariants.may_send(self.request.id_text(), send)
     }
 
-    fn send_facts(&self, is_client_disconnected: bool) -> SendFacts {
+    fn attempt_send(&self, is_client_disconnected: bool) -> AttemptSend {
         let now = Instant::now();
         // The client's deadline of a streamed request is not known before its last byte.
         let client_deadline = self.deadlines.client_deadline;
         let client_deadline = client_deadline.filter(|_| self.request.is_fully_received());
         let send_deadline = self.deadlines.send_deadline;
-        SendFacts {
+        AttemptSend {
             is_client_disconnected,
             time_left: client_deadline.map(|deadline| deadline.saturating_duration_since(now)),
             past_deadline: client_deadline.map_or(Duration::ZERO, |deadline| {
--- a/crates/invariants/src/facts.rs
+++ b/crates/invariants/src/attempt.rs
@@ -25,7 +25,7 @@
 
 /// The facts when the first byte of an attempt is about to be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SendFacts {
+pub struct AttemptSend {
     /// Whether the client has disconnected.
     pub is_client_disconnected: bool,
     /// Time that the client has left; `None` while its request is incomplete, since its timeout starts afterwards.
--- a/crates/invariants/src/checker.rs
+++ b/crates/invariants/src/checker.rs
@@ -3,7 +3,7 @@
 //! An attempt that the decisions must never request is a violation, which is prevented and counted. An attempt that
 //! became wrong between the decision and its first byte, as when the client disconnects in between, is a refusal: that
 //! race is unavoidable, and the attempt is safely not sent.
-use crate::facts::{AttemptStart, RepeatRule, SendFacts};
+use crate::attempt::{AttemptSend, AttemptStart, RepeatRule};
 use crate::rule::Rule;
 use crate::violation::Violation;
 use crate::{DEADLINE_SLACK, LATENESS_SLACK};
@@ -27,8 +27,8 @@
     /// # Errors
     ///
     /// Returns the violation if the attempt must not start.
-    pub fn check_start(&self, facts: &AttemptStart) -> Result<(), Violation> {
-        judge_start(facts).inspect_err(|violation| match violation {
+    pub fn check_start(&self, start: &AttemptStart) -> Result<(), Violation> {
+        judge_start(start).inspect_err(|violation| match violation {
             Violation::DeduplicationWindowExpired { .. } => self.count_refusal(violation),
             _ => self.count(violation),
         })
@@ -40,8 +40,8 @@
     /// # Errors
     ///
     /// Returns the violation if the attempt must not be sent.
-    pub fn check_send(&self, facts: &SendFacts) -> Result<(), Violation> {
-        judge_send(facts).inspect_err(|violation| match violation {
+    pub fn check_send(&self, send: &AttemptSend) -> Result<(), Violation> {
+        judge_send(send).inspect_err(|violation| match violation {
             Violation::ForwardedTimeoutTooLong { .. } => self.count(violation),
             _ => self.count_refusal(violation),
         })
@@ -92,14 +92,14 @@
     counts[rule as usize].update(|count| count + 1);
 }
 
-fn judge_start(facts: &AttemptStart) -> Result<(), Violation> {
-    if facts.is_finished {
+fn judge_start(start: &AttemptStart) -> Result<(), Violation> {
+    if start.is_finished {
         return Err(Violation::AttemptAfterEnd);
     }
-    let Some(since_first) = facts.since_first_execution else {
+    let Some(since_first) = start.since_first_execution else {
         return Ok(());
     };
-    match facts.repeat_rule {
+    match start.repeat_rule {
         RepeatRule::Always => Ok(()),
         RepeatRule::Never => Err(Violation::UnsafeRepeat),
         RepeatRule::Within(window) if since_first < window => Ok(()),
@@ -110,26 +110,26 @@
     }
 }
 
-fn judge_send(facts: &SendFacts) -> Result<(), Violation> {
-    if facts.is_client_disconnected {
+fn judge_send(send: &AttemptSend) -> Result<(), Violation> {
+    if send.is_client_disconnected {
         return Err(Violation::ClientDisconnected);
     }
-    if !facts.is_backend_ready {
+    if !send.is_backend_ready {
         return Err(Violation::BackendDraining);
     }
     // The deduplication window has expired since the start. Reported as `UnsafeRepeat`, because the facts of a send do
     // not include the window; it counts for the same rule as `DeduplicationWindowExpired`.
-    if facts.repeat_time_left == Some(Duration::ZERO) {
+    if send.repeat_time_left == Some(Duration::ZERO) {
         return Err(Violation::UnsafeRepeat);
     }
-    let Some(left) = facts.time_left else {
+    let Some(left) = send.time_left else {
         return Ok(());
     };
     if left.is_zero() {
-        let late = facts.past_deadline;
+        let late = send.past_deadline;
         return Err(Violation::DeadlinePassed { late });
     }
-    let forwarded = facts.forwarded_timeout;
+    let forwarded = send.forwarded_timeout;
     if forwarded > left + DEADLINE_SLACK {
         return Err(Violation::ForwardedTimeoutTooLong { forwarded, left });
     }
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -3,15 +3,15 @@
 //! [`Rule`] lists the rules. The [`InvariantChecker`] judges each attempt before it starts and again before it is sent,
 //! so that an attempt that would break a rule is not sent. It also judges each response and each closed connection, and
 //! counts what was violated. Nothing here performs I/O, reads a clock or waits: callers pass durations.
+mod attempt;
 mod checker;
-mod facts;
 mod report;
 mod rule;
 mod slow_start;
 mod violation;
 
+pub use attempt::{AttemptSend, AttemptStart, RepeatRule};
 pub use checker::InvariantChecker;
-pub use facts::{AttemptStart, RepeatRule, SendFacts};
 pub use report::Report;
 pub use rule::Rule;
 pub use slow_start::slow_start_limit;
--- a/crates/invariants/tests/checker.rs
+++ b/crates/invariants/tests/checker.rs
@@ -1,6 +1,6 @@
 //! The checker's judgement of each rule.
 use birchhub_invariants::{
-    AttemptStart, InvariantChecker, RepeatRule, Rule, SendFacts, Violation, slow_start_limit,
+    AttemptSend, AttemptStart, InvariantChecker, RepeatRule, Rule, Violation, slow_start_limit,
 };
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 /// An attempt that may be sent.
-const SEND: SendFacts = SendFacts {
+const SEND: AttemptSend = AttemptSend {
     is_client_disconnected: false,
     time_left: Some(SECOND),
     past_deadline: Duration::ZERO,
@@ -87,28 +87,28 @@
     assert_eq!(checker.check_send(&SEND), Ok(()));
     for (facts, rule) in [
         (
-            SendFacts {
+            AttemptSend {
                 is_client_disconnected: true,
                 ..SEND
             },
             Rule::NoAttemptAfterDisconnect,
         ),
         (
-            SendFacts {
+            AttemptSend {
                 is_backend_ready: false,
                 ..SEND
             },
             Rule::NoAttemptToDrainingBackend,
         ),
         (
-            SendFacts {
+            AttemptSend {
                 repeat_time_left: Some(Duration::ZERO),
                 ..SEND
             },
             Rule::NoDuplicateExecution,
         ),
         (
-            SendFacts {
+            AttemptSend {
                 time_left: Some(Duration::ZERO),
                 ..SEND
             },
@@ -126,7 +126,7 @@
 #[test]
 fn forwarded_timeout_does_not_exceed_the_time_left_to_the_client() {
     let checker = InvariantChecker::default();
-    let with_timeout = |forwarded_timeout: Duration| SendFacts {
+    let with_timeout = |forwarded_timeout: Duration| AttemptSend {
         forwarded_timeout,
         ..SEND
     };
@@ -137,7 +137,7 @@
             .is_err()
     );
     assert_eq!(checker.violations(Rule::NoAttemptBeyondDeadline), 1);
-    let incomplete_request = SendFacts {
+    let incomplete_request = AttemptSend {
         time_left: None,
         forwarded_timeout: 60 * SECOND,
         ..SEND
@@ -165,7 +165,7 @@
     let checker = InvariantChecker::default();
     assert_eq!(checker.report().to_string(), "0 violations");
     checker.count(&Violation::SecondResponse);
-    let _ = checker.check_send(&SendFacts {
+    let _ = checker.check_send(&AttemptSend {
         is_client_disconnected: true,
         ..SEND
     });
