--- a/crates/invariants/src/checker.rs
+++ b/crates/invariants/src/checker.rs
@@ -1,8 +1,8 @@
-//! The checker: judges attempts, responses and closed connections, and counts what it finds.
+//! Checks attempts, responses and closed connections, and counts violations and refusals.
 //!
-//! An attempt that the decisions must never request is a violation, which is prevented and counted. An attempt that
-//! became wrong between the decision and its first byte, as when the client disconnects in between, is a refusal: that
-//! race is unavoidable, and the attempt is safely not sent.
+//! An attempt that the decision logic must never request is a violation. An attempt that was correct when it was
+//! decided but not when its first byte is about to be sent, for example because the client has disconnected in between,
+//! is a refusal: that race is unavoidable. In both cases the attempt is counted and not sent.
 use crate::attempt::{AttemptSend, AttemptStart, RepeatRule};
 use crate::rule::Rule;
 use crate::violation::Violation;
@@ -13,7 +13,7 @@
 /// A counter for each rule, in the order of [`Rule::ALL`].
 type RuleCounts = [Cell<u64>; Rule::ALL.len()];
 
-/// Judges by the rules, and counts violations and refusals.
+/// Checks events against the rules, and counts violations and refusals by rule.
 #[derive(Debug, Default)]
 pub struct InvariantChecker {
     violations: RuleCounts,
@@ -21,34 +21,35 @@
 }
 
 impl InvariantChecker {
-    /// Judges an attempt that the decisions start. An expired deduplication window counts as a refusal, since it may
-    /// have expired while the process was suspended, which the clock of the decisions excludes.
+    /// Checks an attempt when the decision logic starts it. An expired deduplication window counts as a refusal: it may
+    /// have expired while the process was suspended, which the clock of the decision logic excludes.
     ///
     /// # Errors
     ///
     /// Returns the violation if the attempt must not start.
     pub fn check_start(&self, start: &AttemptStart) -> Result<(), Violation> {
-        judge_start(start).inspect_err(|violation| match violation {
+        validate_start(start).inspect_err(|violation| match violation {
             Violation::DeduplicationWindowExpired { .. } => self.count_refusal(violation),
             _ => self.count(violation),
         })
     }
 
-    /// Judges an attempt before its first byte is sent. A forwarded timeout that is too long counts as a violation,
-    /// since the proxy itself has chosen it. All else counts as a refusal.
+    /// Checks an attempt before its first byte is sent. A forwarded timeout that is too long counts as a violation,
+    /// because the proxy itself has chosen it. Everything else counts as a refusal.
     ///
     /// # Errors
     ///
     /// Returns the violation if the attempt must not be sent.
     pub fn check_send(&self, send: &AttemptSend) -> Result<(), Violation> {
-        judge_send(send).inspect_err(|violation| match violation {
+        validate_send(send).inspect_err(|violation| match violation {
             Violation::ForwardedTimeoutTooLong { .. } => self.count(violation),
             _ => self.count_refusal(violation),
         })
     }
 
-    /// Judges how late a response, or the close of a connection, was. `suspended` is the time for which the process was
-    /// suspended after the deadline, which is allowed. `violation` makes the violation of the remaining lateness.
+    /// Checks by how much a response, or the close of a connection, exceeded its deadline. `suspended` is the time for
+    /// which the process was suspended after the deadline; it is subtracted from `late`. `violation` constructs the
+    /// violation from the remaining lateness.
     ///
     /// # Errors
     ///
@@ -68,7 +69,7 @@
         Err(violation)
     }
 
-    /// Counts a violation.
+    /// Counts a violation of its rule.
     pub fn count(&self, violation: &Violation) {
         increment(&self.violations, violation.rule());
     }
@@ -92,7 +93,8 @@
     counts[rule as usize].update(|count| count + 1);
 }
 
-fn judge_start(start: &AttemptStart) -> Result<(), Violation> {
+/// Returns an error if the attempt must not start.
+fn validate_start(start: &AttemptStart) -> Result<(), Violation> {
     if start.is_finished {
         return Err(Violation::AttemptAfterEnd);
     }
@@ -110,15 +112,16 @@
     }
 }
 
-fn judge_send(send: &AttemptSend) -> Result<(), Violation> {
+/// Returns an error if the attempt must not be sent.
+fn validate_send(send: &AttemptSend) -> Result<(), Violation> {
     if send.is_client_disconnected {
         return Err(Violation::ClientDisconnected);
     }
     if !send.is_backend_ready {
         return Err(Violation::BackendDraining);
     }
-    // The deduplication window has expired since the start. Reported as `UnsafeRepeat`, because the facts of a send do
-    // not include the window; it counts for the same rule as `DeduplicationWindowExpired`.
+    // The deduplication window has expired since the attempt started. This is reported as `UnsafeRepeat`, because the
+    // length of the window is not known here. `DeduplicationWindowExpired` is a violation of the same rule.
     if send.repeat_time_left == Some(Duration::ZERO) {
         return Err(Violation::UnsafeRepeat);
     }
