--- a/crates/invariants/src/rule.rs
+++ b/crates/invariants/src/rule.rs
@@ -60,7 +60,7 @@
 }
 
 impl fmt::Display for Rule {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        to.write_str(self.name())
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(self.name())
     }
 }
