--- a/crates/invariants/src/violation.rs
+++ b/crates/invariants/src/violation.rs
@@ -1,13 +1,13 @@
-//! Violations of the rules, with the evidence.
+//! Violations of the rules, with the measured values.
 use crate::rule::Rule;
 use std::time::Duration;
 use thiserror::Error;
 
-/// A violation of a rule, or an attempt that was refused because it would be one.
+/// A violation of a rule, or the reason for which an attempt was refused. The text is logged.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum Violation {
     /// See [`Rule::OneFinalResponse`].
-    #[error("a second response was decided")]
+    #[error("the RPC already has a response, and a second one was decided")]
     SecondResponse,
     /// See [`Rule::ResponseBeforeDeadline`].
     #[error("the response was sent {late:?} after the deadline")]
@@ -58,12 +58,12 @@
     BackendDraining,
     /// See [`Rule::SlowStartLimit`].
     #[error(
-        "{sent} requests were sent to a warming backend, but all proxies together may send {limit:.1}"
+        "{sent} requests were sent to a backend in slow start, but all proxies together may send {limit:.1}"
     )]
     SlowStartLimitExceeded {
-        /// Requests that this proxy has sent in the window.
+        /// Requests that this proxy has sent in the overload window.
         sent: u32,
-        /// Requests that all proxies together may send in the window.
+        /// Requests that all proxies together may send in the overload window.
         limit: f64,
     },
     /// See [`Rule::NoConnectionPastDeadline`].
