--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,8 +1,10 @@
-//! Runtime checks of the rules that a proxy must keep whatever fails around it.
+//! Runtime checks of the invariants of a proxy, which it must not violate even if clients, backends or the discovery
+//! service fail.
 //!
-//! [`Rule`] lists the rules. The [`InvariantChecker`] judges each attempt before it starts and again before it is sent,
-//! so that an attempt that would break a rule is not sent. It also judges each response and each closed connection, and
-//! counts what was violated. Nothing here performs I/O, reads a clock or waits: callers pass durations.
+//! [`Rule`] lists the invariants. The [`InvariantChecker`] checks each attempt before it starts and again before its
+//! first byte is sent, so that an attempt that would violate a rule is not sent. It also checks how late responses and
+//! closes of connections are, and counts the violations by rule. Nothing here performs I/O, reads a clock or waits:
+//! callers pass durations.
 mod attempt;
 mod checker;
 mod report;
@@ -19,9 +21,9 @@
 
 use std::time::Duration;
 
-/// Time by which the timeout that is forwarded to a backend may exceed the time that the client has left.
+/// Tolerance by which the timeout that is forwarded to a backend may exceed the time left until the client's deadline.
 pub const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
-/// Time after its deadline until which a response, or the close of a connection, is still in time. The time for which
-/// the process was suspended is allowed in addition.
+/// Tolerance by which a response, or the close of a connection, may miss its deadline. The time for which the process
+/// was suspended is allowed in addition.
 pub const LATENESS_SLACK: Duration = Duration::from_millis(250);
