--- a/crates/invariants/tests/checker.rs
+++ b/crates/invariants/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker's judgement of each rule.
+//! Tests of the checker and its report, the slow-start limit and the names of the rules.
 use birchhub_invariants::{
     AttemptSend, AttemptStart, InvariantChecker, RepeatRule, Rule, Violation, slow_start_limit,
 };
@@ -37,13 +37,13 @@
 fn first_attempts_and_safe_repeats_may_start() {
     let checker = InvariantChecker::default();
     let window = RepeatRule::Within(SECOND);
-    for facts in [
+    for attempt in [
         start(false, RepeatRule::Never, None),
         start(false, window, None),
         start(false, window, Some(SECOND - MS)),
         start(false, RepeatRule::Always, Some(100 * SECOND)),
     ] {
-        assert_eq!(checker.check_start(&facts), Ok(()), "{facts:?}");
+        assert_eq!(checker.check_start(&attempt), Ok(()), "{attempt:?}");
     }
     assert_eq!(all_violations(&checker), 0);
 }
@@ -55,7 +55,7 @@
         since_first: SECOND,
         window: SECOND,
     };
-    for (facts, violation) in [
+    for (attempt, violation) in [
         (
             start(true, RepeatRule::Always, None),
             Violation::AttemptAfterEnd,
@@ -69,23 +69,23 @@
             expired,
         ),
     ] {
-        assert_eq!(checker.check_start(&facts), Err(violation), "{facts:?}");
+        assert_eq!(checker.check_start(&attempt), Err(violation), "{attempt:?}");
     }
     assert_eq!(checker.violations(Rule::NoAttemptAfterEnd), 1);
     assert_eq!(checker.violations(Rule::NoDuplicateExecution), 1);
     assert_eq!(
         checker.refusals(Rule::NoDuplicateExecution),
         1,
-        "the window has expired since"
+        "an expired deduplication window is a refusal"
     );
     assert_eq!(all_violations(&checker), 2);
 }
 
 #[test]
-fn attempts_that_became_wrong_since_the_decision_are_refused_before_their_first_byte() {
+fn attempts_that_became_invalid_since_the_decision_are_refused_before_their_first_byte() {
     let checker = InvariantChecker::default();
     assert_eq!(checker.check_send(&SEND), Ok(()));
-    for (facts, rule) in [
+    for (attempt, rule) in [
         (
             AttemptSend {
                 is_client_disconnected: true,
@@ -115,14 +115,14 @@
             Rule::NoAttemptBeyondDeadline,
         ),
     ] {
-        let refused = checker.check_send(&facts).expect_err("a refusal");
-        assert_eq!(refused.rule(), rule, "{facts:?}");
-        assert_eq!(checker.refusals(rule), 1, "{facts:?}");
+        let refused = checker.check_send(&attempt).expect_err("a refusal");
+        assert_eq!(refused.rule(), rule, "{attempt:?}");
+        assert_eq!(checker.refusals(rule), 1, "{attempt:?}");
     }
     assert_eq!(all_violations(&checker), 0, "races are not violations");
 }
 
-/// The slack is added to the time that is left.
+/// The forwarded timeout may exceed the time left by `DEADLINE_SLACK`.
 #[test]
 fn forwarded_timeout_does_not_exceed_the_time_left_to_the_client() {
     let checker = InvariantChecker::default();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn the_report_lists_violations_and_refusals_by_rule() {
+fn report_lists_violations_and_refusals_by_rule() {
     let checker = InvariantChecker::default();
     assert_eq!(checker.report().to_string(), "0 violations");
     checker.count(&Violation::SecondResponse);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn the_slow_start_limit_has_the_tolerance_of_the_rules() {
+fn slow_start_limit_adds_a_wider_tolerance_if_few_requests_are_allowed() {
     assert_eq!(slow_start_limit(100.0), 122.0);
     assert_eq!(slow_start_limit(16.0), 31.0);
     assert_eq!(slow_start_limit(0.0), 3.0);
