--- a/crates/daemon/src/decision/endpoints.rs
+++ b/crates/daemon/src/decision/endpoints.rs
@@ -134,10 +134,10 @@
                 started_at_ms: listed.started_at_ms,
             },
         );
-        let read_start = || StartTime::read(started_at_ms, changed_since, clock);
-        let known = self.ids.get_or_assign(&listed.uid, read_start);
-        if !known.start.was_read_from(started_at_ms) {
-            known.start = read_start();
+        let convert_start = || StartTime::convert(started_at_ms, changed_since, clock);
+        let known = self.ids.get_or_assign(&listed.uid, convert_start);
+        if !known.start.was_converted_from(started_at_ms) {
+            known.start = convert_start();
         }
         let backend = known.id;
         let started_at = known.start.seconds();
--- a/crates/daemon/src/decision/start_times.rs
+++ b/crates/daemon/src/decision/start_times.rs
@@ -23,7 +23,11 @@
     /// Reads a listed start time, in Unix milliseconds. It cannot lie more than [`MAX_LISTING_DELAY`] before
     /// `changed_since`, the time at which the previous list was current. Without a previous list, the wall clock alone
     /// decides.
-    pub(super) fn read(started_at_ms: f64, changed_since: Option<Instant>, clock: &Clock) -> Self {
+    pub(super) fn convert(
+        started_at_ms: f64,
+        changed_since: Option<Instant>,
+        clock: &Clock,
+    ) -> Self {
         let max_age = changed_since.map_or(f64::INFINITY, |since| {
             (since.elapsed() + MAX_LISTING_DELAY).as_secs_f64()
         });
@@ -37,7 +41,7 @@
     }
 
     /// Returns whether this was read from the same listed start time.
-    pub(super) fn was_read_from(&self, started_at_ms: f64) -> bool {
+    pub(super) fn was_converted_from(&self, started_at_ms: f64) -> bool {
         self.started_at_ms == started_at_ms
     }
 
--- a/crates/daemon/src/decision/start_times/tests.rs
+++ b/crates/daemon/src/decision/start_times/tests.rs
@@ -10,7 +10,7 @@
 /// Returns the age in seconds of a backend that was listed at some time in the last `changed_seconds`.
 fn age(started_at_ms: f64, changed_seconds: Option<f64>, clock: &Clock) -> Option<f64> {
     let since = changed_seconds.map(|seconds| Instant::now() - Duration::from_secs_f64(seconds));
-    let start = StartTime::read(started_at_ms, since, clock);
+    let start = StartTime::convert(started_at_ms, since, clock);
     start.seconds().map(|seconds| clock.now() - seconds)
 }
 
