--- a/crates/daemon/src/decision/exchange_events.rs
+++ b/crates/daemon/src/decision/exchange_events.rs
@@ -13,7 +13,7 @@
         let AttemptId { rpc: id, index } = attempt;
         let body = result.body;
         let report = result.report;
-        let outcome = self.reliable_outcome(result.outcome, AttemptOutcome::Cancelled);
+        let outcome = self.outcome_after_suspension(result.outcome, AttemptOutcome::Cancelled);
         let succeeded = outcome == AttemptOutcome::Succeeded;
         let in_flight = self.platform.in_flight.get(&id);
         log::debug!(
@@ -72,7 +72,7 @@
         report: Option<LoadReport>,
     ) {
         log::trace!(backend, outcome:?, report:?; "health check ended");
-        let outcome = self.reliable_outcome(outcome, AttemptOutcome::NotSent);
+        let outcome = self.outcome_after_suspension(outcome, AttemptOutcome::NotSent);
         self.call_balancer(|actor| {
             let platform = &mut actor.platform;
             actor
--- a/crates/daemon/src/decision/timers.rs
+++ b/crates/daemon/src/decision/timers.rs
@@ -60,7 +60,7 @@
 
     /// Returns the outcome of an exchange, or `if_suspended` for a timeout right after the process was suspended: the
     /// suspension may have caused that timeout, so it says nothing about the backend.
-    pub(super) fn reliable_outcome(
+    pub(super) fn outcome_after_suspension(
         &self,
         outcome: AttemptOutcome,
         if_suspended: AttemptOutcome,
