--- a/crates/daemon/src/config/reload.rs
+++ b/crates/daemon/src/config/reload.rs
@@ -82,7 +82,7 @@
         log::info!(target: "birchhubd", "SIGHUP: discovery is at {discovery}");
         self.discovery
             .send_if_modified(|address| std::mem::replace(address, discovery) != discovery);
-        let mut former_names = None;
+        let mut previous_names = None;
         if let Some(PendingUpdate { update, applied }) = update {
             let event = Event::SettingsChanged(Box::new(update));
             if self.decision_actor.send(event).await.is_err() {
@@ -98,13 +98,13 @@
                 elapsed,
                 loop_time.unwrap_or_default(),
             );
-            former_names = applied.map(|applied| applied.former_names);
+            previous_names = applied.map(|applied| applied.previous_names);
         }
         log_restart_keys(&state.config);
         self.published.send_replace(state.config.clone());
         let former_state = std::mem::replace(&mut self.active, state);
         // Dropping tens of thousands of names here would block the event loop.
-        let _ = spawn_blocking(move || drop((former_names, former_state))).await;
+        let _ = spawn_blocking(move || drop((previous_names, former_state))).await;
     }
 }
 
--- a/crates/daemon/src/config/update.rs
+++ b/crates/daemon/src/config/update.rs
@@ -23,7 +23,7 @@
 /// The decision actor's notification that an update is active.
 pub(crate) struct AppliedUpdate {
     /// Names before the update. Dropping them takes long: the receiver does it outside of the event loop.
-    pub former_names: Arc<NameTable>,
+    pub previous_names: Arc<NameTable>,
     /// Time that the event loop spent on applying the update.
     pub loop_time: Duration,
 }
--- a/crates/daemon/src/decision/updates.rs
+++ b/crates/daemon/src/decision/updates.rs
@@ -77,7 +77,7 @@
             applied,
         } = update;
         self.repeat_rules = repeat_rules(&settings);
-        let former_names = self.names.replace(names.into());
+        let previous_names = self.names.replace(names.into());
         self.call_balancer(|actor| {
             let platform = &mut actor.platform;
             actor
@@ -91,7 +91,7 @@
             None => self.disable_shadow(),
         }
         let _ = applied.send(AppliedUpdate {
-            former_names,
+            previous_names,
             loop_time: started.elapsed(),
         });
     }
