--- a/crates/daemon/src/decision/endpoint_ids.rs
+++ b/crates/daemon/src/decision/endpoint_ids.rs
@@ -47,7 +47,7 @@
     }
 
     /// Returns the ids of those of the given backends that have one.
-    pub(super) fn of<'a>(&self, uids: impl Iterator<Item = &'a str>) -> HashSet<u32> {
+    pub(super) fn ids_of<'a>(&self, uids: impl Iterator<Item = &'a str>) -> HashSet<u32> {
         uids.filter_map(|uid| self.known.get(uid))
             .map(|known| known.id)
             .collect()
--- a/crates/daemon/src/decision/endpoints.rs
+++ b/crates/daemon/src/decision/endpoints.rs
@@ -111,7 +111,7 @@
             .map(|listed| listed.uid.as_str())
             .collect();
         self.listed.retain(|uid, _| uids.contains(uid.as_str()));
-        let ids = self.ids.of(uids.into_iter());
+        let ids = self.ids.ids_of(uids.into_iter());
         self.handles.retain(|id, _| ids.contains(id));
     }
 
