--- a/crates/daemon/src/decision/actor.rs
+++ b/crates/daemon/src/decision/actor.rs
@@ -29,43 +29,43 @@
 
 /// The task that owns the balancer and its platform.
 pub(crate) struct DecisionActor {
-    /// The decisions.
+    /// Selects backends, and decides on retries, rejections and health checks.
     pub(super) balancer: Balancer,
     /// The balancer's handle of each RPC in flight, by RPC id.
     pub(super) rpcs: HashMap<u64, RpcHandle>,
     /// Performs the actions that the balancer requests.
     pub(super) platform: DaemonPlatform,
-    /// Evaluates other settings on the same events; `None` if the configuration has no shadow settings.
+    /// Evaluates the shadow settings on the same events; `None` if the configuration has none.
     pub(super) shadow: Option<ShadowEvaluator>,
     /// The names of the active methods and tenants.
     pub(super) names: ActiveNames,
     /// The repeat rule of each method, by method index.
     pub(super) repeat_rules: Vec<RepeatRule>,
-    /// Receives the generation of the administrative state that is applied.
+    /// Notified of each generation of the administrative state that this actor has applied.
     pub(super) state_store: Rc<StateStore>,
     /// The state of the process, with the administrative state.
     pub(super) state: watch::Receiver<ProxyState>,
     /// Detects suspensions of the process.
     pub(super) heartbeat: Heartbeat,
-    /// Receives each heartbeat, since suspensions excuse lateness.
+    /// Records each heartbeat: time for which the process was suspended does not count as lateness.
     pub(super) invariants: Rc<Invariants>,
 }
 
 /// The parts of the process that the decision actor uses.
 pub(crate) struct ActorContext {
-    /// The clock of the decisions.
+    /// The clock that the balancer's times refer to.
     pub clock: Clock,
-    /// Grants the sockets of connections to backends.
+    /// Limits the number of connections to backends.
     pub budget: Rc<SocketBudget>,
     /// Sends to the actor's own mailbox.
     pub events: mpsc::Sender<Event>,
-    /// Notified when the balancer wants to watch the endpoint list.
+    /// Notified when the balancer requests a watch of the endpoint list.
     pub watch_requested: Rc<Notify>,
     /// The state of the process.
     pub state_store: Rc<StateStore>,
     /// The names of the active methods and tenants.
     pub names: ActiveNames,
-    /// Checks each attempt, response and closed connection.
+    /// Checks each attempt, response and closed connection against the invariants.
     pub invariants: Rc<Invariants>,
 }
 
@@ -109,8 +109,8 @@
     /// Handles events until all senders of the mailbox are dropped.
     pub(crate) async fn run(mut self, mut mailbox: mpsc::Receiver<Event>) {
         loop {
-            // The heartbeat may set the clock back. It must precede the check of the timers: the balancer ignores a timer
-            // event that its clock shows as early, and schedules no other.
+            // The heartbeat may set the clock back, so it must precede the timer check: the balancer ignores a timer
+            // event that is early by its clock, and does not schedule another one.
             self.record_heartbeat();
             let timers = self.timers();
             if self.run_due_timers(timers) {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Handles an event, and then the completions of the exchanges that it requested but that could not start.
+    /// Handles an event, then reports the exchanges that it requested but that could not be started as not sent.
     fn dispatch(&mut self, event: Event) {
         self.record_heartbeat();
         self.handle(event);
