--- a/crates/daemon/src/decision/balancer_calls.rs
+++ b/crates/daemon/src/decision/balancer_calls.rs
@@ -1,16 +1,16 @@
-//! Calls on the balancer that survive its panics, and the release of RPCs that are finished.
+//! Calls of the balancer: catches its panics, and removes finished RPCs.
 use crate::decision::actor::DecisionActor;
 use crate::decision::platform::DaemonPlatform;
 use birchhub::balancer::RpcHandle;
 use birchhub::interface::Platform;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Delay of the timer event after the balancer panicked, which may have lost its own timer.
+/// Delay of the timer event that is scheduled after the balancer panicked: it may not have scheduled its own.
 const PANIC_RECOVERY_DELAY_SECONDS: f64 = 0.01;
 
 impl DecisionActor {
-    /// Calls the balancer at the present time. A panic ends neither the process nor other RPCs: the RPC service
-    /// responds to the RPCs that the balancer lost, at their deadline.
+    /// Updates the balancer's clock and calls the balancer. A panic ends neither the process nor other RPCs. The RPC
+    /// service responds to RPCs that the balancer lost in a panic when their deadline expires.
     pub(super) fn call_balancer(&mut self, call: impl FnOnce(&mut Self)) {
         self.platform.update_now();
         if catch_unwind(AssertUnwindSafe(|| call(self))).is_err() {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Calls the balancer's handle of an RPC, if there is one.
+    /// Calls the balancer's handle of an RPC. Does nothing if the balancer does not know the RPC.
     pub(super) fn call_rpc(&mut self, id: u64, call: impl FnOnce(&RpcHandle, &mut DaemonPlatform)) {
         self.call_balancer(|actor| {
             if let Some(rpc) = actor.rpcs.get(&id) {
@@ -33,8 +33,8 @@
         });
     }
 
-    /// Withdraws the unsent attempts of an RPC that has its response, whether or not the settings allow cancelling.
-    /// Drops the RPC once all its attempts have ended.
+    /// Withdraws the unsent attempts of an RPC whose response is decided, even if the settings do not allow cancelling.
+    /// Removes the RPC once all its attempts have ended.
     fn release_if_finished(&mut self, id: u64) {
         if let Some(in_flight) = self.platform.in_flight.get_mut(&id)
             && !in_flight.awaits_response()
