--- a/crates/daemon/src/decision/client_events.rs
+++ b/crates/daemon/src/decision/client_events.rs
@@ -9,7 +9,8 @@
 const CLIENT_TIMEOUT_MARGIN: Duration = Duration::from_millis(5);
 
 impl DecisionActor {
-    /// Hands a new RPC to the balancer. Responds at once if it is not valid under settings that became active meanwhile.
+    /// Passes a new RPC to the balancer. Responds with an error if it is invalid under settings that were activated
+    /// after it was parsed.
     pub(super) fn on_rpc_received(&mut self, id: u64, mut rpc: ReceivedRpc, client: RpcClient) {
         if let Err(response) = rpc.apply_names(&self.names.borrow()) {
             let _ = client.responder.send(response);
@@ -42,7 +43,7 @@
     pub(super) fn on_client_disconnected(&mut self, id: u64) {
         let is_known_to_balancer = self.rpcs.contains_key(&id);
         if !is_known_to_balancer {
-            // The balancer lost this RPC when it panicked. The call below then only reads the clock, for the replay.
+            // The balancer lost this RPC in a panic. The call below then only updates the time for the shadow replay.
             self.platform.in_flight.remove(&id);
         }
         self.call_rpc(id, |rpc, platform| {
