--- a/crates/daemon/src/decision/endpoint_ids.rs
+++ b/crates/daemon/src/decision/endpoint_ids.rs
@@ -1,17 +1,17 @@
-//! Backend ids: the numbers by which the decisions know the backends, assigned by the uid in the endpoint list.
+//! Backend ids: the numbers that identify backends in the balancer, one for each uid in the endpoint list.
 use crate::decision::start_times::StartTime;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for which a removed backend keeps its id, so that one that is listed again soon counts as the same backend.
+/// Time for which a removed backend keeps its id. A backend that is listed again within it counts as the same backend.
 const REMOVED_ID_RETENTION: Duration = Duration::from_secs(2);
 
 /// A backend that has an id.
 pub(super) struct KnownBackend {
     /// The backend's id.
     pub id: u32,
-    /// The latest start time that was listed.
+    /// The start time that was listed last.
     pub start: StartTime,
     last_listed: Instant,
 }
@@ -19,7 +19,7 @@
 /// The ids of listed and recently removed backends.
 #[derive(Default)]
 pub(super) struct EndpointIds {
-    /// By uid.
+    /// The backends that have an id, by uid.
     known: HashMap<String, KnownBackend>,
     /// The uids in `known` that are not listed.
     removed: HashSet<String>,
@@ -27,7 +27,7 @@
 }
 
 impl EndpointIds {
-    /// Returns a backend that an update names, and assigns it an id if it has none.
+    /// Returns the backend with this uid, which an update names. Assigns it an id and `start` if it has none.
     pub(super) fn get_or_assign(
         &mut self,
         uid: &str,
@@ -46,7 +46,7 @@
         known
     }
 
-    /// Returns the ids of those of the given backends that have one.
+    /// Returns the ids of the backends with these uids, without those that have no id.
     pub(super) fn ids_of<'a>(&self, uids: impl Iterator<Item = &'a str>) -> HashSet<u32> {
         uids.filter_map(|uid| self.known.get(uid))
             .map(|known| known.id)
@@ -58,7 +58,7 @@
         self.removed.insert(uid.to_owned());
     }
 
-    /// Marks all backends as removed that `is_listed` does not confirm.
+    /// Marks every backend as removed for which `is_listed` returns false, and no other backend.
     pub(super) fn mark_unlisted_removed(&mut self, is_listed: impl Fn(u32) -> bool) {
         self.removed = self
             .known
