--- a/crates/daemon/src/decision/endpoints.rs
+++ b/crates/daemon/src/decision/endpoints.rs
@@ -1,4 +1,4 @@
-//! The registry of backends: their endpoint actors, and how updates of the endpoint list change them.
+//! The registry of backends: applies updates of the endpoint list, and starts and stops the endpoint actors.
 use crate::clock::Clock;
 use crate::decision::endpoint_ids::EndpointIds;
 use crate::decision::start_times::StartTime;
@@ -17,8 +17,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Relative size of every backend where the deployment does not list sizes.
-const UNLISTED_RELATIVE_SIZE: f64 = 1.0;
+/// Relative size of every backend if the endpoint list does not contain sizes.
+const DEFAULT_RELATIVE_SIZE: f64 = 1.0;
 
 /// The backends of this process.
 pub(super) struct EndpointRegistry {
@@ -27,8 +27,9 @@
     ids: EndpointIds,
     /// The last list entry of each backend that is not removed, by uid.
     listed: HashMap<String, ListedEndpoint>,
-    /// The zones that the settings name.
+    /// The names of the zones in the settings.
     zones: Vec<String>,
+    /// Whether the endpoint list contains the sizes of the backends.
     lists_sizes: bool,
     limits: ConnectionLimits,
     budget: Rc<SocketBudget>,
@@ -70,14 +71,14 @@
         Some(handle.info.borrow().address)
     }
 
-    /// Returns the last list entries of those of the given backends that are listed.
+    /// Returns the list entries of the backends with these uids, without those that are not listed.
     pub(super) fn listed<'a>(&self, uids: impl Iterator<Item = &'a String>) -> Vec<ListedEndpoint> {
         uids.filter_map(|uid| self.listed.get(uid))
             .cloned()
             .collect()
     }
 
-    /// Applies an update of the endpoint list. Returns the endpoints that it names, in the form that the balancer takes.
+    /// Applies an update of the endpoint list. Returns its endpoints as the balancer takes them.
     pub(super) fn apply(
         &mut self,
         update: &EndpointUpdate,
@@ -103,7 +104,7 @@
         endpoints
     }
 
-    /// Drops the backends that a snapshot does not name.
+    /// Drops the backends that are not in a snapshot, which ends their actors.
     fn drop_unlisted(&mut self, snapshot: &EndpointUpdate) {
         let uids: HashSet<_> = snapshot
             .endpoints
@@ -123,7 +124,7 @@
         clock: &Clock,
     ) -> Endpoint {
         self.record_listed(listed);
-        // The only place where maintenance overrides the list. All code below uses the effective status.
+        // The only place where maintenance overrides the endpoint list: all code below uses the effective status.
         let EndpointStatus {
             readiness,
             started_at_ms,
@@ -149,14 +150,14 @@
                 address: listed.address,
                 ready: readiness == Readiness::Ready,
             };
-            self.start_or_inform(backend, info);
+            self.start_or_update(backend, info);
         }
         Endpoint {
             backend,
             relative_size: if self.lists_sizes {
                 listed.size
             } else {
-                UNLISTED_RELATIVE_SIZE
+                DEFAULT_RELATIVE_SIZE
             },
             started_at,
             cell: cell_of(listed, backend),
@@ -173,8 +174,8 @@
         }
     }
 
-    /// Starts the actor of a backend, or sends it the present list entry.
-    fn start_or_inform(&mut self, backend: u32, info: EndpointInfo) {
+    /// Starts the actor of a backend, or sends the backend's address and readiness to the actor that runs.
+    fn start_or_update(&mut self, backend: u32, info: EndpointInfo) {
         if let Some(handle) = self.handles.get(&backend) {
             handle.info.send_replace(info);
         } else {
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Returns the index of a backend's zone. A backend without a known zone has an index of its own.
+    /// Returns the index of a backend's zone. A backend whose zone is not in the settings has an index of its own.
     fn zone_of(&self, listed: &ListedEndpoint, backend: u32) -> usize {
         self.zones
             .iter()
@@ -195,7 +196,7 @@
 }
 
 /// Returns the cell of a backend. A backend without a listed cell has a cell of its own: no other backend is known to
-/// recognise its retries as duplicates.
+/// recognise retries of its requests as duplicates.
 fn cell_of(listed: &ListedEndpoint, backend: u32) -> u64 {
     listed.cell.unwrap_or(u64::MAX - u64::from(backend))
 }
