--- a/crates/daemon/src/decision/exchange_events.rs
+++ b/crates/daemon/src/decision/exchange_events.rs
@@ -1,4 +1,4 @@
-//! Events from exchanges with backends: progress and completion of attempts, and completion of health checks.
+//! Events of exchanges with backends: progress and end of attempts, and end of health checks.
 use crate::decision::actor::DecisionActor;
 use crate::decision::in_flight::InFlightRpc;
 use crate::downstream::response::ProxyResponse;
@@ -21,7 +21,7 @@
             attempt = index, outcome:?, reason:% = result.reason;
             "attempt ended"
         );
-        // A successful response ends the RPC; it is sent to the client below.
+        // A successful attempt ends the RPC: its response is sent to the client below.
         let is_over = succeeded || in_flight.is_none_or(|rpc| !rpc.awaits_response());
         let is_upload_consumed = in_flight.is_some_and(InFlightRpc::is_upload_consumed);
         self.call_rpc(id, |rpc, platform| {
@@ -31,7 +31,7 @@
             if is_upload_consumed {
                 rpc.forbid_retry();
             }
-            // The client already receives a streamed response.
+            // The client of a streamed response no longer waits: it has received the head.
             if succeeded && platform.awaits_response(id) {
                 platform.respond(id, ProxyResponse::Ok(body));
             }
@@ -45,7 +45,7 @@
         });
     }
 
-    /// Reports to the balancer that the last byte of a streamed request is sent, from which the time of the backend counts.
+    /// Reports to the balancer that the last byte of a streamed request was sent; the backend's latency counts from it.
     pub(super) fn on_request_sent(&mut self, attempt: AttemptId) {
         self.call_rpc(attempt.rpc, |rpc, platform| {
             rpc.on_request_sent(attempt.index, platform);
@@ -53,7 +53,7 @@
         self.replay_to_shadow(|shadow, call| shadow.on_request_sent(call, attempt));
     }
 
-    /// Delivers the head of a streamed response, whose body the client receives directly from the attempt.
+    /// Delivers the head of a streamed response to the client, which receives the body directly from the attempt.
     pub(super) fn on_response_started(&mut self, attempt: AttemptId, body: StreamedBody) {
         self.call_rpc(attempt.rpc, |rpc, platform| {
             if platform.awaits_response(attempt.rpc) {
