--- a/crates/daemon/src/decision/heartbeat.rs
+++ b/crates/daemon/src/decision/heartbeat.rs
@@ -1,17 +1,19 @@
-//! The heartbeat of the process, which detects suspensions: the decision actor runs at least once per heartbeat
-//! interval unless the machine does not schedule the process.
+//! Detection of suspensions of the process. The decision actor runs at least once per heartbeat interval, so a late
+//! heartbeat shows that the machine did not schedule the process.
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time from one heartbeat to the next; short compared with the times that the decisions measure.
+/// Time from one heartbeat to the next. Short compared with the latencies that the decisions measure.
 const INTERVAL: Duration = Duration::from_millis(10);
 
-/// Scheduling lag of a heartbeat above which the process counts as suspended. A busy machine often lags by less.
+/// Delay of a heartbeat above which the process counts as suspended. Smaller delays are frequent on a busy machine.
 const MAX_SCHEDULING_LAG: Duration = Duration::from_millis(10);
 
-/// The next heartbeat, and the end of the last suspension.
+/// Detects suspensions by heartbeats that are late.
 pub(super) struct Heartbeat {
+    /// Time of the next heartbeat.
     due: Instant,
+    /// End of the last suspension.
     resumed_at: Instant,
 }
 
@@ -42,7 +44,7 @@
         suspended_for
     }
 
-    /// Returns whether the process resumed so recently that an exchange that ends now may be late because of it.
+    /// Returns whether the process resumed so recently that the suspension may have delayed an exchange that ends now.
     pub(super) fn has_just_resumed(&self) -> bool {
         Instant::now() < self.resumed_at + MAX_SCHEDULING_LAG
     }
