--- a/crates/daemon/src/decision/in_flight.rs
+++ b/crates/daemon/src/decision/in_flight.rs
@@ -1,4 +1,4 @@
-//! The state of an RPC in flight: its request, the client that waits for the response, and its attempts.
+//! The state of an RPC in flight: its request, its client and its attempts.
 use crate::downstream::request::ParsedRequest;
 use crate::downstream::request_ids::RequestIdGuard;
 use crate::downstream::response::ProxyResponse;
@@ -24,20 +24,20 @@
 pub(super) struct RpcLimits {
     /// Time by which the client must have its response.
     pub deadline: Instant,
-    /// Whether an attempt may follow one that a backend may have executed.
+    /// Whether, and for how long, the RPC may be retried after an attempt that a backend may have executed.
     pub repeat_rule: RepeatRule,
 }
 
 /// An attempt of an RPC.
 struct InFlightAttempt {
-    /// Dropped to cancel the attempt even if it was sent, or used to send [`WithdrawIfUnsent`]. `None` once either was
-    /// done or the attempt ended.
+    /// Dropped to cancel the attempt even if it was sent, or used to send [`WithdrawIfUnsent`]. `None` after either and
+    /// once the attempt has ended.
     cancel: Option<oneshot::Sender<WithdrawIfUnsent>>,
-    /// Start time, or `None` if the backend certainly did not execute the attempt.
+    /// Start time of the attempt; `None` if the backend certainly did not execute it.
     may_have_run_since: Option<Instant>,
 }
 
-/// An RPC, from its arrival until it has its response and all its attempts have ended.
+/// An RPC from its arrival until its response is decided and all its attempts have ended.
 pub(super) struct InFlightRpc {
     request: ParsedRequest,
     client: ClientLiveness,
@@ -74,11 +74,11 @@
         self.attempts.len()
     }
 
-    /// Records a new attempt and returns its exchange, which times out at `until` or at the RPC's deadline, whichever is
-    /// earlier.
+    /// Records a new attempt and returns the request of its exchange, which times out at `until` or at the RPC's
+    /// deadline, whichever is earlier.
     pub(super) fn start_attempt(&mut self, until: Instant) -> ExchangeRequest {
         let (sender, cancel) = oneshot::channel();
-        let send_by = self.send_by();
+        let send_deadline = self.send_deadline();
         self.attempts.push(InFlightAttempt {
             cancel: Some(sender),
             may_have_run_since: Some(Instant::now()),
@@ -89,16 +89,16 @@
             deadlines: Deadlines {
                 response_deadline: until.min(self.limits.deadline),
                 client_deadline: Some(self.limits.deadline),
-                send_deadline: send_by,
+                send_deadline,
             },
             cancel: Some(cancel),
         }
     }
 
-    /// Returns the time by which a retry must be sent. Prevents a retry so late that the backend no longer recognises it
-    /// as a duplicate: the decisions allowed it by their own clock, before the connection was opened and perhaps before
-    /// this process was suspended.
-    fn send_by(&self) -> Option<Instant> {
+    /// Returns the time by which a retry must be sent. Prevents a retry so late that the backend no longer recognises
+    /// it as a duplicate: the balancer allowed it by its own clock, before the connection was opened, and the process
+    /// may have been suspended since.
+    fn send_deadline(&self) -> Option<Instant> {
         match self.limits.repeat_rule {
             RepeatRule::Within(window) => Some(self.first_possible_execution()? + window),
             RepeatRule::Always | RepeatRule::Never => None,
@@ -113,7 +113,7 @@
             .min()
     }
 
-    /// Returns the facts by which the invariants judge an attempt that starts now.
+    /// Returns the input of the invariant check of an attempt that would start now.
     pub(super) fn attempt_start(&self) -> AttemptStart {
         AttemptStart {
             is_finished: !self.awaits_response(),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Records an attempt that the invariants refused. Its completion is reported as that of any other attempt.
+    /// Records an attempt that the invariant check refused. Its end is reported like that of any other attempt.
     pub(super) fn record_refused_attempt(&mut self) {
         self.attempts.push(InFlightAttempt {
             cancel: None,
@@ -161,14 +161,14 @@
         self.responder.is_some()
     }
 
-    /// Returns whether unbuffered parts of the body were forwarded, so that the RPC can't be retried.
+    /// Returns whether unbuffered parts of the request body were forwarded, so that the RPC can't be retried.
     pub(super) fn is_upload_consumed(&self) -> bool {
         self.request
             .upload()
             .is_some_and(|upload| upload.is_consumed())
     }
 
-    /// Sends the response to the client, unless it has disconnected.
+    /// Sends the response to the client unless the client has disconnected.
     ///
     /// # Errors
     ///
