--- a/crates/daemon/src/decision/platform.rs
+++ b/crates/daemon/src/decision/platform.rs
@@ -1,5 +1,5 @@
-//! The daemon's implementation of [`Platform`]: performs the actions that the balancer requests, without waiting for
-//! any of them.
+//! The daemon's implementation of [`Platform`]: starts the actions that the balancer requests and waits for none of
+//! them.
 use crate::clock::Clock;
 use crate::config::shadow::{Action, RecordedActions};
 use crate::decision::endpoints::EndpointRegistry;
@@ -19,29 +19,29 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-/// Timeout of a health check. A load report that takes longer is out of date.
+/// Timeout of a health check. A load report that arrives later is out of date.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The daemon's implementation of [`Platform`].
 pub(super) struct DaemonPlatform {
     /// Time of the current call on the balancer, in seconds of `clock`.
     pub now: f64,
-    /// The clock of the decisions.
+    /// The clock that the balancer's times refer to.
     pub clock: Clock,
     /// The RPCs in flight, by RPC id.
     pub in_flight: HashMap<u64, InFlightRpc>,
     /// The backends.
     pub endpoints: EndpointRegistry,
-    /// Deadline of the balancer's timer event, in seconds of `clock`.
+    /// Due time of the balancer's timer event, in seconds of `clock`.
     pub timer_at: Option<f64>,
     events: mpsc::Sender<Event>,
     watch_requested: Rc<Notify>,
     invariants: Rc<Invariants>,
-    /// Exchanges that could not start in the current call, and whose completion is not yet reported.
+    /// Exchanges that could not be started in the current call and whose end is not reported yet.
     unsent: Vec<ExchangeKind>,
-    /// Ids of the RPCs that were given their response in the current call.
+    /// Ids of the RPCs whose response was decided in the current call.
     responded: Vec<u64>,
-    /// Actions of the current call, while the shadow evaluation is enabled.
+    /// Actions that were requested in the current call; `None` while the shadow evaluation is disabled.
     recorded: Option<RecordedActions>,
 }
 
@@ -75,7 +75,7 @@
         self.now = self.clock.now();
     }
 
-    /// Gives an RPC its response, to be sent to the client.
+    /// Passes the response of an RPC to the RPC service, which sends it to the client.
     pub(super) fn respond(&mut self, rpc: u64, response: ProxyResponse) {
         self.responded.push(rpc);
         if let Some(in_flight) = self.in_flight.get_mut(&rpc) {
@@ -97,12 +97,12 @@
             .is_some_and(InFlightRpc::awaits_response)
     }
 
-    /// Takes the id of an RPC that was given its response in the current call.
+    /// Removes and returns the id of an RPC whose response was decided in the current call.
     pub(super) fn pop_responded(&mut self) -> Option<u64> {
         self.responded.pop()
     }
 
-    /// Takes an exchange that could not start.
+    /// Removes and returns an exchange that could not be started.
     pub(super) fn pop_unsent(&mut self) -> Option<ExchangeKind> {
         self.unsent.pop()
     }
@@ -117,7 +117,7 @@
         self.recorded = None;
     }
 
-    /// Takes the actions that were requested since the last call of this function.
+    /// Removes and returns the actions that were recorded since the last call of this function.
     pub(super) fn take_recorded(&mut self) -> RecordedActions {
         self.recorded
             .as_mut()
