--- a/crates/daemon/src/decision/shadow_replay.rs
+++ b/crates/daemon/src/decision/shadow_replay.rs
@@ -1,10 +1,10 @@
-//! Replay of the balancer's calls to the shadow evaluation, which must not affect any RPC.
+//! Replay of the balancer's calls in the shadow evaluation, which must not affect any RPC.
 use crate::config::shadow::{RecordedCall, ShadowEvaluator};
 use crate::decision::actor::DecisionActor;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 impl DecisionActor {
-    /// Replays the last call on the balancer to the shadow evaluation, if it is enabled. A panic disables it.
+    /// Replays the last call of the balancer in the shadow evaluation if that is enabled. A panic disables it.
     pub(super) fn replay_to_shadow(
         &mut self,
         replay: impl FnOnce(&mut ShadowEvaluator, RecordedCall),
