--- a/crates/daemon/src/decision/start_times.rs
+++ b/crates/daemon/src/decision/start_times.rs
@@ -1,28 +1,28 @@
-//! The start times of backends, on the clock of the decisions.
+//! The start times of backends, converted to the balancer's clock.
 //!
-//! The endpoint list gives start times by the wall clock of another machine. That clock may be an hour off, and so may
-//! the clock of this machine, whereas intervals are reliable: a backend that joins the list while the list is being
-//! watched has started shortly before, whatever its start time says.
+//! The endpoint list contains start times by the wall clock of another machine. The clocks of both machines may be an
+//! hour off, but measured intervals are reliable: a backend that joins the list while it is being watched has started
+//! shortly before, whatever its listed start time is.
 use crate::clock::Clock;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest time from the start of a backend until it is listed. It becomes ready in between.
+/// Longest time from the start of a backend until it is listed, which includes the time to become ready.
 const MAX_LISTING_DELAY: Duration = Duration::from_secs(2);
 
-/// The start time of a backend, as it was read when the endpoint list first gave it.
+/// The start time of a backend, as it was converted when the endpoint list first contained it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct StartTime {
     /// The listed start time, in Unix milliseconds.
     started_at_ms: f64,
-    /// Start time in seconds of the decisions' clock; `None` for long ago.
+    /// Start time in seconds of the balancer's clock; `None` for long ago.
     seconds: Option<f64>,
 }
 
 impl StartTime {
-    /// Reads a listed start time, in Unix milliseconds. It cannot lie more than [`MAX_LISTING_DELAY`] before
-    /// `changed_since`, the time at which the previous list was current. Without a previous list, the wall clock alone
-    /// decides.
+    /// Converts a listed start time, in Unix milliseconds. The result is at most [`MAX_LISTING_DELAY`] before
+    /// `changed_since`, the time at which the previous list was current. Without a previous list, only the wall clocks
+    /// determine it.
     pub(super) fn convert(
         started_at_ms: f64,
         changed_since: Option<Instant>,
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Returns whether this was read from the same listed start time.
+    /// Returns whether this was converted from the same listed start time.
     pub(super) fn was_converted_from(&self, started_at_ms: f64) -> bool {
         self.started_at_ms == started_at_ms
     }
 
-    /// Returns the start time in seconds of the decisions' clock, or `None` for long ago.
+    /// Returns the start time in seconds of the balancer's clock, or `None` for long ago.
     pub(super) fn seconds(&self) -> Option<f64> {
         self.seconds
     }
--- a/crates/daemon/src/decision/start_times/tests.rs
+++ b/crates/daemon/src/decision/start_times/tests.rs
@@ -7,7 +7,7 @@
     (now.expect("a time after 1970").as_secs_f64() + seconds) * 1e3
 }
 
-/// Returns the age in seconds of a backend that was listed at some time in the last `changed_seconds`.
+/// Returns the age in seconds of a backend that was added to the list within the last `changed_seconds`.
 fn age(started_at_ms: f64, changed_seconds: Option<f64>, clock: &Clock) -> Option<f64> {
     let since = changed_seconds.map(|seconds| Instant::now() - Duration::from_secs_f64(seconds));
     let start = StartTime::convert(started_at_ms, since, clock);
@@ -28,7 +28,7 @@
     assert!(is_near(age(unix_ms(-1.0), Some(0.0), &clock), 1.0));
 }
 
-/// A backend may have started at any time since the last update of the list.
+/// A backend that an update adds may have started at any time since the update before.
 #[test]
 fn the_age_of_a_new_backend_is_limited_by_the_time_since_the_last_update() {
     let clock = Clock::start();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn start_times_in_the_first_list_are_read_by_the_wall_clock() {
+fn start_times_in_the_first_list_are_converted_by_the_wall_clock() {
     let clock = Clock::start();
     assert!(is_near(age(unix_ms(-5.0), None, &clock), 5.0));
     assert!(
@@ -47,9 +47,9 @@
     assert_eq!(age(0.0, None, &clock), None, "long ago");
 }
 
-/// Suspensions of the process are excluded from the decisions' clock, but not from the age of a backend.
+/// Suspensions of the process are excluded from the balancer's clock, but not from the age of a backend.
 #[test]
-fn the_age_of_a_backend_includes_skipped_time() {
+fn the_age_of_a_backend_includes_suspensions() {
     let mut clock = Clock::start();
     clock.skip(Duration::from_secs(60));
     assert!(is_near(age(unix_ms(-5.0), None, &clock), 5.0));
