--- a/crates/daemon/src/decision/timers.rs
+++ b/crates/daemon/src/decision/timers.rs
@@ -1,19 +1,19 @@
-//! Time in the decision actor: the heartbeat, and the timer events of the balancer and of the shadow evaluation.
+//! The decision actor's timers: the heartbeat, and the timer events of the balancer and of the shadow evaluation.
 use crate::decision::actor::DecisionActor;
 use birchhub::interface::AttemptOutcome;
 use tokio::time::Instant;
 
-/// The next timer events that were requested.
+/// The requested timer events.
 #[derive(Clone, Copy)]
 pub(super) struct Timers {
-    /// Deadline of the balancer's timer event.
+    /// Due time of the balancer's timer event.
     balancer: Option<Instant>,
-    /// Deadline of the shadow evaluation's timer event.
+    /// Due time of the shadow evaluation's timer event.
     shadow: Option<Instant>,
 }
 
 impl Timers {
-    /// Returns the deadline of the first timer event.
+    /// Returns the due time of the earliest timer event.
     pub(super) fn next(self) -> Option<Instant> {
         self.balancer.into_iter().chain(self.shadow).min()
     }
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Handles the timer events that are due. Returns whether there was one.
+    /// Handles the timer events that are due. Returns whether any was due.
     pub(super) fn run_due_timers(&mut self, timers: Timers) -> bool {
         if !timers.next().is_some_and(is_due) {
             return false;
@@ -41,14 +41,14 @@
         } else {
             self.platform.update_now();
         }
-        // Both instances use the time that was read for this event.
+        // The balancer and the shadow evaluation use the same clock reading for this event.
         self.replay_to_shadow(|shadow, call| shadow.on_timer(call));
         true
     }
 
-    /// Records a heartbeat, and excludes the time for which the process was suspended from the decisions' clock.
-    /// Prevents backends from being classified as slow, and RPCs from being rejected for it, when the proxy has used up
-    /// its CPU quota.
+    /// Records a heartbeat, and excludes the time for which the process was suspended from the balancer's clock. When
+    /// the proxy is throttled by its CPU quota, this prevents backends from being classified as slow, and RPCs from
+    /// being rejected because of that.
     pub(super) fn record_heartbeat(&mut self) {
         let suspended_for = self.heartbeat.record();
         self.invariants.record_heartbeat(suspended_for);
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Returns the outcome of an exchange, or `if_suspended` for a timeout right after the process was suspended: the
-    /// suspension may have caused that timeout, so it says nothing about the backend.
+    /// Returns the outcome of an exchange, or `if_suspended` for a timeout right after a suspension of the process: the
+    /// suspension may have caused the timeout, so it must not count against the backend.
     pub(super) fn outcome_after_suspension(
         &self,
         outcome: AttemptOutcome,
