--- a/crates/daemon/src/decision/updates.rs
+++ b/crates/daemon/src/decision/updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the decisions' inputs: the endpoint list, the administrative state and the settings.
+//! Updates of the balancer's inputs: the endpoint list, the administrative state and the settings.
 use crate::config::update::{AppliedUpdate, ConfigUpdate};
 use crate::decision::actor::DecisionActor;
 use crate::decision::in_flight::repeat_rules;
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 impl DecisionActor {
-    /// Loads the cached endpoint list of the configuration, which may be out of date.
+    /// Loads the cached endpoint list of the configuration as a stale snapshot.
     pub(super) fn load_cached_endpoints(&mut self, cached: Option<&EndpointUpdate>) {
         self.update_endpoints(&EndpointUpdate {
             version: cached.map_or(0, |cached| cached.version),
@@ -43,8 +43,8 @@
         self.replay_to_shadow(|shadow, call| shadow.on_discovery_failed(call));
     }
 
-    /// Applies the administrative state: updates the balancer's view of all backends that have a maintenance entry, and
-    /// then confirms this generation of the state.
+    /// Applies the administrative state: updates the listed backends that have a maintenance entry, and then confirms
+    /// this generation of the state.
     pub(super) fn apply_admin_state(&mut self) {
         self.record_heartbeat();
         let state = self.state.borrow_and_update();
@@ -66,7 +66,7 @@
         self.state_store.confirm_applied(generation);
     }
 
-    /// Activates new settings. All of them apply to the next event.
+    /// Activates new settings. The next event uses all of them.
     pub(super) fn apply_config_update(&mut self, update: ConfigUpdate) {
         let started = Instant::now();
         let ConfigUpdate {
