--- a/crates/daemon/src/config/file.rs
+++ b/crates/daemon/src/config/file.rs
@@ -1,7 +1,7 @@
 //! The configuration file that the platform writes for a proxy, and the variables that stand in for some of its keys.
 
 use crate::config::error::ConfigError;
-use crate::config::keys::{self, ReplaceableKey};
+use crate::config::keys::{self, KeyWithEnvFallback};
 use crate::discovery::update::EndpointUpdate;
 use crate::discovery::wire::DecodeError;
 use birchhub::interface::Settings;
@@ -157,7 +157,7 @@
     /// Returns a string of the file, or of the variable if the file has none.
     fn text(
         &self,
-        ReplaceableKey { key, variable }: ReplaceableKey,
+        KeyWithEnvFallback { key, variable }: KeyWithEnvFallback,
     ) -> Result<String, ConfigError> {
         let value = self.values.get(key).and_then(Value::as_str);
         value
@@ -166,7 +166,7 @@
             .ok_or(ConfigError::NotSet { variable })
     }
 
-    fn address(&self, key: ReplaceableKey) -> Result<SocketAddr, ConfigError> {
+    fn address(&self, key: KeyWithEnvFallback) -> Result<SocketAddr, ConfigError> {
         let text = self.text(key)?;
         text.parse().map_err(|_| ConfigError::NotAnAddress {
             variable: key.variable,
@@ -177,9 +177,9 @@
     /// Returns an address; `None` if both the file and the environment lack it.
     fn optional_address(
         &self,
-        replaceable: ReplaceableKey,
+        replaceable: KeyWithEnvFallback,
     ) -> Result<Option<SocketAddr>, ConfigError> {
-        let ReplaceableKey { key, variable } = replaceable;
+        let KeyWithEnvFallback { key, variable } = replaceable;
         match self.values.get(key) {
             Some(Value::Null) | None if std::env::var_os(variable).is_none() => Ok(None),
             Some(Value::Null | Value::String(_)) | None => self.address(replaceable).map(Some),
--- a/crates/daemon/src/config/keys.rs
+++ b/crates/daemon/src/config/keys.rs
@@ -9,7 +9,7 @@
 
 /// A key whose value is taken from an environment variable if the file has none.
 #[derive(Clone, Copy)]
-pub(crate) struct ReplaceableKey {
+pub(crate) struct KeyWithEnvFallback {
     /// Key in the file.
     pub key: &'static str,
     /// Environment variable.
@@ -17,22 +17,22 @@
 }
 
 /// Name of the proxy.
-pub(crate) const NAME: ReplaceableKey = ReplaceableKey {
+pub(crate) const NAME: KeyWithEnvFallback = KeyWithEnvFallback {
     key: "name",
     variable: "LB_NAME",
 };
 /// Address for clients.
-pub(crate) const CLIENT_ADDRESS: ReplaceableKey = ReplaceableKey {
+pub(crate) const CLIENT_ADDRESS: KeyWithEnvFallback = KeyWithEnvFallback {
     key: "listen",
     variable: "LB_LISTEN",
 };
 /// Address of the discovery service.
-pub(crate) const DISCOVERY_ADDRESS: ReplaceableKey = ReplaceableKey {
+pub(crate) const DISCOVERY_ADDRESS: KeyWithEnvFallback = KeyWithEnvFallback {
     key: "discovery",
     variable: "LB_DISCOVERY",
 };
 /// Address of the admin API.
-pub(crate) const ADMIN_ADDRESS: ReplaceableKey = ReplaceableKey {
+pub(crate) const ADMIN_ADDRESS: KeyWithEnvFallback = KeyWithEnvFallback {
     key: "management",
     variable: "LB_MANAGEMENT",
 };
