--- a/crates/daemon/src/config/file.rs
+++ b/crates/daemon/src/config/file.rs
@@ -66,15 +66,15 @@
 
 /// Whether the cached endpoint list in the file is decoded, which may take long.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum CachedEndpoints {
+pub(crate) enum CachedEndpointsMode {
     /// The list is decoded.
-    Decoded,
+    Decode,
     /// The list is skipped.
-    Ignored,
+    Skip,
 }
 
 /// Reads the configuration file.
-pub(crate) fn load(cached_endpoints: CachedEndpoints) -> Result<Config, ConfigError> {
+pub(crate) fn load(cached_endpoints: CachedEndpointsMode) -> Result<Config, ConfigError> {
     let variable = keys::FILE_VARIABLE;
     let path = std::env::var(variable).map_err(|_| ConfigError::NotSet { variable })?;
     let bytes = match std::fs::read(&path) {
@@ -112,7 +112,7 @@
         })
     }
 
-    fn config(&self, cached_endpoints: CachedEndpoints) -> Result<Config, ConfigError> {
+    fn config(&self, cached_endpoints: CachedEndpointsMode) -> Result<Config, ConfigError> {
         let seed = self.seed_text()?;
         let parsed_settings = self.parsed_settings()?;
         let shadow_settings = self
@@ -122,7 +122,7 @@
         // Discovery soon replaces the list: an error in it must not prevent a whole fleet from starting.
         let endpoints = self
             .cached_endpoints
-            .filter(|_| cached_endpoints == CachedEndpoints::Decoded)
+            .filter(|_| cached_endpoints == CachedEndpointsMode::Decode)
             .map(|list| EndpointUpdate::parse(list.get()))
             .transpose();
         let (cached_endpoints, cached_endpoints_error) = match endpoints {
--- a/crates/daemon/src/config/prepared_reload.rs
+++ b/crates/daemon/src/config/prepared_reload.rs
@@ -2,7 +2,7 @@
 
 use crate::config::active_config::ActiveConfig;
 use crate::config::error::ConfigError;
-use crate::config::file::{self, CachedEndpoints, Config};
+use crate::config::file::{self, CachedEndpointsMode, Config};
 use crate::config::keys;
 use crate::config::name_table::NameTable;
 use crate::config::update::{AppliedUpdate, ConfigUpdate};
@@ -56,7 +56,7 @@
 /// Reads the file and compares it with the active state, and with the configuration at the start for the keys that take
 /// effect at a start only.
 pub(super) fn prepare(start: &Config, active: &ActiveState) -> Result<PreparedReload, ConfigError> {
-    let new = file::load(CachedEndpoints::Ignored)?;
+    let new = file::load(CachedEndpointsMode::Skip)?;
     let change = Change::between(&active.settings, &new.parsed_settings);
     let mut restart_keys = start.restart_keys(&new);
     restart_keys.extend(&change.restart_keys);
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -17,7 +17,7 @@
 mod upstream;
 
 use crate::config::active_config::ActiveConfig;
-use crate::config::file::{self, CachedEndpoints, Config};
+use crate::config::file::{self, CachedEndpointsMode, Config};
 use crate::config::inherited_listener;
 use crate::lifecycle::listeners::Listeners;
 use crate::lifecycle::shutdown;
@@ -52,7 +52,7 @@
 fn start() -> Result<(), StartError> {
     // The inherited descriptor is taken before any other is opened, which could get its number.
     let inherited = inherited_listener::take()?;
-    let config = file::load(CachedEndpoints::Decoded)?;
+    let config = file::load(CachedEndpointsMode::Decode)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .max_blocking_threads(BLOCKING_THREADS)
