--- a/crates/daemon/src/config/reload.rs
+++ b/crates/daemon/src/config/reload.rs
@@ -90,13 +90,13 @@
                 return;
             }
             let applied = applied.await.ok();
-            let loop_time = applied.as_ref().map(|applied| applied.loop_time);
+            let event_loop_time = applied.as_ref().map(|applied| applied.event_loop_time);
             let elapsed = started.elapsed();
             log_applied(
                 &state.config,
                 &change,
                 elapsed,
-                loop_time.unwrap_or_default(),
+                event_loop_time.unwrap_or_default(),
             );
             previous_names = applied.map(|applied| applied.previous_names);
         }
@@ -109,10 +109,10 @@
 }
 
 /// Logs that new settings are active. Scripts of the operators read this line.
-fn log_applied(config: &ActiveConfig, change: &str, elapsed: Duration, loop_time: Duration) {
+fn log_applied(config: &ActiveConfig, change: &str, elapsed: Duration, event_loop_time: Duration) {
     log::info!(
         target: "birchhubd",
-        "settings in force after {elapsed:.1?}, of them {loop_time:.2?} of the loop: {config}; {change}"
+        "settings in force after {elapsed:.1?}, of them {event_loop_time:.2?} of the loop: {config}; {change}"
     );
 }
 
--- a/crates/daemon/src/config/update.rs
+++ b/crates/daemon/src/config/update.rs
@@ -25,5 +25,5 @@
     /// Names before the update. Dropping them takes long: the receiver does it outside of the event loop.
     pub previous_names: Arc<NameTable>,
     /// Time that the event loop spent on applying the update.
-    pub loop_time: Duration,
+    pub event_loop_time: Duration,
 }
--- a/crates/daemon/src/decision/updates.rs
+++ b/crates/daemon/src/decision/updates.rs
@@ -92,7 +92,7 @@
         }
         let _ = applied.send(AppliedUpdate {
             previous_names,
-            loop_time: started.elapsed(),
+            event_loop_time: started.elapsed(),
         });
     }
 }
