--- a/crates/daemon/src/config/mod.rs
+++ b/crates/daemon/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration of the proxy: its file and variables, its reload on SIGHUP, and the shadow evaluation of other
-//! settings.
+//! The configuration of the proxy: its file and environment variables, its reload on SIGHUP, and the shadow evaluation
+//! of settings that are not active.
 
 pub(crate) mod active_config;
 pub(crate) mod error;
