--- a/crates/daemon/src/config/active_config.rs
+++ b/crates/daemon/src/config/active_config.rs
@@ -6,15 +6,15 @@
 /// A summary of the active configuration.
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveConfig {
-    /// Number of changes since this process started.
+    /// Number of changes of the settings since this process started.
     pub version: u64,
-    /// Digest of the settings that were read last.
+    /// Digest of the settings that were last read from the file.
     digest: u64,
     method_count: usize,
     tenant_count: usize,
-    /// Keys that differ in the file and take effect at the next start.
+    /// Keys whose values in the file differ from the active ones and take effect at the next start.
     pub restart_keys: Vec<&'static str>,
-    /// Longest deadline of any method that was active in this process, in seconds; `None` if a method had no deadline.
+    /// Longest deadline, in seconds, of any method since this process started; `None` if a method had no deadline.
     pub longest_deadline: Option<f64>,
 }
 
