--- a/crates/daemon/src/config/error.rs
+++ b/crates/daemon/src/config/error.rs
@@ -7,7 +7,7 @@
 
 /// Why the configuration cannot be used.
 ///
-/// At a start the text is the one line on standard error. The operators' pages quote these texts.
+/// If it prevents a start, the text is the only line on standard error. The operators' pages quote the texts.
 #[derive(Debug, Error)]
 pub(crate) enum ConfigError {
     /// Neither the file nor the environment has the value.
@@ -66,7 +66,7 @@
     /// The settings of the shadow evaluation cannot be used.
     #[error("watch.{0}")]
     ShadowSettings(SettingsError),
-    /// The shadow settings have other methods, tenants or zones than the settings, so their decisions cannot be compared.
+    /// The shadow settings have other methods, tenants or zones than the settings: the decisions can't be compared.
     #[error("watch.{key} has other names than settings.{key}")]
     ShadowNames {
         /// Key of the list that differs.
@@ -82,13 +82,13 @@
     },
 }
 
-/// Why a descriptor that the platform passed cannot be listened on.
+/// Why a passed descriptor cannot be used as listening socket.
 #[derive(Debug, Error)]
 pub(crate) enum InheritedListenerError {
-    /// The environment variable is not a descriptor's number.
+    /// The value of the environment variable is not a descriptor number.
     #[error("is not a number")]
     NotANumber,
-    /// No open descriptor has the number.
+    /// No descriptor with this number is open.
     #[error("is not open")]
     NotOpen,
     /// The descriptor is not a socket.
@@ -102,13 +102,13 @@
     Setup(#[from] io::Error),
 }
 
-/// Why a reload changed nothing.
+/// Why a reload failed. The active configuration is kept.
 #[derive(Debug, Error)]
 pub(crate) enum ReloadError {
     /// The configuration cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The thread that reads and compares the configuration panicked.
+    /// The blocking task that reads and compares the configuration panicked.
     #[error("preparing the reload panicked: {0}")]
     Preparation(#[from] tokio::task::JoinError),
 }
