--- a/crates/daemon/src/config/file.rs
+++ b/crates/daemon/src/config/file.rs
@@ -1,4 +1,5 @@
-//! The configuration file that the platform writes for a proxy, and the variables that stand in for some of its keys.
+//! The configuration file that the platform writes for a proxy, and the environment variables that are read for some
+//! keys if the file lacks them.
 
 use crate::config::error::ConfigError;
 use crate::config::keys::{self, KeyWithEnvFallback};
@@ -12,37 +13,38 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Largest number of sockets if the file does not limit it.
+/// Maximum number of open sockets if the file does not set one.
 const DEFAULT_MAX_SOCKETS: u64 = 1024;
-/// Most memory that a socket takes, in bytes: a body each way, an encoded one, and what is read ahead.
+/// Upper bound of the memory per socket, in bytes: a body in each direction, an encoded body, and data that was read
+/// ahead.
 const BYTES_PER_SOCKET: u64 = 168 << 10;
 
 /// The configuration of a proxy.
 pub(crate) struct Config {
     /// Name of the proxy.
     pub name: String,
-    /// Address on which clients are accepted.
+    /// Address of the listening socket for clients.
     pub client_address: SocketAddr,
     /// Address of the discovery service.
     pub discovery_address: SocketAddr,
     /// Address of the admin API; `None` if there is no admin API.
     pub admin_address: Option<SocketAddr>,
-    /// Seed of random choices.
+    /// Seed of the balancer's random number generator.
     pub seed: u64,
-    /// Largest number of open sockets.
+    /// Maximum number of open sockets.
     pub max_sockets: usize,
-    /// Endpoint list as this proxy last knew it, if the file has one that can be read.
+    /// Cached endpoint list, if the file has one that can be decoded. It may be out of date.
     pub cached_endpoints: Option<EndpointUpdate>,
-    /// Why the cached endpoint list can't be read. The proxy then waits for the first list of discovery.
+    /// Why the cached endpoint list can't be decoded. The proxy then waits for the first list from discovery.
     pub cached_endpoints_error: Option<DecodeError>,
-    /// Settings object.
+    /// Parsed settings.
     pub parsed_settings: Arc<ParsedSettings>,
     /// Settings of the shadow evaluation; `None` if there is none.
     pub shadow_settings: Option<Settings>,
 }
 
 impl Config {
-    /// Returns the keys outside of the settings that differ in the other configuration. They take effect at a start only.
+    /// Returns the keys outside of the settings whose values differ in `other`. They take effect at a start only.
     pub(super) fn restart_keys(&self, other: &Self) -> Vec<&'static str> {
         let keys = [
             (keys::NAME.key, self.name != other.name),
@@ -64,12 +66,12 @@
     }
 }
 
-/// Whether the cached endpoint list in the file is decoded, which may take long.
+/// Whether [`load`] decodes the cached endpoint list, which may take long.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum CachedEndpointsMode {
-    /// The list is decoded.
+    /// Decodes the list.
     Decode,
-    /// The list is skipped.
+    /// Skips the list, as if the file had none.
     Skip,
 }
 
@@ -87,7 +89,7 @@
     }
 }
 
-/// The file's content. Large values are not parsed yet.
+/// The content of the file. Large values are not parsed yet.
 struct ConfigFile<'a> {
     values: Value,
     settings: Option<&'a RawValue>,
@@ -119,7 +121,7 @@
             .shadow_settings
             .map(|shadow| parse_shadow_settings(shadow, &parsed_settings))
             .transpose()?;
-        // Discovery soon replaces the list: an error in it must not prevent a whole fleet from starting.
+        // An error in the list must not prevent a whole fleet from starting: discovery soon replaces the list.
         let endpoints = self
             .cached_endpoints
             .filter(|_| cached_endpoints == CachedEndpointsMode::Decode)
@@ -154,7 +156,7 @@
         birchhub_settings::parse(settings.get()).map_err(ConfigError::Settings)
     }
 
-    /// Returns a string of the file, or of the variable if the file has none.
+    /// Returns a string from the file, or from the environment variable if the file has none.
     fn text(
         &self,
         KeyWithEnvFallback { key, variable }: KeyWithEnvFallback,
@@ -174,15 +176,17 @@
         })
     }
 
-    /// Returns an address; `None` if both the file and the environment lack it.
+    /// Returns an address; `None` if neither the file nor the environment has it.
     fn optional_address(
         &self,
-        replaceable: KeyWithEnvFallback,
+        key_with_fallback: KeyWithEnvFallback,
     ) -> Result<Option<SocketAddr>, ConfigError> {
-        let KeyWithEnvFallback { key, variable } = replaceable;
+        let KeyWithEnvFallback { key, variable } = key_with_fallback;
         match self.values.get(key) {
             Some(Value::Null) | None if std::env::var_os(variable).is_none() => Ok(None),
-            Some(Value::Null | Value::String(_)) | None => self.address(replaceable).map(Some),
+            Some(Value::Null | Value::String(_)) | None => {
+                self.address(key_with_fallback).map(Some)
+            }
             Some(value) => Err(ConfigError::NotAString {
                 key,
                 value: value.clone(),
@@ -190,7 +194,7 @@
         }
     }
 
-    /// Returns the number of sockets that the limits of sockets and memory allow.
+    /// Returns the maximum number of sockets that both the socket limit and the memory limit allow.
     fn max_sockets(&self) -> usize {
         let limits = self.values.get(keys::LIMITS);
         let limit = |key| limits.and_then(|limits| limits.get(key)?.as_u64());
@@ -201,7 +205,7 @@
     }
 }
 
-/// Removes a field and returns its value unless that is null.
+/// Removes a field and returns its value, or `None` if the value is null.
 fn remove_unless_null<'a>(
     fields: &mut BTreeMap<String, &'a RawValue>,
     key: &str,
