--- a/crates/daemon/src/config/inherited_listener.rs
+++ b/crates/daemon/src/config/inherited_listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket for clients, if the platform opens it and passes it to the process.
+//! The inherited listening socket: one for clients that the platform opens and passes to the process.
 
 use crate::config::error::{ConfigError, InheritedListenerError};
 use crate::config::keys::INHERITED_LISTENER_VARIABLE;
@@ -7,8 +7,8 @@
 use std::net::TcpListener;
 use std::os::fd::{FromRawFd, RawFd};
 
-/// Takes over the listening socket, if one was passed. Must be called once, before anything else opens a descriptor:
-/// that descriptor could get the passed number otherwise.
+/// Takes ownership of the listening socket, if one was passed. Must be called only once, and before anything else opens
+/// a descriptor, which could get the passed number if that is not open.
 pub(crate) fn take() -> Result<Option<TcpListener>, ConfigError> {
     let Some(descriptor) = std::env::var_os(INHERITED_LISTENER_VARIABLE) else {
         return Ok(None);
@@ -20,7 +20,7 @@
     Ok(Some(listener))
 }
 
-/// Checks that the descriptor is a listening TCP socket, and prepares it for the event loop.
+/// Checks that the descriptor is a listening TCP socket. Makes the socket non-blocking and close-on-exec.
 fn open(descriptor: &OsStr) -> Result<TcpListener, InheritedListenerError> {
     let descriptor = parse_descriptor(descriptor).ok_or(InheritedListenerError::NotANumber)?;
     let target = std::fs::read_link(format!("/proc/self/fd/{descriptor}"))
@@ -28,8 +28,8 @@
     if !target.to_string_lossy().starts_with("socket:") {
         return Err(InheritedListenerError::NotASocket);
     }
-    // SAFETY: the check above shows that the descriptor is open. This process was started with it, so nothing else in the
-    // process owns it.
+    // SAFETY: the check above shows that the descriptor is open. The process was started with it, so nothing else in
+    // the process owns it.
     let socket = unsafe { Socket::from_raw_fd(descriptor) };
     if !is_tcp_listener(&socket) {
         return Err(InheritedListenerError::NotAListener);
