--- a/crates/daemon/src/config/keys.rs
+++ b/crates/daemon/src/config/keys.rs
@@ -1,10 +1,10 @@
-//! The keys of the configuration file, and the environment variables that stand in for some of them.
+//! The keys of the configuration file, and the environment variables that are read for keys that the file lacks.
 //!
-//! The platform writes both: their names must not change.
+//! The platform sets both: their names must not change.
 
-/// Variable with the path of the configuration file.
+/// Environment variable with the path of the configuration file.
 pub(crate) const FILE_VARIABLE: &str = "LB_CONFIG";
-/// Variable with the number of the inherited listening socket's descriptor.
+/// Environment variable with the descriptor number of the inherited listening socket.
 pub(crate) const INHERITED_LISTENER_VARIABLE: &str = "LB_PASSED_SOCKET";
 
 /// A key whose value is taken from an environment variable if the file has none.
@@ -21,7 +21,7 @@
     key: "name",
     variable: "LB_NAME",
 };
-/// Address for clients.
+/// Address of the listening socket for clients.
 pub(crate) const CLIENT_ADDRESS: KeyWithEnvFallback = KeyWithEnvFallback {
     key: "listen",
     variable: "LB_LISTEN",
@@ -37,19 +37,19 @@
     variable: "LB_MANAGEMENT",
 };
 
-/// Seed of random choices, a hexadecimal number.
+/// Seed of the balancer's random number generator, a hexadecimal number.
 pub(crate) const SEED: &str = "seed";
-/// Settings object of the decisions.
+/// Settings of the balancer.
 pub(crate) const SETTINGS: &str = "settings";
-/// Settings object of the shadow evaluation.
+/// Settings of the shadow evaluation.
 pub(crate) const SHADOW_SETTINGS: &str = "watch";
 /// Cached endpoint list.
 pub(crate) const CACHED_ENDPOINTS: &str = "known";
-/// Section of resource limits.
+/// Resource limits.
 pub(crate) const LIMITS: &str = "limits";
-/// Largest number of sockets, in [`LIMITS`].
+/// Maximum number of sockets, in [`LIMITS`].
 pub(crate) const MAX_SOCKETS: &str = "sockets";
-/// Memory in MiB, in [`LIMITS`].
+/// Memory limit in MiB, in [`LIMITS`].
 pub(crate) const MEMORY: &str = "memory_mb";
 
 /// Names of the methods, in a settings object.
