--- a/crates/daemon/src/config/name_table.rs
+++ b/crates/daemon/src/config/name_table.rs
@@ -1,4 +1,4 @@
-//! The names of the active methods and tenants, by which requests are parsed.
+//! The names of the active methods and tenants, with which requests are parsed.
 
 use birchhub::interface::Idempotency;
 use birchhub_settings::ParsedSettings;
@@ -9,20 +9,20 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The active names. Only the decision actor replaces them, in the same turn of the event loop in which it applies the
-/// settings.
+/// The active names. Only the decision actor replaces them, together with the settings and without yielding to another
+/// task in between.
 pub(crate) type ActiveNames = Rc<RefCell<Arc<NameTable>>>;
 
-/// Why a request is not an RPC of an active method.
+/// Why a request is not a valid RPC of an active method.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub(crate) enum MethodError {
-    /// No active method has the name in the request's path.
+    /// The request's path does not name an active method.
     #[error("unknown method")]
     UnknownMethod,
-    /// RPCs of the method are sent with another HTTP method.
+    /// RPCs of this method use another HTTP method.
     #[error("the method requires another HTTP method")]
     WrongHttpMethod,
-    /// The method requires an idempotency key.
+    /// RPCs of this method require an idempotency key, and the request has none.
     #[error("the idempotency key is missing")]
     MissingIdempotencyKey,
 }
@@ -36,7 +36,7 @@
 }
 
 impl ActiveMethod {
-    /// Returns the HTTP method with which RPCs of this method are sent.
+    /// Returns the HTTP method of this method's RPCs.
     fn http_method(self) -> Method {
         if self.idempotency == Idempotency::Idempotent {
             Method::GET
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Checks that a request with this HTTP method, with or without an idempotency key, can be an RPC of this method.
+    /// Checks that a request can be an RPC of this method. `has_key` tells whether it has an idempotency key.
     pub(crate) fn check_request(self, method: &Method, has_key: bool) -> Result<(), MethodError> {
         if *method != self.http_method() {
             return Err(MethodError::WrongHttpMethod);
@@ -67,7 +67,7 @@
 }
 
 impl NameTable {
-    /// Returns the names of these settings.
+    /// Creates the table of the names in these settings.
     pub(crate) fn new(version: u64, settings: &ParsedSettings) -> Self {
         let methods = settings.methods.iter().zip(&settings.settings.methods);
         let methods = methods.enumerate().map(|(index, (name, method))| {
