--- a/crates/daemon/src/config/prepared_reload.rs
+++ b/crates/daemon/src/config/prepared_reload.rs
@@ -1,4 +1,5 @@
-//! The part of a reload that runs on a thread beside the event loop: reads the file and compares it with what is active.
+//! The part of a reload that runs on a blocking thread, off the event loop: reads the file and compares it with the
+//! active configuration.
 
 use crate::config::active_config::ActiveConfig;
 use crate::config::error::ConfigError;
@@ -12,7 +13,7 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// The active settings, with which the next reload is compared.
+/// The active configuration, with which the next reload is compared.
 #[derive(Clone)]
 pub(super) struct ActiveState {
     pub config: ActiveConfig,
@@ -24,23 +25,23 @@
 pub(super) struct PreparedReload {
     /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// The active state after the reload.
+    /// The active configuration after the reload.
     pub state: ActiveState,
-    /// Text of the [`Change`] for the log.
+    /// Description of the [`Change`] for the log.
     pub change: String,
-    /// Update of the active settings; `None` if they stay as they are.
+    /// Update of the active settings; `None` if they do not change.
     pub update: Option<PendingUpdate>,
 }
 
-/// An update and the receiver of its notification.
+/// An update, and the receiver of the notification that it was applied.
 pub(super) struct PendingUpdate {
     pub update: ConfigUpdate,
     pub applied: oneshot::Receiver<AppliedUpdate>,
 }
 
 impl PendingUpdate {
-    /// Returns the update to this state.
-    fn to(state: &ActiveState, carried_over: CarriedOver) -> Self {
+    /// Creates the update that activates the settings of `state`.
+    fn new(state: &ActiveState, carried_over: CarriedOver) -> Self {
         let (sender, applied) = oneshot::channel();
         let update = ConfigUpdate {
             settings: state.settings.settings.clone(),
@@ -53,8 +54,8 @@
     }
 }
 
-/// Reads the file and compares it with the active state, and with the configuration at the start for the keys that take
-/// effect at a start only.
+/// Reads the file and compares it with the active configuration. Keys that take effect at a start only are compared
+/// with the configuration at the start of this process.
 pub(super) fn prepare(start: &Config, active: &ActiveState) -> Result<PreparedReload, ConfigError> {
     let new = file::load(CachedEndpointsMode::Skip)?;
     let change = Change::between(&active.settings, &new.parsed_settings);
@@ -76,13 +77,13 @@
     Ok(PreparedReload {
         discovery: new.discovery_address,
         change: change.to_string(),
-        update: changed.then(|| PendingUpdate::to(&state, change.carried_over)),
+        update: changed.then(|| PendingUpdate::new(&state, change.carried_over)),
         state,
     })
 }
 
-/// Returns the shadow settings after a reload. A shadow evaluation starts with the process only: one that does not know
-/// the state from the start would compare nothing.
+/// Returns the shadow settings after a reload. A shadow evaluation can only start with the process: without the state
+/// from the start it would have nothing to compare.
 fn next_shadow_settings(active: Option<&Settings>, new: Option<Settings>) -> Option<Settings> {
     Some(with_restart_keys_from(active?, new?))
 }
