--- a/crates/daemon/src/config/reload.rs
+++ b/crates/daemon/src/config/reload.rs
@@ -1,6 +1,6 @@
-//! Reload of the configuration on SIGHUP: the file is read again, and what differs is applied without a restart.
+//! Reload of the configuration on SIGHUP: reads the file again and applies the differences without a restart.
 //!
-//! Everything that takes long runs on a thread beside the event loop ([`prepare`]).
+//! Slow work, such as [`prepare`], runs on a blocking thread, off the event loop.
 
 use crate::config::active_config::ActiveConfig;
 use crate::config::error::ReloadError;
@@ -17,18 +17,18 @@
 
 /// The actor that reloads the configuration.
 pub(crate) struct Reload {
-    /// Configuration with which this process started.
+    /// The configuration that this process started with.
     start: Arc<Config>,
     active: ActiveState,
-    /// Address of the discovery service, followed by the discovery client.
+    /// Address of the discovery service, watched by the discovery client.
     discovery: watch::Sender<SocketAddr>,
     decision_actor: mpsc::Sender<Event>,
-    /// Summary of the active configuration, followed by the admin API.
+    /// Summary of the active configuration, shown by the admin API.
     published: watch::Sender<ActiveConfig>,
 }
 
 impl Reload {
-    /// Creates the actor of a process that starts with this configuration.
+    /// Creates the actor of a process that started with the configuration `start`.
     pub(crate) fn new(
         start: Arc<Config>,
         discovery: watch::Sender<SocketAddr>,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Reloads on each SIGHUP. A configuration that cannot be used changes nothing.
+    /// Reloads on each SIGHUP. If the new configuration cannot be used, the active one is kept.
     pub(crate) async fn run(mut self, sighup: SignalFlag) {
         loop {
             sighup.received().await;
@@ -64,14 +64,14 @@
         }
     }
 
-    /// Prepares a reload on the thread beside the event loop.
+    /// Prepares a reload on a blocking thread.
     async fn prepare(&self) -> Result<PreparedReload, ReloadError> {
         let start = self.start.clone();
         let active = self.active.clone();
         Ok(spawn_blocking(move || prepare(&start, &active)).await??)
     }
 
-    /// Applies a reload: the address of discovery first, then the settings.
+    /// Applies a prepared reload: first the address of discovery, then the settings.
     async fn apply(&mut self, prepared: PreparedReload, started: Instant) {
         let PreparedReload {
             discovery,
@@ -86,7 +86,7 @@
         if let Some(PendingUpdate { update, applied }) = update {
             let event = Event::SettingsChanged(Box::new(update));
             if self.decision_actor.send(event).await.is_err() {
-                // The decision actor ends with the process only.
+                // The decision actor only ends when the process exits.
                 return;
             }
             let applied = applied.await.ok();
@@ -102,13 +102,13 @@
         }
         log_restart_keys(&state.config);
         self.published.send_replace(state.config.clone());
-        let former_state = std::mem::replace(&mut self.active, state);
+        let previous_state = std::mem::replace(&mut self.active, state);
         // Dropping tens of thousands of names here would block the event loop.
-        let _ = spawn_blocking(move || drop((previous_names, former_state))).await;
+        let _ = spawn_blocking(move || drop((previous_names, previous_state))).await;
     }
 }
 
-/// Logs that new settings are active. Scripts of the operators read this line.
+/// Logs that new settings are active. The operators' scripts parse this line.
 fn log_applied(config: &ActiveConfig, change: &str, elapsed: Duration, event_loop_time: Duration) {
     log::info!(
         target: "birchhubd",
@@ -116,7 +116,7 @@
     );
 }
 
-/// Logs the keys that wait for a restart. Scripts of the operators read this line.
+/// Logs the keys that require a restart to take effect. The operators' scripts parse this line.
 fn log_restart_keys(config: &ActiveConfig) {
     if !config.restart_keys.is_empty() {
         let keys = config.restart_keys.join(", ");
