--- a/crates/daemon/src/config/shadow/actions.rs
+++ b/crates/daemon/src/config/shadow/actions.rs
@@ -1,20 +1,21 @@
-//! The actions that an instance of the decision package requested in one call.
+//! Recorded actions: what one instance of the balancer requested in one call.
 use std::collections::BTreeMap;
 
 /// An action on an RPC.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Action {
-    /// Start an attempt at the backend with this number.
+    /// Start an attempt at the backend with this id.
     Attempt(u32),
-    /// Reject the RPC: the client may retry.
+    /// Reject the RPC; the client may retry it.
     Reject,
-    /// Fail the RPC: it may have run.
+    /// Fail the RPC; a backend may have executed it.
     Fail,
 }
 
-/// The actions that an instance requested in one call, by RPC and in order.
+/// The actions that an instance requested in one call, by RPC and in the order of the requests.
 #[derive(Debug, Default)]
 pub(crate) struct RecordedActions {
+    /// By RPC id.
     by_rpc: BTreeMap<u64, Vec<Action>>,
     health_checks: u64,
 }
@@ -31,11 +32,11 @@
     }
 
     /// Returns the actions on an RPC.
-    pub(super) fn of_rpc(&self, rpc: u64) -> &[Action] {
+    pub(super) fn for_rpc(&self, rpc: u64) -> &[Action] {
         self.by_rpc.get(&rpc).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the RPCs with actions.
+    /// Returns the ids of the RPCs with actions.
     pub(super) fn rpcs(&self) -> impl Iterator<Item = u64> {
         self.by_rpc.keys().copied()
     }
@@ -46,7 +47,7 @@
     }
 }
 
-/// A call of the active instance, to be replayed to the shadow.
+/// A call of the active instance, to be replayed in the shadow.
 pub(crate) struct RecordedCall {
     /// Time of the call, in seconds.
     pub now: f64,
--- a/crates/daemon/src/config/shadow/mod.rs
+++ b/crates/daemon/src/config/shadow/mod.rs
@@ -1,6 +1,6 @@
 //! Shadow evaluation of settings before they are activated.
 //!
-//! A second instance of the decision package, the shadow, runs with these settings and gets the same events as the active
+//! A second instance of the balancer, the shadow, runs with these settings and receives the same events as the active
 //! instance. RPCs that it would have handled differently are counted. It has no access to sockets or clients.
 
 mod actions;
@@ -24,7 +24,7 @@
 /// Interval of the log lines with the counts so far.
 const LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// An RPC on which both instances have agreed so far.
+/// An RPC that both instances have handled in the same way so far.
 struct ComparedRpc {
     rpc: RpcHandle,
     /// Number of attempts that both have started.
@@ -34,7 +34,7 @@
 /// The shadow, and its comparison with the active instance.
 pub(crate) struct ShadowEvaluator {
     balancer: Balancer,
-    /// RPCs by their number. Those on which the instances differed are removed.
+    /// RPCs by id. An RPC is removed when the instances handle it differently.
     rpcs: HashMap<u64, ComparedRpc>,
     platform: ShadowPlatform,
     counts: ShadowCounts,
@@ -58,7 +58,7 @@
         self.platform.timer_at
     }
 
-    /// Handles a timer that was due in one of the instances. The shadow gets the event if its own timer was due.
+    /// Handles a timer event that was due in either instance. Calls the shadow if its own timer event was due.
     pub(crate) fn on_timer(&mut self, call: RecordedCall) {
         let now = call.now;
         let is_due = self.platform.timer_at.take_if(|at| *at <= now).is_some();
@@ -69,7 +69,7 @@
         });
     }
 
-    /// Replaces the settings of the shadow, after those of the active instance were replaced.
+    /// Replaces the settings of the shadow after those of the active instance were replaced.
     pub(crate) fn apply_settings(
         &mut self,
         call: RecordedCall,
@@ -97,7 +97,7 @@
         });
     }
 
-    /// Replays a failed call to the discovery service.
+    /// Replays a failed poll of the discovery service.
     pub(crate) fn on_discovery_failed(&mut self, call: RecordedCall) {
         self.replay(call, None, |shadow| {
             shadow.balancer.on_discovery_failure(&mut shadow.platform);
@@ -151,7 +151,7 @@
         });
     }
 
-    /// Replays that the last byte of an attempt's request was accepted for sending.
+    /// Replays that the last byte of an attempt's streamed request was sent.
     pub(crate) fn on_request_sent(&mut self, call: RecordedCall, attempt: AttemptId) {
         self.replay_rpc(call, attempt.rpc, |rpc, platform| {
             rpc.on_request_sent(attempt.index, platform);
@@ -165,14 +165,14 @@
         });
     }
 
-    /// Marks an RPC that can't be retried.
+    /// Marks an RPC as one that must not be retried.
     pub(crate) fn forbid_retry(&self, id: u64) {
         if let Some(compared) = self.rpcs.get(&id) {
             compared.rpc.forbid_retry();
         }
     }
 
-    /// Replays a call about an RPC on which both instances agree. For other RPCs only the actions are compared.
+    /// Replays a call about an RPC. If the instances already differ on that RPC, the shadow is not called for it.
     fn replay_rpc(
         &mut self,
         call: RecordedCall,
@@ -193,21 +193,21 @@
         let shadow_actions = std::mem::take(&mut self.platform.recorded);
         self.counts.health_checks += call.actions.health_checks();
         self.counts.shadow_health_checks += shadow_actions.health_checks();
-        let touched: BTreeSet<u64> = call
+        let affected: BTreeSet<u64> = call
             .actions
             .rpcs()
             .chain(shadow_actions.rpcs())
             .chain(about)
             .collect();
-        for id in touched {
-            self.compare(id, call.actions.of_rpc(id), shadow_actions.of_rpc(id));
+        for id in affected {
+            self.compare(id, call.actions.for_rpc(id), shadow_actions.for_rpc(id));
         }
         self.log_counts_if_due();
     }
 
     /// Compares the actions of the two instances on an RPC.
     fn compare(&mut self, id: u64, performed: &[Action], shadow: &[Action]) {
-        // An RPC that is missing here was removed when the instances differed on it.
+        // An RPC that is missing here was removed when the instances handled it differently.
         let Some(compared) = self.rpcs.get_mut(&id) else {
             return;
         };
@@ -224,9 +224,9 @@
         }
     }
 
-    /// Ends an RPC on which the instances differ, as if its client had disconnected: the shadow can't know how it would
-    /// have continued. RPCs that the shadow then attempts with the freed capacity end in the same way, as the active
-    /// instance has not decided on them. Their new attempt is not counted yet, hence one index more.
+    /// Ends an RPC that the instances handle differently, as if its client had disconnected: how it would have
+    /// continued is unknown. RPCs that the shadow then attempts with the freed capacity end in the same way, since the
+    /// active instance has not decided on them. Their new attempt is not counted yet, so the loop ends one more.
     fn remove_diverged(&mut self, id: u64) {
         let mut diverged = vec![id];
         while let Some(id) = diverged.pop() {
