--- a/crates/daemon/src/config/shadow/counts.rs
+++ b/crates/daemon/src/config/shadow/counts.rs
@@ -1,8 +1,8 @@
-//! The counts of the shadow evaluation: RPCs on which the two instances differ, by kind of difference.
+//! The counts of the shadow evaluation: RPCs that the two instances handle differently, by kind of difference.
 use crate::config::shadow::actions::Action;
 use std::fmt;
 
-/// Counts of RPCs, by what the shadow would have done instead of the active instance.
+/// Counts of RPCs, by what the shadow would have done differently from the active instance.
 #[derive(Debug, Default)]
 pub(super) struct ShadowCounts {
     /// RPCs that both instances received.
@@ -15,13 +15,13 @@
     would_reject: u64,
     /// Rejected before any attempt, but attempted or queued by the shadow.
     would_accept: u64,
-    /// Retried, but given up by the shadow.
+    /// Retried, but rejected or failed by the shadow.
     would_give_up: u64,
-    /// Given up after an attempt, but retried by the shadow.
+    /// Rejected or failed after an attempt, but retried by the shadow.
     would_retry: u64,
     /// Rejected, but failed by the shadow, or the reverse.
     would_respond_differently: u64,
-    /// Attempted at another backend, which may be due to random choice.
+    /// Attempted at another backend by the shadow, which may be due to random choices.
     other_backend: u64,
     /// Health checks that the active instance sent.
     pub health_checks: u64,
