--- a/crates/daemon/src/config/shadow/platform.rs
+++ b/crates/daemon/src/config/shadow/platform.rs
@@ -7,9 +7,9 @@
 pub(super) struct ShadowPlatform {
     /// Time of the call that is being replayed, in seconds.
     pub now: f64,
-    /// Actions that were requested since they were last taken.
+    /// Actions that were requested since the last comparison.
     pub recorded: RecordedActions,
-    /// Time of the shadow's next timer event, in seconds.
+    /// Due time of the shadow's next timer event, in seconds.
     pub timer_at: Option<f64>,
 }
 
