--- a/crates/daemon/src/lifecycle/admin_api/mod.rs
+++ b/crates/daemon/src/lifecycle/admin_api/mod.rs
@@ -122,8 +122,8 @@
             return response::unknown_endpoint(name);
         }
         match self.state_store.execute(command).await {
-            Ok(()) => response::in_force(command, &self.state_store.current()),
-            Err(error) => response::not_shared(&error),
+            Ok(()) => response::applied(command, &self.state_store.current()),
+            Err(error) => response::applied_here_only(&error),
         }
     }
 }
--- a/crates/daemon/src/lifecycle/admin_api/response.rs
+++ b/crates/daemon/src/lifecycle/admin_api/response.rs
@@ -80,7 +80,7 @@
 }
 
 /// 200: the command is in force in all processes of this proxy; `state` is the state after it.
-pub(super) fn in_force(command: &AdminCommand, state: &ProxyState) -> AdminResponse {
+pub(super) fn applied(command: &AdminCommand, state: &ProxyState) -> AdminResponse {
     let text = match command {
         AdminCommand::EnterMaintenance(name) => format!("{name} is banned"),
         AdminCommand::ExitMaintenance(name) => format!("{name} is not banned"),
@@ -94,7 +94,7 @@
 }
 
 /// 500: the command is in force in this process, and a sibling process does not know of it.
-pub(super) fn not_shared(error: &ProcessGroupError) -> AdminResponse {
+pub(super) fn applied_here_only(error: &ProcessGroupError) -> AdminResponse {
     let text = format!("in force in this process only: {error}");
     text_response(StatusCode::INTERNAL_SERVER_ERROR, text)
 }
