--- a/crates/daemon/src/lifecycle/admin_state.rs
+++ b/crates/daemon/src/lifecycle/admin_state.rs
@@ -66,7 +66,7 @@
 
 impl TimedCommand {
     /// Returns a command that is given now.
-    pub(super) fn now(command: AdminCommand) -> Self {
+    pub(super) fn given_now(command: AdminCommand) -> Self {
         Self {
             command,
             given_at_ms: unix_ms(),
--- a/crates/daemon/src/lifecycle/state_store.rs
+++ b/crates/daemon/src/lifecycle/state_store.rs
@@ -129,7 +129,8 @@
     ///
     /// A sibling process runs and can't learn of the command. The command is in force in this process.
     pub(crate) async fn execute(&self, command: &AdminCommand) -> Result<(), ProcessGroupError> {
-        self.pending.add_command(TimedCommand::now(command.clone()));
+        self.pending
+            .add_command(TimedCommand::given_now(command.clone()));
         let result = self.write_pending().await;
         let generation = self.current().admin_generation;
         log::info!("admin command {command:?} recorded: {}", *self.current());
