--- a/crates/daemon/src/lifecycle/mod.rs
+++ b/crates/daemon/src/lifecycle/mod.rs
@@ -1,9 +1,8 @@
 //! The life cycle of a proxy process: start, graceful shutdown, sibling processes and administrative state.
 //!
-//! [`state_store::StateStore`] owns the [`state::ProxyState`]; every other actor reads it by subscription. A sibling is
-//! another process of the same proxy, while one replaces the other. Siblings share a folder
-//! ([`process_group::ProcessGroup`]) in which each publishes whether it accepts clients, and which holds the
-//! administrative state of all.
+//! [`state_store::StateStore`] owns the [`state::ProxyState`], and all other actors subscribe to it. While one process
+//! of a proxy replaces another, the two are siblings. They share a folder ([`process_group::ProcessGroup`]) in which
+//! each process publishes whether it accepts clients, and which contains the administrative state of all of them.
 
 pub(crate) mod admin_api;
 pub(crate) mod admin_state;
