--- a/crates/daemon/src/lifecycle/admin_api/call.rs
+++ b/crates/daemon/src/lifecycle/admin_api/call.rs
@@ -1,6 +1,6 @@
 //! The calls of the admin API: their paths, HTTP methods and parameters.
 //!
-//! The words in this module are part of the protocol with the operators' tools and must not change.
+//! The strings in this module are part of the protocol with the operators' tools and must not change.
 
 use crate::lifecycle::admin_state::AdminCommand;
 use hyper::Method;
@@ -9,10 +9,10 @@
 /// Query parameter that names an endpoint.
 const MEMBER_PARAMETER: &str = "member";
 
-/// Why the `member` parameter of a call can't be read.
+/// Why the `member` parameter of a call is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub(super) enum MemberError {
-    /// The query does not have the parameter.
+    /// The query lacks the parameter.
     #[error("member is missing")]
     Missing,
     /// The query has the parameter more than once.
@@ -26,7 +26,7 @@
     Empty,
 }
 
-/// A call that was recognised by its path. Its parameters are not parsed yet.
+/// A call, identified by its path. Its parameters are not parsed yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AdminPath {
     Status,
@@ -49,7 +49,7 @@
 }
 
 impl AdminPath {
-    /// Recognises the path of a request.
+    /// Returns the call with this path, or `None` if there is none.
     pub(super) fn parse(path: &str) -> Option<Self> {
         match path {
             "/status" => Some(Self::Status),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Returns the only HTTP method that is allowed for this path.
+    /// Returns the HTTP method of the call; no other method is allowed.
     pub(super) fn method(self) -> Method {
         match self {
             Self::Status | Self::Settings => Method::GET,
@@ -110,7 +110,7 @@
     let mut bytes = parts.next()?.as_bytes().to_vec();
     for part in parts {
         let (digits, rest) = part.split_at_checked(2)?;
-        // `from_str_radix` alone would accept a sign.
+        // `from_str_radix` also accepts a sign, so the digits are checked too.
         let is_hex = digits.bytes().all(|digit| digit.is_ascii_hexdigit());
         bytes.push(u8::from_str_radix(digits, 16).ok().filter(|_| is_hex)?);
         bytes.extend_from_slice(rest.as_bytes());
