--- a/crates/daemon/src/lifecycle/admin_api/call/tests.rs
+++ b/crates/daemon/src/lifecycle/admin_api/call/tests.rs
@@ -1,4 +1,4 @@
-//! Parsing of the parameters of admin calls.
+//! Tests of parsing the parameters of admin calls.
 use super::*;
 
 #[test]
