--- a/crates/daemon/src/lifecycle/admin_api/mod.rs
+++ b/crates/daemon/src/lifecycle/admin_api/mod.rs
@@ -30,22 +30,22 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Longest time for a call, from accepting its connection to writing its response.
+/// Timeout of a call, from accepting its connection to writing its response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest head of a request, in bytes.
+/// Maximum size of a request's head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Largest body of a request, in bytes. No call needs a body, but some clients send one.
+/// Maximum size of a request's body, in bytes. No call needs a body, but some clients send one.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// Delay before the next `accept` after one failed.
+/// Delay before the next `accept` after a failed one.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
-/// Longest time for which a connection stays open so that a client that is still sending can read its response.
+/// Longest time for which a connection stays open after its response, so that a client that still sends can read it.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The server of the admin API.
 pub(crate) struct AdminServer {
     /// The state that calls read and change.
     pub state_store: Rc<StateStore>,
-    /// The active settings, shown by `/settings`.
+    /// The summary of the active configuration, shown by `/settings`.
     pub settings: watch::Receiver<ActiveConfig>,
     /// Counts of violated invariants, shown by `/status`.
     pub invariants: Rc<Invariants>,
@@ -58,7 +58,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    make_room(&mut connections);
+                    close_oldest_if_full(&mut connections);
                     let connection = spawn_local(self.clone().serve(stream));
                     connections.push_back(connection.abort_handle());
                 }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Serves the one call of a connection.
+    /// Serves the call of a connection and closes the connection.
     async fn serve(self: Rc<Self>, stream: TcpStream) {
         let service = service_fn(|request: Request<Incoming>| {
             let server = self.clone();
@@ -94,7 +94,7 @@
     /// Returns the response to a request.
     async fn respond(&self, request: Request<Incoming>) -> AdminResponse {
         let (head, body) = request.into_parts();
-        // Closing a connection with unread data resets it, and the response would be lost: the body is read.
+        // The body is read and discarded: closing a connection with unread data resets it, and the response is lost.
         if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
             return response::invalid_body();
         }
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Executes a command if the endpoint that it names is known.
+    /// Executes a command, unless it names an endpoint that was never listed.
     async fn execute(&self, command: &AdminCommand) -> AdminResponse {
         if let AdminCommand::EnterMaintenance(name) | AdminCommand::ExitMaintenance(name) = command
             && !self.state_store.knows_name(name)
@@ -128,9 +128,9 @@
     }
 }
 
-/// Closes the oldest connection if [`ADMIN_CONNECTIONS`] are open: clients that never complete a call must not keep
-/// others out, which wait for 1 s only.
-fn make_room(connections: &mut VecDeque<AbortHandle>) {
+/// Closes the oldest connection if [`ADMIN_CONNECTIONS`] are open. Prevents clients that never complete a call from
+/// blocking other clients, which wait for 1 s only.
+fn close_oldest_if_full(connections: &mut VecDeque<AbortHandle>) {
     connections.retain(|connection| !connection.is_finished());
     if connections.len() >= ADMIN_CONNECTIONS
         && let Some(oldest) = connections.pop_front()
