--- a/crates/daemon/src/lifecycle/admin_api/response.rs
+++ b/crates/daemon/src/lifecycle/admin_api/response.rs
@@ -13,7 +13,7 @@
 use hyper::{Method, Response, StatusCode};
 use std::fmt;
 
-/// A response of one line of text.
+/// A response with one line of text.
 pub(super) type AdminResponse = Response<Full<Bytes>>;
 
 /// Returns a response with this status and line.
@@ -23,13 +23,13 @@
     response
 }
 
-/// 400: the request's body can't be read or is too long.
+/// 400: the request's body is malformed or too long.
 pub(super) fn invalid_body() -> AdminResponse {
     let text = "the body is malformed or over 64 KiB";
     text_response(StatusCode::BAD_REQUEST, text)
 }
 
-/// 400: the `member` parameter can't be read.
+/// 400: the `member` parameter is invalid.
 pub(super) fn invalid_member(error: MemberError) -> AdminResponse {
     text_response(StatusCode::BAD_REQUEST, error)
 }
@@ -44,7 +44,7 @@
     text_response(StatusCode::NOT_FOUND, format!("{name} was never listed"))
 }
 
-/// 405: the path takes another HTTP method.
+/// 405: the call has another HTTP method, given in the `Allow` header.
 pub(super) fn method_not_allowed(allowed: &Method) -> AdminResponse {
     let text = format!("this call takes {allowed}");
     let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, text);
@@ -53,7 +53,7 @@
     response
 }
 
-/// 200 or 503: the state of this process, followed by the invariant report if an invariant was violated.
+/// 200 if this process accepts clients, or else 503: its state, and the invariant report if an invariant was violated.
 pub(super) fn status(state: &ProxyState, report: Report) -> AdminResponse {
     let (status, text) = match state.serving_phase() {
         ServingPhase::ShuttingDown => (StatusCode::SERVICE_UNAVAILABLE, "ends: SIGTERM has come"),
@@ -79,7 +79,7 @@
     text_response(StatusCode::OK, active_config)
 }
 
-/// 200: the command is in force in all processes of this proxy; `state` is the state after it.
+/// 200: the command is applied in all processes of this proxy. `state` is the state after the command.
 pub(super) fn applied(command: &AdminCommand, state: &ProxyState) -> AdminResponse {
     let text = match command {
         AdminCommand::EnterMaintenance(name) => format!("{name} is banned"),
@@ -93,7 +93,7 @@
     text_response(StatusCode::OK, text)
 }
 
-/// 500: the command is in force in this process, and a sibling process does not know of it.
+/// 500: the command is applied in this process, but could not be stored for its sibling processes.
 pub(super) fn applied_here_only(error: &ProcessGroupError) -> AdminResponse {
     let text = format!("in force in this process only: {error}");
     text_response(StatusCode::INTERNAL_SERVER_ERROR, text)
