--- a/crates/daemon/src/lifecycle/admin_state.rs
+++ b/crates/daemon/src/lifecycle/admin_state.rs
@@ -1,26 +1,26 @@
 //! The administrative state: standby of the proxy and maintenance of single endpoints.
 //!
-//! All processes of a proxy share it, and it outlives them in a file. Processes of other versions read the file: its
-//! field names, given by `serde(rename)`, must not change.
+//! All processes of a proxy share it. It is stored in a file, which processes of other versions read and write too: the
+//! stored names, given by `serde(rename)`, must not change.
 
 use birchhub::interface::Readiness;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The maintenance of one endpoint.
+/// The maintenance state of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Maintenance {
-    /// The endpoint gets no new RPCs.
+    /// The endpoint is in maintenance and receives no new RPCs.
     #[serde(rename = "InForce")]
     Active,
-    /// The maintenance ended at this time, in Unix ms. The endpoint counts as started no earlier, whatever start time the
-    /// endpoint list carries.
+    /// The maintenance ended at this time, in Unix ms. The endpoint counts as started then if its listed start time is
+    /// earlier.
     #[serde(rename = "Over")]
     EndedAt(f64),
 }
 
-/// The state that operators set by [`AdminCommand`]s, and the endpoint names that commands may use.
+/// The state that operators change with [`AdminCommand`]s, and the endpoint names that commands may contain.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct AdminState {
     /// Start of the standby, in Unix ms; `None` while the proxy is active.
@@ -43,7 +43,7 @@
     pub started_at_ms: f64,
 }
 
-/// A change of the administrative state.
+/// An operator's change of the administrative state.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum AdminCommand {
     /// Starts the maintenance of the endpoint with this name.
@@ -56,7 +56,7 @@
     Activate,
 }
 
-/// A command with its time. The command takes effect from that time on, however late it can be stored.
+/// A command with the time at which it was given. It takes effect from that time on, even if it is stored later.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct TimedCommand {
     command: AdminCommand,
@@ -75,7 +75,7 @@
 }
 
 impl AdminState {
-    /// Applies a command. Repeating a command changes nothing.
+    /// Applies a command. Applying it again changes nothing.
     pub(super) fn apply(&mut self, command: &TimedCommand) {
         match &command.command {
             AdminCommand::EnterMaintenance(name) => {
@@ -103,12 +103,12 @@
             .count()
     }
 
-    /// Whether an endpoint with this name was ever listed.
+    /// Returns whether an endpoint with this name was ever listed.
     pub(crate) fn knows_name(&self, name: &str) -> bool {
         self.known_names.contains(name)
     }
 
-    /// Applies the maintenance of an endpoint to its readiness and start time in the endpoint list.
+    /// Returns the readiness and start time of an endpoint: the listed ones, changed by its maintenance state.
     pub(crate) fn effective_status(&self, name: &str, listed: EndpointStatus) -> EndpointStatus {
         match self.maintenance.get(name) {
             Some(Maintenance::Active) if listed.readiness == Readiness::Ready => EndpointStatus {
--- a/crates/daemon/src/lifecycle/admin_state/tests.rs
+++ b/crates/daemon/src/lifecycle/admin_state/tests.rs
@@ -1,8 +1,8 @@
-//! Stored form of the administrative state, checked against files that an earlier version wrote.
+//! Tests of the stored form of the administrative state, against files that an earlier version wrote.
 use super::*;
 use crate::lifecycle::process_group::ProcessGroup;
 
-/// Processes of different versions read each other's file: it is read, and written back to the same bytes.
+/// Processes of different versions read each other's file, so it must be read, and written back to the same bytes.
 #[test]
 fn stored_admin_state_is_read_and_written_back_unchanged() {
     let full = AdminState {
@@ -15,11 +15,11 @@
     };
     let stored = include_bytes!("../../../tests/fixtures/birchhub.standing");
     let initial = include_bytes!("../../../tests/fixtures/birchhub.standing.initial");
-    check_stored_form("full", &full, stored);
-    check_stored_form("initial", &AdminState::default(), initial);
+    assert_stored_form("full", &full, stored);
+    assert_stored_form("initial", &AdminState::default(), initial);
 }
 
-fn check_stored_form(test: &str, state: &AdminState, stored: &[u8]) {
+fn assert_stored_form(test: &str, state: &AdminState, stored: &[u8]) {
     let name = format!("birchhub-stored-{test}-{}", std::process::id());
     let folder = std::env::temp_dir().join(name);
     let mut group = ProcessGroup::open_in(folder.clone()).expect("a folder");
