--- a/crates/daemon/src/lifecycle/listeners.rs
+++ b/crates/daemon/src/lifecycle/listeners.rs
@@ -10,10 +10,10 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::{Instant, sleep};
 
-/// Largest number of connections that wait to be accepted: none of a burst may be refused.
+/// Maximum number of connections that wait to be accepted. Large enough that no connection of a burst is refused.
 const BACKLOG: u32 = 1024;
 
-/// Longest time for which binding is retried while the machine is short of sockets or memory.
+/// Time for which binding is retried while the machine lacks sockets or memory.
 const BIND_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay between attempts to bind.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(10);
@@ -29,7 +29,7 @@
 }
 
 impl Listeners {
-    /// Binds the addresses of the configuration. An `inherited` socket replaces the one for clients.
+    /// Binds the addresses of the configuration. An `inherited` socket is used for clients instead of binding one.
     pub(crate) async fn bind(
         config: &Config,
         inherited: Option<std::net::TcpListener>,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Binds an address. Failures for lack of local resources are retried for [`BIND_TIMEOUT`].
+/// Binds an address. Retries for up to [`BIND_TIMEOUT`] if local resources are exhausted.
 async fn bind(setting: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
     let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
@@ -77,7 +77,7 @@
     } else {
         TcpSocket::new_v6()
     }?;
-    // A restarted process can bind the address of its predecessor at once.
+    // Allows a restarted process to bind the address of its predecessor at once.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
