--- a/crates/daemon/src/lifecycle/pending_changes.rs
+++ b/crates/daemon/src/lifecycle/pending_changes.rs
@@ -1,19 +1,19 @@
-//! Changes of the administrative state that are in force in this process but not stored in the shared file yet.
+//! Changes of the administrative state that this process has yet to store in the shared file.
 
 use crate::lifecycle::admin_state::{AdminState, TimedCommand};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
-/// Commands and endpoint names that the state file still lacks.
+/// Commands and endpoint names that are not stored in the state file yet.
 #[derive(Default)]
 pub(super) struct PendingChanges {
-    /// Commands in the order in which they were given. No state that is read from the file undoes them.
+    /// Commands in the order in which they were given. They are applied again to each state that is read from the file.
     commands: RefCell<Vec<TimedCommand>>,
     /// Names of listed endpoints.
     names: RefCell<BTreeSet<String>>,
 }
 
-/// Changes that one write of the state file contains.
+/// The changes that one write of the state file stores.
 pub(super) struct ChangeBatch {
     commands: Vec<TimedCommand>,
     names: BTreeSet<String>,
@@ -40,17 +40,17 @@
         self.names.borrow_mut().insert(name.to_owned());
     }
 
-    /// Whether this endpoint name is waiting to be stored.
+    /// Returns whether this endpoint name is not stored yet.
     pub(super) fn contains_name(&self, name: &str) -> bool {
         self.names.borrow().contains(name)
     }
 
-    /// Returns the number of endpoint names that are waiting to be stored.
+    /// Returns the number of endpoint names that are not stored yet.
     pub(super) fn name_count(&self) -> usize {
         self.names.borrow().len()
     }
 
-    /// Whether all changes are stored.
+    /// Returns whether all changes are stored.
     pub(super) fn is_empty(&self) -> bool {
         self.names.borrow().is_empty() && self.commands.borrow().is_empty()
     }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Returns the changes to be written. Commands stay listed here until they are known to be stored.
+    /// Returns the changes to be written. Removes the names, but keeps the commands until they are known to be stored.
     pub(super) fn take_batch(&self) -> ChangeBatch {
         ChangeBatch {
             names: self.names.take(),
@@ -76,7 +76,7 @@
         commands.retain(|command| !batch.commands.contains(command));
     }
 
-    /// Returns the names of a batch that could not be stored.
+    /// Puts the names of a batch back that could not be stored.
     pub(super) fn restore_names(&self, batch: ChangeBatch) {
         self.names.borrow_mut().extend(batch.names);
     }
