--- a/crates/daemon/src/lifecycle/process_group/error.rs
+++ b/crates/daemon/src/lifecycle/process_group/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the process group's shared folder.
+//! Errors of the shared folder of a process group.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 /// Why the shared folder or a file in it could not be used.
 #[derive(Debug, Error)]
 pub(crate) enum ProcessGroupError {
-    /// The environment names no parent folder.
+    /// The environment variable with the parent folder is not set.
     #[error("TMPDIR is not set")]
     NoFolder,
     /// The folder or a file in it could not be opened, read or written.
@@ -18,7 +18,7 @@
         /// The error of the system call.
         source: io::Error,
     },
-    /// The stored administrative state is damaged.
+    /// The stored administrative state can't be parsed.
     #[error("{}: {source}", path.display())]
     Malformed {
         /// The file with the state.
