--- a/crates/daemon/src/lifecycle/process_group/folder.rs
+++ b/crates/daemon/src/lifecycle/process_group/folder.rs
@@ -1,4 +1,4 @@
-//! The names of the shared folder and of its files.
+//! The names of the shared folder and its files.
 //!
 //! Processes of different versions share the folder: the names must not change.
 
@@ -6,11 +6,11 @@
 use std::fs::File;
 use std::path::{Path, PathBuf};
 
-/// Start of the folder's name, before the proxy's name.
+/// Prefix of the folder's name, followed by the proxy's name.
 const FOLDER_PREFIX: &str = "birchhub-";
-/// Start of the name of a slot file, before a dot and the slot's number.
-const SLOT_FILE: &str = "birchhub.life";
-/// File whose lock is held while the administrative state is changed.
+/// Prefix of the name of a slot file, followed by a dot and the slot's number.
+const SLOT_FILE_PREFIX: &str = "birchhub.life";
+/// File that is locked while the administrative state is changed.
 const LOCK_FILE: &str = "birchhub.lock";
 /// File with the administrative state.
 const STATE_FILE: &str = "birchhub.standing";
@@ -19,8 +19,8 @@
 
 /// Returns the name of the folder of a proxy.
 ///
-/// Characters that a file name can't have are escaped, so that two proxies never share a folder and its state. Usual
-/// names stay as they are: processes of older versions use the same folder.
+/// Bytes other than ASCII letters, digits and hyphens are escaped, so that different proxies never share a folder.
+/// Names without such bytes are unchanged: processes of older versions use the same folder.
 pub(super) fn folder_name(proxy_name: &str) -> String {
     let mut folder = FOLDER_PREFIX.to_owned();
     for byte in proxy_name.bytes() {
@@ -32,9 +32,9 @@
     folder
 }
 
-/// Returns the path of the file of the slot with this number.
+/// Returns the path of the slot file with this number.
 pub(super) fn slot_path(folder: &Path, number: usize) -> PathBuf {
-    folder.join(format!("{SLOT_FILE}.{number}"))
+    folder.join(format!("{SLOT_FILE_PREFIX}.{number}"))
 }
 
 /// Returns the path of the lock file of the administrative state.
@@ -47,12 +47,12 @@
     folder.join(STATE_FILE)
 }
 
-/// Returns the path into which the next administrative state is written.
+/// Returns the path of [`NEW_STATE_FILE`].
 pub(super) fn new_state_path(folder: &Path) -> PathBuf {
     folder.join(NEW_STATE_FILE)
 }
 
-/// Opens a file for locking and writing, and creates it if it does not exist.
+/// Opens a file for locking and writing, or creates it if it does not exist.
 pub(super) fn open_file(path: &Path) -> Result<File, ProcessGroupError> {
     File::options()
         .create(true)
