--- a/crates/daemon/src/lifecycle/process_group/mod.rs
+++ b/crates/daemon/src/lifecycle/process_group/mod.rs
@@ -1,8 +1,7 @@
-//! The processes of one proxy while one replaces another: which of them run, which accept clients, and the
-//! administrative state that they share.
+//! The process group of a proxy: the processes that run while one replaces another.
 //!
-//! They communicate through files in one folder below `$TMPDIR` ([`folder`]): a slot for each process ([`slots`]) and
-//! the administrative state ([`state_file`]).
+//! They communicate through files in one folder below `$TMPDIR` ([`folder`]). Each process has a slot, in which it
+//! publishes whether it accepts clients ([`slots`]), and all share the administrative state ([`state_file`]).
 
 mod error;
 mod folder;
@@ -17,11 +16,11 @@
 use state_file::StateFile;
 use std::path::{Path, PathBuf};
 
-/// Descriptors that a group holds at most: the slot files, the lock file, and the state file while it is read or
+/// Maximum number of descriptors of a group: the slot files, the lock file, and the state file while it is read or
 /// written.
 pub(crate) const MAX_DESCRIPTORS: usize = SLOT_COUNT + 2;
 
-/// The other processes of this proxy.
+/// Counts of the other processes of this proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Siblings {
     /// Number of sibling processes that run.
@@ -43,7 +42,7 @@
         Self::open_in(Path::new(&parent).join(folder_name(proxy_name)))
     }
 
-    /// Opens this folder and creates it if it does not exist. The first call of [`Self::siblings`] takes a slot.
+    /// Opens this folder, or creates it if it does not exist. The first call of [`Self::siblings`] takes a slot.
     pub(super) fn open_in(folder: PathBuf) -> Result<Self, ProcessGroupError> {
         std::fs::create_dir_all(&folder).map_err(ProcessGroupError::io(&folder))?;
         Ok(Self {
@@ -67,8 +66,8 @@
         self.state_file.read_if_changed()
     }
 
-    /// Applies a change to the shared administrative state, or to `own` if no readable state is stored, and returns the
-    /// new state.
+    /// Applies a change to the shared administrative state, or to `own` if no valid state is stored. Stores and returns
+    /// the new state.
     pub(crate) async fn update(
         &mut self,
         own: &AdminState,
