--- a/crates/daemon/src/lifecycle/process_group/slots.rs
+++ b/crates/daemon/src/lifecycle/process_group/slots.rs
@@ -1,17 +1,17 @@
 //! Slots in which the processes of a proxy publish that they run and whether they accept clients.
 //!
-//! Each process holds the exclusive lock of one slot file. The lock ends with the process, however it ends. The file is
-//! not empty while the process accepts clients.
+//! Each process holds an exclusive lock on one slot file. The lock is released when the process ends, however it ends.
+//! The file is not empty while the process accepts clients.
 
 use crate::lifecycle::process_group::folder::{open_file, slot_path};
 use crate::lifecycle::process_group::{ProcessGroupError, Siblings};
 use std::fs::{File, TryLockError};
 use std::path::Path;
 
-/// Number of slots, the most processes that can run at a time: one replaces another, and one more may hang.
+/// Number of slots, and so the maximum number of processes at a time: an old one, a new one, and processes that hang.
 pub(super) const SLOT_COUNT: usize = 4;
 
-/// The slot files of a proxy, seen from one process.
+/// The slot files of a proxy, as one process uses them.
 pub(super) struct ProcessSlots {
     files: Vec<File>,
     /// Number of the slot that this process holds.
@@ -33,8 +33,8 @@
         })
     }
 
-    /// Publishes whether this process accepts clients, once it holds a slot. The first write replaces what an earlier
-    /// holder of the slot published.
+    /// Publishes whether this process accepts clients, if it holds a slot. The first write replaces the value that an
+    /// earlier holder of the slot published.
     pub(super) fn publish_accepting(&mut self, accepting: bool) {
         if self.published_accepting == Some(accepting) {
             return;
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Takes a slot if this process has none. A sibling holds the lock of a free slot for a moment while it checks it; if
-    /// that hides all free slots, the next call takes one.
+    /// Takes a slot if this process has none. A sibling locks a free slot briefly to check it. If that makes all free
+    /// slots look taken, the next call takes one.
     fn take_slot(&mut self) {
         if self.own.is_none() {
             self.own = self.files.iter().position(|slot| slot.try_lock().is_ok());
@@ -73,7 +73,7 @@
     }
 }
 
-/// Whether a running process holds this slot.
+/// Returns whether a running process holds this slot.
 fn is_held(slot: &File) -> bool {
     match slot.try_lock_shared() {
         Ok(()) => slot.unlock().is_err(),
@@ -82,7 +82,7 @@
     }
 }
 
-/// Whether the process that holds this slot accepts clients.
+/// Returns whether the process that holds this slot accepts clients.
 fn is_accepting(slot: &File) -> bool {
     slot.metadata().is_ok_and(|metadata| metadata.len() > 0)
 }
