--- a/crates/daemon/src/lifecycle/process_group/state_file.rs
+++ b/crates/daemon/src/lifecycle/process_group/state_file.rs
@@ -1,6 +1,6 @@
 //! The file with the administrative state that the processes of a proxy share.
 //!
-//! Changes are made under a file lock and replace the whole file, so that readers need no lock.
+//! A process changes it under a file lock and replaces the whole file, so that readers need no lock.
 
 use crate::lifecycle::admin_state::AdminState;
 use crate::lifecycle::process_group::ProcessGroupError;
@@ -12,12 +12,12 @@
 use std::time::{Duration, SystemTime};
 use tokio::time::{Instant, sleep};
 
-/// Longest wait for the lock. Its holder writes a few bytes only.
+/// Timeout of taking the lock. Its holder writes only a few bytes.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(300);
 /// Delay between attempts to take the lock.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Distinguishes one version of the state file from the next.
+/// Identifies a version of the state file.
 #[derive(Clone, Copy, PartialEq)]
 struct FileVersion {
     modified: SystemTime,
@@ -28,7 +28,7 @@
 pub(super) struct StateFile {
     folder: PathBuf,
     pub(super) lock: File,
-    /// Version that this process last read or wrote.
+    /// Version that this process read or wrote last.
     seen_version: Option<FileVersion>,
 }
 
@@ -55,14 +55,14 @@
         })
     }
 
-    /// Reads the state if its version differs from the one that was last read or written.
+    /// Reads the state if it has changed since it was last read or written.
     pub(super) fn read_if_changed(&mut self) -> Result<Option<AdminState>, ProcessGroupError> {
         let version = self.stored_version();
         if version.is_none() || version == self.seen_version {
             return Ok(None);
         }
         let path = self.path();
-        // A failed read is repeated by the next call. A damaged file is reported once: it stays damaged.
+        // A read that fails is repeated by the next call. A malformed file is reported once, as it stays malformed.
         let bytes = std::fs::read(&path).map_err(ProcessGroupError::io(&path))?;
         self.seen_version = version;
         serde_json::from_slice(&bytes)
@@ -70,7 +70,7 @@
             .map_err(|source| ProcessGroupError::Malformed { path, source })
     }
 
-    /// Applies a change to the stored state, or to `own` if no readable state is stored, and returns the new state.
+    /// Applies a change to the stored state, or to `own` if no valid state is stored. Stores and returns the new state.
     pub(super) async fn update(
         &mut self,
         own: &AdminState,
@@ -103,7 +103,7 @@
         let stored = match std::fs::read(&path) {
             Ok(bytes) => serde_json::from_slice::<AdminState>(&bytes).ok(),
             Err(error) if error.kind() == ErrorKind::NotFound => None,
-            // A state that can't be read now may be valid: it must not be overwritten.
+            // The state may be valid although it can't be read now, so it must not be overwritten.
             Err(error) => return Err(ProcessGroupError::io(&path)(error)),
         };
         let mut state = stored.unwrap_or_else(|| own.clone());
@@ -115,7 +115,7 @@
         Ok(state)
     }
 
-    /// Replaces the file by a rename, so that a reader always finds a complete one.
+    /// Replaces the file by renaming a new one, so that readers always find a complete file.
     fn write(&mut self, state: &AdminState) -> io::Result<()> {
         let new_path = new_state_path(&self.folder);
         let mut file = File::create(&new_path)?;
