--- a/crates/daemon/src/lifecycle/process_group/tests.rs
+++ b/crates/daemon/src/lifecycle/process_group/tests.rs
@@ -1,8 +1,8 @@
-//! Several processes of one proxy in one shared folder.
+//! Tests of several processes of one proxy in one shared folder.
 use super::*;
 use crate::lifecycle::admin_state::Maintenance;
 
-/// Runs a test with a function that starts another process in a new folder, and with the path of the state file.
+/// Runs a test in a new folder, with a function that adds a process to the group and with the path of the state file.
 fn in_folder(test: impl AsyncFnOnce(&dyn Fn() -> ProcessGroup, PathBuf)) {
     static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     let number = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -45,8 +45,8 @@
     });
 }
 
-/// A sibling that has just started does not count as accepting, even if the former holder of its slot did, nor does one
-/// that stops accepting.
+/// Neither a sibling that has stopped accepting counts as accepting, nor one that has just started in a slot whose
+/// previous holder was accepting.
 #[test]
 fn only_siblings_that_accept_clients_are_counted_as_accepting() {
     in_folder(async |make, _| {
@@ -73,7 +73,8 @@
     });
 }
 
-/// Alternating updates of two processes lose nothing. A damaged file is reported once and overwritten by the next update.
+/// Alternating updates of two processes lose no change. A malformed file is reported once and replaced by the next
+/// update. An update fails while another process holds the lock.
 #[test]
 fn updates_of_all_processes_are_kept_and_a_damaged_file_is_replaced() {
     in_folder(async |make, path| {
