--- a/crates/daemon/src/lifecycle/shutdown.rs
+++ b/crates/daemon/src/lifecycle/shutdown.rs
@@ -1,4 +1,4 @@
-//! The course of the graceful shutdown: waits for the last client, or for the exit deadline.
+//! Runs the graceful shutdown: waits until the last client has disconnected, or until the exit deadline.
 
 use crate::clock::until;
 use crate::lifecycle::graceful_shutdown::ACCEPT_GRACE;
@@ -9,11 +9,11 @@
 use tokio::select;
 use tokio::time::sleep;
 
-/// Interval of checking whether the last client has disconnected.
+/// Interval of checks for open client connections.
 const CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Shuts down after SIGTERM: returns when the listener has ended and the last client has disconnected, or at the exit
-/// deadline. `longest_rpc` is the longest deadline of any method; `None` if a method has no deadline.
+/// Drains the process after SIGTERM. Returns when the `accepting` task has ended and the last client has disconnected,
+/// or at the exit deadline. `longest_rpc` is the longest deadline of any method; `None` if a method has no deadline.
 pub(crate) async fn drain(
     state_store: &StateStore,
     longest_rpc: Option<Duration>,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Waits until the listener has ended and no client connection is open.
+/// Waits until the `accepting` task has ended and no client connection is open.
 async fn last_client_disconnected(accepting: impl Future, budget: &SocketBudget) {
     accepting.await;
     while budget.open_sockets(SocketClass::Clients) > 0 {
