--- a/crates/daemon/src/lifecycle/start_error.rs
+++ b/crates/daemon/src/lifecycle/start_error.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a process could not start. The text is the one line that is written to standard error.
+/// Why a process could not start. The text is the only line that is written to standard error.
 #[derive(Debug, Error)]
 pub(crate) enum StartError {
     /// The configuration or the inherited socket can't be used.
@@ -20,14 +20,14 @@
     /// An address could not be bound.
     #[error("{setting} cannot be bound: {address}: {source}")]
     Bind {
-        /// The variable that names the address.
+        /// Environment variable of the address.
         setting: &'static str,
         /// The address.
         address: SocketAddr,
         /// The error of the system call.
         source: io::Error,
     },
-    /// The inherited socket can't be used by the event loop.
+    /// The inherited socket can't be registered with the event loop.
     #[error("LB_PASSED_SOCKET: {0}")]
     InheritedListener(io::Error),
 }
