--- a/crates/daemon/src/lifecycle/startup.rs
+++ b/crates/daemon/src/lifecycle/startup.rs
@@ -13,14 +13,14 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for the first endpoint list where lists are pushed. An agent that sends none has nothing new.
+/// Longest wait for the first endpoint list if a local agent provides it. An agent that sends none has no change.
 const AGENT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Number of poll intervals for which this process waits before it accepts clients beside a sibling, which reduces its
-/// socket budget meanwhile.
-const SIBLING_POLLS: u32 = 2;
+/// Number of poll intervals for which this process waits before it accepts clients if it has siblings, which reduce
+/// their socket budgets in this time.
+const SIBLING_WAIT_POLLS: u32 = 2;
 
-/// Joins the process group of this proxy if the proxy may have several processes: with an inherited socket, or with an
-/// admin API.
+/// Joins the process group of this proxy. Returns `None` if the proxy has neither an inherited socket nor an admin API,
+/// so that no other process can run beside this one, or if the group is unavailable.
 pub(crate) fn join_process_group(config: &Config, inherited: bool) -> Option<ProcessGroup> {
     if !inherited && config.admin_address.is_none() {
         return None;
@@ -32,7 +32,7 @@
         .ok()
 }
 
-/// Follows the siblings, and divides the socket budget among all running processes of the proxy.
+/// Polls the siblings, and divides the socket budget among all running processes of the proxy.
 pub(crate) async fn share_sockets(budget: Rc<SocketBudget>, state_store: Rc<StateStore>) {
     tokio::join!(
         state_store.follow_siblings(),
@@ -40,7 +40,7 @@
     );
 }
 
-/// Divides the socket budget again whenever the number of running siblings changes.
+/// Divides the socket budget now, and again whenever the number of running siblings changes.
 async fn divide_budget(budget: &SocketBudget, mut state: watch::Receiver<ProxyState>) {
     loop {
         let siblings = state.borrow_and_update().siblings.alive;
@@ -52,9 +52,9 @@
     }
 }
 
-/// Makes the process ready if there is a cached endpoint list, which is enough to decide RPCs. Where lists are pushed,
-/// the first pushed list is awaited for [`AGENT_TIMEOUT`]. Without a cached list, discovery's first response makes the
-/// process ready.
+/// Makes the process ready if there is a cached endpoint list, with which RPCs can be balanced. If lists are pushed,
+/// the first pushed list is awaited for [`AGENT_TIMEOUT`]. Without a cached list, the first response of discovery makes
+/// the process ready.
 pub(crate) fn use_cached_endpoints(
     config: &Config,
     state_store: &Rc<StateStore>,
@@ -80,8 +80,9 @@
     });
 }
 
-/// Accepts clients. On a socket of its own the process accepts at once, and its health check reports whether it is
-/// ready. On an inherited socket it accepts once it is ready and the siblings have reduced their socket budgets.
+/// Accepts clients. On a socket that it has bound itself, the process accepts at once and its health check reports
+/// whether it is ready. On an inherited socket, it accepts once it is ready. With siblings, it first gives them time to
+/// reduce their socket budgets.
 pub(crate) async fn accept_clients(
     listener: Listener,
     socket: TcpListener,
@@ -97,19 +98,19 @@
         await_ready_or_shutdown(&state_store).await;
     }
     if siblings > 0 {
-        sleep(SIBLING_POLL_INTERVAL * SIBLING_POLLS).await;
+        sleep(SIBLING_POLL_INTERVAL * SIBLING_WAIT_POLLS).await;
     }
     state_store.set_accepting();
     Rc::new(listener).run(socket).await;
 }
 
-/// Waits until RPCs can be decided, for [`AGENT_TIMEOUT`] at most.
+/// Waits until the process is ready, for [`AGENT_TIMEOUT`] at most.
 async fn await_ready(state_store: &StateStore) {
     let mut state = state_store.subscribe();
     let _ = timeout(AGENT_TIMEOUT, state.wait_for(|state| state.ready)).await;
 }
 
-/// Waits until RPCs can be decided or the process shuts down.
+/// Waits until the process is ready or shuts down.
 async fn await_ready_or_shutdown(state_store: &StateStore) {
     let mut state = state_store.subscribe();
     let _ = state
