--- a/crates/daemon/src/lifecycle/state_store.rs
+++ b/crates/daemon/src/lifecycle/state_store.rs
@@ -1,4 +1,4 @@
-//! The owner of the [`ProxyState`]: all changes are made here, and every actor may read or follow the state.
+//! The owner of the [`ProxyState`]. All changes are made here; every actor may read the state or subscribe to it.
 
 use crate::lifecycle::admin_state::{AdminCommand, AdminState, TimedCommand};
 use crate::lifecycle::graceful_shutdown::GracefulShutdown;
@@ -10,12 +10,12 @@
 use tokio::sync::{Mutex, watch};
 use tokio::time::sleep;
 
-/// Interval of polling the siblings' slots and the shared administrative state. Must be well below the backends' drain
-/// grace.
+/// Interval of polling the siblings' slots and the shared administrative state. Must be much shorter than the backends'
+/// drain grace.
 pub(crate) const SIBLING_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Largest number of known endpoint names. Some fleets give endpoints new names with each start.
+/// Maximum number of known endpoint names. Some fleets give endpoints a new name at each start.
 const MAX_KNOWN_NAMES: usize = 20_000;
-/// Number of sibling polls between writes of pending changes, which makes one write a second.
+/// Number of sibling polls between writes of pending changes: one write per second.
 const POLLS_PER_WRITE: u32 = 20;
 
 /// The owner of the [`ProxyState`].
@@ -27,15 +27,15 @@
     process_group: Option<Mutex<ProcessGroup>>,
     /// Changes of the administrative state that wait to be stored.
     pending: PendingChanges,
-    /// Whether the last periodic write failed, which was logged.
+    /// Whether the last periodic write failed, and the failure was logged.
     logged_write_failure: Cell<bool>,
-    /// Whether the excess of endpoint names was logged.
+    /// Whether it was logged that there are too many endpoint names.
     logged_excess_names: Cell<bool>,
 }
 
 impl StateStore {
-    /// Creates the store of a process that starts. With a `process_group`, the administrative state of that group is in
-    /// force from the start.
+    /// Creates the store of a process that starts. The administrative state is initially that of `process_group`, if
+    /// there is one.
     pub(crate) fn new(mut process_group: Option<ProcessGroup>, inherited_listener: bool) -> Self {
         let mut state = ProxyState::new(inherited_listener);
         if let Some(group) = &mut process_group {
@@ -63,7 +63,7 @@
         self.state.borrow()
     }
 
-    /// Records that RPCs can be decided.
+    /// Records that the process is ready: it has an endpoint list.
     pub(crate) fn set_ready(&self) {
         self.state
             .send_if_modified(|state| !std::mem::replace(&mut state.ready, true));
@@ -79,9 +79,9 @@
 
     /// Starts a graceful shutdown after SIGTERM. `longest_rpc` is the longest deadline of any method.
     ///
-    /// The siblings are counted now, as the last poll may be out of date. That this process stops accepting is published
-    /// before: of two processes that shut down at the same moment, neither takes the other for its successor. If another
-    /// task uses the process group, the next poll does both.
+    /// Publishes that this process stops accepting, and then counts the siblings, since the last poll may be out of
+    /// date. In this order, neither of two processes that shut down at the same time considers the other its successor.
+    /// If another task is using the process group, the next poll does both.
     pub(crate) fn begin_shutdown(&self, longest_rpc: Duration) {
         let shutdown = GracefulShutdown::start(longest_rpc);
         let siblings = self.process_group.as_ref().and_then(|group| {
@@ -99,7 +99,7 @@
     pub(crate) fn record_listed_names<'a>(&self, names: impl Iterator<Item = &'a str>) {
         let known = &self.state.borrow().admin_state.known_names;
         for name in names.filter(|name| !known.contains(*name)) {
-            // Without a process group names are never stored, and each endpoint list repeats them.
+            // Without a process group pending names are never stored, and each endpoint list repeats them.
             if self.pending.contains_name(name) {
                 continue;
             }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Whether an endpoint with this name was ever listed.
+    /// Returns whether an endpoint with this name was ever listed.
     pub(crate) fn knows_name(&self, name: &str) -> bool {
         self.state.borrow().admin_state.knows_name(name) || self.pending.contains_name(name)
     }
@@ -123,11 +123,12 @@
         self.applied_generation.send_replace(generation);
     }
 
-    /// Puts an admin command in force and returns once the decision actor has applied it.
+    /// Executes an admin command and returns once the decision actor has applied it.
     ///
     /// # Errors
     ///
-    /// A sibling process runs and can't learn of the command. The command is in force in this process.
+    /// Returns an error if the command could not be stored although sibling processes run, which then do not learn of
+    /// it yet. It is still applied in this process, and stored later.
     pub(crate) async fn execute(&self, command: &AdminCommand) -> Result<(), ProcessGroupError> {
         self.pending
             .add_command(TimedCommand::given_now(command.clone()));
@@ -154,8 +155,7 @@
         let _ = applied.wait_for(|applied| *applied >= generation).await;
     }
 
-    /// Polls the process group and writes pending changes until dropped. Returns at once without a
-    /// process group.
+    /// Polls the process group and writes pending changes until dropped. Returns at once without a process group.
     pub(crate) async fn follow_siblings(&self) {
         let mut polls: u32 = 0;
         while let Some(group) = &self.process_group {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Publishes the state of this process, and reads that of the siblings and the shared administrative state.
+    /// Publishes whether this process accepts clients, counts the siblings, and reads the shared administrative state.
     fn poll_siblings(&self, group: &mut ProcessGroup) {
         group.publish_accepting(self.current().accepts_clients());
         let siblings = group.siblings();
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Writes the pending changes, if there are any. Only the first of several consecutive failures is logged.
+    /// Writes the pending changes, if there are any. Logs only the first of several consecutive failures.
     async fn flush_pending(&self) {
         if self.pending.is_empty() {
             return;
@@ -201,11 +201,11 @@
         }
     }
 
-    /// Puts the pending changes in force in this process, and in its siblings by storing them.
+    /// Applies the pending changes in this process, and stores them for its siblings.
     ///
     /// # Errors
     ///
-    /// The changes could not be stored. They are in force in this process.
+    /// Returns an error if the changes could not be stored. They are still applied in this process.
     async fn write_pending(&self) -> Result<(), ProcessGroupError> {
         let batch = self.pending.take_batch();
         let mut own = self.state.borrow().admin_state.clone();
@@ -224,8 +224,8 @@
         }
     }
 
-    /// Applies changes to the stored state and returns the new state. Without a process group nothing is stored, and the
-    /// changes apply to a copy of this process's `own` state.
+    /// Applies changes to the stored state and returns the new state. Without a process group, applies them to a copy
+    /// of `own` and stores nothing.
     async fn update_stored(
         &self,
         own: &AdminState,
--- a/crates/daemon/src/lifecycle/state_store/tests.rs
+++ b/crates/daemon/src/lifecycle/state_store/tests.rs
@@ -1,10 +1,11 @@
-//! The state store: names of listed endpoints, shutdown beside sibling processes, and commands that could not be stored.
+//! Tests of the state store: names of listed endpoints, shutdown with sibling processes, and commands that could not be
+//! stored.
 use super::*;
 use crate::lifecycle::admin_state::Maintenance;
 use std::future::Future;
 use std::path::{Path, PathBuf};
 
-/// Each endpoint list repeats the names; without a process group they are never moved into the stored state.
+/// Each endpoint list repeats the names. Without a process group they stay pending, as they are never stored.
 #[test]
 fn repeated_endpoint_names_are_recorded_once() {
     let store = StateStore::new(None, false);
@@ -64,7 +65,7 @@
 
 /// Executes a command while the state file can't be written.
 fn execute_without_storing(store: &StateStore, folder: &Path, command: &AdminCommand) {
-    // A folder in the place of the new file makes writing fail.
+    // A folder with the name of the new file makes the write fail.
     let new_file = folder.join("birchhub.standing.new");
     std::fs::create_dir(&new_file).expect("a folder");
     store.confirm_applied(u64::MAX);
@@ -86,7 +87,7 @@
         !is_in_maintenance(&store_in(&folder), "second"),
         "it is not stored"
     );
-    // An update by another process does not undo it.
+    // The command survives an update by another process.
     let sibling = store_in(&folder);
     sibling.confirm_applied(u64::MAX);
     block_on(sibling.execute(&enter("third"))).expect("stored");
@@ -104,7 +105,7 @@
     std::fs::remove_dir_all(&folder).expect("the folder");
 }
 
-/// A standby starts when the command is given, however late it is stored. Names that could not be stored stay known.
+/// A standby starts when its command is given, even if that is stored later. Names that could not be stored stay known.
 #[test]
 fn command_time_and_new_names_survive_a_failed_write() {
     let folder = new_folder("time");
