--- a/crates/daemon/src/discovery/mod.rs
+++ b/crates/daemon/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery: polls the discovery service for the endpoint list, and decodes its responses.
+//! The discovery client: polls the discovery service for the endpoint list, and decodes its responses.
 
 mod call;
 pub(crate) mod client;
@@ -11,5 +11,5 @@
 mod watch;
 pub(crate) mod wire;
 
-/// Target of the log lines of all these modules, which names them `discovery`.
+/// Target of the log lines of these modules: all are logged as `discovery`.
 const LOG_TARGET: &str = "birchhubd::discovery";
