--- a/crates/daemon/src/discovery/call.rs
+++ b/crates/daemon/src/discovery/call.rs
@@ -1,4 +1,4 @@
-//! A single call to the discovery service: its connection, request and response.
+//! A single HTTP call to the discovery service: its connection, request and response.
 
 use crate::discovery::error::DiscoveryError;
 use crate::discovery::timing::{CONNECT_TIMEOUT, MAX_BODY_BYTES};
@@ -19,9 +19,9 @@
 pub(super) struct Call {
     /// Path and query of the request.
     pub path: String,
-    /// Whether the service holds the call until there is a change.
+    /// Whether this is a long poll: the service delays its response until there is a change.
     pub is_watch: bool,
-    /// Time until the call counts as timed out, and the next one may start.
+    /// Time after which the call counts as timed out and the next one may start.
     pub timeout: Duration,
 }
 
@@ -45,7 +45,7 @@
 /// A call in flight. It owns its connection, which is closed when the call is dropped.
 pub(super) type PendingCall = Pin<Box<dyn Future<Output = CallEnd>>>;
 
-/// Starts a call to the service at `address`, on `connection` if that is still usable, or else on a new one.
+/// Returns a call to the service at `address`. It uses `connection` if that is still usable, or else a new connection.
 pub(super) fn start_call(
     address: SocketAddr,
     connection: Option<Connection>,
@@ -87,7 +87,7 @@
     path: &str,
 ) -> Result<EndpointUpdate, DiscoveryError> {
     let mut request = Request::new(RequestBody::Buffered(Full::default()));
-    *request.uri_mut() = path.parse().expect("a path of letters and digits");
+    *request.uri_mut() = path.parse().expect("the path and query are a valid URI");
     let response = connection
         .exchange(request, MAX_BODY_BYTES, false, &Cell::new(false))
         .await
