--- a/crates/daemon/src/discovery/client.rs
+++ b/crates/daemon/src/discovery/client.rs
@@ -1,6 +1,6 @@
-//! The discovery client: the task that decides when the endpoint list is watched.
+//! The task of the discovery client, which determines when the endpoint list is watched.
 //!
-//! It has one connection and one poll in flight, and a few overdue polls after timeouts.
+//! It has one connection with one poll in flight, and after timeouts a few overdue polls on connections of their own.
 
 use crate::discovery::LOG_TARGET;
 use crate::discovery::error::DiscoveryError;
@@ -24,7 +24,7 @@
     pub address: watch::Receiver<SocketAddr>,
     /// Mailbox of the decision actor.
     pub decisions: mpsc::Sender<Event>,
-    /// Notified when the decisions request a watch.
+    /// Notified when the balancer requests a watch.
     pub watch_requested: Rc<Notify>,
     /// Version of the cached endpoint list.
     pub cached_version: Option<u64>,
@@ -34,7 +34,7 @@
     pub state_store: Rc<StateStore>,
 }
 
-/// Watches the endpoint list: a central service when the decisions request it, a local agent all the time.
+/// Watches the endpoint list: that of a central service when the balancer requests it, that of a local agent always.
 pub(crate) struct DiscoveryClient {
     address: watch::Receiver<SocketAddr>,
     source: DiscoverySource,
@@ -82,7 +82,7 @@
         self.source == DiscoverySource::LocalAgent
     }
 
-    /// Runs one watch, which starts at once or when the decisions request it.
+    /// Runs one watch, which starts at once or else when the balancer requests it.
     async fn watch_once(&mut self, starts_at_once: bool) -> Result<WatchEnd, DecisionActorEnded> {
         let connection = if starts_at_once {
             None
@@ -96,8 +96,8 @@
         })
     }
 
-    /// Waits until the decisions request a watch, the address changes, or an overdue poll receives an update. A watch
-    /// that starts after an overdue poll continues on the connection of that poll.
+    /// Waits until the balancer requests a watch, the address changes, or an overdue poll receives an update. Returns
+    /// the connection of that overdue poll, on which the watch continues.
     async fn wait_for_start(&mut self) -> Result<Option<Connection>, DecisionActorEnded> {
         select! {
             () = self.watch_requested.notified() => Ok(None),
@@ -130,7 +130,7 @@
         Ok(())
     }
 
-    /// Logs a failed poll. Limits the log lines about one outage of a local agent, which is polled without a backoff.
+    /// Logs a failed poll. Limits the rate of log lines about a local agent, which is polled without a backoff.
     fn log_failure(&mut self, error: &DiscoveryError) {
         let is_due = self
             .outage_logged_at
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Discards a request that the decisions made during the watch. Prevents polls without a backoff.
+    /// Discards a request that the balancer made during the watch. Prevents the next watch from starting without the
+    /// balancer's backoff.
     async fn discard_pending_request(&self) {
         select! {
             biased;
