--- a/crates/daemon/src/discovery/overdue.rs
+++ b/crates/daemon/src/discovery/overdue.rs
@@ -1,4 +1,4 @@
-//! Overdue polls: polls that timed out and are still in flight.
+//! Overdue calls: calls that have timed out and are still in flight.
 
 use crate::discovery::call::PendingCall;
 use crate::discovery::update::EndpointUpdate;
@@ -7,13 +7,13 @@
 use std::future::poll_fn;
 use std::task::Poll;
 
-/// Largest number of overdue calls.
+/// Maximum number of overdue calls.
 const MAX_OVERDUE_CALLS: usize = 2;
 
 /// The overdue calls, earliest first.
 ///
-/// An overloaded service processes its calls in order of arrival, and processes abandoned calls too. A call that is
-/// abandoned and repeated loses its place in that queue, so overdue calls are kept and their late responses count.
+/// An overloaded service processes its calls in order of arrival, including abandoned ones. A call that is abandoned
+/// and repeated loses its place in that queue. Overdue calls are therefore kept, and their late responses are used.
 #[derive(Default)]
 pub(super) struct OverdueCalls(VecDeque<PendingCall>);
 
@@ -26,7 +26,7 @@
 }
 
 impl OverdueCalls {
-    /// Adds a call. Abandons the earliest one if there are too many, since its connection may be dead.
+    /// Adds a call. If there are too many, drops the earliest one, since its connection may be broken.
     pub(super) fn push(&mut self, call: PendingCall) {
         if self.0.len() == MAX_OVERDUE_CALLS {
             self.0.pop_front();
@@ -34,12 +34,12 @@
         self.0.push_back(call);
     }
 
-    /// Abandons all calls.
+    /// Drops all calls, which closes their connections.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
 
-    /// Waits for the first update that one of the calls receives. Drops calls that fail.
+    /// Waits until any of the calls receives an update. Drops calls that fail.
     pub(super) async fn next_update(&mut self) -> LateUpdate {
         poll_fn(|cx| {
             let mut received = None;
