--- a/crates/daemon/src/discovery/poller.rs
+++ b/crates/daemon/src/discovery/poller.rs
@@ -1,4 +1,4 @@
-//! The poller: makes one poll of the discovery service at a time, and keeps what the next poll depends on.
+//! The poller: polls the discovery service, one poll at a time, and keeps the state on which the next poll depends.
 
 use crate::discovery::call::{Call, CallEnd, start_call};
 use crate::discovery::error::DiscoveryError;
@@ -14,11 +14,12 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// Makes polls. A poll that times out stays in flight as overdue, and the first response counts.
+/// Polls the discovery service. The call of a poll that times out stays in flight as overdue, and the first response to
+/// any of the calls is used.
 pub(super) struct Poller {
     address: watch::Receiver<SocketAddr>,
     source: DiscoverySource,
-    /// Version of the last list from the service at the present address.
+    /// Version of the last list from the service at the current address; `None` if there is none to continue from.
     version: Option<u64>,
     consecutive_timeouts: usize,
     overdue: OverdueCalls,
@@ -26,12 +27,12 @@
     last_response: Option<Instant>,
 }
 
-/// Whether the service may hold the next poll.
+/// Whether the next poll is a long poll.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum PollMode {
-    /// The service responds at once with all changes so far.
+    /// An ordinary poll: the service responds at once with all changes so far.
     CatchUp,
-    /// The service holds the poll until there is a change.
+    /// A long poll: the service holds it until there is a change.
     Watch,
 }
 
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Resets the poller after a change of the address. A version has no meaning at another service, so the next poll
-    /// requests a snapshot.
+    /// Resets the poller after a change of the address. Versions of another service are not comparable, so the next
+    /// poll requests a snapshot.
     pub(super) fn reset(&mut self) {
         self.version = None;
         self.consecutive_timeouts = 0;
@@ -70,7 +71,8 @@
         self.version = Some(version);
     }
 
-    /// Returns the mode of the first poll of a watch. After a timeout, a held poll that timed out too would do so late.
+    /// Returns the mode of the first poll of a watch. After a timeout it is no long poll, since that would take longer
+    /// to time out again.
     pub(super) fn initial_mode(&self) -> PollMode {
         if self.source == DiscoverySource::LocalAgent || self.consecutive_timeouts > 0 {
             PollMode::CatchUp
@@ -80,7 +82,7 @@
     }
 
     /// Returns the next call: for a snapshot if no version is known, or else for changes. `is_ready` tells whether the
-    /// process has any endpoint list.
+    /// process has an endpoint list.
     pub(super) fn next_call(&self, mode: PollMode, is_ready: bool) -> Call {
         match self.version {
             None => self.snapshot_call(is_ready),
@@ -118,13 +120,13 @@
         }
     }
 
-    /// Returns the timeout for the present number of consecutive timeouts.
+    /// Returns the timeout of the next call, by the number of consecutive timeouts so far.
     fn next_timeout(&self, timeouts: &[Duration]) -> Duration {
         timeouts[self.consecutive_timeouts % timeouts.len()]
     }
 
-    /// Makes a call on `connection`, and leaves the connection there if the next call can use it. A response to an
-    /// overdue call is returned in place of the response to this one.
+    /// Makes a call on `connection` if there is one, and stores the connection there if the next call can use it. If an
+    /// overdue call receives its response first, returns that response.
     pub(super) async fn poll(
         &mut self,
         connection: &mut Option<Connection>,
@@ -154,27 +156,27 @@
         result
     }
 
-    /// Waits for a response to an overdue call.
+    /// Waits for an update from an overdue call.
     pub(super) async fn next_late_update(&mut self) -> LateUpdate {
         self.overdue.next_update().await
     }
 
-    /// Accepts the update of an overdue call unless it is older than the last one.
+    /// Returns the update of an overdue call, or `None` if it is older than the last update.
     pub(super) fn accept_late(&mut self, update: EndpointUpdate) -> Option<EndpointUpdate> {
         let update = self.check_version(update).ok()?;
         self.record_response();
         Some(update)
     }
 
-    /// Records a response. All calls in flight would return the same changes.
+    /// Records a response. Drops all overdue calls, which would return the same changes.
     fn record_response(&mut self) {
         self.overdue.clear();
         self.consecutive_timeouts = 0;
         self.last_response = Some(Instant::now());
     }
 
-    /// Rejects a list that is older than the last one, and has the next poll request a snapshot. Prevents an older list
-    /// from undoing a newer one: a snapshot is current, whatever its version.
+    /// Rejects a list that is older than the last one, so that it does not undo newer changes, and makes the next poll
+    /// request a snapshot. A snapshot is current, whatever its version.
     fn check_version(&mut self, update: EndpointUpdate) -> Result<EndpointUpdate, DiscoveryError> {
         match self.version {
             Some(known) if update.version < known => {
