--- a/crates/daemon/src/discovery/source.rs
+++ b/crates/daemon/src/discovery/source.rs
@@ -1,4 +1,4 @@
-//! The kinds of discovery source.
+//! The kinds of discovery sources.
 
 use crate::discovery::timing::{CENTRAL_SERVICE, LOCAL_AGENT, PollTiming};
 use birchhub::interface::Settings;
@@ -6,14 +6,14 @@
 /// Where the endpoint list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiscoverySource {
-    /// A central service, which proxies poll when the decisions ask for it.
+    /// A central service, which a proxy polls when the balancer requests it.
     CentralService,
-    /// An agent on the same machine that lists are pushed to. It is watched all the time, even while polls fail.
+    /// An agent on the same machine, to which lists are pushed. The proxy always watches it, even while polls fail.
     LocalAgent,
 }
 
 impl DiscoverySource {
-    /// Returns the source that the settings name.
+    /// Returns the kind of source that the settings select.
     pub(crate) fn of(settings: &Settings) -> Self {
         if settings.polls_endpoint_list {
             Self::CentralService
