--- a/crates/daemon/src/discovery/timing.rs
+++ b/crates/daemon/src/discovery/timing.rs
@@ -4,20 +4,20 @@
 
 /// Time limits on the polls of one kind of source.
 ///
-/// A proxy must apply an update within 6 s after the source became reachable, and within 6 s after a watch fell silent.
-/// Two polls in a row without a response, and one backoff of the decisions (at most 1 s) between them, leave time for a
-/// third poll that succeeds.
+/// A proxy must apply an update within 6 s after the source becomes reachable, and within 6 s after the source stops
+/// responding to a watch. Two consecutive polls without a response, with a backoff of the balancer of at most 1 s
+/// between them, leave time for a third poll that succeeds.
 pub(super) struct PollTiming {
-    /// Time for which the source may hold a watch.
+    /// Time for which the source may hold a long poll.
     pub(super) hold: Duration,
-    /// Time after `hold` until a watch times out.
+    /// Time after `hold` until a long poll times out.
     pub(super) response_margin: Duration,
-    /// Timeouts of polls for changes that the source does not hold, indexed by the number of consecutive timeouts. Some
-    /// are longer, for a source that is slower than usual.
+    /// Timeouts of ordinary polls for changes, indexed by the number of consecutive timeouts so far. Some are longer,
+    /// for a source that is slower than usual.
     pub(super) catch_up: &'static [Duration],
-    /// Timeouts of polls for a snapshot, indexed likewise.
+    /// Timeouts of polls for a snapshot, indexed in the same way.
     pub(super) snapshot: &'static [Duration],
-    /// Number of immediate retries after a timeout, which took as long as a backoff.
+    /// Number of retries without a backoff after timeouts, which take as long as a backoff themselves.
     pub(super) retries_after_timeout: usize,
 }
 
@@ -44,22 +44,22 @@
 };
 
 /// Timeouts of polls for the first snapshot of a process that is not ready, indexed by the number of consecutive
-/// timeouts. Prevents the proxies of a mass start from abandoning polls that wait their turn, and that the service would
-/// process all the same.
+/// timeouts so far. When many proxies start at once, this prevents them from abandoning polls that are queued at the
+/// service, which would process them nevertheless.
 pub(super) const FIRST_SNAPSHOT_TIMEOUTS: &[Duration] = &[ms(8000), ms(4000), ms(4000)];
 
-/// Pause after a failed poll of a local agent; shorter than the drain grace of a backend.
+/// Delay after a failed poll of a local agent. Shorter than the drain grace of a backend.
 pub(super) const AGENT_RETRY_INTERVAL: Duration = ms(20);
 
-/// Timeout of a connect. Prevents a lost handshake from using up the whole timeout of a poll.
+/// Timeout of a connection attempt. Prevents a lost handshake from using up the whole timeout of a poll.
 pub(super) const CONNECT_TIMEOUT: Duration = ms(750);
 
-/// Shortest time between two log lines about the same outage of a local agent.
+/// Minimum time between two log lines about the same outage of a local agent.
 pub(super) const OUTAGE_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Shortest time from the start of a poll to the start of the next. Prevents a busy loop when the source responds to
-/// each watch at once.
+/// Minimum time from the start of a poll to the start of the next one. Prevents a busy loop if the source responds to
+/// each long poll at once.
 pub(super) const MIN_CALL_INTERVAL: Duration = ms(20);
 
-/// Largest body of a response, in bytes; some 20,000 endpoints.
+/// Maximum size of a response's body, in bytes. Enough for about 20,000 endpoints.
 pub(super) const MAX_BODY_BYTES: usize = 4 << 20;
