--- a/crates/daemon/src/discovery/update.rs
+++ b/crates/daemon/src/discovery/update.rs
@@ -13,24 +13,24 @@
     pub address: SocketAddr,
     /// Name of the backend's zone; empty if the list gives none.
     pub zone: String,
-    /// Number of the backend's cell.
+    /// Number of the backend's cell, if the list gives one.
     pub cell: Option<u64>,
     /// Whether the backend accepts new RPCs.
     pub readiness: Readiness,
     /// Capacity relative to other backends.
     pub size: f64,
-    /// Time of the last start, in Unix milliseconds; 0 for long ago.
+    /// Time at which the backend last started, in Unix milliseconds; 0 for long ago.
     pub started_at_ms: f64,
 }
 
-/// An update of the endpoint list: a complete list, or changes of the last one.
+/// An update of the endpoint list: a complete list, or the changes since the last update.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EndpointUpdate {
     /// Version of the list, which increases with each change.
     pub version: u64,
-    /// Whether endpoints that are not named are removed or unchanged.
+    /// Tells whether endpoints that are not in the update are removed or unchanged.
     pub kind: EndpointUpdateKind,
-    /// The endpoints that are named.
+    /// The entries of the update.
     pub endpoints: Vec<ListedEndpoint>,
     /// Earliest time at which the changes may have happened; `None` if there was no previous list.
     pub changed_since: Option<Instant>,
