--- a/crates/daemon/src/discovery/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch: consecutive polls, each of which delivers its update to the decision actor.
+//! A watch of the endpoint list: consecutive polls, each of which delivers its update to the decision actor.
 
 use crate::discovery::LOG_TARGET;
 use crate::discovery::error::DiscoveryError;
@@ -14,22 +14,22 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// Watches the endpoint list.
+/// Watches the endpoint list for the decision actor.
 pub(super) struct EndpointWatch {
-    /// Makes the polls.
+    /// Polls the discovery service.
     pub(super) poller: Poller,
     /// Kind of the discovery service.
     pub(super) source: DiscoverySource,
     /// Mailbox of the decision actor.
     pub(super) decisions: mpsc::Sender<Event>,
-    /// Receives the listed names, and that the process is ready.
+    /// Records the listed names, and that the process is ready.
     pub(super) state_store: Rc<StateStore>,
 }
 
-/// The decision actor has ended, and discovery ends with it.
+/// The decision actor has ended, so the discovery client ends too.
 pub(super) struct DecisionActorEnded;
 
-/// The reason why a watch ended.
+/// Why a watch ended.
 pub(super) enum WatchEnd {
     /// The address of the discovery service has changed.
     AddressChanged,
@@ -40,7 +40,8 @@
 }
 
 impl EndpointWatch {
-    /// Polls until a poll and its immediate retries fail, or the decision actor ends. The first poll uses `connection` if there is one.
+    /// Polls until a poll and its immediate retries fail, or the decision actor ends. The first poll uses `connection`
+    /// if there is one.
     pub(super) async fn run(&mut self, mut connection: Option<Connection>) -> WatchEnd {
         let mut mode = self.poller.initial_mode();
         let mut retries = 0;
@@ -60,8 +61,8 @@
                     }
                     sleep_until(started + MIN_CALL_INTERVAL).await;
                 }
-                // Retries on another connection. Prevents a backoff after a link lost a single call, or after a response
-                // was truncated whose update the service counts as delivered.
+                // Retries at once, on another connection: a link may have lost a single call, or a response was
+                // truncated whose update the service considers as delivered. Neither should cost a backoff.
                 Err(error) if retries < error.immediate_retries(self.source.timing()) => {
                     log::warn!(target: LOG_TARGET, "discovery poll failed, retrying: {error}");
                     mode = PollMode::CatchUp;
@@ -72,9 +73,10 @@
         }
     }
 
-    /// Returns the earliest time at which the changes of the latest response may have happened; none if it is unknown,
-    /// as for the first response. The service responds to a watch as soon as there is a change, so the time of a watch's
-    /// own response is returned. The changes of any other poll may have happened since the response before.
+    /// Returns the earliest time at which the changes in the last response may have happened, or `None` if that is
+    /// unknown, as for the first response. The service responds to a long poll as soon as there is a change, so the
+    /// changes happened at the time of its response. Those of any other poll may have happened at any time since the
+    /// previous response.
     fn earliest_change(
         &self,
         is_watch: bool,
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Delivers the update of an overdue call unless it is outdated. Returns the call's connection.
+    /// Delivers the update of an overdue call unless it is out of date. Returns the connection of the call.
     pub(super) async fn accept_late(
         &mut self,
         late: LateUpdate,
@@ -99,7 +101,7 @@
         Ok(late.connection)
     }
 
-    /// Sends an update to the decision actor. Its changes may have happened at any time after `changed_since`.
+    /// Sends an update, whose changes may have happened at any time since `changed_since`, to the decision actor.
     async fn deliver(
         &mut self,
         mut update: EndpointUpdate,
