--- a/crates/daemon/src/discovery/wire.rs
+++ b/crates/daemon/src/discovery/wire.rs
@@ -1,5 +1,5 @@
-//! The wire format of the discovery protocol: paths, keys and values, and the decoding of endpoint lists. No other
-//! module knows the names of the protocol.
+//! The wire format of the discovery protocol: its paths, keys and values, and the decoding of endpoint lists. Names of
+//! the protocol are used only in this module.
 
 use crate::discovery::LOG_TARGET;
 use crate::discovery::update::{EndpointUpdate, ListedEndpoint};
@@ -11,9 +11,9 @@
 
 /// Path of the endpoint list.
 const LIST_PATH: &str = "/registry/instances";
-/// Query parameter: the version from which on changes are requested.
+/// Query parameter: the version since which changes are requested.
 const FROM_VERSION: &str = "from";
-/// Query parameter: the time for which the service may hold the call, in milliseconds.
+/// Query parameter: the time for which the service may hold a long poll, in milliseconds.
 const HOLD_MS: &str = "hold_ms";
 
 /// Key of the version of the list.
@@ -46,10 +46,10 @@
 /// Relative capacity of a backend whose entry gives none.
 const DEFAULT_SIZE: f64 = 1.0;
 
-/// Replaces an address that cannot be parsed; nothing listens there.
+/// Address of a backend whose listed address cannot be parsed. Nothing listens there.
 const INVALID_ADDRESS: ([u8; 4], u16) = ([0, 0, 0, 0], 0);
 
-/// The reason why a text or JSON value is not an endpoint list.
+/// Why a text or JSON value is not an endpoint list.
 #[derive(Debug, Error)]
 pub(crate) enum DecodeError {
     /// The text is not JSON.
@@ -87,7 +87,7 @@
         Self::decode(&serde_json::from_str(text)?)
     }
 
-    /// Decodes an endpoint list. Ignores entries without a name, with a warning.
+    /// Decodes an endpoint list. Ignores entries without a uid and logs a warning about them.
     pub(super) fn decode(value: &Value) -> Result<Self, DecodeError> {
         let version = value
             .get(VERSION)
@@ -120,7 +120,7 @@
     }
 }
 
-/// Decodes an entry of the list. Returns `None` if it has no name. Other missing or malformed values have a default.
+/// Decodes an entry of the list. Returns `None` if it has no uid. Other missing or malformed values have defaults.
 fn decode_endpoint(entry: &Value) -> Option<ListedEndpoint> {
     let number = |key| entry.get(key).and_then(Value::as_f64);
     let text = |key| entry.get(key).and_then(Value::as_str);
@@ -138,8 +138,8 @@
     })
 }
 
-/// Returns the readiness of a backend. Any unknown state counts as draining, and so does a ready backend without a valid
-/// address. Prevents RPCs to the former address of a backend whose new address cannot be parsed.
+/// Returns the readiness of a backend. An unknown state counts as draining, and so does a ready backend without a valid
+/// address: no RPC may be sent to the previous address of a backend whose new address cannot be parsed.
 fn readiness(state: Option<&str>, has_valid_address: bool) -> Readiness {
     match state {
         Some(STATE_READY) if has_valid_address => Readiness::Ready,
