--- a/crates/daemon/src/invariants.rs
+++ b/crates/daemon/src/invariants.rs
@@ -1,4 +1,5 @@
-//! The invariants of the process: a [`Guard`] with the log and the suspensions that it needs.
+//! Runtime checks of the invariants: a [`Guard`] whose results are logged, and which does not count suspensions of the
+//! process as lateness.
 
 mod suspensions;
 
@@ -8,10 +9,10 @@
 use suspensions::Suspensions;
 use tokio::time::Instant;
 
-/// Logged in place of the request id for a violation that concerns no single RPC.
+/// Logged in place of the request id if a violation does not concern a single RPC.
 pub(crate) const NO_REQUEST_ID: &str = "-";
 
-/// The one guard of a process, which judges every attempt, response and closed connection.
+/// Checks every attempt, response and closed connection of a process.
 pub(crate) struct Invariants {
     guard: Guard,
     suspensions: Suspensions,
@@ -20,7 +21,7 @@
 }
 
 impl Invariants {
-    /// Creates the guard of a process that starts now.
+    /// Creates the checks of a process that starts now.
     pub(crate) fn new() -> Self {
         Self {
             guard: Guard::default(),
@@ -34,7 +35,7 @@
         self.suspensions.record_heartbeat(suspended_for);
     }
 
-    /// Returns whether an attempt that the decisions request may start.
+    /// Returns whether an attempt that the balancer requests may start.
     pub(crate) fn may_start(&self, request: &str, facts: &AttemptStart) -> bool {
         let result = self.guard.check_start(facts);
         is_allowed(request, result)
@@ -46,7 +47,7 @@
         is_allowed(request, result)
     }
 
-    /// Records an RPC that was received and must have a response.
+    /// Records an RPC that was received and requires a response.
     pub(crate) fn record_rpc(&self) {
         self.open_rpcs.update(|open| open + 1);
     }
@@ -56,14 +57,14 @@
         self.open_rpcs.update(|open| open - 1);
     }
 
-    /// Checks that no RPC is left without a response when the process exits.
+    /// Checks, when the process exits, that no RPC lacks its response.
     pub(crate) fn check_exit(&self) {
         for _ in 0..self.open_rpcs.get() {
             self.record_violation(NO_REQUEST_ID, &Violation::NoResponse);
         }
     }
 
-    /// Checks that the response to an RPC with this deadline is in time if it is sent now.
+    /// Checks that a response that is sent now meets the RPC's deadline.
     pub(crate) fn check_response(&self, request: &str, deadline: Instant) {
         let late = |late| Violation::LateResponse { late };
         if let Err(violation) = self.check_lateness(deadline, late) {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Checks that a client's connection, with this id in the log, is closed in time if it is closed now.
+    /// Checks that a client connection that is closed now meets its deadline. `connection` is its id in the log.
     pub(crate) fn check_close(&self, connection: u64, deadline: Instant) {
         let late = |late| Violation::LateClose { late };
         if let Err(violation) = self.check_lateness(deadline, late) {
@@ -101,7 +102,7 @@
     }
 }
 
-/// Returns whether an attempt is allowed, and logs why it is not. The guard has counted a violation, if it is one.
+/// Returns whether an attempt is allowed, and logs the reason if it is not. The guard has already counted it.
 fn is_allowed(request: &str, result: Result<(), Violation>) -> bool {
     let Err(violation) = result else {
         return true;
