--- a/crates/daemon/src/invariants/suspensions.rs
+++ b/crates/daemon/src/invariants/suspensions.rs
@@ -1,16 +1,16 @@
-//! The recent suspensions of the process, which excuse lateness.
+//! The recent suspensions of the process, which are not counted as lateness.
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Number of suspensions that are kept.
+/// Maximum number of suspensions that are kept.
 const MAX_SUSPENSIONS: usize = 64;
 
-/// Longest time from one heartbeat to the next while the process is running.
+/// Longest time from one heartbeat to the next without a suspension.
 const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A time span in which the machine did not run the process.
+/// A period in which the machine did not schedule the process.
 #[derive(Clone, Copy)]
 struct Suspension {
     ended_at: Instant,
@@ -20,12 +20,12 @@
 /// The last heartbeat and the recent suspensions.
 pub(super) struct Suspensions {
     last_heartbeat: Cell<Instant>,
-    /// Latest last.
+    /// The last [`MAX_SUSPENSIONS`] suspensions, in order of time.
     recent: RefCell<VecDeque<Suspension>>,
 }
 
 impl Suspensions {
-    /// Creates the record of a process that starts now.
+    /// Creates the state of a process that starts now.
     pub(super) fn new() -> Self {
         Self {
             last_heartbeat: Cell::new(Instant::now()),
@@ -50,8 +50,8 @@
         });
     }
 
-    /// Returns how long the process was suspended since `since`, including a suspension that the next heartbeat will
-    /// report.
+    /// Returns the total duration of the suspensions that ended after `since`, including one that the next heartbeat
+    /// will report.
     pub(super) fn total_since(&self, since: Instant) -> Duration {
         let recorded: Duration = self
             .recent
