--- a/crates/daemon/src/log_budget.rs
+++ b/crates/daemon/src/log_budget.rs
@@ -1,10 +1,10 @@
-//! Limits the rate of log lines that clients can cause, so that malicious ones can't fill the log.
+//! Limits the rate of log lines that clients can cause, so that malicious clients can't fill the log.
 use log::Level;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Lines per period.
+/// Maximum number of lines per period at level `info`.
 const LINES_PER_PERIOD: u32 = 20;
 /// Length of a period.
 const PERIOD: Duration = Duration::from_secs(1);
@@ -13,7 +13,7 @@
     static BUDGET: LogBudget = LogBudget::new(Instant::now());
 }
 
-/// Returns the level of a log line that a client caused: `info`, or `debug` once the budget of the period is used up.
+/// Returns the level for a log line that a client caused: `info`, or `debug` if the budget of the period is used up.
 pub(crate) fn client_line_level() -> Level {
     BUDGET.with(|budget| match budget.take(Instant::now()) {
         Some(0) => Level::Info,
@@ -25,9 +25,10 @@
     })
 }
 
-/// The number of lines in the current period.
+/// Counts the lines of the current period.
 struct LogBudget {
     period_began: Cell<Instant>,
+    /// Lines of the current period, including suppressed ones.
     lines: Cell<u32>,
 }
 
@@ -39,8 +40,8 @@
         }
     }
 
-    /// Takes one line from the budget, and returns the number of lines that were suppressed in the period before; none if
-    /// the budget is used up.
+    /// Takes one line from the budget, or returns `None` if it is used up. For the first line of a period, returns the
+    /// number of lines that were suppressed in the previous period, and 0 for the others.
     fn take(&self, now: Instant) -> Option<u32> {
         let mut suppressed = 0;
         if now >= self.period_began.get() + PERIOD {
