--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! `birchhubd`: a reverse proxy that balances RPCs over HTTP servers. Reloads its configuration on SIGHUP, and shuts
-//! down gracefully on SIGTERM.
+//! `birchhubd`: a reverse proxy that balances RPCs across HTTP backends. It reloads its configuration on SIGHUP and
+//! shuts down gracefully on SIGTERM.
 mod clock;
 mod config;
 mod decision;
@@ -32,12 +32,12 @@
 /// Exit code of a process that could not start.
 const EXIT_START_FAILED: u8 = 2;
 
-/// Number of threads for blocking work beside the event loop. Each thread reserves memory of its own.
+/// Number of threads for blocking work off the event loop. Each thread reserves its own memory.
 const BLOCKING_THREADS: usize = 1;
 
 fn main() -> ExitCode {
     let result = start();
-    // Prevents the loss of the last log lines, which are written by another thread.
+    // Another thread writes the log: without this, the last lines could be lost.
     log::logger().flush();
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -50,7 +50,7 @@
 
 /// Loads the configuration and runs the proxy until it has shut down.
 fn start() -> Result<(), StartError> {
-    // The inherited descriptor is taken before any other is opened, which could get its number.
+    // The inherited descriptor must be taken before another one is opened, which could get its number.
     let inherited = inherited_listener::take()?;
     let config = file::load(CachedEndpointsMode::Decode)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
