--- a/crates/daemon/src/messages.rs
+++ b/crates/daemon/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages that other actors send to the decision actor.
+//! The events that other actors send to the decision actor.
 
 use crate::config::update::ConfigUpdate;
 use crate::discovery::update::EndpointUpdate;
@@ -35,7 +35,7 @@
         /// Receives the response.
         response: oneshot::Sender<ProxyResponse>,
     },
-    /// The client of the RPC with this id disconnected before it had its response.
+    /// The client of the RPC with this id disconnected before it received its response.
     ClientDisconnected(u64),
     /// An attempt ended.
     AttemptEnded {
@@ -44,7 +44,7 @@
         /// How it ended.
         result: ExchangeResult,
     },
-    /// The last byte of a streamed request was written to the connection.
+    /// The last byte of a streamed request was sent to the backend.
     RequestSent {
         /// The attempt that sends the request.
         attempt: AttemptId,
@@ -65,10 +65,10 @@
         /// The load report that came with the response.
         report: Option<LoadReport>,
     },
-    /// Discovery received an update of the endpoint list.
+    /// The discovery client received an update of the endpoint list.
     EndpointsChanged(EndpointUpdate),
     /// A poll of the discovery service failed.
     DiscoveryFailed,
-    /// The settings changed. They apply to all later events in the mailbox.
+    /// A reload changed the settings. All later events in the mailbox use the new ones.
     SettingsChanged(Box<ConfigUpdate>),
 }
