--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Interval at which the flags are polled. A flag cannot lose a signal, as a pipe to the event loop can when its system
-/// calls are interrupted.
+/// Interval at which the flags are polled. Flags are used because they can't lose a signal, whereas a pipe to the event
+/// loop can if its system calls are interrupted.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A flag that a signal sets. The signal has its default action until the flag is created.
+/// A flag that is set by a signal. The signal has its default action until the flag is created.
 pub(crate) struct SignalFlag(Arc<AtomicBool>);
 
 impl SignalFlag {
@@ -22,7 +22,7 @@
         Ok(Self(flag))
     }
 
-    /// Waits until the signal was received since the last call of this function. Several signals count as one.
+    /// Waits until the signal has been received since the last call of this function. Several signals count as one.
     pub(crate) async fn received(&self) {
         while !self.0.swap(false, Ordering::Relaxed) {
             sleep(POLL_INTERVAL).await;
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the system refuses a signal handler.
+    /// Returns an error if a signal handler can't be installed.
     pub(crate) fn subscribe() -> io::Result<Self> {
         Ok(Self {
             terminate: SignalFlag::subscribe(SIGTERM)?,
