--- a/crates/daemon/src/proxy.rs
+++ b/crates/daemon/src/proxy.rs
@@ -29,11 +29,11 @@
 pub(crate) struct Proxy {
     /// The configuration that the process was started with.
     pub config: Arc<Config>,
-    /// Grants the sockets of clients and backends.
+    /// Limits the number of sockets of clients and backends.
     pub budget: Rc<SocketBudget>,
     /// The state of the process.
     pub state_store: Rc<StateStore>,
-    /// Checks each attempt, response and closed connection.
+    /// Checks each attempt, response and closed connection against the invariants.
     pub invariants: Rc<Invariants>,
     clock: Clock,
     names: ActiveNames,
@@ -41,7 +41,7 @@
 }
 
 impl Proxy {
-    /// Creates the shared resources. `inherited` tells whether the client listener was inherited from another process.
+    /// Creates the shared resources. `inherited` tells whether the listening socket for clients was inherited.
     pub(crate) fn new(config: Config, inherited: bool) -> Self {
         let process_group = startup::join_process_group(&config, inherited);
         let names = NameTable::new(0, &config.parsed_settings);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Starts following the sibling processes, and the admin server if there is a listener for it.
+    /// Starts polling the sibling processes, and starts the admin server if there is a listener for it.
     pub(crate) fn spawn_lifecycle(
         &self,
         admin: Option<TcpListener>,
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Starts the decision actor, and the tasks that send it new settings and endpoint lists. Returns the sender of the
-    /// actor's mailbox.
+    /// Starts the decision actor, and the tasks that send settings and endpoint lists to it. Returns the sender of its
+    /// mailbox.
     pub(crate) fn spawn_decisions(
         &self,
         reload: SignalFlag,
