--- a/crates/daemon/src/decision/actor.rs
+++ b/crates/daemon/src/decision/actor.rs
@@ -144,8 +144,8 @@
                 id,
                 rpc,
                 request_id,
-                client: liveness,
-                response: responder,
+                liveness,
+                responder,
             } => {
                 let client = RpcClient {
                     liveness,
--- a/crates/daemon/src/downstream/rpc_service.rs
+++ b/crates/daemon/src/downstream/rpc_service.rs
@@ -168,13 +168,13 @@
         request_id: RequestIdGuard,
         client: ClientLiveness,
     ) -> Option<ProxyResponse> {
-        let (sender, receiver) = oneshot::channel();
+        let (responder, receiver) = oneshot::channel();
         let event = Event::RpcReceived {
             id,
             rpc: Box::new(rpc),
             request_id,
-            client,
-            response: sender,
+            liveness: client,
+            responder,
         };
         self.events.send(event).await.ok()?;
         receiver.await.ok()
--- a/crates/daemon/src/messages.rs
+++ b/crates/daemon/src/messages.rs
@@ -31,9 +31,9 @@
         /// Reserves the `Request-Id` until no attempt of the RPC is in flight.
         request_id: RequestIdGuard,
         /// Tells whether the client is still connected.
-        client: ClientLiveness,
+        liveness: ClientLiveness,
         /// Receives the response.
-        response: oneshot::Sender<ProxyResponse>,
+        responder: oneshot::Sender<ProxyResponse>,
     },
     /// The client of the RPC with this id disconnected before it received its response.
     ClientDisconnected(u64),
