--- a/crates/daemon/src/discovery/call.rs
+++ b/crates/daemon/src/discovery/call.rs
@@ -20,7 +20,7 @@
     /// Path and query of the request.
     pub path: String,
     /// Whether this is a long poll: the service delays its response until there is a change.
-    pub is_watch: bool,
+    pub is_long_poll: bool,
     /// Time after which the call counts as timed out and the next one may start.
     pub timeout: Duration,
 }
--- a/crates/daemon/src/discovery/poller.rs
+++ b/crates/daemon/src/discovery/poller.rs
@@ -33,7 +33,7 @@
     /// An ordinary poll: the service responds at once with all changes so far.
     CatchUp,
     /// A long poll: the service holds it until there is a change.
-    Watch,
+    LongPoll,
 }
 
 impl Poller {
@@ -77,7 +77,7 @@
         if self.source == DiscoverySource::LocalAgent || self.consecutive_timeouts > 0 {
             PollMode::CatchUp
         } else {
-            PollMode::Watch
+            PollMode::LongPoll
         }
     }
 
@@ -99,7 +99,7 @@
         };
         Call {
             path: wire::snapshot_path(),
-            is_watch: false,
+            is_long_poll: false,
             timeout: self.next_timeout(timeouts),
         }
     }
@@ -109,12 +109,12 @@
         match mode {
             PollMode::CatchUp => Call {
                 path: wire::changes_path(version, Duration::ZERO),
-                is_watch: false,
+                is_long_poll: false,
                 timeout: self.next_timeout(timing.catch_up),
             },
-            PollMode::Watch => Call {
+            PollMode::LongPoll => Call {
                 path: wire::changes_path(version, timing.hold),
-                is_watch: true,
+                is_long_poll: true,
                 timeout: timing.hold + timing.response_margin,
             },
         }
--- a/crates/daemon/src/discovery/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -50,12 +50,12 @@
             let call = self.poller.next_call(mode, is_ready);
             let started = Instant::now();
             let previous_response = self.poller.last_response();
-            let is_watch = call.is_watch;
+            let is_long_poll = call.is_long_poll;
             match self.poller.poll(&mut connection, call).await {
                 Ok(update) => {
-                    mode = PollMode::Watch;
+                    mode = PollMode::LongPoll;
                     retries = 0;
-                    let changed_since = self.earliest_change(is_watch, previous_response);
+                    let changed_since = self.earliest_change(is_long_poll, previous_response);
                     if self.deliver(update, changed_since).await.is_err() {
                         return WatchEnd::DecisionActorEnded;
                     }
@@ -79,10 +79,10 @@
     /// previous response.
     fn earliest_change(
         &self,
-        is_watch: bool,
+        is_long_poll: bool,
         previous_response: Option<Instant>,
     ) -> Option<Instant> {
-        if is_watch && previous_response.is_some() {
+        if is_long_poll && previous_response.is_some() {
             self.poller.last_response()
         } else {
             previous_response
