--- a/crates/daemon/src/discovery/client.rs
+++ b/crates/daemon/src/discovery/client.rs
@@ -23,7 +23,7 @@
     /// Address of the discovery service, which a reload may change.
     pub address: watch::Receiver<SocketAddr>,
     /// Mailbox of the decision actor.
-    pub decisions: mpsc::Sender<Event>,
+    pub decision_actor: mpsc::Sender<Event>,
     /// Notified when the balancer requests a watch.
     pub watch_requested: Rc<Notify>,
     /// Version of the cached endpoint list.
@@ -59,7 +59,7 @@
             watch: EndpointWatch {
                 poller,
                 source: context.source,
-                decisions: context.decisions,
+                decision_actor: context.decision_actor,
                 state_store: context.state_store,
             },
             outage_logged_at: None,
--- a/crates/daemon/src/discovery/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -21,7 +21,7 @@
     /// Kind of the discovery service.
     pub(super) source: DiscoverySource,
     /// Mailbox of the decision actor.
-    pub(super) decisions: mpsc::Sender<Event>,
+    pub(super) decision_actor: mpsc::Sender<Event>,
     /// Records the listed names, and that the process is ready.
     pub(super) state_store: Rc<StateStore>,
 }
@@ -124,7 +124,7 @@
     }
 
     async fn send(&self, event: Event) -> Result<(), DecisionActorEnded> {
-        self.decisions
+        self.decision_actor
             .send(event)
             .await
             .map_err(|_| DecisionActorEnded)
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -71,7 +71,7 @@
     let (active_config, settings) = watch::channel(ActiveConfig::new(&config.parsed_settings));
     let proxy = Proxy::new(config, listeners.inherited);
     proxy.spawn_lifecycle(listeners.admin, &settings);
-    let events = proxy.spawn_decisions(signals.reload, active_config);
+    let events = proxy.spawn_decision_actor(signals.reload, active_config);
     let accepting = proxy.spawn_listener(listeners.clients, events);
     log::info!(
         "{} listens on {}",
--- a/crates/daemon/src/proxy.rs
+++ b/crates/daemon/src/proxy.rs
@@ -79,15 +79,15 @@
 
     /// Starts the decision actor, and the tasks that send settings and endpoint lists to it. Returns the sender of its
     /// mailbox.
-    pub(crate) fn spawn_decisions(
+    pub(crate) fn spawn_decision_actor(
         &self,
         reload: SignalFlag,
         active_config: watch::Sender<ActiveConfig>,
     ) -> mpsc::Sender<Event> {
         let (events, mailbox) = mpsc::channel(actor::MAILBOX_CAPACITY);
         let watch_requested = Rc::new(Notify::new());
-        let decisions = self.decision_actor(events.clone(), watch_requested.clone());
-        spawn_local(decisions.run(mailbox));
+        let actor = self.decision_actor(events.clone(), watch_requested.clone());
+        spawn_local(actor.run(mailbox));
         startup::use_cached_endpoints(&self.config, &self.state_store, self.lists_are_pushed());
         let (address_sender, address) = watch::channel(self.config.discovery_address);
         let reloads = Reload::new(
@@ -122,13 +122,13 @@
     fn discovery_client(
         &self,
         address: watch::Receiver<SocketAddr>,
-        decisions: mpsc::Sender<Event>,
+        decision_actor: mpsc::Sender<Event>,
         watch_requested: Rc<Notify>,
     ) -> DiscoveryClient {
         let cached = self.config.cached_endpoints.as_ref();
         DiscoveryClient::new(DiscoveryContext {
             address,
-            decisions,
+            decision_actor,
             watch_requested,
             cached_version: cached.map(|cached| cached.version),
             source: self.discovery_source,
