--- a/crates/daemon/src/decision/heartbeat.rs
+++ b/crates/daemon/src/decision/heartbeat.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time from one heartbeat to the next. Short compared with the latencies that the decisions measure.
-const INTERVAL: Duration = Duration::from_millis(10);
+/// Time from one heartbeat to the next. Short compared with the latencies that the balancer measures.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Delay of a heartbeat above which the process counts as suspended. Smaller delays are frequent on a busy machine.
 const MAX_SCHEDULING_LAG: Duration = Duration::from_millis(10);
@@ -22,7 +22,7 @@
     pub(super) fn start() -> Self {
         let now = Instant::now();
         Self {
-            due: now + INTERVAL,
+            due: now + HEARTBEAT_INTERVAL,
             resumed_at: now,
         }
     }
@@ -40,7 +40,7 @@
         if was_suspended {
             self.resumed_at = now;
         }
-        self.due = now + INTERVAL;
+        self.due = now + HEARTBEAT_INTERVAL;
         suspended_for
     }
 
