--- a/crates/daemon/src/lifecycle/state_store/tests.rs
+++ b/crates/daemon/src/lifecycle/state_store/tests.rs
@@ -73,7 +73,7 @@
     std::fs::remove_dir(&new_file).expect("the folder");
 }
 
-/// A command that could not be stored is in force, survives an update by another process, and is stored later.
+/// A command that could not be stored is applied, survives an update by another process, and is stored later.
 #[test]
 fn command_that_could_not_be_stored_is_stored_later() {
     let folder = new_folder("later");
