--- a/crates/daemon/src/decision/platform.rs
+++ b/crates/daemon/src/decision/platform.rs
@@ -24,13 +24,13 @@
 
 /// The daemon's implementation of [`Platform`].
 pub(super) struct DaemonPlatform {
-    /// Time of the current call on the balancer, in seconds of `clock`.
+    /// Time of the current call of the balancer, in seconds of `clock`.
     pub now: f64,
     /// The clock that the balancer's times refer to.
     pub clock: Clock,
     /// The RPCs in flight, by RPC id.
     pub in_flight: HashMap<u64, InFlightRpc>,
-    /// The backends.
+    /// The registry of backends, to whose actors exchanges are sent.
     pub endpoints: EndpointRegistry,
     /// Due time of the balancer's timer event, in seconds of `clock`.
     pub timer_at: Option<f64>,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Reads the clock for the next call on the balancer.
+    /// Reads the clock for the next call of the balancer.
     pub(super) fn update_now(&mut self) {
         self.now = self.clock.now();
     }
