--- a/crates/daemon/src/decision/actor.rs
+++ b/crates/daemon/src/decision/actor.rs
@@ -33,7 +33,7 @@
     pub(super) balancer: Balancer,
     /// The balancer's handle of each RPC in flight, by RPC id.
     pub(super) rpcs: HashMap<u64, RpcHandle>,
-    /// Performs the actions that the balancer requests.
+    /// Starts the actions that the balancer requests.
     pub(super) platform: DaemonPlatform,
     /// Evaluates the shadow settings on the same events; `None` if the configuration has none.
     pub(super) shadow: Option<ShadowEvaluator>,
