--- a/crates/daemon/src/decision/endpoints.rs
+++ b/crates/daemon/src/decision/endpoints.rs
@@ -24,6 +24,7 @@
 pub(super) struct EndpointRegistry {
     /// The endpoint actors of the listed backends, by backend id. An actor ends when its handle is dropped.
     handles: HashMap<u32, EndpointHandle>,
+    /// The ids of the listed and recently removed backends.
     ids: EndpointIds,
     /// The last list entry of each backend that is not removed, by uid.
     listed: HashMap<String, ListedEndpoint>,
