--- a/crates/daemon/src/config/error.rs
+++ b/crates/daemon/src/config/error.rs
@@ -97,7 +97,7 @@
     /// The socket does not listen, or is not a TCP socket.
     #[error("is not a listening TCP socket")]
     NotAListener,
-    /// The socket could not be prepared for the event loop.
+    /// The socket could not be made non-blocking or close-on-exec.
     #[error(transparent)]
     Setup(#[from] io::Error),
 }
