--- a/crates/daemon/src/lifecycle/startup.rs
+++ b/crates/daemon/src/lifecycle/startup.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for the first endpoint list if a local agent provides it. An agent that sends none has no change.
+/// Longest wait for the first endpoint list from a local agent. An agent that sends none by then has nothing new.
 const AGENT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Number of poll intervals for which this process waits before it accepts clients if it has siblings, which reduce
 /// their socket budgets in this time.
