--- a/crates/daemon/src/lifecycle/state.rs
+++ b/crates/daemon/src/lifecycle/state.rs
@@ -48,7 +48,7 @@
     pub ready: bool,
     /// Whether client connections are accepted.
     pub accepting: bool,
-    /// The shutdown, once SIGTERM was received.
+    /// The graceful shutdown; `None` before SIGTERM.
     pub shutdown: Option<GracefulShutdown>,
     /// Whether the clients' listening socket was inherited: it belongs to the platform and outlives this process.
     pub inherited_listener: bool,
