--- a/crates/daemon/src/discovery/client.rs
+++ b/crates/daemon/src/discovery/client.rs
@@ -40,7 +40,7 @@
     source: DiscoverySource,
     watch_requested: Rc<Notify>,
     watch: EndpointWatch,
-    /// Time of the last log line about the present outage of a local agent.
+    /// Time of the last log line about an outage of a local agent.
     outage_logged_at: Option<Instant>,
 }
 
