--- a/crates/daemon/src/discovery/wire.rs
+++ b/crates/daemon/src/discovery/wire.rs
@@ -23,7 +23,7 @@
 /// Key of the entries.
 const ENDPOINTS: &str = "targets";
 
-/// Key of the backend's name.
+/// Key of the backend's uid.
 const UID: &str = "uid";
 /// Key of the backend's address.
 const ADDRESS: &str = "endpoint";
@@ -43,7 +43,7 @@
 /// State of a backend that is removed.
 const STATE_REMOVED: &str = "Gone";
 
-/// Relative capacity of a backend whose entry gives none.
+/// Relative capacity of a backend whose entry lacks a valid one.
 const DEFAULT_SIZE: f64 = 1.0;
 
 /// Address of a backend whose listed address cannot be parsed. Nothing listens there.
