--- a/crates/daemon/src/config/file.rs
+++ b/crates/daemon/src/config/file.rs
@@ -1,7 +1,8 @@
-//! The configuration file that the platform writes for a proxy, and the variables that stand in for some of its keys.
+//! The configuration file that the platform writes for a proxy, and the environment variables that are read for some
+//! keys if the file lacks them.
 
 use crate::config::error::ConfigError;
-use crate::config::keys::{self, ReplaceableKey};
+use crate::config::keys::{self, KeyWithEnvFallback};
 use crate::discovery::update::EndpointUpdate;
 use crate::discovery::wire::DecodeError;
 use birchhub::interface::Settings;
@@ -12,37 +13,38 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Largest number of sockets if the file does not limit it.
+/// Maximum number of open sockets if the file does not set one.
 const DEFAULT_MAX_SOCKETS: u64 = 1024;
-/// Most memory that a socket takes, in bytes: a body each way, an encoded one, and what is read ahead.
+/// Upper bound of the memory per socket, in bytes: a body in each direction, an encoded body, and data that was read
+/// ahead.
 const BYTES_PER_SOCKET: u64 = 168 << 10;
 
 /// The configuration of a proxy.
 pub(crate) struct Config {
     /// Name of the proxy.
     pub name: String,
-    /// Address on which clients are accepted.
+    /// Address of the listening socket for clients.
     pub client_address: SocketAddr,
     /// Address of the discovery service.
     pub discovery_address: SocketAddr,
     /// Address of the admin API; `None` if there is no admin API.
     pub admin_address: Option<SocketAddr>,
-    /// Seed of random choices.
+    /// Seed of the balancer's random number generator.
     pub seed: u64,
-    /// Largest number of open sockets.
+    /// Maximum number of open sockets.
     pub max_sockets: usize,
-    /// Endpoint list as this proxy last knew it, if the file has one that can be read.
+    /// Cached endpoint list, if the file has one that can be decoded. It may be out of date.
     pub cached_endpoints: Option<EndpointUpdate>,
-    /// Why the cached endpoint list can't be read. The proxy then waits for the first list of discovery.
+    /// Why the cached endpoint list can't be decoded. The proxy then waits for the first list from discovery.
     pub cached_endpoints_error: Option<DecodeError>,
-    /// Settings object.
+    /// Parsed settings.
     pub parsed_settings: Arc<ParsedSettings>,
     /// Settings of the shadow evaluation; `None` if there is none.
     pub shadow_settings: Option<Settings>,
 }
 
 impl Config {
-    /// Returns the keys outside of the settings that differ in the other configuration. They take effect at a start only.
+    /// Returns the keys outside of the settings whose values differ in `other`. They take effect at a start only.
     pub(super) fn restart_keys(&self, other: &Self) -> Vec<&'static str> {
         let keys = [
             (keys::NAME.key, self.name != other.name),
@@ -64,17 +66,17 @@
     }
 }
 
-/// Whether the cached endpoint list in the file is decoded, which may take long.
+/// Whether [`load`] decodes the cached endpoint list, which may take long.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum CachedEndpoints {
-    /// The list is decoded.
-    Decoded,
-    /// The list is skipped.
-    Ignored,
+pub(crate) enum CachedEndpointsMode {
+    /// Decodes the list.
+    Decode,
+    /// Skips the list, as if the file had none.
+    Skip,
 }
 
 /// Reads the configuration file.
-pub(crate) fn load(cached_endpoints: CachedEndpoints) -> Result<Config, ConfigError> {
+pub(crate) fn load(cached_endpoints: CachedEndpointsMode) -> Result<Config, ConfigError> {
     let variable = keys::FILE_VARIABLE;
     let path = std::env::var(variable).map_err(|_| ConfigError::NotSet { variable })?;
     let bytes = match std::fs::read(&path) {
@@ -87,7 +89,7 @@
     }
 }
 
-/// The file's content. Large values are not parsed yet.
+/// The content of the file. Large values are not parsed yet.
 struct ConfigFile<'a> {
     values: Value,
     settings: Option<&'a RawValue>,
@@ -112,17 +114,17 @@
         })
     }
 
-    fn config(&self, cached_endpoints: CachedEndpoints) -> Result<Config, ConfigError> {
+    fn config(&self, cached_endpoints: CachedEndpointsMode) -> Result<Config, ConfigError> {
         let seed = self.seed_text()?;
         let parsed_settings = self.parsed_settings()?;
         let shadow_settings = self
             .shadow_settings
             .map(|shadow| parse_shadow_settings(shadow, &parsed_settings))
             .transpose()?;
-        // Discovery soon replaces the list: an error in it must not prevent a whole fleet from starting.
+        // An error in the list must not prevent a whole fleet from starting: discovery soon replaces the list.
         let endpoints = self
             .cached_endpoints
-            .filter(|_| cached_endpoints == CachedEndpoints::Decoded)
+            .filter(|_| cached_endpoints == CachedEndpointsMode::Decode)
             .map(|list| EndpointUpdate::parse(list.get()))
             .transpose();
         let (cached_endpoints, cached_endpoints_error) = match endpoints {
@@ -154,10 +156,10 @@
         birchhub_settings::parse(settings.get()).map_err(ConfigError::Settings)
     }
 
-    /// Returns a string of the file, or of the variable if the file has none.
+    /// Returns a string from the file, or from the environment variable if the file has none.
     fn text(
         &self,
-        ReplaceableKey { key, variable }: ReplaceableKey,
+        KeyWithEnvFallback { key, variable }: KeyWithEnvFallback,
     ) -> Result<String, ConfigError> {
         let value = self.values.get(key).and_then(Value::as_str);
         value
@@ -166,7 +168,7 @@
             .ok_or(ConfigError::NotSet { variable })
     }
 
-    fn address(&self, key: ReplaceableKey) -> Result<SocketAddr, ConfigError> {
+    fn address(&self, key: KeyWithEnvFallback) -> Result<SocketAddr, ConfigError> {
         let text = self.text(key)?;
         text.parse().map_err(|_| ConfigError::NotAnAddress {
             variable: key.variable,
@@ -174,15 +176,17 @@
         })
     }
 
-    /// Returns an address; `None` if both the file and the environment lack it.
+    /// Returns an address; `None` if neither the file nor the environment has it.
     fn optional_address(
         &self,
-        replaceable: ReplaceableKey,
+        key_with_fallback: KeyWithEnvFallback,
     ) -> Result<Option<SocketAddr>, ConfigError> {
-        let ReplaceableKey { key, variable } = replaceable;
+        let KeyWithEnvFallback { key, variable } = key_with_fallback;
         match self.values.get(key) {
             Some(Value::Null) | None if std::env::var_os(variable).is_none() => Ok(None),
-            Some(Value::Null | Value::String(_)) | None => self.address(replaceable).map(Some),
+            Some(Value::Null | Value::String(_)) | None => {
+                self.address(key_with_fallback).map(Some)
+            }
             Some(value) => Err(ConfigError::NotAString {
                 key,
                 value: value.clone(),
@@ -190,7 +194,7 @@
         }
     }
 
-    /// Returns the number of sockets that the limits of sockets and memory allow.
+    /// Returns the maximum number of sockets that both the socket limit and the memory limit allow.
     fn max_sockets(&self) -> usize {
         let limits = self.values.get(keys::LIMITS);
         let limit = |key| limits.and_then(|limits| limits.get(key)?.as_u64());
@@ -201,7 +205,7 @@
     }
 }
 
-/// Removes a field and returns its value unless that is null.
+/// Removes a field and returns its value, or `None` if the value is null.
 fn remove_unless_null<'a>(
     fields: &mut BTreeMap<String, &'a RawValue>,
     key: &str,
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! `birchhubd`: a reverse proxy that balances RPCs over HTTP servers. Reloads its configuration on SIGHUP, and shuts
-//! down gracefully on SIGTERM.
+//! `birchhubd`: a reverse proxy that balances RPCs across HTTP backends. It reloads its configuration on SIGHUP and
+//! shuts down gracefully on SIGTERM.
 mod clock;
 mod config;
 mod decision;
@@ -17,7 +17,7 @@
 mod upstream;
 
 use crate::config::active_config::ActiveConfig;
-use crate::config::file::{self, CachedEndpoints, Config};
+use crate::config::file::{self, CachedEndpointsMode, Config};
 use crate::config::inherited_listener;
 use crate::lifecycle::listeners::Listeners;
 use crate::lifecycle::shutdown;
@@ -32,12 +32,12 @@
 /// Exit code of a process that could not start.
 const EXIT_START_FAILED: u8 = 2;
 
-/// Number of threads for blocking work beside the event loop. Each thread reserves memory of its own.
+/// Number of threads for blocking work off the event loop. Each thread reserves its own memory.
 const BLOCKING_THREADS: usize = 1;
 
 fn main() -> ExitCode {
     let result = start();
-    // Prevents the loss of the last log lines, which are written by another thread.
+    // Another thread writes the log: without this, the last lines could be lost.
     log::logger().flush();
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -50,9 +50,9 @@
 
 /// Loads the configuration and runs the proxy until it has shut down.
 fn start() -> Result<(), StartError> {
-    // The inherited descriptor is taken before any other is opened, which could get its number.
+    // The inherited descriptor must be taken before another one is opened, which could get its number.
     let inherited = inherited_listener::take()?;
-    let config = file::load(CachedEndpoints::Decoded)?;
+    let config = file::load(CachedEndpointsMode::Decode)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .max_blocking_threads(BLOCKING_THREADS)
@@ -71,7 +71,7 @@
     let (active_config, settings) = watch::channel(ActiveConfig::new(&config.parsed_settings));
     let proxy = Proxy::new(config, listeners.inherited);
     proxy.spawn_lifecycle(listeners.admin, &settings);
-    let events = proxy.spawn_decisions(signals.reload, active_config);
+    let events = proxy.spawn_decision_actor(signals.reload, active_config);
     let accepting = proxy.spawn_listener(listeners.clients, events);
     log::info!(
         "{} listens on {}",
--- a/crates/daemon/src/proxy.rs
+++ b/crates/daemon/src/proxy.rs
@@ -29,11 +29,11 @@
 pub(crate) struct Proxy {
     /// The configuration that the process was started with.
     pub config: Arc<Config>,
-    /// Grants the sockets of clients and backends.
+    /// Limits the number of sockets of clients and backends.
     pub budget: Rc<SocketBudget>,
     /// The state of the process.
     pub state_store: Rc<StateStore>,
-    /// Checks each attempt, response and closed connection.
+    /// Checks each attempt, response and closed connection against the invariants.
     pub invariants: Rc<Invariants>,
     clock: Clock,
     names: ActiveNames,
@@ -41,7 +41,7 @@
 }
 
 impl Proxy {
-    /// Creates the shared resources. `inherited` tells whether the client listener was inherited from another process.
+    /// Creates the shared resources. `inherited` tells whether the listening socket for clients was inherited.
     pub(crate) fn new(config: Config, inherited: bool) -> Self {
         let process_group = startup::join_process_group(&config, inherited);
         let names = NameTable::new(0, &config.parsed_settings);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Starts following the sibling processes, and the admin server if there is a listener for it.
+    /// Starts polling the sibling processes, and starts the admin server if there is a listener for it.
     pub(crate) fn spawn_lifecycle(
         &self,
         admin: Option<TcpListener>,
@@ -77,17 +77,17 @@
         }
     }
 
-    /// Starts the decision actor, and the tasks that send it new settings and endpoint lists. Returns the sender of the
-    /// actor's mailbox.
-    pub(crate) fn spawn_decisions(
+    /// Starts the decision actor, and the tasks that send settings and endpoint lists to it. Returns the sender of its
+    /// mailbox.
+    pub(crate) fn spawn_decision_actor(
         &self,
         reload: SignalFlag,
         active_config: watch::Sender<ActiveConfig>,
     ) -> mpsc::Sender<Event> {
         let (events, mailbox) = mpsc::channel(actor::MAILBOX_CAPACITY);
         let watch_requested = Rc::new(Notify::new());
-        let decisions = self.decision_actor(events.clone(), watch_requested.clone());
-        spawn_local(decisions.run(mailbox));
+        let actor = self.decision_actor(events.clone(), watch_requested.clone());
+        spawn_local(actor.run(mailbox));
         startup::use_cached_endpoints(&self.config, &self.state_store, self.lists_are_pushed());
         let (address_sender, address) = watch::channel(self.config.discovery_address);
         let reloads = Reload::new(
@@ -122,13 +122,13 @@
     fn discovery_client(
         &self,
         address: watch::Receiver<SocketAddr>,
-        decisions: mpsc::Sender<Event>,
+        decision_actor: mpsc::Sender<Event>,
         watch_requested: Rc<Notify>,
     ) -> DiscoveryClient {
         let cached = self.config.cached_endpoints.as_ref();
         DiscoveryClient::new(DiscoveryContext {
             address,
-            decisions,
+            decision_actor,
             watch_requested,
             cached_version: cached.map(|cached| cached.version),
             source: self.discovery_source,
