--- a/crates/daemon/src/downstream/head_scan.rs
+++ b/crates/daemon/src/downstream/head_scan.rs
@@ -1,13 +1,13 @@
-//! Scans the head of a message for the framing of its body. hyper follows one declaration and silently drops another, and
-//! doesn't tell where a message ends.
+//! Scans the head of a message for the framing of its body. hyper is not enough: it follows one of several framing
+//! declarations and silently drops the others, and it doesn't report where a message ends.
 use httparse::{EMPTY_HEADER, Request, Status};
 
-/// Longest head that is accepted, in bytes.
+/// Maximum size of a head, in bytes.
 pub(super) const HEAD_LIMIT: usize = 16 << 10;
-/// Largest number of header fields, the same as in hyper.
+/// Maximum number of header fields, the same as in hyper.
 const MAX_FIELDS: usize = 100;
 
-/// The number of times that a head declares the framing of its body, by header field.
+/// How often a head declares the framing of its body, counted by header field.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Framings {
     /// `Content-Length` fields.
@@ -17,7 +17,7 @@
 }
 
 impl Framings {
-    /// Whether the framing is declared once at most, so that the end of the body is unambiguous.
+    /// Whether the framing is declared at most once, so that the end of the body is unambiguous.
     pub(crate) fn is_unambiguous(self) -> bool {
         self.lengths + self.codings <= 1
     }
@@ -30,7 +30,8 @@
     Length(u64),
     /// The chunked transfer coding.
     Chunked,
-    /// Declared more than once, or in an unsupported way. Such a message is rejected and its connection closed.
+    /// Declared more than once, in an unsupported way or in a malformed head. The message is rejected and its
+    /// connection is closed.
     Ambiguous,
 }
 
@@ -43,18 +44,18 @@
     pub body: BodyFraming,
 }
 
-/// Collects the head of a message, received in pieces of any size.
+/// Collects the head of a message, which may be received in pieces of any size.
 #[derive(Default)]
 pub(super) struct HeadScan {
     head: Vec<u8>,
-    /// Number of complete lines that are not empty. The first one is the request line.
+    /// Number of complete non-empty lines. The first one is the request line.
     complete_lines: usize,
     /// Whether the current line has a byte other than its line ending.
     is_line_begun: bool,
 }
 
 impl HeadScan {
-    /// Whether a byte of the message was received.
+    /// Whether any byte of the message was received.
     pub(super) fn is_begun(&self) -> bool {
         !self.head.is_empty()
     }
@@ -64,7 +65,7 @@
         let end = bytes.iter().position(|byte| self.ends_with(*byte));
         let (head, rest) = bytes.split_at(end.map_or(bytes.len(), |end| end + 1));
         *bytes = rest;
-        // hyper rejects a longer head. The scan only looks for its end.
+        // hyper rejects a longer head, so the bytes beyond the limit are not stored.
         let capacity_left = HEAD_LIMIT.saturating_sub(self.head.len());
         self.head
             .extend_from_slice(&head[..head.len().min(capacity_left)]);
