--- a/crates/daemon/src/downstream/request_body.rs
+++ b/crates/daemon/src/downstream/request_body.rs
@@ -1,4 +1,4 @@
-//! Receives the body of a request: buffers a short one, and prepares a longer one to be streamed.
+//! Receives the body of a request: buffers a short one, and prepares a longer one for streaming.
 use crate::downstream::request::RequestPayload;
 use crate::downstream::request_error::RequestError;
 use crate::net::body::{BODY_LIMIT, BUFFERED_BODY_LIMIT, RequestUpload};
@@ -9,10 +9,10 @@
 use hyper::body::{Body, Incoming};
 use tokio::time::{Instant, timeout_at};
 
-/// Receives the body of a request with this HTTP method, as far as it is buffered.
+/// Receives the body of a request with this HTTP method: all of it, or the first part if it is too long to be buffered.
 ///
 /// # Errors
-/// The body is too long, malformed, late, or not permitted with `GET`.
+/// The body is too long, malformed, not received in time, or not permitted with `GET`.
 pub(super) async fn receive_payload(
     method: &Method,
     body: Incoming,
@@ -28,7 +28,7 @@
     Ok(payload)
 }
 
-/// Buffers a body up to its end, or up to the limit beyond which the rest is streamed.
+/// Buffers a body until it ends, or until it exceeds [`BUFFERED_BODY_LIMIT`] and the rest is to be streamed.
 async fn buffer_body(
     mut body: Incoming,
     mut deadline: ProgressDeadline,
@@ -42,7 +42,7 @@
             Ok(None) => break,
             Ok(Some(Err(_))) => return Err(RequestError::MalformedBody),
             Ok(Some(Ok(frame))) => {
-                // A frame of trailers has no data.
+                // Trailers are ignored: their frame has no data.
                 buffered.extend_from_slice(&frame.into_data().unwrap_or_default());
                 deadline.record(buffered.len() as u64, Instant::now());
             }
