--- a/crates/daemon/src/downstream/rpc_deadline.rs
+++ b/crates/daemon/src/downstream/rpc_deadline.rs
@@ -10,15 +10,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Returns when the RPC must have its response, whoever delays it: its timeout and the grace period, counted from the
-/// latest end of its body.
+/// Returns the latest time at which the RPC must have its response, whether the client or a backend delays it: the
+/// latest end of its body plus its timeout and the grace period.
 pub(super) fn response_deadline(rpc: &ReceivedRpc) -> Instant {
     let upload = rpc.request.upload();
     let body_end = upload.map_or(rpc.received_at, |upload| upload.latest_end());
     body_end + rpc.timeout + RESPONSE_GRACE_PERIOD
 }
 
-/// Waits until the client's timeout is over, which counts from the last byte of the request.
+/// Waits until the client's timeout expires, which starts with the last byte of the request.
 pub(super) async fn client_timeout(
     upload: Option<&RequestUpload>,
     received_at: Instant,
@@ -31,7 +31,7 @@
     sleep_until(received_at + timeout).await;
 }
 
-/// Waits until a streamed request has failed before its last byte, and returns the outcome of its RPC. Pending for ever if
+/// Waits until a streamed request fails before its last byte, and returns the outcome of its RPC. Pending forever if
 /// the request is buffered or completes.
 pub(super) async fn incomplete_upload(upload: Option<&RequestUpload>) -> RpcOutcome {
     let Some(upload) = upload else {
