--- a/crates/daemon/src/downstream/connection_task.rs
+++ b/crates/daemon/src/downstream/connection_task.rs
@@ -1,4 +1,4 @@
-//! The task of one client's connection: it owns the socket and its permit from the accept to the close.
+//! The task of a client's connection. It owns the socket and its permit from accept to close.
 use crate::downstream::body_deadline::body_deadline;
 use crate::downstream::connection::ClientConnection;
 use crate::downstream::connection_driver::drive;
@@ -27,9 +27,9 @@
 use tokio::select;
 use tokio::sync::watch;
 
-/// A client's connection from its accept to its close.
+/// The task of a client's connection, from accept to close.
 pub(crate) struct ConnectionTask {
-    /// The connection's number in the log.
+    /// The connection's number in log lines.
     pub id: u64,
     /// Responds to the client's messages.
     pub service: Rc<RpcService>,
@@ -41,7 +41,7 @@
     pub invariants: Rc<Invariants>,
     /// The permit for the socket, returned to the budget once the connection is closed.
     pub permit: SocketPermit,
-    /// Whether the connection exceeds the budget: each of its messages is rejected.
+    /// Whether the connection exceeds the budget. All of its messages are rejected then.
     pub is_beyond_budget: bool,
 }
 
@@ -80,7 +80,7 @@
         } else {
             drop(connection);
         }
-        // The last handle of the socket: the socket is closed before its permit is returned.
+        // `read_ahead` is the last handle of the socket, which must be closed before its permit is returned.
         drop(read_ahead);
         drop(self.permit);
     }
@@ -125,7 +125,7 @@
     }
 }
 
-/// Gives the client time to read the last response, unless the connection is evicted before.
+/// Gives the client time to read the last response, unless the connection is evicted first.
 async fn linger_until_evicted(stream: InboundStream, client: &ClientConnection) {
     client.begin_linger();
     select! {
