--- a/crates/daemon/src/downstream/request_parser.rs
+++ b/crates/daemon/src/downstream/request_parser.rs
@@ -18,12 +18,12 @@
 }
 
 impl RequestParser {
-    /// Creates a parser that follows the active names.
+    /// Creates a parser that uses the latest active names.
     pub(crate) fn new(names: ActiveNames) -> Self {
         Self { names }
     }
 
-    /// Parses a client's message and receives its body, as far as that is buffered.
+    /// Parses a client's message and receives its body, or the first part of a body that is too long to be buffered.
     ///
     /// # Errors
     /// The message is not a valid RPC; the error is the response to the client.
@@ -69,8 +69,9 @@
     }
 }
 
-/// Checks that a head declares the framing of its body once, in a supported way. hyper ignores a `Content-Length` beside
-/// a `Transfer-Encoding`: an RPC could be smuggled in the body of what another proxy takes for a single message.
+/// Checks that a head declares the framing of its body at most once, in a supported way. This prevents request
+/// smuggling: hyper ignores a `Content-Length` next to a `Transfer-Encoding`, so a body that another proxy treats as
+/// part of a single message could hold a second RPC.
 fn check_framing(headers: &HeaderMap, framings: Option<Framings>) -> Result<(), RequestError> {
     let coding = client_protocol::single_value(headers, &TRANSFER_ENCODING)?;
     let is_supported =
