--- a/crates/daemon/src/downstream/listener.rs
+++ b/crates/daemon/src/downstream/listener.rs
@@ -18,15 +18,16 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep};
 
-/// Concurrent connections beyond the budget, whose RPCs are rejected.
+/// Number of open connections beyond the budget above which accepting pauses. Their RPCs are rejected.
 const EXCESS_CONNECTION_LIMIT: usize = 16;
-/// Backoff before the next accept during a lasting shortage of sockets.
+/// Backoff before the next accept during a persistent shortage of sockets, or while accepting pauses because too many
+/// connections are beyond the budget.
 const SHORTAGE_BACKOFF: Duration = Duration::from_millis(10);
 /// Backoff after the first failed accept; doubled with each further one.
 const FIRST_ACCEPT_BACKOFF: Duration = Duration::from_millis(1);
-/// Consecutive failed accepts after which a shortage of sockets counts as lasting.
+/// Consecutive failed accepts after which a shortage of sockets counts as persistent.
 const LASTING_SHORTAGE_FAILURES: u32 = 6;
-/// How long a shortage counts as lasting after the latest eviction.
+/// How long a shortage counts as persistent after the latest eviction.
 const SHORTAGE_PERIOD: Duration = Duration::from_secs(1);
 
 /// The listener for clients' connections.
@@ -35,9 +36,9 @@
     state: watch::Receiver<ProxyState>,
     budget: Rc<SocketBudget>,
     invariants: Rc<Invariants>,
-    /// The number of the next connection, for the log.
+    /// The number of the next connection in log lines.
     next_connection: Cell<u64>,
-    /// When a lasting shortage of sockets is taken to be over.
+    /// Until when a shortage of sockets counts as persistent.
     short_until: Cell<Option<Instant>>,
 }
 
@@ -47,7 +48,7 @@
     Accepted(io::Result<TcpStream>),
     /// The state of the proxy changed.
     StateChanged,
-    /// The accept deadline of a shutdown has come.
+    /// The accept deadline of a shutdown was reached.
     DeadlineReached,
 }
 
@@ -82,7 +83,7 @@
                 (state.accept_deadline(), state.inherited_listener)
             };
             let is_over = accept_deadline.is_some_and(|deadline| deadline <= Instant::now());
-            // Connections that wait on an inherited socket are accepted by another process.
+            // Connections still queued on an inherited socket are accepted by another process.
             if is_inherited && is_over {
                 return;
             }
@@ -97,7 +98,7 @@
                 AcceptEvent::StateChanged => {}
                 AcceptEvent::DeadlineReached if is_deadline_reached => return,
                 AcceptEvent::DeadlineReached => {
-                    // The timer fires before the event loop polls the socket, so one more accept is tried.
+                    // The timer fires before the event loop polls the socket, so accept is tried once more.
                     is_deadline_reached = true;
                     yield_now().await;
                 }
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Logs a failed accept, and waits for a socket if the system has none. `failures` counts the consecutive failures for
-    /// that reason.
+    /// Logs a failed accept, and backs off if the system has no socket left. `failures` counts the consecutive failures
+    /// for that reason.
     async fn handle_accept_error(&self, error: &io::Error, failures: &mut u32) {
         // The error of one connection says nothing about the next one in the queue.
         if !is_resource_shortage(error) {
@@ -146,9 +147,9 @@
         }
     }
 
-    /// Waits before the next accept, after this number of consecutive failures for lack of a socket. A lasting shortage
-    /// means that the system has fewer sockets than configured: an idle connection is evicted. A short one costs no client
-    /// its connection.
+    /// Waits before the next accept, after this number of consecutive failures for lack of a socket. A persistent
+    /// shortage means that the system provides fewer sockets than configured: an idle connection is evicted. No
+    /// connection is evicted for a brief shortage.
     async fn wait_for_socket(&self, failures: u32) {
         let now = Instant::now();
         let is_lasting = self.short_until.get().is_some_and(|until| now < until);
@@ -162,8 +163,8 @@
     }
 }
 
-/// Waits for the next event. Connections come first: those that the system has accepted would be reset when the listening
-/// socket is closed.
+/// Waits for the next event. Connections take priority: closing the listening socket resets those that the kernel has
+/// established but this process has not accepted.
 async fn next_event(
     listener: &TcpListener,
     state: &mut watch::Receiver<ProxyState>,
