--- a/crates/daemon/src/downstream/connection_phase.rs
+++ b/crates/daemon/src/downstream/connection_phase.rs
@@ -3,8 +3,7 @@
 use crate::net::progress_deadline::ProgressDeadline;
 use tokio::time::Instant;
 
-/// What a client's connection is doing, and the deadline of that. There is no phase without a deadline, so no
-/// connection can wait for ever.
+/// The phase of a client's connection, with its deadline. Every phase has one, so no connection can wait forever.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ConnectionPhase {
     /// The client has sent nothing since it connected.
@@ -17,7 +16,7 @@
         /// When the next message must have begun.
         deadline: Instant,
     },
-    /// A part of a message's head was received.
+    /// Part of a message's head was received.
     ReadingHead {
         /// When the head must be complete.
         deadline: Instant,
@@ -27,7 +26,7 @@
         /// When the message must have its response.
         response_deadline: Instant,
     },
-    /// The decision actor has the RPC.
+    /// The RPC waits for its response.
     RpcInFlight {
         /// When the RPC must have its response.
         response_deadline: Instant,
@@ -37,7 +36,7 @@
         /// When the client must have read more of the response.
         progress: ProgressDeadline,
     },
-    /// The last response was written, and the client is given time to read it.
+    /// The last response was written, and the client gets time to read it.
     Lingering {
         /// When the connection is closed.
         deadline: Instant,
@@ -85,7 +84,7 @@
     }
 }
 
-/// When a connection is closed unless its state changes before, and the reason of that close.
+/// When and why a connection is closed unless its state changes first.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ScheduledClose {
     /// The time of the close.
@@ -95,7 +94,7 @@
 }
 
 impl ScheduledClose {
-    /// A close at this time for this reason.
+    /// Creates a close at this time for this reason.
     pub(crate) fn new(at: Instant, reason: EndReason) -> Self {
         Self { at, reason }
     }
