--- a/crates/daemon/src/downstream/body_deadline.rs
+++ b/crates/daemon/src/downstream/body_deadline.rs
@@ -1,4 +1,4 @@
-//! The deadline of a request's body, fixed when its head is complete.
+//! The deadline for receiving the body of a request, computed when its head is complete.
 use crate::net::body::BODY_LIMIT;
 use crate::net::progress_deadline::ProgressDeadline;
 use crate::time_limits::{BODY_PROGRESS_BYTES, BODY_STALL_TIMEOUT, MIN_BODY_BYTES_PER_SECOND};
