--- a/crates/daemon/src/downstream/request_error.rs
+++ b/crates/daemon/src/downstream/request_error.rs
@@ -25,7 +25,6 @@
 }
 
 impl RequestError {
-    /// The status of the response.
     /// Returns the status of the response.
     pub(super) fn status(self) -> StatusCode {
         match self {
@@ -36,7 +35,7 @@
         }
     }
 
-    /// The body of the response. These texts are on the wire and stay as they are.
+    /// Returns the body of the response. Clients may match these texts, so they must not change.
     pub(super) fn message(self) -> &'static str {
         match self {
             Self::AmbiguousFraming => "its length is told twice, or in a way that is not taken\n",
