--- a/crates/daemon/src/downstream/client_protocol.rs
+++ b/crates/daemon/src/downstream/client_protocol.rs
@@ -1,4 +1,4 @@
-//! The names of the client protocol on the wire, and the header fields of a request as typed values.
+//! The wire names of the client protocol, and the conversion of a request's header fields to typed values.
 use crate::downstream::request_error::RequestError;
 use hyper::HeaderMap;
 use hyper::header::{HeaderName, HeaderValue};
@@ -6,9 +6,9 @@
 
 /// The path of the readiness check, requested with `GET`.
 pub(super) const READINESS_PATH: &str = "/health/ready";
-/// The body of a response to a readiness check that succeeds.
+/// The body of the response to a readiness check that succeeds.
 pub(super) const READY_BODY: &str = "ready\n";
-/// The body of a response to a readiness check that fails.
+/// The body of the response to a readiness check that fails.
 pub(super) const NOT_READY_BODY: &str = "not ready\n";
 /// The body of the response to a rejected RPC.
 pub(super) const REJECTED_BODY: &str = "pushed back\n";
@@ -23,7 +23,7 @@
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// The name of the tenant.
 const TENANT: HeaderName = HeaderName::from_static("tenant");
-/// Present with [`CLIENT_RETRY_SET`] on a client's own retry.
+/// Set to [`CLIENT_RETRY_SET`] if the request is the client's own retry.
 const CLIENT_RETRY: HeaderName = HeaderName::from_static("client-retry");
 const CLIENT_RETRY_SET: &str = "1";
 /// Further properties of an RPC, as `name=value` pairs separated by commas.
@@ -35,7 +35,7 @@
 /// The value of [`ENTITY`] for an RPC that is about no entity.
 const NO_ENTITY: &str = "-";
 
-/// Longest `Request-Id` that is accepted, in bytes.
+/// Maximum length of a `Request-Id`, in bytes.
 const REQUEST_ID_LIMIT: usize = 128;
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
@@ -99,7 +99,7 @@
     Ok(first)
 }
 
-/// Parses a positive number in decimal digits, without a sign.
+/// Parses a positive integer that consists of decimal digits only.
 fn positive_integer(value: &HeaderValue) -> Option<u32> {
     let digits = value.to_str().ok()?;
     if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
