--- a/crates/daemon/src/downstream/rpc_outcome.rs
+++ b/crates/daemon/src/downstream/rpc_outcome.rs
@@ -6,7 +6,7 @@
 pub(super) struct RpcOutcome {
     /// The response to the client.
     pub response: ProxyResponse,
-    /// The reason of the end.
+    /// Why the RPC ended.
     pub reason: EndReason,
 }
 
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Creates the outcome of an RPC with this response of the decision actor.
+    /// Creates the outcome of an RPC that the decision actor responded to.
     pub(super) fn decided(response: ProxyResponse) -> Self {
         let reason = match response {
             ProxyResponse::Ok(_) | ProxyResponse::Streamed(_) | ProxyResponse::Health(_) => {
