--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one client's connection: its phase, when it is closed, and whether it may be evicted.
+//! The state of a client's connection: its phase, when it is to be closed, and whether it may be evicted.
 use crate::downstream::connection_phase::{ConnectionPhase, ScheduledClose};
 use crate::downstream::head_scan::Framings;
 use crate::downstream::message_scan::MessageScan;
@@ -25,34 +25,35 @@
     AwaitingFirstByte,
     /// Between two messages, or lingering.
     Idle,
-    /// A part of a head was received.
+    /// Part of a head was received.
     ReadingHead,
     /// Just accepted. Ranked above idle connections, because new connections would evict each other otherwise.
     Settling,
-    /// A part of a body was received.
+    /// Part of a body was received.
     ReadingBody,
 }
 
 /// The state of a client's connection, shared by its task, the observer of its stream and the socket budget.
 pub(crate) struct ClientConnection {
-    /// The connection's number in the log.
+    /// The connection's number in log lines.
     id: u64,
     phase: Cell<ConnectionPhase>,
-    /// Whether the connection is closed after the current response, once the client had time to read it.
+    /// Whether the connection is closed after the current response, once the client has had time to read it.
     is_closing: Cell<bool>,
     scan: RefCell<MessageScan>,
-    /// Whether the current response was handed over to the connection.
+    /// Whether all bytes of the current response were handed over to the connection.
     delivery: RefCell<DeliveryStatus>,
-    /// Bytes of the current response that the client has read.
+    /// Bytes that were written to the socket for the current response.
     response_bytes_written: Cell<u64>,
     budget: Rc<SocketBudget>,
     /// Present while the connection may be evicted.
     eviction: RefCell<Option<EvictionCandidate>>,
     weak_self: Weak<ClientConnection>,
-    /// The budget has chosen the connection to make room for another one. Cleared if an RPC begins before the close.
+    /// Whether the budget has evicted the connection to make room for another one. Cleared if an RPC is received before
+    /// the connection is closed.
     is_evicted: Cell<bool>,
     opened_at: Instant,
-    /// Wakes the connection's task, which then computes the scheduled close again.
+    /// Wakes the connection's task, which then recomputes the scheduled close.
     changed: Notify,
 }
 
@@ -81,7 +82,7 @@
         connection
     }
 
-    /// Enters a phase. The connection may be evicted in it unless an RPC is in flight.
+    /// Enters a phase. The connection may be evicted in it unless an RPC is in flight or its response is being written.
     pub(crate) fn enter(&self, phase: ConnectionPhase) {
         self.phase.set(phase);
         if phase.is_busy() {
@@ -93,7 +94,7 @@
         self.changed.notify_one();
     }
 
-    /// Starts to write a response, whose delivery is followed by `delivery`.
+    /// Enters the phase in which a response is written. `delivery` is the delivery status of its body.
     pub(crate) fn begin_response(&self, delivery: DeliveryStatus) {
         self.delivery.replace(delivery);
         self.response_bytes_written.set(0);
@@ -107,8 +108,8 @@
         self.enter(ConnectionPhase::WritingResponse { progress });
     }
 
-    /// Ends the current response. If a part of the next message was already read, the deadline of a head applies to
-    /// it: the connection is not idle.
+    /// Ends the current response. If part of the next message was already read, the connection is not idle: the
+    /// deadline for a head applies.
     fn end_response(&self) {
         let now = Instant::now();
         let has_next_begun = self.scan.borrow().is_inside_message();
@@ -123,7 +124,7 @@
         });
     }
 
-    /// The connection's number in the log.
+    /// The connection's number in log lines.
     pub(crate) fn id(&self) -> u64 {
         self.id
     }
@@ -183,7 +184,7 @@
             // A higher rank for lingering would let rejected clients crowd out others.
             ConnectionPhase::Idle { .. } | ConnectionPhase::Lingering { .. } => EvictionRank::Idle,
             ConnectionPhase::ReadingHead { .. } => EvictionRank::ReadingHead,
-            // The last two are busy: `enter` withdraws them from eviction.
+            // The last two are busy: `enter` drops their registration, so they are never evicted.
             ConnectionPhase::ReadingBody { .. }
             | ConnectionPhase::RpcInFlight { .. }
             | ConnectionPhase::WritingResponse { .. } => EvictionRank::ReadingBody,
@@ -197,8 +198,9 @@
         (is_silent && Instant::now() < settles_at).then_some(settles_at)
     }
 
-    /// Returns when and why the connection is closed if nothing else happens: the earliest of the phase's deadline,
-    /// an eviction and the drain deadlines. Only the phase's deadline applies while an RPC is in flight.
+    /// Returns when and why the connection is closed if nothing else happens: the earliest of the phase's deadline, an
+    /// eviction and the drain deadlines. Only the phase's deadline applies while an RPC is in flight or its response is
+    /// being written.
     pub(crate) fn scheduled_close(&self, drain: Option<DrainDeadlines>) -> ScheduledClose {
         let phase = self.phase.get();
         let mut close = phase.scheduled_close();
@@ -206,7 +208,7 @@
             return close;
         }
         if self.is_evicted.get() {
-            // Closes at once: the time is past, and earlier than the deadline of any phase.
+            // A time in the past, before the deadline of any phase, closes the connection at once.
             close = close.earlier(ScheduledClose::new(self.opened_at, EndReason::Evicted));
         }
         if let Some(drain) = drain {
@@ -219,7 +221,7 @@
     /// Returns when a connection in this phase is closed while the proxy is draining.
     fn drain_deadline(&self, phase: ConnectionPhase, drain: DrainDeadlines) -> Instant {
         match phase {
-            // A new connection may still send an RPC.
+            // The client of a new connection may be about to send an RPC.
             ConnectionPhase::AwaitingFirstByte { .. } | ConnectionPhase::Idle { .. } => {
                 drain.idle.max(self.opened_at + SETTLE_PERIOD)
             }
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Gives the client time to read the last response.
+    /// Enters the phase in which the client gets time to read the last response.
     pub(crate) fn begin_linger(&self) {
         self.enter(ConnectionPhase::Lingering {
             deadline: Instant::now() + LINGER_TIMEOUT,
@@ -246,7 +248,7 @@
         }
     }
 
-    /// Returns the deadline of a head whose first byte was received now.
+    /// Returns the deadline for a head whose first byte was received now.
     fn head_deadline(&self) -> Instant {
         let deadline = Instant::now() + HEAD_TIMEOUT;
         match self.phase.get() {
@@ -293,7 +295,8 @@
 }
 
 impl Evictable for ClientConnection {
-    /// Tells the connection's task to close the connection. Returns false if an RPC is in flight: it is not evicted then.
+    /// Tells the connection's task to close the connection. Returns false, and does nothing, if an RPC is in flight or
+    /// its response is being written.
     fn evict(&self) -> bool {
         let may_be_evicted = !self.is_busy();
         if may_be_evicted {
