--- a/crates/daemon/src/downstream/connection_driver.rs
+++ b/crates/daemon/src/downstream/connection_driver.rs
@@ -1,4 +1,4 @@
-//! Drives a client's connection: moves its bytes and decides when it ends.
+//! Drives a client's connection: performs its I/O and decides when it ends.
 use crate::clock::until;
 use crate::downstream::connection::ClientConnection;
 use crate::end_reason::EndReason;
@@ -14,8 +14,8 @@
 
 /// Drives a client's connection until it ends, and returns the reason. Nothing else closes a connection.
 ///
-/// Received bytes are always read before the scheduled close is looked at. Otherwise an RPC could be read in the very
-/// turn of the event loop in which its connection is closed as idle, and be lost.
+/// Received bytes are always read before a scheduled close takes effect. Otherwise an RPC that is read in the same
+/// iteration of the event loop in which its connection is closed as idle would be lost.
 pub(super) async fn drive<C: Future<Output = hyper::Result<()>> + Unpin>(
     connection: &mut C,
     client: &ClientConnection,
@@ -62,11 +62,11 @@
     ScheduleChanged,
     /// The settle period of a new connection is over.
     SettlePeriodEnded,
-    /// The time of the scheduled close has come.
+    /// The scheduled close is due.
     CloseDue,
 }
 
-/// Moves the connection's bytes until the next event.
+/// Performs the connection's I/O until the next event.
 async fn next_event<C: Future<Output = hyper::Result<()>> + Unpin>(
     connection: &mut C,
     client: &ClientConnection,
@@ -86,8 +86,8 @@
     }
 }
 
-/// Waits until the client disconnects while its RPC is in flight. The RPC must not wait, or be forwarded, for a client
-/// whose disconnect stands behind further bytes.
+/// Waits until the client disconnects while its RPC is in flight, even if unread bytes precede the disconnect: an RPC
+/// must neither wait nor be forwarded if its client is gone.
 async fn disconnected_while_busy(
     client: &ClientConnection,
     mut disconnected: Pin<&mut impl Future<Output = ()>>,
@@ -112,7 +112,8 @@
     }
 }
 
-/// Reads what the system has received since the event loop last polled the connection; ready if the connection ended.
+/// Reads the bytes that the kernel has received since the event loop last polled the connection; ready if the
+/// connection ended.
 async fn read_once_more<C: Future + Unpin>(
     connection: &mut C,
     read_ahead: &ReadAhead,
