--- a/crates/daemon/src/downstream/mod.rs
+++ b/crates/daemon/src/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: the listener, connections, requests and responses.
+//! The client side of the proxy: the listener, connections, requests and responses.
 
 pub(crate) mod body_deadline;
 mod client_protocol;
