--- a/crates/daemon/src/downstream/message_scan.rs
+++ b/crates/daemon/src/downstream/message_scan.rs
@@ -1,5 +1,5 @@
-//! Finds the end of each message in the bytes that a client sends. hyper may have buffered a part of the next message, and
-//! doesn't tell that the client has stopped in the middle of it.
+//! Finds the end of each message in the bytes that a client sends. hyper may have buffered part of the next message,
+//! and doesn't report that the client has stopped in the middle of it.
 use crate::downstream::head_scan::{BodyFraming, Framings, HeadScan, ScannedHead};
 use std::collections::VecDeque;
 use thiserror::Error;
@@ -68,11 +68,11 @@
 #[error("chunk size overflow")]
 struct ChunkSizeOverflow;
 
-/// Follows the messages on a client's connection.
+/// Tracks where each message on a client's connection ends.
 #[derive(Default)]
 pub(super) struct MessageScan {
     part: MessagePart,
-    /// The framings of complete heads that were not taken yet, the earliest first.
+    /// The framings of the complete heads that were not taken yet, the earliest first.
     framings: VecDeque<Framings>,
 }
 
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Takes the framings of the earliest complete head that were not taken yet.
+    /// Takes the framings of the earliest complete head whose framings were not taken yet.
     pub(super) fn take_framings(&mut self) -> Option<Framings> {
         self.framings.pop_front()
     }
 
-    /// Whether a message has begun and is not complete.
+    /// Whether the current message has begun and is incomplete.
     pub(super) fn is_inside_message(&self) -> bool {
         match &self.part {
             MessagePart::Head(head) => head.is_begun(),
@@ -155,14 +155,14 @@
 /// Consumes one byte.
 ///
 /// # Panics
-/// There is none.
+/// `bytes` is empty.
 fn take_byte(bytes: &mut &[u8]) -> u8 {
     let (first, rest) = bytes.split_first().expect("at least one byte");
     *bytes = rest;
     *first
 }
 
-/// Consumes up to `bytes_left` bytes, as far as they are available.
+/// Consumes up to `bytes_left` of the available bytes, and subtracts their number from it.
 fn skip(bytes: &mut &[u8], bytes_left: &mut u64) {
     let length = bytes
         .len()
