--- a/crates/daemon/src/downstream/message_scan/tests.rs
+++ b/crates/daemon/src/downstream/message_scan/tests.rs
@@ -58,7 +58,8 @@
     }
 }
 
-/// Prevents request smuggling in a pipelined message: the framing of each head is checked.
+/// Guards against request smuggling: an RPC could be hidden in a pipelined message whose framing is not checked like
+/// that of the first one.
 #[test]
 fn framings_of_a_pipelined_message_are_counted() {
     let scanned = scan(&[GET, TWICE].concat());
