--- a/crates/daemon/src/downstream/request_ids.rs
+++ b/crates/daemon/src/downstream/request_ids.rs
@@ -4,7 +4,7 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// The set of `Request-Id`s that are in use: those of RPCs with an attempt that may still be in flight.
+/// The set of `Request-Id`s in use: those of RPCs that may still have an attempt in flight.
 #[derive(Clone, Default)]
 pub(crate) struct ActiveRequestIds(Rc<RefCell<HashSet<HeaderValue>>>);
 
