--- a/crates/daemon/src/downstream/rpc_guard.rs
+++ b/crates/daemon/src/downstream/rpc_guard.rs
@@ -3,8 +3,8 @@
 use tokio::sync::mpsc::OwnedPermit;
 
 /// Guards an RPC that the decision actor has received. If it is dropped before the response, because the client has
-/// disconnected, it sends [`Event::ClientDisconnected`]. The place for that event in the actor's mailbox is reserved from
-/// the start.
+/// disconnected, it sends [`Event::ClientDisconnected`]. A slot in the actor's mailbox is reserved for that event from
+/// the start, so the event can't be lost.
 pub(crate) struct RpcGuard {
     rpc: u64,
     permit: Option<OwnedPermit<Event>>,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Releases the reserved place without an event, once the RPC has its response.
+    /// Releases the reserved slot without sending an event, once the RPC has its response.
     pub(crate) fn disarm(mut self) {
         self.permit = None;
     }
