--- a/crates/daemon/src/downstream/request.rs
+++ b/crates/daemon/src/downstream/request.rs
@@ -19,7 +19,7 @@
     pub tenant: Option<usize>,
     /// The name of its tenant as the client sent it.
     pub(super) tenant_name: Option<HeaderValue>,
-    /// When its last byte was received; of a streamed request, the last buffered byte.
+    /// When its last byte was received, or the last buffered byte if it is streamed.
     pub received_at: Instant,
     /// How long the client waits for the response, counted from the last byte of the request.
     pub timeout: Duration,
@@ -34,7 +34,7 @@
 }
 
 impl ReceivedRpc {
-    /// Resolves its names again if other settings have become active since it was parsed.
+    /// Resolves its method and tenant names again if other settings have become active since it was parsed.
     ///
     /// # Errors
     /// It is not a valid RPC with the new settings; the error is the response to the client.
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Whether the last byte of the request was received and, if the body is streamed, handed over to an attempt. Before
-    /// that, no backend can have the complete request.
+    /// Whether the last byte of the request was received and, if the body is streamed, handed over to an attempt. Until
+    /// then, no backend can have the complete request.
     pub(crate) fn is_fully_received(&self) -> bool {
         self.upload().is_none_or(|upload| upload.is_complete())
     }
