--- a/crates/daemon/src/downstream/rpc_service.rs
+++ b/crates/daemon/src/downstream/rpc_service.rs
@@ -105,7 +105,7 @@
                 .check_response(log.request_id(), received_at + timeout);
         }
         log.end(outcome.reason);
-        // The rest of a streamed request is not read any more, so the next message can't be found.
+        // The rest of a streamed request is no longer read, so the next message can't be found.
         connection.set_closing(upload.is_some_and(|upload| !upload.is_complete()));
         outcome.response
     }
@@ -121,7 +121,8 @@
         if rpc.timeout.is_zero() {
             return RpcOutcome::new(ProxyResponse::rejected(), EndReason::ShuttingDown);
         }
-        // Reserves a place in the mailbox for the client's disconnect. Without one nothing is sent, and a retry is safe.
+        // Reserves a slot in the mailbox for the report of a disconnect. If there is none, the RPC is not handed over,
+        // so a retry is safe.
         let Ok(permit) = self.events.clone().try_reserve_owned() else {
             return RpcOutcome::new(ProxyResponse::rejected(), EndReason::Overloaded);
         };
@@ -150,7 +151,8 @@
         }
     }
 
-    /// Returns the RPC's timeout, shortened if the process shuts down before: no RPC may be without a response then.
+    /// Returns the RPC's timeout, shortened to the response deadline of a shutdown: no RPC may be without a response by
+    /// then.
     fn timeout_before_shutdown(&self, rpc: &ReceivedRpc) -> Duration {
         match self.state.borrow().response_deadline() {
             Some(deadline) => rpc
@@ -180,8 +182,8 @@
         receiver.await.ok()
     }
 
-    /// Waits for the response deadline of a shutdown that begins after the RPC was received, whose own deadline may be
-    /// later.
+    /// Waits for the response deadline of a shutdown that begins after the RPC was received. The RPC's own deadline may
+    /// be later.
     async fn shutdown_deadline(&self) {
         let mut state = self.state.clone();
         let deadline = state
