--- a/crates/daemon/src/upstream/backend_protocol.rs
+++ b/crates/daemon/src/upstream/backend_protocol.rs
@@ -1,4 +1,4 @@
-//! The names of the backend protocol on the wire: encodes requests to backends and classifies their responses.
+//! The wire names of the backend protocol. Encodes requests to backends and classifies their responses.
 use crate::downstream::request::{ParsedRequest, RequestPayload};
 use crate::end_reason::EndReason;
 use crate::net::body::RequestBody;
@@ -24,7 +24,7 @@
 
 /// Holds the load report of a backend.
 const LOAD_REPORT: HeaderName = HeaderName::from_static("server-load");
-/// Present with [`NOT_STARTED_SET`] on a response to a request that was rejected before any work on it.
+/// Set to [`NOT_STARTED_SET`] on the response to a request that was rejected before any work on it.
 const NOT_STARTED: HeaderName = HeaderName::from_static("not-started");
 const NOT_STARTED_SET: &str = "1";
 /// Separates name and value in a load report.
