--- a/crates/daemon/src/upstream/backend_protocol/tests.rs
+++ b/crates/daemon/src/upstream/backend_protocol/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the classification of responses.
 use super::*;
 use hyper::StatusCode;
 
-/// The body of an RPC's response may read like a load report and is none.
+/// The body of an RPC's response may look like a load report. If it were parsed as one, any response could change the
+/// load that is recorded for its backend.
 #[test]
 fn only_the_body_of_a_health_check_is_parsed_as_a_load_report() {
     let reply = || Reply {
