--- a/crates/daemon/src/upstream/exchange.rs
+++ b/crates/daemon/src/upstream/exchange.rs
@@ -5,7 +5,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Ends an exchange unless a byte of it may have been sent.
+/// The message that cancels an exchange unless a byte of it may have been sent.
 pub(crate) struct WithdrawIfUnsent;
 
 /// Cancels an exchange; none if it can't be cancelled.
@@ -31,7 +31,7 @@
     pub request: ParsedRequest,
     /// The client of the RPC; none for a health check.
     pub client: Option<ClientLiveness>,
-    /// When it must be sent and answered.
+    /// When it must be sent, and when it must have its response.
     pub deadlines: Deadlines,
     /// Cancels the exchange.
     pub cancel: CancelSignal,
