--- a/crates/daemon/src/upstream/response_stream.rs
+++ b/crates/daemon/src/upstream/response_stream.rs
@@ -7,7 +7,7 @@
 use tokio::select;
 use tokio::time::{Instant, timeout_at};
 
-/// Forwards the rest of a long response as it is received, at the pace of its client.
+/// Forwards the rest of a long response as it is received, as fast as its client reads it.
 ///
 /// # Errors
 /// The response was not forwarded completely; the error is the outcome of the attempt.
@@ -31,7 +31,7 @@
             Ok(Ok(None)) => break,
             Ok(Err(_)) | Err(_) => return Err(AttemptOutcome::Reset),
         };
-        // Ends a response without an end: no body may be longer than the limit.
+        // Stops an endless response: no body may be longer than the limit.
         bytes_left = bytes_left
             .checked_sub(bytes.len() as u64)
             .ok_or(AttemptOutcome::Reset)?;
