--- a/crates/daemon/src/upstream/exchange_kind.rs
+++ b/crates/daemon/src/upstream/exchange_kind.rs
@@ -1,4 +1,4 @@
-//! Purpose of an exchange with a backend, and the event that reports its end.
+//! The purpose of an exchange with a backend, and the event that reports its end.
 use crate::messages::{AttemptId, Event};
 use crate::upstream::result::ExchangeResult;
 
