--- a/crates/daemon/src/upstream/attempt/connect.rs
+++ b/crates/daemon/src/upstream/attempt/connect.rs
@@ -19,7 +19,7 @@
     /// Returns an idle connection, or else opens one to this address.
     ///
     /// # Errors
-    /// There is neither; the error is the outcome of the exchange.
+    /// No idle connection is available and none can be opened; the error is the outcome of the exchange.
     pub(super) async fn connect(&self, address: SocketAddr) -> Result<Checkout, AttemptOutcome> {
         if let Some(connection) = self.endpoint.idle.take().await {
             return Ok(Checkout {
@@ -47,7 +47,7 @@
 /// Returns the outcome of an exchange without a connection.
 fn connect_outcome(error: &ConnectError) -> AttemptOutcome {
     match error {
-        // A shortage on this machine must not count as a failure of the backend.
+        // A shortage of local resources must not count as a failure of the backend.
         ConnectError::Local(_) => AttemptOutcome::NotSent,
         ConnectError::TimedOut | ConnectError::Peer(_) | ConnectError::Handshake(_) => {
             AttemptOutcome::ConnectFailed
