--- a/crates/daemon/src/upstream/attempt/mod.rs
+++ b/crates/daemon/src/upstream/attempt/mod.rs
@@ -1,7 +1,7 @@
 //! Runs one exchange with a backend, an attempt or a health check, as a task of its own.
 //!
-//! The exchange takes or opens a connection ([`connect`]), sends the request and reads the response ([`send`]), until that
-//! ends or something ends it early ([`early_end`]). The completion guard reports the end to the decision actor.
+//! The exchange takes or opens a connection ([`connect`]), sends the request and reads the response ([`send`]). Several
+//! conditions end it early ([`early_end`]). The completion guard reports the end to the decision actor.
 mod connect;
 mod early_end;
 mod send;
@@ -51,7 +51,8 @@
         () = running.upload_failed() => ExchangeEnd::UploadFailed,
         () = running.backend_stalled() => ExchangeEnd::UploadFailed,
     };
-    // The connection of an exchange that ended early is closed by now, before the decision actor learns of the end.
+    // `select!` has dropped the connection of an exchange that ended early, so it is closed before the decision actor
+    // learns of the end.
     let reason = end.reason();
     let result = running.result(end);
     completion.set_result(result, reason);
@@ -61,7 +62,7 @@
 enum ExchangeEnd {
     /// It was cancelled, its backend became unavailable, or it would have been sent too late.
     Withdrawn(EndReason),
-    /// It ran to its end.
+    /// It completed, with or without a response.
     Completed(ExchangeResult),
     /// There was no response before the timeout.
     TimedOut,
@@ -86,7 +87,7 @@
 struct WriteProgress(RefCell<Option<Rc<Cell<u64>>>>);
 
 impl WriteProgress {
-    /// Follows the bytes written on this connection from now on.
+    /// Tracks the bytes written on this connection from now on.
     fn observe(&self, connection: &Connection) {
         self.0.replace(Some(connection.bytes_written()));
     }
@@ -124,7 +125,8 @@
                 AttemptOutcome::NotSent
             }
             ExchangeEnd::TimedOut if self.completion.is_sent() => {
-                // A machine that vanished leaves its connections silent, also those that were idle meanwhile.
+                // A host that has failed leaves its connections open but silent, including those that were idle during
+                // the exchange.
                 self.endpoint.idle.close_unused_since(self.started_at);
                 AttemptOutcome::TimedOut
             }
