--- a/crates/daemon/src/upstream/attempt/send.rs
+++ b/crates/daemon/src/upstream/attempt/send.rs
@@ -22,8 +22,9 @@
                 Ok(checkout) => checkout,
                 Err(outcome) => return outcome.into(),
             };
-            // Checked again now, however long the connect took and however late this process runs: no backend works for
-            // a client that has disconnected. The decision actor will receive that event and cancel the exchange.
+            // Checked right before sending, because the connect may have taken long or this process may run late: no
+            // backend works for a client that has disconnected. The decision actor will receive that event and cancel
+            // the exchange.
             let facts = self.send_facts(self.is_client_disconnected().await);
             if !self.may_send(&facts) {
                 if facts.is_client_disconnected {
@@ -31,7 +32,7 @@
                 }
                 return AttemptOutcome::NotSent.into();
             }
-            // The backend has moved meanwhile, and another one may use its former address.
+            // The backend's address has changed during the connect, and another backend may use the old one.
             if self.endpoint.address() != address {
                 continue;
             }
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Whether the client of this exchange has disconnected, as far as the system knows at this moment.
+    /// Whether the client of this exchange has disconnected, as far as the kernel knows now.
     async fn is_client_disconnected(&self) -> bool {
         match self.client {
             Some(client) => client.is_disconnected().await,
@@ -136,8 +137,8 @@
         classify_response(reply, self.request.is_health_check())
     }
 
-    /// Returns the outcome on a connection that failed: a backend can't have started a request whose last byte was not
-    /// written.
+    /// Returns the outcome of an exchange whose connection failed: a backend can't have started a request whose last
+    /// byte was not written.
     fn broken_outcome(&self) -> AttemptOutcome {
         if self.request.is_fully_received() {
             AttemptOutcome::Reset
