--- a/crates/daemon/src/upstream/attempt/early_end.rs
+++ b/crates/daemon/src/upstream/attempt/early_end.rs
@@ -1,5 +1,5 @@
 //! The conditions that end an exchange before its response. Each future is ready when the exchange has to end, and
-//! pending for ever if it may run to its end.
+//! pending forever if it may complete.
 use super::RunningExchange;
 use crate::clock;
 use crate::time_limits::UPLOAD_STALL_TIMEOUT;
@@ -8,11 +8,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Between two checks for progress of a streamed request.
+/// Interval between checks for progress of a streamed request.
 const UPLOAD_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl RunningExchange<'_> {
-    /// Returns if nothing was sent; pending for ever if a byte of the request may have been sent.
+    /// Returns if nothing was sent; pending forever if a byte of the request may have been sent.
     async fn unless_sent(&self) {
         if self.completion.is_sent() {
             pending::<()>().await;
@@ -41,8 +41,8 @@
         self.unless_sent().await;
     }
 
-    /// Waits for the timeout. That of a streamed request counts from its last byte, and ends nothing once the response
-    /// has started.
+    /// Waits for the timeout. For a streamed request it starts with the last byte. It no longer applies once a response
+    /// is being streamed.
     pub(super) async fn timed_out(&self) {
         let deadline = self.deadlines.response_deadline;
         match self.request.upload() {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Waits until a streamed request has failed before its last byte.
+    /// Waits until a streamed request fails before its last byte.
     pub(super) async fn upload_failed(&self) {
         match self.request.upload() {
             Some(upload) => drop(upload.failed().await),
