--- a/crates/daemon/src/upstream/idle_connections.rs
+++ b/crates/daemon/src/upstream/idle_connections.rs
@@ -1,6 +1,6 @@
-//! The pool of a backend's idle connections. A connection leaves it in one of four ways: the next exchange takes it, its
-//! close task drops it when the backend closes it or its reuse time is over, the socket budget evicts it to make room
-//! for another socket, or the endpoint actor clears the pool.
+//! The pool of a backend's idle connections. A connection leaves it in one of four ways: the next exchange takes it,
+//! its close task drops it when the backend closes it or its reuse time expires, the socket budget evicts it to make
+//! room for another socket, or the endpoint actor clears the pool.
 use crate::net::connection::Connection;
 use crate::net::socket_budget::{Evictable, EvictionCandidate, SocketBudget, SocketClass};
 use std::cell::{Cell, RefCell};
@@ -65,7 +65,7 @@
 pub(crate) struct IdleConnections {
     /// Ordered by their last use, the most recent last.
     idle: RefCell<Vec<Rc<IdleConnection>>>,
-    /// How long a connection may be idle and still be reused. Adapts to the path to the backend.
+    /// How long a connection may be idle and still be reused. Adapts to the network path to the backend.
     reuse_time: Cell<Duration>,
     /// Upper bound of `reuse_time`, from the settings.
     max_reuse: Duration,
@@ -100,7 +100,7 @@
     }
 
     /// Shortens the reuse time after a connection that had been idle for `idle_for` failed when it was reused. Prevents
-    /// repeated resets on a path that drops idle connections sooner than the settings say.
+    /// repeated resets on a path that drops idle connections sooner than the configured idle timeout.
     pub(crate) fn shorten_reuse(&self, idle_for: Duration) {
         self.reuse_time
             .update(|time| (idle_for / 2).max(MIN_REUSE).min(time));
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Takes the most recently used connection that has been silent, and closes those whose reuse time is over.
+    /// Takes the most recently used connection that has been silent, and closes those whose reuse time has expired.
     fn pop_latest(&self) -> Option<Rc<IdleConnection>> {
         let now = Instant::now();
         let reuse_time = self.reuse_time.get();
