--- a/crates/daemon/src/upstream/endpoint.rs
+++ b/crates/daemon/src/upstream/endpoint.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 
-/// Exchanges that may wait in an endpoint's mailbox. Further ones end as not sent.
+/// Number of exchanges that may wait in an endpoint's mailbox. Further ones end as not sent.
 const MAILBOX_CAPACITY: usize = 256;
 
 /// Fraction of a backend's idle timeout for which an idle connection is reused: no request may be written to a connection
@@ -37,10 +37,10 @@
 
 /// The decision actor's handle of an endpoint actor, which ends when the handle is dropped.
 pub(crate) struct EndpointHandle {
-    /// Takes exchanges to run. They are boxed, because a channel allocates space for 32 messages at once, and most
+    /// Receives exchanges to run. They are boxed because a channel allocates space for 32 messages at once, and most
     /// backends of a large fleet have none waiting.
     pub mailbox: mpsc::Sender<Box<Exchange>>,
-    /// Takes the backend's entry in the endpoint list whenever it changes.
+    /// Receives the backend's entry in the endpoint list whenever it changes.
     pub info: watch::Sender<EndpointInfo>,
 }
 
@@ -75,7 +75,8 @@
 }
 
 impl EndpointActor {
-    /// Runs until the backend is removed from the list. Running exchanges own their connections and go on by themselves.
+    /// Runs until the backend is removed from the list. Running exchanges own their connections and continue
+    /// without the actor.
     async fn run(self, mut exchanges: mpsc::Receiver<Box<Exchange>>) {
         let state = self.state;
         let mut info = state.info.clone();
