--- a/crates/daemon/src/upstream/endpoint_state.rs
+++ b/crates/daemon/src/upstream/endpoint_state.rs
@@ -22,7 +22,7 @@
 
 /// The state that an endpoint actor shares with the tasks of its exchanges.
 pub(super) struct EndpointState {
-    /// The latest information from the endpoint list; closed once the backend was removed from the list.
+    /// The latest information from the endpoint list; closed once the backend is removed from the list.
     pub info: watch::Receiver<EndpointInfo>,
     /// The backend's idle connections.
     pub idle: Rc<IdleConnections>,
