--- a/crates/daemon/src/upstream/completion_guard.rs
+++ b/crates/daemon/src/upstream/completion_guard.rs
@@ -8,8 +8,8 @@
 use std::cell::Cell;
 use tokio::sync::mpsc::{self, OwnedPermit};
 
-/// Reports the end of an exchange to the decision actor, exactly once, when it is dropped. It reserves a place in the
-/// actor's mailbox from the start, so the report can't be lost.
+/// Reports the end of an exchange to the decision actor, exactly once, when it is dropped. It holds a reserved slot in
+/// the actor's mailbox from the start, so the report can't be lost.
 pub(crate) struct CompletionGuard {
     kind: ExchangeKind,
     events: mpsc::Sender<Event>,
@@ -24,7 +24,7 @@
 }
 
 impl CompletionGuard {
-    /// Creates a guard that reports through `permit`, a place in the mailbox of `events`.
+    /// Creates a guard that reports through `permit`, a reserved slot in the mailbox of `events`.
     pub(crate) fn new(
         kind: ExchangeKind,
         events: mpsc::Sender<Event>,
@@ -56,7 +56,7 @@
         self.has_response_started.get()
     }
 
-    /// Sets the result to report. Without one the exchange counts as cancelled, or as not sent if nothing was.
+    /// Sets the result to report. Without one, the exchange counts as cancelled, or as not sent if no byte was sent.
     pub(super) fn set_result(&mut self, result: Option<ExchangeResult>, reason: EndReason) {
         self.result = result;
         self.reason = reason;
