--- a/crates/daemon/src/upstream/mod.rs
+++ b/crates/daemon/src/upstream/mod.rs
@@ -1,4 +1,5 @@
-//! Backends: an actor for each with its idle connections, and the exchanges (attempts and health checks) with it.
+//! The backend side of the proxy: an actor for each backend with its idle connections, and the exchanges (attempts and
+//! health checks) with it.
 
 mod attempt;
 pub(crate) mod backend_protocol;
