--- a/crates/daemon/src/upstream/result.rs
+++ b/crates/daemon/src/upstream/result.rs
@@ -6,13 +6,13 @@
 
 /// The result of an exchange.
 pub(crate) struct ExchangeResult {
-    /// The outcome as the decisions see it.
+    /// The outcome that is reported to the decision actor.
     pub outcome: AttemptOutcome,
-    /// What ended the exchange, for the log.
+    /// Why the exchange ended, for log lines.
     pub reason: EndReason,
     /// The load report of the response.
     pub report: Option<LoadReport>,
-    /// The response's body; empty without a response, and if the body was streamed.
+    /// The response's body; empty if there is no response or its body was streamed.
     pub body: Bytes,
 }
 
