--- a/crates/daemon/src/net/local_error.rs
+++ b/crates/daemon/src/net/local_error.rs
@@ -1,8 +1,8 @@
-//! Classifies errors of system calls that are caused by this machine rather than by a peer.
+//! Classifies errors of system calls that are caused by the local host rather than by a peer.
 use libc::{EMFILE, ENFILE, ENOBUFS, ENOMEM};
 use std::io::{self, ErrorKind};
 
-/// Error numbers of a shortage; the standard library has no error kinds for them.
+/// Error numbers that report a resource shortage; the standard library has no error kinds for them.
 const SHORTAGES: [i32; 4] = [ENFILE, EMFILE, ENOMEM, ENOBUFS];
 
 /// Whether the system has no descriptor or no memory left for a socket.
@@ -12,8 +12,8 @@
         .is_some_and(|number| SHORTAGES.contains(&number))
 }
 
-/// Whether a call failed because of a shortage or was interrupted by a signal. Both are often over in a moment, so the
-/// call may be repeated.
+/// Whether a call failed because of a resource shortage, was interrupted by a signal or would block. These conditions
+/// are often brief, so the call may be retried.
 pub(crate) fn is_local(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
         || is_resource_shortage(error)
