--- a/crates/daemon/src/net/inbound_stream.rs
+++ b/crates/daemon/src/net/inbound_stream.rs
@@ -18,11 +18,11 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// Longest read-ahead, in bytes. Ordinary clients send nothing while their RPC is in flight.
+/// Maximum number of bytes to read ahead. Ordinary clients send nothing while their RPC is in flight.
 const READ_AHEAD_LIMIT: usize = 16 << 10;
-/// Size of the buffer for one read, in bytes. It is on the stack.
+/// Size of the buffer for one read, in bytes. The buffer is on the stack.
 const READ_AHEAD_CHUNK: usize = 1 << 10;
-/// Between two checks for a disconnect that follows more bytes than are read ahead.
+/// Interval between checks for a disconnect that follows more than [`READ_AHEAD_LIMIT`] bytes.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A client's stream with read-ahead.
@@ -39,7 +39,7 @@
     reader: Option<Waker>,
 }
 
-/// The reason for which reading ahead stopped.
+/// Why reading ahead stopped.
 enum ReadAheadOutcome {
     /// The client has closed or reset the connection.
     Ended,
@@ -53,13 +53,13 @@
 #[derive(Clone)]
 pub(crate) struct ReadAhead(Rc<RefCell<ReadState>>);
 
-/// Tells whether a client is connected, without keeping its connection open.
+/// Reports whether a client is connected, without keeping its connection open.
 #[derive(Clone)]
 pub(crate) struct ClientLiveness(Weak<RefCell<ReadState>>);
 
 impl ClientLiveness {
-    /// Whether the client has disconnected, as far as the system knows at this moment. The event loop may not know yet,
-    /// for example after this process was suspended.
+    /// Whether the client has disconnected, as far as the kernel knows now. The event loop may not have been notified
+    /// yet, for example after this process was suspended.
     pub(crate) async fn is_disconnected(&self) -> bool {
         let Some(reads) = self.0.upgrade() else {
             return true;
@@ -70,7 +70,7 @@
             ReadAheadOutcome::Drained => return false,
             ReadAheadOutcome::BufferFull => drop(reads),
         }
-        // Lets the event loop learn of a disconnect behind the bytes that don't fit into the buffer.
+        // Lets the event loop detect a disconnect that follows the bytes that don't fit into the buffer.
         yield_now().await;
         self.0.upgrade().is_none_or(|reads| {
             let mut cx = Context::from_waker(Waker::noop());
@@ -101,7 +101,7 @@
 }
 
 impl ReadState {
-    /// Whether the event loop knows that the stream has ended.
+    /// Whether the event loop was notified that the stream has ended.
     fn is_read_closed(&self, cx: &mut Context) -> bool {
         let ready = pin!(self.half.ready(Interest::READABLE)).poll(cx);
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
@@ -121,8 +121,8 @@
         Poll::Ready(ReadAheadOutcome::BufferFull)
     }
 
-    /// Reads the bytes that the system has received, without the event loop. This is usually a single system call, which
-    /// reads nothing.
+    /// Reads the bytes that the kernel has received, bypassing the event loop. This is usually a single system call
+    /// that reads nothing.
     fn read_available(&mut self) -> ReadAheadOutcome {
         let mut chunk = [0; READ_AHEAD_CHUNK];
         while self.buffered.len() < READ_AHEAD_LIMIT {
@@ -146,12 +146,12 @@
 }
 
 impl ReadAhead {
-    /// Returns a handle that tells whether the client is connected.
+    /// Returns a handle that reports whether the client is connected.
     pub(crate) fn liveness(&self) -> ClientLiveness {
         ClientLiveness(Rc::downgrade(&self.0))
     }
 
-    /// Reads ahead the bytes that the system has received.
+    /// Reads ahead the bytes that the kernel has received.
     pub(crate) fn read_available(&self) {
         let _ = self.0.borrow_mut().read_available();
     }
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Whether the event loop knows that the stream has ended behind bytes that the socket still holds.
+    /// Whether the event loop was notified that the stream has ended, even if the socket still holds unread bytes.
     async fn is_read_closed(&self) -> bool {
         poll_fn(|cx| Poll::Ready(self.0.borrow().is_read_closed(cx))).await
     }
