--- a/crates/daemon/src/net/connect.rs
+++ b/crates/daemon/src/net/connect.rs
@@ -1,4 +1,4 @@
-//! Opens a TCP connection, and retries when this machine has no socket for it.
+//! Opens a TCP connection, and retries if the local host has no socket for it.
 use crate::net::local_error::is_local;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
 
-/// How long failures of this machine are retried.
+/// How long local failures are retried.
 const LOCAL_FAILURE_TIMEOUT: Duration = Duration::from_millis(50);
 /// Backoff before the first retry; doubled with each further one.
 const FIRST_RETRY_BACKOFF: Duration = Duration::from_millis(1);
@@ -21,7 +21,7 @@
     /// The peer, or the network on the way to it, refused the connection.
     #[error("connect failed: {0}")]
     Peer(io::Error),
-    /// This machine had no socket for the connection, also after retries.
+    /// The local host had no socket for the connection, even after retries.
     #[error("no local socket for a connection: {0}")]
     Local(io::Error),
     /// The HTTP handshake failed.
@@ -29,10 +29,10 @@
     Handshake(hyper::Error),
 }
 
-/// Connects to this address. Failures of this machine are often over in a moment, so they are retried.
+/// Connects to this address. Local failures are often brief, so they are retried.
 ///
 /// # Errors
-/// The peer can't be reached, or this machine has no socket for longer than [`LOCAL_FAILURE_TIMEOUT`].
+/// The peer can't be reached, or the local host has no socket for longer than [`LOCAL_FAILURE_TIMEOUT`].
 pub(super) async fn connect(address: SocketAddr) -> Result<TcpStream, ConnectError> {
     let mut backoff = FIRST_RETRY_BACKOFF;
     let retry_until = Instant::now() + LOCAL_FAILURE_TIMEOUT;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Whether a connect failed for lack of a resource of this machine. `EADDRNOTAVAIL` means that all local ports are in use.
+/// Whether a connect failed for a reason on the local host. `EADDRNOTAVAIL` means that all local ports are in use.
 fn is_local_failure(error: &io::Error) -> bool {
     is_local(error) || error.kind() == ErrorKind::AddrNotAvailable
 }
