--- a/crates/daemon/src/net/body/request_body.rs
+++ b/crates/daemon/src/net/body/request_body.rs
@@ -1,4 +1,4 @@
-//! The body of a request on its way to a backend, for one attempt.
+//! The body of a request as one attempt sends it to a backend.
 use crate::net::body::{BodyTruncated, NextFrame, RequestUpload, poll_buffered};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -16,7 +16,7 @@
 }
 
 impl RequestBody {
-    /// Creates the body of a further attempt, which starts with the first byte of the upload.
+    /// Creates the body of another attempt, which starts with the first byte of the upload.
     pub(crate) fn streamed(upload: &Rc<RequestUpload>) -> Self {
         Self::Streamed(UploadReader {
             first_part: Some(upload.first_part()),
@@ -56,7 +56,7 @@
     }
 }
 
-/// The view of one attempt on an upload that all attempts of an RPC share.
+/// One attempt's view of an upload that all attempts of an RPC share.
 pub(crate) struct UploadReader {
     /// The buffered bytes, until this attempt has sent them.
     first_part: Option<Bytes>,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Permits another attempt to read from the client.
+/// Allows another attempt to read from the client.
 impl Drop for UploadReader {
     fn drop(&mut self) {
         if self.is_reader {
