--- a/crates/daemon/src/net/body/upload.rs
+++ b/crates/daemon/src/net/body/upload.rs
@@ -11,10 +11,10 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-/// The reason for which the body of a streamed request will never be complete.
+/// Why the body of a streamed request will never be complete.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum UploadError {
-    /// It exceeds the longest permitted length.
+    /// It exceeds the maximum length.
     LimitExceeded,
     /// It is malformed, or the client's connection failed before the last byte.
     Truncated,
@@ -22,21 +22,21 @@
     Stalled,
 }
 
-/// The state of the body on the client's side.
+/// How much of the body was received from the client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum UploadState {
     /// More bytes are expected from the client.
     Receiving,
     /// The last byte was received at this time.
     Complete(Instant),
-    /// The rest of the body is not waited for.
+    /// The body will not be complete, and its rest is not awaited.
     Failed(UploadError),
 }
 
 /// The body of a request that is too long to be buffered. Its first part is buffered, the rest is read from the client by
 /// one attempt at a time.
 pub(crate) struct RequestUpload {
-    /// Kept for a retry until bytes behind it were sent.
+    /// Kept for a retry until bytes that follow it are sent.
     first_part: RefCell<Bytes>,
     remaining: RefCell<Incoming>,
     /// Length of the whole body, if the client declared it.
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Whether an attempt waits for bytes of the client, rather than for its backend.
+    /// Whether an attempt waits for bytes from the client rather than for its backend.
     pub(crate) fn is_waiting_for_client(&self) -> bool {
         self.is_waiting_for_client.get()
     }
 
-    /// When the body is complete or has failed, at the latest.
+    /// The latest time at which the body is complete or has failed.
     pub(crate) fn latest_end(&self) -> Instant {
         self.deadline.get().limit()
     }
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Waits until the upload has failed and returns the reason. Pending for ever once the last byte was received.
+    /// Waits until the upload fails and returns the reason. Pending forever once the last byte was received.
     pub(crate) async fn failed(&self) -> UploadError {
         loop {
             let deadline = self.deadline.get().expires_at();
@@ -150,12 +150,12 @@
         !self.has_reader.replace(true)
     }
 
-    /// Permits another attempt to become the reader.
+    /// Allows another attempt to become the reader.
     pub(super) fn release_reader(&self) {
         self.has_reader.set(false);
     }
 
-    /// Reads the next bytes behind the first part from the client; none at the end of the body.
+    /// Reads the next bytes after the first part from the client; none at the end of the body.
     pub(super) fn poll_remaining(
         &self,
         cx: &mut Context,
