--- a/crates/daemon/src/net/body/response_body.rs
+++ b/crates/daemon/src/net/body/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of a response on its way to a client.
+//! The body of a response as it is sent to a client.
 use crate::net::body::{BodyTruncated, NextFrame, StreamedBody, poll_buffered};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -8,12 +8,12 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
 
-/// Whether a [`ResponseBody`] has handed over its last byte. Outlives the body.
+/// Whether the last byte of a [`ResponseBody`] was handed over to the client's connection. Outlives the body.
 #[derive(Clone, Default)]
 pub(crate) struct DeliveryStatus(Rc<Cell<bool>>);
 
 impl DeliveryStatus {
-    /// Whether the last byte was handed over to the client's connection.
+    /// Whether the last byte was handed over.
     pub(crate) fn is_complete(&self) -> bool {
         self.0.get()
     }
@@ -25,7 +25,7 @@
     Streamed(StreamedBody),
 }
 
-/// The body of a response on its way to a client.
+/// The body of a response as it is sent to a client.
 pub(crate) struct ResponseBody {
     source: Source,
     delivery: DeliveryStatus,
