--- a/crates/daemon/src/net/body/mod.rs
+++ b/crates/daemon/src/net/body/mod.rs
@@ -1,5 +1,5 @@
-//! Bodies of requests and responses. Short ones are buffered; longer ones are streamed, a frame at a time, at the pace of
-//! their reader.
+//! Bodies of requests and responses. Short ones are buffered; longer ones are streamed frame by frame, as fast as the
+//! receiver reads them.
 pub(crate) mod request_body;
 pub(crate) mod response_body;
 pub(crate) mod streamed_body;
@@ -17,9 +17,9 @@
 use std::task::{Context, Poll};
 use thiserror::Error;
 
-/// Longest body that is buffered, in bytes.
+/// Maximum length of a buffered body, in bytes.
 pub(crate) const BUFFERED_BODY_LIMIT: usize = 64 << 10;
-/// Longest body that the protocol permits, in bytes.
+/// Maximum length of a body in the protocol, in bytes.
 pub(crate) const BODY_LIMIT: u64 = 32 << 20;
 
 /// A body ended before its last byte.
