--- a/crates/daemon/src/net/body/streamed_body.rs
+++ b/crates/daemon/src/net/body/streamed_body.rs
@@ -1,4 +1,4 @@
-//! The body of a response that is streamed from a backend's connection to a client's, a chunk at a time.
+//! The body of a response that is streamed chunk by chunk from a backend's connection to a client's.
 use crate::net::body::BodyTruncated;
 use bytes::Bytes;
 use std::cell::Cell;
@@ -6,7 +6,8 @@
 use std::task::{Context, Poll, ready};
 use tokio::sync::mpsc;
 
-/// Chunks that are buffered between the two connections. With a single one, the backend sends at the client's pace.
+/// Number of chunks that are buffered between the two connections. With a single one, the backend sends only as fast as
+/// the client reads.
 const BUFFERED_CHUNKS: usize = 1;
 
 /// The sending end of a streamed body. Dropping it without [`BodySender::finish`] truncates the body.
