--- a/crates/daemon/src/net/progress_deadline.rs
+++ b/crates/daemon/src/net/progress_deadline.rs
@@ -3,8 +3,8 @@
 use tokio::time::Instant;
 
 /// The deadline of a transfer that a peer sends or reads in pieces. Each step of progress extends it, but never beyond
-/// a limit that is fixed at the start: a peer that moves a few bytes from time to time can't keep a connection open
-/// for ever.
+/// a limit that is fixed at the start: a peer that transfers a few bytes from time to time can't keep a connection open
+/// forever.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ProgressDeadline {
     expires_at: Instant,
@@ -47,7 +47,7 @@
         self.expires_at
     }
 
-    /// When it expires whatever progress there is.
+    /// The latest time at which the deadline expires, however much progress there is.
     pub(crate) fn limit(&self) -> Instant {
         self.limit
     }
