--- a/crates/daemon/src/net/linger.rs
+++ b/crates/daemon/src/net/linger.rs
@@ -3,13 +3,14 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Bytes that are discarded before the connection is closed even though the peer goes on sending.
+/// Number of discarded bytes after which the connection is closed even if the peer is still sending.
 const DISCARD_LIMIT_BYTES: usize = 4 << 20;
 /// Size of the buffer for one read, in bytes.
 const DISCARD_CHUNK_BYTES: usize = 16 << 10;
 
-/// Shuts down the write half, discards what the peer still sends and closes the connection, after `time_limit` at the
-/// latest. Closing a socket with unread bytes resets the connection, and the peer might lose the last response.
+/// Shuts down the write half, discards the bytes that the peer still sends and closes the connection, after
+/// `time_limit` at the latest. Closing a socket with unread bytes resets the connection, and the peer might lose the
+/// last response.
 pub(crate) async fn linger(mut stream: impl AsyncRead + AsyncWrite + Unpin, time_limit: Duration) {
     let discard = async {
         let mut chunk = vec![0; DISCARD_CHUNK_BYTES];
@@ -24,6 +25,6 @@
         }
         std::io::Result::Ok(())
     };
-    // The connection is closed now in any case, whether the peer closed it, it failed or the time is over.
+    // Whether the peer closed the connection, it failed or the time limit was reached, the connection is closed now.
     let _ = timeout(time_limit, discard).await;
 }
