--- a/crates/daemon/src/net/socket.rs
+++ b/crates/daemon/src/net/socket.rs
@@ -1,7 +1,7 @@
-//! Reads and writes a socket, with interrupted and short system calls.
+//! Reads from and writes to a socket, and handles interrupted and short system calls.
 //!
-//! An interrupted call is repeated, and only `EWOULDBLOCK` means that the socket isn't ready. The stream types of tokio
-//! also take a short read or write for that, and then wait for an event that may never come.
+//! An interrupted call is repeated, and only `EWOULDBLOCK` means that the socket isn't ready. tokio's stream types also
+//! take a short read or write as a sign that it isn't, and then wait for a readiness event that may never come.
 use std::io::{self, ErrorKind};
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -44,7 +44,7 @@
     matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
 }
 
-/// A TCP connection that repeats interrupted and short calls.
+/// A TCP connection that uses [`poll_read`] and [`poll_write`].
 pub(crate) struct Socket(pub TcpStream);
 
 impl AsyncRead for Socket {
