--- a/crates/daemon/src/net/observed_stream.rs
+++ b/crates/daemon/src/net/observed_stream.rs
@@ -7,11 +7,11 @@
 
 /// Observes the reads and writes of an [`ObservedStream`].
 pub(crate) trait IoObserver: Unpin {
-    /// These bytes were read.
+    /// Called after these bytes were read.
     fn on_read(&self, _bytes: &[u8]) {}
-    /// The system has accepted this number of bytes to send.
+    /// Called after the kernel has accepted this number of bytes to send.
     fn on_write(&self, _bytes: u64) {}
-    /// The system has accepted all bytes written so far.
+    /// Called after a flush: the kernel has accepted all bytes written so far.
     fn on_flush(&self) {}
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl<O, S> ObservedStream<O, S> {
-    /// Reports the reads and writes of `stream` to `observer`.
+    /// Creates a stream that reports the reads and writes of `stream` to `observer`.
     pub(crate) fn new(stream: S, observer: O) -> Self {
         Self { stream, observer }
     }
