--- a/crates/daemon/src/net/socket_budget.rs
+++ b/crates/daemon/src/net/socket_budget.rs
@@ -6,15 +6,15 @@
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
 
-/// Concurrent admin connections; each has a reserved descriptor.
+/// Maximum number of concurrent admin connections; each has a reserved descriptor.
 pub(crate) const ADMIN_CONNECTIONS: usize = 8;
 /// Descriptors reserved for standard streams, listeners, epoll, discovery and connections beyond the budget that are
 /// rejected.
 const BASE_RESERVED_DESCRIPTORS: usize = 40;
-/// All reserved descriptors: also those of admin connections and of the process group.
+/// All reserved descriptors, including those of admin connections and of the process group.
 const RESERVED_DESCRIPTORS: usize =
     BASE_RESERVED_DESCRIPTORS + ADMIN_CONNECTIONS + PROCESS_GROUP_DESCRIPTORS;
-/// Sockets in the budget, however low the configured limit is.
+/// Minimum number of sockets in the budget, however low the configured limit is.
 const MIN_SOCKETS: usize = 8;
 
 /// A class of sockets with its own limit.
@@ -44,7 +44,7 @@
 struct ClassBudget {
     open: Cell<usize>,
     limit: Cell<usize>,
-    /// Whether the exhaustion was logged. Reset when the class has a free permit again.
+    /// Whether the exhaustion was logged. Reset once the class has a free permit again.
     is_exhaustion_logged: Cell<bool>,
     evictable: RefCell<BTreeMap<EvictionOrder, Weak<dyn Evictable>>>,
     next_registration: Cell<u64>,
@@ -70,7 +70,7 @@
     order: EvictionOrder,
 }
 
-/// Returns how many descriptors the system permits this process; none if that can't be read.
+/// Returns the system's limit of open descriptors for this process; none if it can't be read.
 fn descriptor_limit() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = limits
@@ -80,8 +80,8 @@
 }
 
 impl SocketBudget {
-    /// Creates a budget of the configured number of sockets, or of fewer if the system permits no more. Otherwise clients
-    /// could take the last descriptor, which the connection to the discovery service needs.
+    /// Creates a budget of the configured number of sockets, or of the system's descriptor limit if that is lower.
+    /// Otherwise clients could take the last descriptor, which the connection to the discovery service needs.
     pub(crate) fn new(configured: usize) -> Rc<Self> {
         let sockets = configured.min(descriptor_limit().unwrap_or(configured));
         if sockets < configured {
@@ -98,7 +98,8 @@
         Rc::new(budget)
     }
 
-    /// Divides the budget evenly among this number of processes, and evicts idle connections beyond the new limits.
+    /// Divides the budget evenly among this number of processes, and evicts idle connections that exceed the new
+    /// limits.
     pub(crate) fn divide(&self, processes: usize) {
         let sockets = (self.sockets / processes)
             .saturating_sub(RESERVED_DESCRIPTORS)
