--- a/crates/daemon/src/net/connection.rs
+++ b/crates/daemon/src/net/connection.rs
@@ -1,7 +1,7 @@
 //! An HTTP/1.1 connection that this proxy opens, to a backend or to the discovery service.
 //!
-//! The owner of a [`Connection`] drives it: no task behind it could keep the socket open or send a request again. Dropping
-//! it closes the socket and returns its permit to the budget.
+//! The owner of a [`Connection`] drives it. There is no background task that could keep the socket open or send a
+//! request again. Dropping the connection closes the socket and returns its permit to the budget.
 use crate::net::body::RequestBody;
 use crate::net::connect::{ConnectError, connect};
 use crate::net::observed_stream::ObservedStream;
@@ -22,16 +22,16 @@
 use thiserror::Error;
 use tokio::time::{Instant, timeout_at};
 
-/// Bytes that hyper buffers of a connection, which bounds the head of a response.
+/// Maximum number of bytes that hyper buffers for a connection, which limits the head of a response.
 const READ_BUFFER_LIMIT: usize = 64 << 10;
 
-/// An exchange on a connection failed.
+/// The failure of an exchange on a connection.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub(crate) enum ConnectionError {
     /// The connection ended before a byte of the request was written.
     #[error("connection closed before the request was sent")]
     NotSent,
-    /// The connection ended after that, before a response: the request may have run.
+    /// The connection ended after a byte of the request was written, before a response: the request may have run.
     #[error("connection closed before the response")]
     Closed,
     /// The response is malformed, truncated or longer than the protocol permits: the request has run.
@@ -62,11 +62,11 @@
 type BackendStream = ObservedStream<Rc<Cell<u64>>, Socket>;
 type Http1Connection = http1::Connection<TokioIo<BackendStream>, RequestBody>;
 
-/// Moves the bytes of a connection. Empty once the connection has ended, which closes the socket.
+/// Performs the I/O of a connection. Empty once the connection has ended, which closes the socket.
 struct Driver(Option<Pin<Box<Http1Connection>>>);
 
 impl Driver {
-    /// Moves bytes; true once the connection has ended.
+    /// Performs pending I/O; true once the connection has ended.
     fn poll_ended(&mut self, cx: &mut Context) -> bool {
         if let Some(connection) = &mut self.0
             && connection.as_mut().poll(cx).is_ready()
@@ -125,7 +125,7 @@
         })
     }
 
-    /// Moves bytes; true once the connection has ended.
+    /// Performs pending I/O; true once the connection has ended.
     pub(crate) fn poll_closed(&mut self, cx: &mut Context) -> bool {
         self.driver.poll_ended(cx)
     }
@@ -206,14 +206,15 @@
         })
     }
 
-    /// Buffers a response's body up to its end, or up to the limit beyond which the rest may be streamed.
+    /// Buffers a response's body until it ends, or until it exceeds the limit and the rest may be streamed.
     async fn buffer_body(
         &mut self,
         length: Option<u64>,
         limit: usize,
         may_stream: bool,
     ) -> Result<BufferedBody, ConnectionError> {
-        // A body with a longer declared length is streamed from its first byte: the timeout of the attempt ends there.
+        // A body whose declared length exceeds the limit is streamed from its first byte, because the timeout of the
+        // attempt no longer applies once the stream has started.
         if may_stream && length.is_some_and(|length| length > limit as u64) {
             return Ok(BufferedBody {
                 bytes: Bytes::new(),
@@ -267,7 +268,7 @@
     }
 }
 
-/// Whether a response declares its framing in two ways, of which one must be wrong.
+/// Whether a response declares the framing of its body both by a length and by a transfer coding: its end is ambiguous.
 fn is_framed_twice(headers: &HeaderMap) -> bool {
     headers.contains_key(TRANSFER_ENCODING) && headers.contains_key(CONTENT_LENGTH)
 }
