--- a/crates/daemon/src/net/mod.rs
+++ b/crates/daemon/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets and HTTP bodies, for clients and backends: socket budget, streams, connections and flow control.
+//! Sockets and HTTP bodies, for both clients and backends: the socket budget, streams, connections and flow control.
 
 pub(crate) mod body;
 pub(crate) mod connect;
