--- a/crates/daemon/src/end_reason.rs
+++ b/crates/daemon/src/end_reason.rs
@@ -1,9 +1,9 @@
-//! The reason for which a client's connection, an RPC or an attempt ended, as it is logged.
+//! Why a client's connection, an RPC or an attempt ended, as it is logged.
 use crate::log_budget::client_line_level;
 use log::Level;
 use std::fmt;
 
-/// The reason for which a connection, an RPC or an attempt ended.
+/// Why a connection, an RPC or an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum EndReason {
     /// Connection: the client closed it between two messages.
@@ -30,9 +30,9 @@
     Drained,
     /// RPC: a backend's response was forwarded.
     Served,
-    /// RPC: rejected by the decisions. It had no effect, or is idempotent.
+    /// RPC: rejected by the decision actor. It had no effect, or is idempotent.
     RejectedByDecision,
-    /// RPC: failed by the decisions.
+    /// RPC: failed by the decision actor.
     FailedByDecision,
     /// RPC: it had no response by its deadline.
     DeadlineExceeded,
@@ -44,9 +44,9 @@
     InvalidRequest,
     /// RPC: its streamed body stalled, or was not complete in time.
     BodyStalled,
-    /// Attempt: it ran to its end.
+    /// Attempt: it completed, with or without a response.
     Completed,
-    /// Attempt: cancelled by the decisions, or because its RPC ended.
+    /// Attempt: cancelled by the decision actor, or because its RPC ended.
     Cancelled,
     /// Attempt: its backend accepts no new requests.
     EndpointUnavailable,
