--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -1,6 +1,6 @@
 //! The state of a client's connection: its phase, when it is to be closed, and whether it may be evicted.
 use crate::downstream::connection_phase::{ConnectionPhase, ScheduledClose};
-use crate::downstream::head_scan::Framings;
+use crate::downstream::head_scan::FramingCounts;
 use crate::downstream::message_scan::MessageScan;
 use crate::end_reason::EndReason;
 use crate::lifecycle::state::DrainDeadlines;
@@ -159,9 +159,9 @@
         self.is_closing.set(is_closing);
     }
 
-    /// Takes the body framings that the head of the current message declares; none if no complete head was scanned.
-    pub(crate) fn take_framings(&self) -> Option<Framings> {
-        self.scan.borrow_mut().take_framings()
+    /// Takes the framing counts of the head of the current message; none if no complete head was scanned.
+    pub(crate) fn take_framing_counts(&self) -> Option<FramingCounts> {
+        self.scan.borrow_mut().take_framing_counts()
     }
 
     /// Registers the connection with the budget as the most recently active one of its rank.
--- a/crates/daemon/src/downstream/head_scan.rs
+++ b/crates/daemon/src/downstream/head_scan.rs
@@ -9,17 +9,17 @@
 
 /// How often a head declares the framing of its body, counted by header field.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Framings {
+pub(crate) struct FramingCounts {
     /// `Content-Length` fields.
-    pub lengths: usize,
+    pub content_lengths: usize,
     /// `Transfer-Encoding` fields.
-    pub codings: usize,
+    pub transfer_encodings: usize,
 }
 
-impl Framings {
+impl FramingCounts {
     /// Whether the framing is declared at most once, so that the end of the body is unambiguous.
     pub(crate) fn is_unambiguous(self) -> bool {
-        self.lengths + self.codings <= 1
+        self.content_lengths + self.transfer_encodings <= 1
     }
 }
 
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ScannedHead {
     /// The number of declarations.
-    pub framings: Framings,
+    pub framing_counts: FramingCounts,
     /// The framing that follows from them.
     pub body: BodyFraming,
 }
@@ -99,9 +99,9 @@
         let fields = request.headers.iter();
         fields.filter(move |field| field.name.eq_ignore_ascii_case(name))
     };
-    let framings = Framings {
-        lengths: fields_named("content-length").count(),
-        codings: fields_named("transfer-encoding").count(),
+    let framing_counts = FramingCounts {
+        content_lengths: fields_named("content-length").count(),
+        transfer_encodings: fields_named("transfer-encoding").count(),
     };
     let length = fields_named("content-length")
         .next()
@@ -110,13 +110,16 @@
         .next()
         .map(|field| field.value);
     let body = match (length, coding) {
-        _ if !is_well_formed || !framings.is_unambiguous() => BodyFraming::Ambiguous,
+        _ if !is_well_formed || !framing_counts.is_unambiguous() => BodyFraming::Ambiguous,
         (None, None) => BodyFraming::Length(0),
         (_, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") => BodyFraming::Chunked,
         (_, Some(_)) => BodyFraming::Ambiguous,
         (Some(length), None) => parse_length(length),
     };
-    ScannedHead { framings, body }
+    ScannedHead {
+        framing_counts,
+        body,
+    }
 }
 
 /// Parses the value of `Content-Length`.
--- a/crates/daemon/src/downstream/head_scan/tests.rs
+++ b/crates/daemon/src/downstream/head_scan/tests.rs
@@ -16,9 +16,9 @@
             bytes_left += if found.is_some() { piece.len() } else { 0 };
         }
         let expected = ScannedHead {
-            framings: Framings {
-                lengths: 2,
-                codings: 1,
+            framing_counts: FramingCounts {
+                content_lengths: 2,
+                transfer_encodings: 1,
             },
             body: BodyFraming::Ambiguous,
         };
--- a/crates/daemon/src/downstream/message_scan.rs
+++ b/crates/daemon/src/downstream/message_scan.rs
@@ -1,6 +1,6 @@
 //! Finds the end of each message in the bytes that a client sends. hyper may have buffered part of the next message,
 //! and doesn't report that the client has stopped in the middle of it.
-use crate::downstream::head_scan::{BodyFraming, Framings, HeadScan, ScannedHead};
+use crate::downstream::head_scan::{BodyFraming, FramingCounts, HeadScan, ScannedHead};
 use std::collections::VecDeque;
 use thiserror::Error;
 
@@ -72,8 +72,8 @@
 #[derive(Default)]
 pub(super) struct MessageScan {
     part: MessagePart,
-    /// The framings of the complete heads that were not taken yet, the earliest first.
-    framings: VecDeque<Framings>,
+    /// The framing counts of the complete heads that were not taken yet, the earliest first.
+    framing_counts: VecDeque<FramingCounts>,
 }
 
 impl MessageScan {
@@ -84,9 +84,9 @@
         }
     }
 
-    /// Takes the framings of the earliest complete head whose framings were not taken yet.
-    pub(super) fn take_framings(&mut self) -> Option<Framings> {
-        self.framings.pop_front()
+    /// Takes the framing counts of the earliest complete head whose counts were not taken yet.
+    pub(super) fn take_framing_counts(&mut self) -> Option<FramingCounts> {
+        self.framing_counts.pop_front()
     }
 
     /// Whether the current message has begun and is incomplete.
@@ -142,7 +142,7 @@
 
     /// Returns the part that follows a complete head.
     fn begin_body(&mut self, head: ScannedHead) -> MessagePart {
-        self.framings.push_back(head.framings);
+        self.framing_counts.push_back(head.framing_counts);
         match head.body {
             BodyFraming::Length(0) => MessagePart::default(),
             BodyFraming::Length(length) => MessagePart::Body { bytes_left: length },
--- a/crates/daemon/src/downstream/message_scan/tests.rs
+++ b/crates/daemon/src/downstream/message_scan/tests.rs
@@ -12,8 +12,8 @@
 struct Scanned {
     /// Whether the last message is incomplete.
     is_inside_message: bool,
-    /// The framings of all complete heads.
-    framings: Vec<Framings>,
+    /// The framing counts of all complete heads.
+    framing_counts: Vec<FramingCounts>,
 }
 
 /// Scans these bytes in pieces of every size, and checks that the result is always the same.
@@ -23,7 +23,7 @@
         let pieces = bytes.as_bytes().chunks(size);
         pieces.for_each(|piece| scan.feed(piece));
         Scanned {
-            framings: std::iter::from_fn(|| scan.take_framings()).collect(),
+            framing_counts: std::iter::from_fn(|| scan.take_framing_counts()).collect(),
             is_inside_message: scan.is_inside_message(),
         }
     });
@@ -43,7 +43,7 @@
         assert!(!scan(&messages).is_inside_message, "{messages:?}");
     }
     let scanned = scan(&[GET, CHUNKED, POST, GET].concat());
-    assert_eq!(scanned.framings.len(), 4);
+    assert_eq!(scanned.framing_counts.len(), 4);
 }
 
 #[test]
@@ -68,9 +68,9 @@
         "the end of an ambiguous message can't be found"
     );
     let are_unambiguous: Vec<_> = scanned
-        .framings
+        .framing_counts
         .iter()
-        .map(|framings| framings.is_unambiguous())
+        .map(|framing_counts| framing_counts.is_unambiguous())
         .collect();
     assert_eq!(are_unambiguous, [true, false]);
 }
--- a/crates/daemon/src/downstream/request_parser.rs
+++ b/crates/daemon/src/downstream/request_parser.rs
@@ -1,7 +1,7 @@
 //! Parses a client's HTTP message into a typed RPC.
 use crate::config::name_table::ActiveNames;
 use crate::downstream::client_protocol::{self, RequestInfo};
-use crate::downstream::head_scan::Framings;
+use crate::downstream::head_scan::FramingCounts;
 use crate::downstream::request::{ParsedRequest, ReceivedRpc};
 use crate::downstream::request_body::receive_payload;
 use crate::downstream::request_error::RequestError;
@@ -30,11 +30,11 @@
     pub(crate) async fn parse(
         &self,
         message: Request<Incoming>,
-        framings: Option<Framings>,
+        framing_counts: Option<FramingCounts>,
         body_deadline: ProgressDeadline,
     ) -> Result<ReceivedRpc, ProxyResponse> {
         let (head, body) = message.into_parts();
-        check_framing(&head.headers, framings)?;
+        check_framing(&head.headers, framing_counts)?;
         let (version, method) = {
             let names = self.names.borrow();
             (names.version, names.method(head.uri.path())?)
@@ -72,11 +72,14 @@
 /// Checks that a head declares the framing of its body at most once, in a supported way. This prevents request
 /// smuggling: hyper ignores a `Content-Length` next to a `Transfer-Encoding`, so a body that another proxy treats as
 /// part of a single message could hold a second RPC.
-fn check_framing(headers: &HeaderMap, framings: Option<Framings>) -> Result<(), RequestError> {
+fn check_framing(
+    headers: &HeaderMap,
+    framing_counts: Option<FramingCounts>,
+) -> Result<(), RequestError> {
     let coding = client_protocol::single_value(headers, &TRANSFER_ENCODING)?;
     let is_supported =
         coding.is_none_or(|coding| coding.as_bytes().eq_ignore_ascii_case(b"chunked"));
-    if framings.is_some_and(Framings::is_unambiguous) && is_supported {
+    if framing_counts.is_some_and(FramingCounts::is_unambiguous) && is_supported {
         return Ok(());
     }
     Err(RequestError::AmbiguousFraming)
--- a/crates/daemon/src/downstream/rpc_service.rs
+++ b/crates/daemon/src/downstream/rpc_service.rs
@@ -62,11 +62,11 @@
         connection: &ClientConnection,
         client: ClientLiveness,
     ) -> ProxyResponse {
-        let framings = connection.take_framings();
+        let framing_counts = connection.take_framing_counts();
         if message.method() == Method::GET && message.uri().path() == READINESS_PATH {
             return ProxyResponse::Health(self.state.borrow().is_healthy());
         }
-        let parsed = self.parser.parse(message, framings, body_deadline);
+        let parsed = self.parser.parse(message, framing_counts, body_deadline);
         match parsed.await {
             Ok(rpc) => self.serve(rpc, connection, client).await,
             Err(response) => {
