--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -1,7 +1,7 @@
 //! The state of a client's connection: its phase, when it is to be closed, and whether it may be evicted.
 use crate::downstream::connection_phase::{ConnectionPhase, ScheduledClose};
 use crate::downstream::head_scan::FramingCounts;
-use crate::downstream::message_scan::MessageScan;
+use crate::downstream::message_scan::MessageScanner;
 use crate::end_reason::EndReason;
 use crate::lifecycle::state::DrainDeadlines;
 use crate::net::body::DeliveryStatus;
@@ -40,7 +40,7 @@
     phase: Cell<ConnectionPhase>,
     /// Whether the connection is closed after the current response, once the client has had time to read it.
     is_closing: Cell<bool>,
-    scan: RefCell<MessageScan>,
+    scanner: RefCell<MessageScanner>,
     /// Whether all bytes of the current response were handed over to the connection.
     delivery: RefCell<DeliveryStatus>,
     /// Bytes that were written to the socket for the current response.
@@ -68,7 +68,7 @@
             id,
             phase: phase.into(),
             is_closing: false.into(),
-            scan: RefCell::default(),
+            scanner: RefCell::default(),
             delivery: RefCell::default(),
             response_bytes_written: Cell::new(0),
             budget: budget.clone(),
@@ -112,7 +112,7 @@
     /// deadline for a head applies.
     fn end_response(&self) {
         let now = Instant::now();
-        let has_next_begun = self.scan.borrow().is_inside_message();
+        let has_next_begun = self.scanner.borrow().is_inside_message();
         self.enter(if has_next_begun {
             ConnectionPhase::ReadingHead {
                 deadline: now + HEAD_TIMEOUT,
@@ -161,7 +161,7 @@
 
     /// Takes the framing counts of the head of the current message; none if no complete head was scanned.
     pub(crate) fn take_framing_counts(&self) -> Option<FramingCounts> {
-        self.scan.borrow_mut().take_framing_counts()
+        self.scanner.borrow_mut().take_framing_counts()
     }
 
     /// Registers the connection with the budget as the most recently active one of its rank.
@@ -262,7 +262,7 @@
 
 impl IoObserver for Rc<ClientConnection> {
     fn on_read(&self, bytes: &[u8]) {
-        self.scan.borrow_mut().feed(bytes);
+        self.scanner.borrow_mut().feed(bytes);
         match self.phase.get() {
             ConnectionPhase::AwaitingFirstByte { .. } | ConnectionPhase::Idle { .. } => {
                 self.enter(ConnectionPhase::ReadingHead {
--- a/crates/daemon/src/downstream/head_scan.rs
+++ b/crates/daemon/src/downstream/head_scan.rs
@@ -46,17 +46,17 @@
 
 /// Collects the head of a message, which may be received in pieces of any size.
 #[derive(Default)]
-pub(super) struct HeadScan {
+pub(super) struct HeadScanner {
     head: Vec<u8>,
     /// Number of complete non-empty lines. The first one is the request line.
     complete_lines: usize,
     /// Whether the current line has a byte other than its line ending.
-    is_line_begun: bool,
+    is_line_nonempty: bool,
 }
 
-impl HeadScan {
+impl HeadScanner {
     /// Whether any byte of the message was received.
-    pub(super) fn is_begun(&self) -> bool {
+    pub(super) fn has_begun(&self) -> bool {
         !self.head.is_empty()
     }
 
@@ -77,13 +77,13 @@
         match byte {
             b'\r' => false,
             b'\n' => {
-                let is_end = self.complete_lines > 0 && !self.is_line_begun;
-                self.complete_lines += usize::from(self.is_line_begun);
-                self.is_line_begun = false;
+                let is_end = self.complete_lines > 0 && !self.is_line_nonempty;
+                self.complete_lines += usize::from(self.is_line_nonempty);
+                self.is_line_nonempty = false;
                 is_end
             }
             _ => {
-                self.is_line_begun = true;
+                self.is_line_nonempty = true;
                 false
             }
         }
--- a/crates/daemon/src/downstream/head_scan/tests.rs
+++ b/crates/daemon/src/downstream/head_scan/tests.rs
@@ -6,12 +6,12 @@
                  Transfer-encoding:chunked\r\ncontent-length:4\r\nContent-Length-X: 1\r\n\r\ncontent-length: 9\r\n";
     let bytes_after_head = "content-length: 9\r\n".len();
     for size in 1..head.len() {
-        let mut scan = HeadScan::default();
+        let mut scanner = HeadScanner::default();
         let mut found = None;
         let mut bytes_left = 0;
         for mut piece in head.chunks(size) {
             if found.is_none() {
-                found = scan.feed(&mut piece);
+                found = scanner.feed(&mut piece);
             }
             bytes_left += if found.is_some() { piece.len() } else { 0 };
         }
@@ -31,7 +31,7 @@
 fn framing_of_a_body_is_parsed_from_the_head() {
     let body = |fields: &str| {
         let head = format!("POST /book HTTP/1.1\r\nHost: a\r\n{fields}\r\n");
-        let found = HeadScan::default().feed(&mut head.as_bytes());
+        let found = HeadScanner::default().feed(&mut head.as_bytes());
         found.expect("a complete head").body
     };
     assert_eq!(body(""), BodyFraming::Length(0));
--- a/crates/daemon/src/downstream/message_scan.rs
+++ b/crates/daemon/src/downstream/message_scan.rs
@@ -1,13 +1,13 @@
 //! Finds the end of each message in the bytes that a client sends. hyper may have buffered part of the next message,
 //! and doesn't report that the client has stopped in the middle of it.
-use crate::downstream::head_scan::{BodyFraming, FramingCounts, HeadScan, ScannedHead};
+use crate::downstream::head_scan::{BodyFraming, FramingCounts, HeadScanner, ScannedHead};
 use std::collections::VecDeque;
 use thiserror::Error;
 
 /// The part of a message that the next byte belongs to.
 enum MessagePart {
     /// The head.
-    Head(HeadScan),
+    Head(HeadScanner),
     /// A body with a declared length.
     Body {
         /// Bytes that were not received yet.
@@ -25,7 +25,7 @@
     /// The lines after the last chunk.
     Trailers {
         /// Whether the current line has a byte other than its line ending.
-        is_line_begun: bool,
+        is_line_nonempty: bool,
     },
     /// The end of the message can't be found. The message is rejected and its connection closed.
     Ambiguous,
@@ -33,7 +33,7 @@
 
 impl Default for MessagePart {
     fn default() -> Self {
-        Self::Head(HeadScan::default())
+        Self::Head(HeadScanner::default())
     }
 }
 
@@ -42,7 +42,7 @@
 struct ChunkSizeLine {
     size: u64,
     /// Whether the digits have ended and an extension or space follows.
-    have_digits_ended: bool,
+    is_past_digits: bool,
 }
 
 impl ChunkSizeLine {
@@ -53,11 +53,11 @@
     fn push(&mut self, byte: u8) -> Result<Option<u64>, ChunkSizeOverflow> {
         match (byte as char).to_digit(16) {
             _ if byte == b'\n' => return Ok(Some(self.size)),
-            Some(digit) if !self.have_digits_ended => {
+            Some(digit) if !self.is_past_digits => {
                 let shifted = self.size.checked_mul(16).ok_or(ChunkSizeOverflow)?;
                 self.size = shifted + u64::from(digit);
             }
-            _ => self.have_digits_ended = true,
+            _ => self.is_past_digits = true,
         }
         Ok(None)
     }
@@ -70,13 +70,13 @@
 
 /// Tracks where each message on a client's connection ends.
 #[derive(Default)]
-pub(super) struct MessageScan {
+pub(super) struct MessageScanner {
     part: MessagePart,
     /// The framing counts of the complete heads that were not taken yet, the earliest first.
     framing_counts: VecDeque<FramingCounts>,
 }
 
-impl MessageScan {
+impl MessageScanner {
     /// Scans the next bytes of the connection.
     pub(super) fn feed(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
@@ -92,7 +92,7 @@
     /// Whether the current message has begun and is incomplete.
     pub(super) fn is_inside_message(&self) -> bool {
         match &self.part {
-            MessagePart::Head(head) => head.is_begun(),
+            MessagePart::Head(scanner) => scanner.has_begun(),
             _ => true,
         }
     }
@@ -100,8 +100,8 @@
     /// Consumes one byte or more.
     fn advance(&mut self, bytes: &mut &[u8]) {
         let next = match &mut self.part {
-            MessagePart::Head(scan) => {
-                let head = scan.feed(bytes);
+            MessagePart::Head(scanner) => {
+                let head = scanner.feed(bytes);
                 head.map(|head| self.begin_body(head))
             }
             MessagePart::Body { bytes_left } => {
@@ -111,7 +111,7 @@
             MessagePart::ChunkSize(line) => match line.push(take_byte(bytes)) {
                 Ok(None) => None,
                 Ok(Some(0)) => Some(MessagePart::Trailers {
-                    is_line_begun: false,
+                    is_line_nonempty: false,
                 }),
                 Ok(Some(size)) => Some(MessagePart::ChunkData { bytes_left: size }),
                 Err(ChunkSizeOverflow) => Some(MessagePart::Ambiguous),
@@ -122,11 +122,11 @@
             }
             MessagePart::ChunkEnd => (take_byte(bytes) == b'\n')
                 .then(|| MessagePart::ChunkSize(ChunkSizeLine::default())),
-            MessagePart::Trailers { is_line_begun } => match take_byte(bytes) {
+            MessagePart::Trailers { is_line_nonempty } => match take_byte(bytes) {
                 b'\r' => None,
-                b'\n' if !*is_line_begun => Some(MessagePart::default()),
+                b'\n' if !*is_line_nonempty => Some(MessagePart::default()),
                 byte => {
-                    *is_line_begun = byte != b'\n';
+                    *is_line_nonempty = byte != b'\n';
                     None
                 }
             },
--- a/crates/daemon/src/downstream/message_scan/tests.rs
+++ b/crates/daemon/src/downstream/message_scan/tests.rs
@@ -4,7 +4,7 @@
 const POST: &str = "POST /book HTTP/1.1\r\nContent-Length: 9\r\n\r\nGET / HT\n";
 const CHUNKED: &str = "POST /book HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\
                        4;name=\"x\"\r\nbody\r\n0A\r\n0123\r\n\r\n89\r\n0\r\nX-Trailer: 1\r\n\r\n";
-const TWICE: &str =
+const FRAMED_TWICE: &str =
     "POST /book HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// The result of a scan.
@@ -19,12 +19,12 @@
 /// Scans these bytes in pieces of every size, and checks that the result is always the same.
 fn scan(bytes: &str) -> Scanned {
     let mut results = (1..=bytes.len()).map(|size| {
-        let mut scan = MessageScan::default();
+        let mut scanner = MessageScanner::default();
         let pieces = bytes.as_bytes().chunks(size);
-        pieces.for_each(|piece| scan.feed(piece));
+        pieces.for_each(|piece| scanner.feed(piece));
         Scanned {
-            framing_counts: std::iter::from_fn(|| scan.take_framing_counts()).collect(),
-            is_inside_message: scan.is_inside_message(),
+            framing_counts: std::iter::from_fn(|| scanner.take_framing_counts()).collect(),
+            is_inside_message: scanner.is_inside_message(),
         }
     });
     let first = results.next().expect("bytes to scan");
@@ -62,7 +62,7 @@
 /// that of the first one.
 #[test]
 fn framings_of_a_pipelined_message_are_counted() {
-    let scanned = scan(&[GET, TWICE].concat());
+    let scanned = scan(&[GET, FRAMED_TWICE].concat());
     assert!(
         scanned.is_inside_message,
         "the end of an ambiguous message can't be found"
