--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -10,7 +10,7 @@
 use crate::net::socket_budget::{Evictable, EvictionCandidate, SocketBudget, SocketClass};
 use crate::time_limits::{
     FIRST_BYTE_TIMEOUT, FIRST_HEAD_TIMEOUT, HEAD_TIMEOUT, IDLE_TIMEOUT, LINGER_TIMEOUT,
-    RESPONSE_PROGRESS_BYTES, RESPONSE_STALL_TIMEOUT, RESPONSE_TIMEOUT, SETTLE_PERIOD,
+    NEW_CONNECTION_GRACE_PERIOD, RESPONSE_PROGRESS_BYTES, RESPONSE_STALL_TIMEOUT, RESPONSE_TIMEOUT,
 };
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -21,14 +21,14 @@
 /// the longest. A connection with an RPC in flight is never evicted.
 #[derive(Clone, Copy)]
 enum EvictionRank {
-    /// The client has sent nothing, and its settle period is over.
+    /// The client has sent nothing, and its grace period is over.
     AwaitingFirstByte,
     /// Between two messages, or lingering.
     Idle,
     /// Part of a head was received.
     ReadingHead,
     /// Just accepted. Ranked above idle connections, because new connections would evict each other otherwise.
-    Settling,
+    New,
     /// Part of a body was received.
     ReadingBody,
 }
@@ -177,8 +177,8 @@
 
     fn eviction_rank(&self) -> EvictionRank {
         match self.phase.get() {
-            ConnectionPhase::AwaitingFirstByte { .. } if self.settles_at().is_some() => {
-                EvictionRank::Settling
+            ConnectionPhase::AwaitingFirstByte { .. } if self.grace_period_end().is_some() => {
+                EvictionRank::New
             }
             ConnectionPhase::AwaitingFirstByte { .. } => EvictionRank::AwaitingFirstByte,
             // A higher rank for lingering would let rejected clients crowd out others.
@@ -191,11 +191,11 @@
         }
     }
 
-    /// Returns the end of the settle period; none once it has passed or the client has sent a byte.
-    pub(crate) fn settles_at(&self) -> Option<Instant> {
+    /// Returns the end of the grace period; none once it has passed or the client has sent a byte.
+    pub(crate) fn grace_period_end(&self) -> Option<Instant> {
         let is_silent = matches!(self.phase.get(), ConnectionPhase::AwaitingFirstByte { .. });
-        let settles_at = self.opened_at + SETTLE_PERIOD;
-        (is_silent && Instant::now() < settles_at).then_some(settles_at)
+        let grace_period_end = self.opened_at + NEW_CONNECTION_GRACE_PERIOD;
+        (is_silent && Instant::now() < grace_period_end).then_some(grace_period_end)
     }
 
     /// Returns when and why the connection is closed if nothing else happens: the earliest of the phase's deadline, an
@@ -223,7 +223,7 @@
         match phase {
             // The client of a new connection may be about to send an RPC.
             ConnectionPhase::AwaitingFirstByte { .. } | ConnectionPhase::Idle { .. } => {
-                drain.idle.max(self.opened_at + SETTLE_PERIOD)
+                drain.idle.max(self.opened_at + NEW_CONNECTION_GRACE_PERIOD)
             }
             _ => drain.incomplete_message,
         }
--- a/crates/daemon/src/downstream/connection_driver.rs
+++ b/crates/daemon/src/downstream/connection_driver.rs
@@ -38,7 +38,7 @@
             ConnectionEvent::StreamEnded(result) => return stream_end_reason(&result, client),
             ConnectionEvent::ClientDisconnected => return EndReason::ClientDisconnected,
             ConnectionEvent::ScheduleChanged => {}
-            ConnectionEvent::SettlePeriodEnded => client.register_evictable(),
+            ConnectionEvent::GracePeriodEnded => client.register_evictable(),
             ConnectionEvent::CloseDue => {
                 if let Poll::Ready(result) = read_once_more(connection, read_ahead).await {
                     return stream_end_reason(&result, client);
@@ -60,8 +60,8 @@
     ClientDisconnected,
     /// The phase of the connection or the state of the proxy changed, and with it the scheduled close.
     ScheduleChanged,
-    /// The settle period of a new connection is over.
-    SettlePeriodEnded,
+    /// The grace period of a new connection is over.
+    GracePeriodEnded,
     /// The scheduled close is due.
     CloseDue,
 }
@@ -74,14 +74,14 @@
     state: &mut watch::Receiver<ProxyState>,
     close_at: Instant,
 ) -> ConnectionEvent {
-    let settles_at = client.settles_at();
+    let grace_period_end = client.grace_period_end();
     select! {
         biased;
         result = connection => ConnectionEvent::StreamEnded(result),
         () = disconnected_while_busy(client, disconnected) => ConnectionEvent::ClientDisconnected,
         () = client.changed() => ConnectionEvent::ScheduleChanged,
         _ = state.changed() => ConnectionEvent::ScheduleChanged,
-        () = until(settles_at) => ConnectionEvent::SettlePeriodEnded,
+        () = until(grace_period_end) => ConnectionEvent::GracePeriodEnded,
         () = sleep_until(close_at) => ConnectionEvent::CloseDue,
     }
 }
--- a/crates/daemon/src/time_limits.rs
+++ b/crates/daemon/src/time_limits.rs
@@ -26,7 +26,7 @@
 pub(crate) const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Period after the connect in which a connection is neither drained nor evicted before older idle ones, because its
 /// client is about to send an RPC.
-pub(crate) const SETTLE_PERIOD: Duration = Duration::from_millis(300);
+pub(crate) const NEW_CONNECTION_GRACE_PERIOD: Duration = Duration::from_millis(300);
 
 /// Maximum time from one step of [`BODY_PROGRESS_BYTES`] of a request's body to the next, or to the end of the body.
 pub(crate) const BODY_STALL_TIMEOUT: Duration = Duration::from_millis(2500);
--- a/crates/daemon/tests/crowd.rs
+++ b/crates/daemon/tests/crowd.rs
@@ -364,7 +364,7 @@
         .map(|n| served_client(&daemon, &format!("between{n}")))
         .collect();
     let silent: Vec<_> = (0..4).map(|_| daemon.client()).collect();
-    // Longer than the settle period of new connections.
+    // Longer than the grace period of new connections.
     sleep(Duration::from_millis(500));
     let mut incomplete: Vec<_> = (0..3).map(|_| daemon.client()).collect();
     incomplete
