--- a/crates/daemon/src/lifecycle/listeners.rs
+++ b/crates/daemon/src/lifecycle/listeners.rs
@@ -3,7 +3,7 @@
 use crate::config::file::Config;
 use crate::config::keys::{ADMIN_ADDRESS, CLIENT_ADDRESS};
 use crate::lifecycle::start_error::StartError;
-use crate::net::local_error::is_local;
+use crate::net::local_error::is_transient_local_error;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -57,7 +57,7 @@
     loop {
         match listen(address) {
             Ok(listener) => return Ok(listener),
-            Err(error) if is_local(&error) && Instant::now() < deadline => {
+            Err(error) if is_transient_local_error(&error) && Instant::now() < deadline => {
                 sleep(BIND_RETRY_DELAY).await;
             }
             Err(source) => {
--- a/crates/daemon/src/net/connect.rs
+++ b/crates/daemon/src/net/connect.rs
@@ -1,5 +1,5 @@
 //! Opens a TCP connection, and retries if the local host has no socket for it.
-use crate::net::local_error::is_local;
+use crate::net::local_error::is_transient_local_error;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -49,5 +49,5 @@
 
 /// Whether a connect failed for a reason on the local host. `EADDRNOTAVAIL` means that all local ports are in use.
 fn is_local_failure(error: &io::Error) -> bool {
-    is_local(error) || error.kind() == ErrorKind::AddrNotAvailable
+    is_transient_local_error(error) || error.kind() == ErrorKind::AddrNotAvailable
 }
--- a/crates/daemon/src/net/local_error.rs
+++ b/crates/daemon/src/net/local_error.rs
@@ -14,7 +14,7 @@
 
 /// Whether a call failed because of a resource shortage, was interrupted by a signal or would block. These conditions
 /// are often brief, so the call may be retried.
-pub(crate) fn is_local(error: &io::Error) -> bool {
+pub(crate) fn is_transient_local_error(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
         || is_resource_shortage(error)
 }
