--- a/crates/daemon/src/net/local_error.rs
+++ b/crates/daemon/src/net/local_error.rs
@@ -3,13 +3,13 @@
 use std::io::{self, ErrorKind};
 
 /// Error numbers that report a resource shortage; the standard library has no error kinds for them.
-const SHORTAGES: [i32; 4] = [ENFILE, EMFILE, ENOMEM, ENOBUFS];
+const SHORTAGE_ERRNOS: [i32; 4] = [ENFILE, EMFILE, ENOMEM, ENOBUFS];
 
 /// Whether the system has no descriptor or no memory left for a socket.
 pub(crate) fn is_resource_shortage(error: &io::Error) -> bool {
     error
         .raw_os_error()
-        .is_some_and(|number| SHORTAGES.contains(&number))
+        .is_some_and(|number| SHORTAGE_ERRNOS.contains(&number))
 }
 
 /// Whether a call failed because of a resource shortage, was interrupted by a signal or would block. These conditions
