--- a/crates/daemon/src/net/connect.rs
+++ b/crates/daemon/src/net/connect.rs
@@ -10,7 +10,7 @@
 /// How long local failures are retried.
 const LOCAL_FAILURE_TIMEOUT: Duration = Duration::from_millis(50);
 /// Backoff before the first retry; doubled with each further one.
-const FIRST_RETRY_BACKOFF: Duration = Duration::from_millis(1);
+const INITIAL_RETRY_BACKOFF: Duration = Duration::from_millis(1);
 
 /// A connection could not be opened.
 #[derive(Debug, Error)]
@@ -34,7 +34,7 @@
 /// # Errors
 /// The peer can't be reached, or the local host has no socket for longer than [`LOCAL_FAILURE_TIMEOUT`].
 pub(super) async fn connect(address: SocketAddr) -> Result<TcpStream, ConnectError> {
-    let mut backoff = FIRST_RETRY_BACKOFF;
+    let mut backoff = INITIAL_RETRY_BACKOFF;
     let retry_until = Instant::now() + LOCAL_FAILURE_TIMEOUT;
     loop {
         match TcpStream::connect(address).await {
