--- a/crates/daemon/src/downstream/listener.rs
+++ b/crates/daemon/src/downstream/listener.rs
@@ -24,11 +24,11 @@
 /// connections are beyond the budget.
 const SHORTAGE_BACKOFF: Duration = Duration::from_millis(10);
 /// Backoff after the first failed accept; doubled with each further one.
-const FIRST_ACCEPT_BACKOFF: Duration = Duration::from_millis(1);
+const INITIAL_ACCEPT_BACKOFF: Duration = Duration::from_millis(1);
 /// Consecutive failed accepts after which a shortage of sockets counts as persistent.
-const LASTING_SHORTAGE_FAILURES: u32 = 6;
+const PERSISTENT_SHORTAGE_FAILURES: u32 = 6;
 /// How long a shortage counts as persistent after the latest eviction.
-const SHORTAGE_PERIOD: Duration = Duration::from_secs(1);
+const PERSISTENT_SHORTAGE_PERIOD: Duration = Duration::from_secs(1);
 
 /// The listener for clients' connections.
 pub(crate) struct Listener {
@@ -39,7 +39,7 @@
     /// The number of the next connection in log lines.
     next_connection: Cell<u64>,
     /// Until when a shortage of sockets counts as persistent.
-    short_until: Cell<Option<Instant>>,
+    persistent_shortage_until: Cell<Option<Instant>>,
 }
 
 /// An event that the listener waits for.
@@ -68,7 +68,7 @@
             budget,
             invariants,
             next_connection: Cell::new(0),
-            short_until: Cell::default(),
+            persistent_shortage_until: Cell::default(),
         }
     }
 
@@ -152,13 +152,17 @@
     /// connection is evicted for a brief shortage.
     async fn wait_for_socket(&self, failures: u32) {
         let now = Instant::now();
-        let is_lasting = self.short_until.get().is_some_and(|until| now < until);
-        if is_lasting || failures >= LASTING_SHORTAGE_FAILURES {
-            self.short_until.set(Some(now + SHORTAGE_PERIOD));
+        let is_persistent = self
+            .persistent_shortage_until
+            .get()
+            .is_some_and(|until| now < until);
+        if is_persistent || failures >= PERSISTENT_SHORTAGE_FAILURES {
+            self.persistent_shortage_until
+                .set(Some(now + PERSISTENT_SHORTAGE_PERIOD));
             self.budget.evict_oldest(SocketClass::Clients);
             sleep(SHORTAGE_BACKOFF).await;
         } else {
-            sleep(FIRST_ACCEPT_BACKOFF * 2_u32.pow(failures - 1)).await;
+            sleep(INITIAL_ACCEPT_BACKOFF * 2_u32.pow(failures - 1)).await;
         }
     }
 }
