--- a/crates/daemon/src/net/inbound_stream.rs
+++ b/crates/daemon/src/net/inbound_stream.rs
@@ -27,13 +27,13 @@
 
 /// A client's stream with read-ahead.
 pub(crate) struct InboundStream {
-    reads: ReadAhead,
-    writes: OwnedWriteHalf,
+    read_ahead: ReadAhead,
+    write_half: OwnedWriteHalf,
 }
 
 /// The read half and the read-ahead buffer, shared by an [`InboundStream`] and its [`ReadAhead`].
 struct ReadState {
-    half: OwnedReadHalf,
+    read_half: OwnedReadHalf,
     buffered: BytesMut,
     /// Wakes the task that waits for bytes of the stream.
     reader: Option<Waker>,
@@ -44,7 +44,7 @@
     /// The client has closed or reset the connection.
     Ended,
     /// No more bytes are available now.
-    Drained,
+    NoneAvailable,
     /// The buffer is full; the socket may hold more bytes.
     BufferFull,
 }
@@ -61,20 +61,20 @@
     /// Whether the client has disconnected, as far as the kernel knows now. The event loop may not have been notified
     /// yet, for example after this process was suspended.
     pub(crate) async fn is_disconnected(&self) -> bool {
-        let Some(reads) = self.0.upgrade() else {
+        let Some(state) = self.0.upgrade() else {
             return true;
         };
-        let outcome = reads.borrow_mut().read_available();
+        let outcome = state.borrow_mut().read_available();
         match outcome {
             ReadAheadOutcome::Ended => return true,
-            ReadAheadOutcome::Drained => return false,
-            ReadAheadOutcome::BufferFull => drop(reads),
+            ReadAheadOutcome::NoneAvailable => return false,
+            ReadAheadOutcome::BufferFull => drop(state),
         }
         // Lets the event loop detect a disconnect that follows the bytes that don't fit into the buffer.
         yield_now().await;
-        self.0.upgrade().is_none_or(|reads| {
+        self.0.upgrade().is_none_or(|state| {
             let mut cx = Context::from_waker(Waker::noop());
-            reads.borrow().is_read_closed(&mut cx)
+            state.borrow().is_read_closed(&mut cx)
         })
     }
 }
@@ -82,28 +82,28 @@
 impl InboundStream {
     /// Wraps a connection that a client opened.
     pub(crate) fn new(stream: TcpStream) -> Self {
-        let (half, writes) = stream.into_split();
+        let (read_half, write_half) = stream.into_split();
         let state = ReadState {
-            half,
+            read_half,
             buffered: BytesMut::new(),
             reader: None,
         };
         Self {
-            reads: ReadAhead(Rc::new(RefCell::new(state))),
-            writes,
+            read_ahead: ReadAhead(Rc::new(RefCell::new(state))),
+            write_half,
         }
     }
 
     /// Returns a handle to read ahead on this stream.
     pub(crate) fn read_ahead(&self) -> ReadAhead {
-        self.reads.clone()
+        self.read_ahead.clone()
     }
 }
 
 impl ReadState {
     /// Whether the event loop was notified that the stream has ended.
     fn is_read_closed(&self, cx: &mut Context) -> bool {
-        let ready = pin!(self.half.ready(Interest::READABLE)).poll(cx);
+        let ready = pin!(self.read_half.ready(Interest::READABLE)).poll(cx);
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
@@ -112,7 +112,7 @@
         let mut chunk = [0; READ_AHEAD_CHUNK];
         while self.buffered.len() < READ_AHEAD_LIMIT {
             let mut chunk = ReadBuf::new(&mut chunk);
-            let result = ready!(socket::poll_read(self.half.as_ref(), cx, &mut chunk));
+            let result = ready!(socket::poll_read(self.read_half.as_ref(), cx, &mut chunk));
             if result.is_err() || chunk.filled().is_empty() {
                 return Poll::Ready(ReadAheadOutcome::Ended);
             }
@@ -126,7 +126,7 @@
     fn read_available(&mut self) -> ReadAheadOutcome {
         let mut chunk = [0; READ_AHEAD_CHUNK];
         while self.buffered.len() < READ_AHEAD_LIMIT {
-            let result = (&*SockRef::from(self.half.as_ref())).read(&mut chunk);
+            let result = (&*SockRef::from(self.read_half.as_ref())).read(&mut chunk);
             match result {
                 Ok(0) => return ReadAheadOutcome::Ended,
                 Ok(length) => {
@@ -136,7 +136,7 @@
                 }
                 Err(error) => match error.kind() {
                     ErrorKind::Interrupted => {}
-                    ErrorKind::WouldBlock => return ReadAheadOutcome::Drained,
+                    ErrorKind::WouldBlock => return ReadAheadOutcome::NoneAvailable,
                     _ => return ReadAheadOutcome::Ended,
                 },
             }
@@ -180,12 +180,12 @@
         buf: &mut ReadBuf,
     ) -> Poll<std::io::Result<()>> {
         let ReadState {
-            half,
+            read_half,
             buffered,
             reader,
-        } = &mut *self.reads.0.borrow_mut();
+        } = &mut *self.read_ahead.0.borrow_mut();
         if buffered.is_empty() {
-            let result = socket::poll_read((*half).as_ref(), cx, buf);
+            let result = socket::poll_read((*read_half).as_ref(), cx, buf);
             *reader = result.is_pending().then(|| cx.waker().clone());
             return result;
         }
@@ -201,7 +201,7 @@
         cx: &mut Context,
         buf: &[u8],
     ) -> Poll<std::io::Result<usize>> {
-        socket::poll_write(self.writes.as_ref(), cx, buf)
+        socket::poll_write(self.write_half.as_ref(), cx, buf)
     }
 
     fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context) -> Poll<std::io::Result<()>> {
@@ -209,6 +209,6 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<std::io::Result<()>> {
-        Pin::new(&mut self.writes).poll_shutdown(cx)
+        Pin::new(&mut self.write_half).poll_shutdown(cx)
     }
 }
