--- a/crates/daemon/src/upstream/attempt/early_end.rs
+++ b/crates/daemon/src/upstream/attempt/early_end.rs
@@ -13,7 +13,7 @@
 
 impl RunningExchange<'_> {
     /// Returns if nothing was sent; pending forever if a byte of the request may have been sent.
-    async fn unless_sent(&self) {
+    async fn pending_if_sent(&self) {
         if self.completion.is_sent() {
             pending::<()>().await;
         }
@@ -25,20 +25,20 @@
             return pending().await;
         };
         if let Ok(WithdrawIfUnsent) = cancel.await {
-            self.unless_sent().await;
+            self.pending_if_sent().await;
         }
     }
 
     /// Waits until the backend accepts no new requests, if nothing was sent by then.
     pub(super) async fn endpoint_unavailable(&self) {
         self.endpoint.unavailable().await;
-        self.unless_sent().await;
+        self.pending_if_sent().await;
     }
 
     /// Waits for the send deadline, if nothing was sent by then.
     pub(super) async fn send_window_closed(&self) {
         clock::until(self.deadlines.send_deadline).await;
-        self.unless_sent().await;
+        self.pending_if_sent().await;
     }
 
     /// Waits for the timeout. For a streamed request it starts with the last byte. It no longer applies once a response
