--- a/crates/daemon/src/upstream/attempt/send.rs
+++ b/crates/daemon/src/upstream/attempt/send.rs
@@ -112,9 +112,11 @@
                 if is_reused {
                     self.endpoint.idle.shorten_reuse(idle_for);
                 }
-                Some(self.broken_outcome().into())
+                Some(self.connection_failure_outcome().into())
+            }
+            Err(ConnectionError::MalformedResponse) => {
+                Some(self.connection_failure_outcome().into())
             }
-            Err(ConnectionError::MalformedResponse) => Some(self.broken_outcome().into()),
         }
     }
 
@@ -139,7 +141,7 @@
 
     /// Returns the outcome of an exchange whose connection failed: a backend can't have started a request whose last
     /// byte was not written.
-    fn broken_outcome(&self) -> AttemptOutcome {
+    fn connection_failure_outcome(&self) -> AttemptOutcome {
         if self.request.is_fully_received() {
             AttemptOutcome::Reset
         } else {
