--- a/crates/daemon/src/net/connection.rs
+++ b/crates/daemon/src/net/connection.rs
@@ -59,8 +59,8 @@
     is_partial: bool,
 }
 
-type BackendStream = ObservedStream<Rc<Cell<u64>>, Socket>;
-type Http1Connection = http1::Connection<TokioIo<BackendStream>, RequestBody>;
+type OutboundStream = ObservedStream<Rc<Cell<u64>>, Socket>;
+type Http1Connection = http1::Connection<TokioIo<OutboundStream>, RequestBody>;
 
 /// Performs the I/O of a connection. Empty once the connection has ended, which closes the socket.
 struct Driver(Option<Pin<Box<Http1Connection>>>);
@@ -159,7 +159,7 @@
         is_sent: &Cell<bool>,
     ) -> Result<Reply, ConnectionError> {
         let (head, body) = self.send(request, is_sent).await?.into_parts();
-        if is_framed_twice(&head.headers) {
+        if has_ambiguous_framing(&head.headers) {
             return Err(ConnectionError::MalformedResponse);
         }
         let length = body.size_hint().exact();
@@ -269,6 +269,6 @@
 }
 
 /// Whether a response declares the framing of its body both by a length and by a transfer coding: its end is ambiguous.
-fn is_framed_twice(headers: &HeaderMap) -> bool {
+fn has_ambiguous_framing(headers: &HeaderMap) -> bool {
     headers.contains_key(TRANSFER_ENCODING) && headers.contains_key(CONTENT_LENGTH)
 }
