--- a/crates/daemon/src/upstream/attempt/send.rs
+++ b/crates/daemon/src/upstream/attempt/send.rs
@@ -102,7 +102,7 @@
         match reply {
             Ok(reply) => {
                 if is_reused {
-                    self.endpoint.idle.extend_reuse();
+                    self.endpoint.idle.extend_reuse_time();
                 }
                 Some(self.receive(connection, address, reply).await)
             }
@@ -110,7 +110,7 @@
             Err(ConnectionError::NotSent) => Some(AttemptOutcome::ConnectFailed.into()),
             Err(ConnectionError::Closed) => {
                 if is_reused {
-                    self.endpoint.idle.shorten_reuse(idle_for);
+                    self.endpoint.idle.shorten_reuse_time(idle_for);
                 }
                 Some(self.connection_failure_outcome().into())
             }
--- a/crates/daemon/src/upstream/endpoint.rs
+++ b/crates/daemon/src/upstream/endpoint.rs
@@ -30,7 +30,7 @@
 
 impl ConnectionLimits {
     /// Returns the longest time for which an idle connection is reused.
-    fn max_reuse(&self) -> Duration {
+    fn max_reuse_time(&self) -> Duration {
         self.idle.mul_f64(REUSE_FRACTION_OF_IDLE_TIMEOUT)
     }
 }
@@ -56,7 +56,10 @@
         let (sender, receiver) = watch::channel(info);
         let state = Rc::new(EndpointState {
             info: receiver,
-            idle: Rc::new(IdleConnections::new(limits.max_reuse(), budget.clone())),
+            idle: Rc::new(IdleConnections::new(
+                limits.max_reuse_time(),
+                budget.clone(),
+            )),
             connect_timeout: limits.connect,
             budget,
             invariants,
--- a/crates/daemon/src/upstream/idle_connections.rs
+++ b/crates/daemon/src/upstream/idle_connections.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Lower bound of the reuse time. Most connections are used again sooner.
-const MIN_REUSE: Duration = Duration::from_millis(50);
+const MIN_REUSE_TIME: Duration = Duration::from_millis(50);
 
 /// Factor by which each response on a reused connection extends the reuse time: 700 responses double it.
 const REUSE_GROWTH_FACTOR: f64 = 1.001;
@@ -68,17 +68,17 @@
     /// How long a connection may be idle and still be reused. Adapts to the network path to the backend.
     reuse_time: Cell<Duration>,
     /// Upper bound of `reuse_time`, from the settings.
-    max_reuse: Duration,
+    max_reuse_time: Duration,
     budget: Rc<SocketBudget>,
 }
 
 impl IdleConnections {
-    /// Creates an empty pool whose connections are reused for at most `max_reuse`.
-    pub(crate) fn new(max_reuse: Duration, budget: Rc<SocketBudget>) -> Self {
+    /// Creates an empty pool whose connections are reused for at most `max_reuse_time`.
+    pub(crate) fn new(max_reuse_time: Duration, budget: Rc<SocketBudget>) -> Self {
         Self {
             idle: RefCell::default(),
-            reuse_time: Cell::new(max_reuse),
-            max_reuse,
+            reuse_time: Cell::new(max_reuse_time),
+            max_reuse_time,
             budget,
         }
     }
@@ -94,16 +94,16 @@
     }
 
     /// Extends the reuse time a little after a response on a reused connection.
-    pub(crate) fn extend_reuse(&self) {
+    pub(crate) fn extend_reuse_time(&self) {
         self.reuse_time
-            .update(|time| time.mul_f64(REUSE_GROWTH_FACTOR).min(self.max_reuse));
+            .update(|time| time.mul_f64(REUSE_GROWTH_FACTOR).min(self.max_reuse_time));
     }
 
     /// Shortens the reuse time after a connection that had been idle for `idle_for` failed when it was reused. Prevents
     /// repeated resets on a path that drops idle connections sooner than the configured idle timeout.
-    pub(crate) fn shorten_reuse(&self, idle_for: Duration) {
+    pub(crate) fn shorten_reuse_time(&self, idle_for: Duration) {
         self.reuse_time
-            .update(|time| (idle_for / 2).max(MIN_REUSE).min(time));
+            .update(|time| (idle_for / 2).max(MIN_REUSE_TIME).min(time));
     }
 
     /// Takes the most recently used connection that is open and has been silent since its response.
