--- a/crates/daemon/src/downstream/connection_phase.rs
+++ b/crates/daemon/src/downstream/connection_phase.rs
@@ -66,7 +66,7 @@
             Self::ReadingHead { deadline } => ScheduledClose::new(deadline, EndReason::HeadTimeout),
             // The request parser and the RPC service respond before this deadline; it only expires if they fail to.
             Self::ReadingBody { response_deadline } | Self::RpcInFlight { response_deadline } => {
-                ScheduledClose::new(response_deadline, EndReason::AnswerOverdue)
+                ScheduledClose::new(response_deadline, EndReason::ResponseOverdue)
             }
             Self::WritingResponse { progress } => {
                 ScheduledClose::new(progress.expires_at(), EndReason::ResponseStalled)
--- a/crates/daemon/src/downstream/connection_task.rs
+++ b/crates/daemon/src/downstream/connection_task.rs
@@ -89,7 +89,7 @@
     fn check_end(&self, client: &ClientConnection, reason: EndReason) {
         self.invariants
             .check_close(client.id(), client.phase_deadline());
-        if reason == EndReason::AnswerOverdue {
+        if reason == EndReason::ResponseOverdue {
             let connection = format!("connection {}", client.id());
             self.invariants
                 .record_violation(&connection, &Violation::NoResponse);
--- a/crates/daemon/src/end_reason.rs
+++ b/crates/daemon/src/end_reason.rs
@@ -23,7 +23,7 @@
     /// Connection: the client stopped reading its response.
     ResponseStalled,
     /// Connection: a message had no response by its deadline.
-    AnswerOverdue,
+    ResponseOverdue,
     /// Connection: evicted to make room for another one.
     Evicted,
     /// Connection: closed because the proxy is draining.
@@ -70,7 +70,7 @@
             Self::IdleTimeout => "idle-timeout",
             Self::HeadTimeout => "head-timeout",
             Self::ResponseStalled => "response-stalled",
-            Self::AnswerOverdue => "answer-overdue",
+            Self::ResponseOverdue => "answer-overdue",
             Self::Evicted => "evicted",
             Self::Drained => "drained",
             Self::Served => "served",
@@ -94,7 +94,7 @@
     fn is_failure(self) -> bool {
         matches!(
             self,
-            Self::AnswerOverdue
+            Self::ResponseOverdue
                 | Self::Evicted
                 | Self::FailedByDecision
                 | Self::DeadlineExceeded
