--- a/crates/daemon/src/net/connection.rs
+++ b/crates/daemon/src/net/connection.rs
@@ -40,7 +40,7 @@
 }
 
 /// A response with its complete body, or with the first part of a longer one.
-pub(crate) struct Reply {
+pub(crate) struct ReceivedResponse {
     /// The status.
     pub status: StatusCode,
     /// The header fields.
@@ -157,7 +157,7 @@
         body_limit: usize,
         may_stream: bool,
         is_sent: &Cell<bool>,
-    ) -> Result<Reply, ConnectionError> {
+    ) -> Result<ReceivedResponse, ConnectionError> {
         let (head, body) = self.send(request, is_sent).await?.into_parts();
         if has_ambiguous_framing(&head.headers) {
             return Err(ConnectionError::MalformedResponse);
@@ -166,7 +166,7 @@
         self.remaining = Some(body);
         let may_stream = may_stream && head.status == StatusCode::OK;
         let buffered = self.buffer_body(length, body_limit, may_stream).await?;
-        Ok(Reply {
+        Ok(ReceivedResponse {
             status: head.status,
             headers: head.headers,
             body: buffered.bytes,
--- a/crates/daemon/src/upstream/attempt/send.rs
+++ b/crates/daemon/src/upstream/attempt/send.rs
@@ -2,7 +2,7 @@
 use super::RunningExchange;
 use super::connect::Checkout;
 use crate::net::body::BUFFERED_BODY_LIMIT;
-use crate::net::connection::{Connection, ConnectionError, Reply};
+use crate::net::connection::{Connection, ConnectionError, ReceivedResponse};
 use crate::upstream::backend_protocol::{classify_response, encode_request};
 use crate::upstream::response_stream::stream_response;
 use crate::upstream::result::ExchangeResult;
@@ -91,7 +91,7 @@
             .saturating_duration_since(Instant::now());
         let idle_for = connection.last_used.elapsed();
         let may_stream = !self.request.is_health_check();
-        let reply = connection
+        let response = connection
             .exchange(
                 encode_request(self.request, timeout),
                 BUFFERED_BODY_LIMIT,
@@ -99,12 +99,12 @@
                 self.completion.sent_flag(),
             )
             .await;
-        match reply {
-            Ok(reply) => {
+        match response {
+            Ok(response) => {
                 if is_reused {
                     self.endpoint.idle.extend_reuse_time();
                 }
-                Some(self.receive(connection, address, reply).await)
+                Some(self.receive(connection, address, response).await)
             }
             Err(ConnectionError::NotSent) if is_reused => None,
             Err(ConnectionError::NotSent) => Some(AttemptOutcome::ConnectFailed.into()),
@@ -125,18 +125,18 @@
         &self,
         mut connection: Connection,
         address: SocketAddr,
-        mut reply: Reply,
+        mut response: ReceivedResponse,
     ) -> ExchangeResult {
-        if reply.is_partial
+        if response.is_partial
             && let Err(outcome) =
-                stream_response(&mut connection, &mut reply, self.completion).await
+                stream_response(&mut connection, &mut response, self.completion).await
         {
             return outcome.into();
         }
         self.endpoint
-            .keep(connection, address, &reply.headers)
+            .keep(connection, address, &response.headers)
             .await;
-        classify_response(reply, self.request.is_health_check())
+        classify_response(response, self.request.is_health_check())
     }
 
     /// Returns the outcome of an exchange whose connection failed: a backend can't have started a request whose last
--- a/crates/daemon/src/upstream/backend_protocol.rs
+++ b/crates/daemon/src/upstream/backend_protocol.rs
@@ -2,7 +2,7 @@
 use crate::downstream::request::{ParsedRequest, RequestPayload};
 use crate::end_reason::EndReason;
 use crate::net::body::RequestBody;
-use crate::net::connection::Reply;
+use crate::net::connection::ReceivedResponse;
 use crate::upstream::result::ExchangeResult;
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_settings::parse_load_report;
@@ -68,23 +68,26 @@
 }
 
 /// Determines the outcome and the load report of an exchange from the backend's response.
-pub(super) fn classify_response(reply: Reply, is_health_check: bool) -> ExchangeResult {
-    let is_not_started = reply
+pub(super) fn classify_response(
+    response: ReceivedResponse,
+    is_health_check: bool,
+) -> ExchangeResult {
+    let is_not_started = response
         .headers
         .get(NOT_STARTED)
         .is_some_and(|value| value == NOT_STARTED_SET);
-    let outcome = match reply.status.as_u16() {
+    let outcome = match response.status.as_u16() {
         200 => AttemptOutcome::Succeeded,
         503 | 504 if is_not_started => AttemptOutcome::Rejected,
         _ => AttemptOutcome::Failed,
     };
-    let health_check_body = is_health_check.then_some(&reply.body[..]);
-    let report = load_report(&reply.headers, health_check_body);
+    let health_check_body = is_health_check.then_some(&response.body[..]);
+    let report = load_report(&response.headers, health_check_body);
     ExchangeResult {
         outcome,
         reason: EndReason::Completed,
         report,
-        body: reply.body,
+        body: response.body,
     }
 }
 
--- a/crates/daemon/src/upstream/backend_protocol/tests.rs
+++ b/crates/daemon/src/upstream/backend_protocol/tests.rs
@@ -5,7 +5,7 @@
 /// load that is recorded for its backend.
 #[test]
 fn only_the_body_of_a_health_check_is_parsed_as_a_load_report() {
-    let reply = || Reply {
+    let response = || ReceivedResponse {
         status: StatusCode::OK,
         headers: HeaderMap::new(),
         body: "inflight=9".into(),
@@ -13,7 +13,7 @@
         length: None,
     };
     let reported_in_flight = |is_health_check| {
-        classify_response(reply(), is_health_check)
+        classify_response(response(), is_health_check)
             .report
             .and_then(|report| report.in_flight)
     };
--- a/crates/daemon/src/upstream/response_stream.rs
+++ b/crates/daemon/src/upstream/response_stream.rs
@@ -1,6 +1,6 @@
 //! Streams a long response from its backend to its client.
 use crate::net::body::{BODY_LIMIT, streamed_body};
-use crate::net::connection::{Connection, Reply};
+use crate::net::connection::{Connection, ReceivedResponse};
 use crate::time_limits::{RESPONSE_STALL_TIMEOUT, RESPONSE_TIMEOUT};
 use crate::upstream::completion_guard::CompletionGuard;
 use birchhub::interface::AttemptOutcome;
@@ -13,10 +13,10 @@
 /// The response was not forwarded completely; the error is the outcome of the attempt.
 pub(super) async fn stream_response(
     connection: &mut Connection,
-    reply: &mut Reply,
+    response: &mut ReceivedResponse,
     completion: &CompletionGuard,
 ) -> Result<(), AttemptOutcome> {
-    let (sender, body) = streamed_body(std::mem::take(&mut reply.body), reply.length);
+    let (sender, body) = streamed_body(std::mem::take(&mut response.body), response.length);
     completion.report_response_started(body).await;
     let mut bytes_left = BODY_LIMIT;
     let response_deadline = Instant::now() + RESPONSE_TIMEOUT;
