--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -7,7 +7,7 @@
 use crate::net::body::DeliveryStatus;
 use crate::net::observed_stream::IoObserver;
 use crate::net::progress_deadline::ProgressDeadline;
-use crate::net::socket_budget::{Evictable, EvictionCandidate, SocketBudget, SocketClass};
+use crate::net::socket_budget::{Evictable, EvictionRegistration, SocketBudget, SocketClass};
 use crate::time_limits::{
     FIRST_BYTE_TIMEOUT, FIRST_HEAD_TIMEOUT, HEAD_TIMEOUT, IDLE_TIMEOUT, LINGER_TIMEOUT,
     NEW_CONNECTION_GRACE_PERIOD, RESPONSE_PROGRESS_BYTES, RESPONSE_STALL_TIMEOUT, RESPONSE_TIMEOUT,
@@ -47,7 +47,7 @@
     response_bytes_written: Cell<u64>,
     budget: Rc<SocketBudget>,
     /// Present while the connection may be evicted.
-    eviction: RefCell<Option<EvictionCandidate>>,
+    eviction_registration: RefCell<Option<EvictionRegistration>>,
     weak_self: Weak<ClientConnection>,
     /// Whether the budget has evicted the connection to make room for another one. Cleared if an RPC is received before
     /// the connection is closed.
@@ -72,7 +72,7 @@
             delivery: RefCell::default(),
             response_bytes_written: Cell::new(0),
             budget: budget.clone(),
-            eviction: RefCell::default(),
+            eviction_registration: RefCell::default(),
             weak_self: weak_self.clone(),
             is_evicted: false.into(),
             opened_at,
@@ -86,7 +86,7 @@
     pub(crate) fn enter(&self, phase: ConnectionPhase) {
         self.phase.set(phase);
         if phase.is_busy() {
-            self.eviction.take();
+            self.eviction_registration.take();
             self.is_evicted.set(false);
         } else {
             self.register_evictable();
@@ -168,10 +168,10 @@
     pub(crate) fn register_evictable(&self) {
         if let Some(connection) = self.weak_self.upgrade() {
             let rank = self.eviction_rank() as u8;
-            let candidate = self
-                .budget
-                .register_evictable(SocketClass::Clients, rank, &connection);
-            self.eviction.replace(Some(candidate));
+            let registration =
+                self.budget
+                    .register_evictable(SocketClass::Clients, rank, &connection);
+            self.eviction_registration.replace(Some(registration));
         }
     }
 
--- a/crates/daemon/src/net/socket_budget.rs
+++ b/crates/daemon/src/net/socket_budget.rs
@@ -64,7 +64,7 @@
 }
 
 /// The registration of an [`Evictable`]. Withdrawn when dropped.
-pub(crate) struct EvictionCandidate {
+pub(crate) struct EvictionRegistration {
     budget: Rc<SocketBudget>,
     class: SocketClass,
     order: EvictionOrder,
@@ -163,14 +163,14 @@
         class: SocketClass,
         rank: u8,
         evictable: &Rc<E>,
-    ) -> EvictionCandidate {
+    ) -> EvictionRegistration {
         let budget = self.class(class);
         let registration = budget.next_registration.get();
         budget.next_registration.set(registration + 1);
         let order = EvictionOrder { rank, registration };
         let evictable = Rc::<E>::downgrade(evictable);
         budget.evictable.borrow_mut().insert(order, evictable);
-        EvictionCandidate {
+        EvictionRegistration {
             budget: self.clone(),
             class,
             order,
@@ -196,7 +196,7 @@
     }
 }
 
-impl Drop for EvictionCandidate {
+impl Drop for EvictionRegistration {
     fn drop(&mut self) {
         let budget = self.budget.class(self.class);
         budget.evictable.borrow_mut().remove(&self.order);
--- a/crates/daemon/src/net/socket_budget/tests.rs
+++ b/crates/daemon/src/net/socket_budget/tests.rs
@@ -50,7 +50,7 @@
     let (budget, _permits) = exhausted();
     let idle: Vec<Rc<Idle>> = (0..3).map(|_| Rc::default()).collect();
     let ranks = [1, 0, 0];
-    let _candidates: Vec<EvictionCandidate> = idle
+    let _registrations: Vec<EvictionRegistration> = idle
         .iter()
         .zip(ranks)
         .map(|(idle, rank)| budget.register_evictable(SocketClass::Clients, rank, idle))
--- a/crates/daemon/src/upstream/idle_connections.rs
+++ b/crates/daemon/src/upstream/idle_connections.rs
@@ -2,7 +2,7 @@
 //! its close task drops it when the backend closes it or its reuse time expires, the socket budget evicts it to make
 //! room for another socket, or the endpoint actor clears the pool.
 use crate::net::connection::Connection;
-use crate::net::socket_budget::{Evictable, EvictionCandidate, SocketBudget, SocketClass};
+use crate::net::socket_budget::{Evictable, EvictionRegistration, SocketBudget, SocketClass};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::rc::{Rc, Weak};
@@ -30,7 +30,7 @@
     /// None once the connection was taken or evicted.
     connection: RefCell<Option<Connection>>,
     last_used: Instant,
-    candidate: RefCell<Option<EvictionCandidate>>,
+    registration: RefCell<Option<EvictionRegistration>>,
     /// Removes the connection from the pool when it is closed or expires.
     close_task: RefCell<Option<JoinHandle<()>>>,
 }
@@ -41,7 +41,7 @@
         Self {
             connection: RefCell::new(Some(connection)),
             last_used,
-            candidate: RefCell::default(),
+            registration: RefCell::default(),
             close_task: RefCell::default(),
         }
     }
@@ -138,10 +138,10 @@
     /// Adds a connection for reuse.
     pub(crate) fn insert(self: &Rc<Self>, connection: Connection) {
         let idle = Rc::new(IdleConnection::new(connection));
-        let candidate = self
-            .budget
-            .register_evictable(SocketClass::Backends, EVICTION_RANK, &idle);
-        idle.candidate.replace(Some(candidate));
+        let registration =
+            self.budget
+                .register_evictable(SocketClass::Backends, EVICTION_RANK, &idle);
+        idle.registration.replace(Some(registration));
         let expiry = idle.last_used + self.reuse_time.get();
         let removal = self
             .clone()
