--- a/crates/daemon/src/downstream/rpc_outcome.rs
+++ b/crates/daemon/src/downstream/rpc_outcome.rs
@@ -20,7 +20,7 @@
     }
 
     /// Creates the outcome of an RPC that the decision actor responded to.
-    pub(super) fn decided(response: ProxyResponse) -> Self {
+    pub(super) fn from_decision(response: ProxyResponse) -> Self {
         let reason = match response {
             ProxyResponse::Ok(_) | ProxyResponse::Streamed(_) | ProxyResponse::Health(_) => {
                 EndReason::Served
--- a/crates/daemon/src/downstream/rpc_service.rs
+++ b/crates/daemon/src/downstream/rpc_service.rs
@@ -139,7 +139,7 @@
             outcome = incomplete_upload(upload.as_deref()) => outcome,
             Some(response) = self.submit(id, rpc, request_id, client) => {
                 guard.disarm();
-                RpcOutcome::decided(response)
+                RpcOutcome::from_decision(response)
             }
             () = timeout => {
                 log::error!(request:% = log_id; "RPC exceeded its deadline without a response");
