--- a/crates/daemon/src/downstream/rpc_service.rs
+++ b/crates/daemon/src/downstream/rpc_service.rs
@@ -94,7 +94,7 @@
         let log = RpcLog::start(&rpc, connection.id(), self.invariants.clone());
         let timeout = rpc.timeout;
         let buffered_at = rpc.received_at;
-        let outcome = self.decide(rpc, client, log.request_id()).await;
+        let outcome = self.wait_for_outcome(rpc, client, log.request_id()).await;
         // The timeout of a streamed request starts with its last byte: without it there is no deadline.
         let received_at = match &upload {
             Some(upload) => upload.completed_at(),
@@ -111,11 +111,11 @@
     }
 
     /// Waits for the outcome of an RPC: the decision actor's response, or a failure if there is none by its deadline.
-    async fn decide(
+    async fn wait_for_outcome(
         &self,
         mut rpc: ReceivedRpc,
         client: ClientLiveness,
-        log_id: &str,
+        request_id_text: &str,
     ) -> RpcOutcome {
         rpc.timeout = self.timeout_before_shutdown(&rpc);
         if rpc.timeout.is_zero() {
@@ -142,7 +142,7 @@
                 RpcOutcome::from_decision(response)
             }
             () = timeout => {
-                log::error!(request:% = log_id; "RPC exceeded its deadline without a response");
+                log::error!(request:% = request_id_text; "RPC exceeded its deadline without a response");
                 RpcOutcome::new(ProxyResponse::Failed, EndReason::DeadlineExceeded)
             }
             () = self.shutdown_deadline() => {
