--- a/crates/daemon/src/decision/endpoints.rs
+++ b/crates/daemon/src/decision/endpoints.rs
@@ -6,7 +6,7 @@
 use crate::invariants::Invariants;
 use crate::lifecycle::admin_state::{AdminState, EndpointStatus};
 use crate::net::socket_budget::SocketBudget;
-use crate::upstream::endpoint::{ConnectionLimits, EndpointHandle};
+use crate::upstream::endpoint::{ConnectionTimeouts, EndpointHandle};
 use crate::upstream::endpoint_state::EndpointInfo;
 use crate::upstream::exchange::Exchange;
 use birchhub::interface::{Endpoint, Readiness};
@@ -30,7 +30,7 @@
     /// The zones that the settings name.
     zones: Vec<String>,
     lists_sizes: bool,
-    limits: ConnectionLimits,
+    timeouts: ConnectionTimeouts,
     budget: Rc<SocketBudget>,
     invariants: Rc<Invariants>,
 }
@@ -48,7 +48,7 @@
             listed: HashMap::new(),
             zones: settings.zones.clone(),
             lists_sizes: settings.lists_endpoint_sizes,
-            limits: ConnectionLimits {
+            timeouts: ConnectionTimeouts {
                 connect: Duration::from_secs_f64(settings.connect_timeout),
                 idle: Duration::from_secs_f64(settings.idle_timeout),
             },
@@ -180,7 +180,7 @@
         } else {
             let budget = self.budget.clone();
             let invariants = self.invariants.clone();
-            let handle = EndpointHandle::start(info, self.limits, budget, invariants);
+            let handle = EndpointHandle::start(info, self.timeouts, budget, invariants);
             self.handles.insert(backend, handle);
         }
     }
--- a/crates/daemon/src/upstream/endpoint.rs
+++ b/crates/daemon/src/upstream/endpoint.rs
@@ -21,14 +21,14 @@
 
 /// Timeouts of connections to backends, from the settings.
 #[derive(Clone, Copy)]
-pub(crate) struct ConnectionLimits {
+pub(crate) struct ConnectionTimeouts {
     /// For opening a connection.
     pub connect: Duration,
     /// After which backends close an idle connection.
     pub idle: Duration,
 }
 
-impl ConnectionLimits {
+impl ConnectionTimeouts {
     /// Returns the longest time for which an idle connection is reused.
     fn max_reuse_time(&self) -> Duration {
         self.idle.mul_f64(REUSE_FRACTION_OF_IDLE_TIMEOUT)
@@ -48,7 +48,7 @@
     /// Starts the actor of a backend and returns its handle.
     pub(crate) fn start(
         info: EndpointInfo,
-        limits: ConnectionLimits,
+        timeouts: ConnectionTimeouts,
         budget: Rc<SocketBudget>,
         invariants: Rc<Invariants>,
     ) -> Self {
@@ -57,10 +57,10 @@
         let state = Rc::new(EndpointState {
             info: receiver,
             idle: Rc::new(IdleConnections::new(
-                limits.max_reuse_time(),
+                timeouts.max_reuse_time(),
                 budget.clone(),
             )),
-            connect_timeout: limits.connect,
+            connect_timeout: timeouts.connect,
             budget,
             invariants,
         });
