--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 /// Order in which connections are evicted: the lowest rank first, and within a rank the one that has been silent for
-/// the longest. A connection with an RPC in flight is never evicted.
+/// the longest. A connection is never evicted while an RPC is in flight or its response is being written.
 #[derive(Clone, Copy)]
 enum EvictionRank {
     /// The client has sent nothing, and its grace period is over.
