--- a/crates/daemon/src/downstream/connection_phase.rs
+++ b/crates/daemon/src/downstream/connection_phase.rs
@@ -31,7 +31,7 @@
         /// When the RPC must have its response.
         response_deadline: Instant,
     },
-    /// The response is being written. Each byte that the client reads extends the deadline, up to its limit.
+    /// The response is being written. Each byte that the socket accepts extends the deadline, up to its limit.
     WritingResponse {
         /// When the client must have read more of the response.
         progress: ProgressDeadline,
