--- a/crates/daemon/src/end_reason.rs
+++ b/crates/daemon/src/end_reason.rs
@@ -36,7 +36,7 @@
     FailedByDecision,
     /// RPC: it had no response by its deadline.
     DeadlineExceeded,
-    /// RPC: the process shuts down before a response.
+    /// RPC: it had no response before the response deadline of a shutdown.
     ShuttingDown,
     /// RPC: the mailbox of the decision actor is full.
     Overloaded,
