--- a/crates/daemon/src/net/socket_budget.rs
+++ b/crates/daemon/src/net/socket_budget.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Evicts the first candidate that is still idle; false if there is none. The task of a client's connection closes it a
-    /// moment later.
+    /// Evicts the first candidate that is still idle; false if there is none. A client's connection is closed by its
+    /// task, shortly afterwards.
     pub(crate) fn evict_oldest(&self, class: SocketClass) -> bool {
         loop {
             let first = self.class(class).evictable.borrow_mut().pop_first();
