--- a/crates/daemon/src/upstream/attempt/mod.rs
+++ b/crates/daemon/src/upstream/attempt/mod.rs
@@ -110,7 +110,8 @@
 }
 
 impl RunningExchange<'_> {
-    /// Returns the result for an end; none leaves it to the completion guard, which knows whether anything was sent.
+    /// Returns the result of an exchange that ended this way; none leaves it to the completion guard, which knows
+    /// whether a byte was sent.
     fn result(&self, end: ExchangeEnd) -> Option<ExchangeResult> {
         let upload = self.request.upload();
         let outcome = match end {
