--- a/crates/daemon/src/upstream/attempt/send.rs
+++ b/crates/daemon/src/upstream/attempt/send.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether the invariants permit to send the first byte now.
+    /// Whether the invariants permit sending the first byte now.
     fn may_send(&self, facts: &SendFacts) -> bool {
         let invariants = &self.endpoint.invariants;
         invariants.may_send(self.request.id_text(), facts)
