--- a/crates/daemon/src/upstream/endpoint.rs
+++ b/crates/daemon/src/upstream/endpoint.rs
@@ -22,9 +22,9 @@
 /// Timeouts of connections to backends, from the settings.
 #[derive(Clone, Copy)]
 pub(crate) struct ConnectionTimeouts {
-    /// For opening a connection.
+    /// Timeout for opening a connection.
     pub connect: Duration,
-    /// After which backends close an idle connection.
+    /// Time after which backends close an idle connection.
     pub idle: Duration,
 }
 
