--- a/crates/daemon/src/net/inbound_stream.rs
+++ b/crates/daemon/src/net/inbound_stream.rs
@@ -1,6 +1,6 @@
 //! A client's stream with read-ahead, which detects a disconnect while an RPC is in flight.
 //!
-//! An HTTP/1.1 server reads one message at a time. It doesn't see a disconnect that follows bytes of a further message.
+//! An HTTP/1.1 server reads one message at a time. It doesn't see a disconnect that follows bytes of the next message.
 //! [`ReadAhead`] buffers those bytes and finds the end of the stream.
 use crate::net::socket;
 use bytes::BytesMut;
