--- a/crates/daemon/src/downstream/rpc_service.rs
+++ b/crates/daemon/src/downstream/rpc_service.rs
@@ -60,7 +60,7 @@
         message: Request<Incoming>,
         body_deadline: ProgressDeadline,
         connection: &ClientConnection,
-        client: ClientLiveness,
+        liveness: ClientLiveness,
     ) -> ProxyResponse {
         let framing_counts = connection.take_framing_counts();
         if message.method() == Method::GET && message.uri().path() == READINESS_PATH {
@@ -68,7 +68,7 @@
         }
         let parsed = self.parser.parse(message, framing_counts, body_deadline);
         match parsed.await {
-            Ok(rpc) => self.serve(rpc, connection, client).await,
+            Ok(rpc) => self.serve(rpc, connection, liveness).await,
             Err(response) => {
                 let reason = EndReason::InvalidRequest;
                 log::log!(
@@ -85,7 +85,7 @@
         &self,
         rpc: ReceivedRpc,
         connection: &ClientConnection,
-        client: ClientLiveness,
+        liveness: ClientLiveness,
     ) -> ProxyResponse {
         connection.enter(ConnectionPhase::RpcInFlight {
             response_deadline: response_deadline(&rpc),
@@ -94,7 +94,7 @@
         let log = RpcLog::start(&rpc, connection.id(), self.invariants.clone());
         let timeout = rpc.timeout;
         let buffered_at = rpc.received_at;
-        let outcome = self.wait_for_outcome(rpc, client, log.request_id()).await;
+        let outcome = self.wait_for_outcome(rpc, liveness, log.request_id()).await;
         // The timeout of a streamed request starts with its last byte: without it there is no deadline.
         let received_at = match &upload {
             Some(upload) => upload.completed_at(),
@@ -114,7 +114,7 @@
     async fn wait_for_outcome(
         &self,
         mut rpc: ReceivedRpc,
-        client: ClientLiveness,
+        liveness: ClientLiveness,
         request_id_text: &str,
     ) -> RpcOutcome {
         rpc.timeout = self.timeout_before_shutdown(&rpc);
@@ -137,7 +137,7 @@
         select! {
             biased;
             outcome = incomplete_upload(upload.as_deref()) => outcome,
-            Some(response) = self.submit(id, rpc, request_id, client) => {
+            Some(response) = self.submit(id, rpc, request_id, liveness) => {
                 guard.disarm();
                 RpcOutcome::from_decision(response)
             }
@@ -168,14 +168,14 @@
         id: u64,
         rpc: ReceivedRpc,
         request_id: RequestIdGuard,
-        client: ClientLiveness,
+        liveness: ClientLiveness,
     ) -> Option<ProxyResponse> {
         let (sender, receiver) = oneshot::channel();
         let event = Event::RpcReceived {
             id,
             rpc: Box::new(rpc),
             request_id,
-            client,
+            client: liveness,
             response: sender,
         };
         self.events.send(event).await.ok()?;
