--- a/crates/daemon/src/discovery/call.rs
+++ b/crates/daemon/src/discovery/call.rs
@@ -5,7 +5,7 @@
 use crate::discovery::update::EndpointUpdate;
 use crate::net::body::RequestBody;
 use crate::net::connect::ConnectError;
-use crate::net::connection::{Connection, ConnectionError};
+use crate::net::outbound_connection::{ConnectionError, OutboundConnection};
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
 use std::cell::Cell;
@@ -30,7 +30,7 @@
     /// The update that was received.
     pub result: Result<EndpointUpdate, DiscoveryError>,
     /// The connection of the call, if it can be used for the next one.
-    pub connection: Option<Connection>,
+    pub connection: Option<OutboundConnection>,
 }
 
 impl From<DiscoveryError> for CallEnd {
@@ -48,7 +48,7 @@
 /// Starts a call to the service at `address`, on `connection` if that is still usable, or else on a new one.
 pub(super) fn start_call(
     address: SocketAddr,
-    connection: Option<Connection>,
+    connection: Option<OutboundConnection>,
     path: String,
 ) -> PendingCall {
     Box::pin(async move {
@@ -67,15 +67,15 @@
 
 async fn connect(
     address: SocketAddr,
-    connection: Option<Connection>,
-) -> Result<Connection, DiscoveryError> {
+    connection: Option<OutboundConnection>,
+) -> Result<OutboundConnection, DiscoveryError> {
     if let Some(mut connection) = connection
         && connection.is_usable().await
     {
         return Ok(connection);
     }
     let connect_by = Instant::now() + CONNECT_TIMEOUT;
-    let connection = Connection::open(address, None, connect_by).await;
+    let connection = OutboundConnection::open(address, None, connect_by).await;
     connection.map_err(|error| match error {
         ConnectError::TimedOut => DiscoveryError::TimedOut,
         error => DiscoveryError::ConnectFailed(error),
@@ -83,7 +83,7 @@
 }
 
 async fn exchange(
-    connection: &mut Connection,
+    connection: &mut OutboundConnection,
     path: &str,
 ) -> Result<EndpointUpdate, DiscoveryError> {
     let mut request = Request::new(RequestBody::Buffered(Full::default()));
--- a/crates/daemon/src/discovery/client.rs
+++ b/crates/daemon/src/discovery/client.rs
@@ -10,7 +10,7 @@
 use crate::discovery::watch::{DecisionActorEnded, EndpointWatch, WatchEnd};
 use crate::lifecycle::state_store::StateStore;
 use crate::messages::Event;
-use crate::net::connection::Connection;
+use crate::net::outbound_connection::OutboundConnection;
 use std::future::ready;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -98,7 +98,7 @@
 
     /// Waits until the decisions request a watch, the address changes, or an overdue poll receives an update. A watch
     /// that starts after an overdue poll continues on the connection of that poll.
-    async fn wait_for_start(&mut self) -> Result<Option<Connection>, DecisionActorEnded> {
+    async fn wait_for_start(&mut self) -> Result<Option<OutboundConnection>, DecisionActorEnded> {
         select! {
             () = self.watch_requested.notified() => Ok(None),
             Ok(()) = self.address.changed() => {
--- a/crates/daemon/src/discovery/error.rs
+++ b/crates/daemon/src/discovery/error.rs
@@ -3,7 +3,7 @@
 use crate::discovery::timing::PollTiming;
 use crate::discovery::wire::DecodeError;
 use crate::net::connect::ConnectError;
-use crate::net::connection::ConnectionError;
+use crate::net::outbound_connection::ConnectionError;
 use hyper::StatusCode;
 use thiserror::Error;
 
--- a/crates/daemon/src/discovery/overdue.rs
+++ b/crates/daemon/src/discovery/overdue.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::call::PendingCall;
 use crate::discovery::update::EndpointUpdate;
-use crate::net::connection::Connection;
+use crate::net::outbound_connection::OutboundConnection;
 use std::collections::VecDeque;
 use std::future::poll_fn;
 use std::task::Poll;
@@ -22,7 +22,7 @@
     /// The update.
     pub update: EndpointUpdate,
     /// The connection of the call, if it can be used for the next one.
-    pub connection: Option<Connection>,
+    pub connection: Option<OutboundConnection>,
 }
 
 impl OverdueCalls {
--- a/crates/daemon/src/discovery/poller.rs
+++ b/crates/daemon/src/discovery/poller.rs
@@ -7,7 +7,7 @@
 use crate::discovery::timing::FIRST_SNAPSHOT_TIMEOUTS;
 use crate::discovery::update::EndpointUpdate;
 use crate::discovery::wire;
-use crate::net::connection::Connection;
+use crate::net::outbound_connection::OutboundConnection;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::select;
@@ -127,7 +127,7 @@
     /// overdue call is returned in place of the response to this one.
     pub(super) async fn poll(
         &mut self,
-        connection: &mut Option<Connection>,
+        connection: &mut Option<OutboundConnection>,
         call: Call,
     ) -> Result<EndpointUpdate, DiscoveryError> {
         let deadline = Instant::now() + call.timeout;
--- a/crates/daemon/src/discovery/watch.rs
+++ b/crates/daemon/src/discovery/watch.rs
@@ -9,7 +9,7 @@
 use crate::discovery::update::EndpointUpdate;
 use crate::lifecycle::state_store::StateStore;
 use crate::messages::Event;
-use crate::net::connection::Connection;
+use crate::net::outbound_connection::OutboundConnection;
 use std::rc::Rc;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
@@ -41,7 +41,7 @@
 
 impl EndpointWatch {
     /// Polls until a poll and its immediate retries fail, or the decision actor ends. The first poll uses `connection` if there is one.
-    pub(super) async fn run(&mut self, mut connection: Option<Connection>) -> WatchEnd {
+    pub(super) async fn run(&mut self, mut connection: Option<OutboundConnection>) -> WatchEnd {
         let mut mode = self.poller.initial_mode();
         let mut retries = 0;
         loop {
@@ -91,7 +91,7 @@
     pub(super) async fn accept_late(
         &mut self,
         late: LateUpdate,
-    ) -> Result<Option<Connection>, DecisionActorEnded> {
+    ) -> Result<Option<OutboundConnection>, DecisionActorEnded> {
         let previous_response = self.poller.last_response();
         if let Some(update) = self.poller.accept_late(late.update) {
             self.deliver(update, previous_response).await?;
--- a/crates/daemon/src/net/connection.rs
+++ b/crates/daemon/src/net/outbound_connection.rs
@@ -1,7 +1,7 @@
 //! An HTTP/1.1 connection that this proxy opens, to a backend or to the discovery service.
 //!
-//! The owner of a [`Connection`] drives it. There is no background task that could keep the socket open or send a
-//! request again. Dropping the connection closes the socket and returns its permit to the budget.
+//! The owner of an [`OutboundConnection`] drives it. There is no background task that could keep the socket open or send
+//! a request again. Dropping the connection closes the socket and returns its permit to the budget.
 use crate::net::body::RequestBody;
 use crate::net::connect::{ConnectError, connect};
 use crate::net::observed_stream::ObservedStream;
@@ -47,7 +47,7 @@
     pub headers: HeaderMap,
     /// The complete body, or its first part.
     pub body: Bytes,
-    /// Whether the rest of the body is still to be read with [`Connection::next_chunk`].
+    /// Whether the rest of the body is still to be read with [`OutboundConnection::next_chunk`].
     pub is_partial: bool,
     /// The declared length of the complete body.
     pub length: Option<u64>,
@@ -78,7 +78,7 @@
 }
 
 /// A connection that this proxy opened, for one exchange at a time.
-pub(crate) struct Connection {
+pub(crate) struct OutboundConnection {
     sender: SendRequest<RequestBody>,
     driver: Driver,
     /// The rest of a response that is not buffered.
@@ -91,7 +91,7 @@
     _permit: Option<SocketPermit>,
 }
 
-impl Connection {
+impl OutboundConnection {
     /// Opens a connection to this address. `permit` is none if the descriptor is one of the reserved ones.
     ///
     /// # Errors
--- a/crates/daemon/src/upstream/attempt/connect.rs
+++ b/crates/daemon/src/upstream/attempt/connect.rs
@@ -1,7 +1,7 @@
 //! Takes an idle connection to the backend of an exchange, or opens a new one.
 use super::RunningExchange;
 use crate::net::connect::ConnectError;
-use crate::net::connection::Connection;
+use crate::net::outbound_connection::OutboundConnection;
 use crate::net::socket_budget::SocketClass;
 use birchhub::interface::AttemptOutcome;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 /// A connection for an exchange.
 pub(super) struct Checkout {
     /// The connection.
-    pub connection: Connection,
+    pub connection: OutboundConnection,
     /// Whether it has served another exchange before.
     pub is_reused: bool,
 }
@@ -34,7 +34,7 @@
             .ok_or(AttemptOutcome::NotSent)?;
         let connect_deadline = Instant::now() + self.endpoint.connect_timeout;
         let deadline = self.deadlines.response_deadline.min(connect_deadline);
-        let connection = Connection::open(address, Some(permit), deadline)
+        let connection = OutboundConnection::open(address, Some(permit), deadline)
             .await
             .map_err(|error| connect_outcome(&error))?;
         Ok(Checkout {
--- a/crates/daemon/src/upstream/attempt/mod.rs
+++ b/crates/daemon/src/upstream/attempt/mod.rs
@@ -8,8 +8,8 @@
 
 use crate::downstream::request::ParsedRequest;
 use crate::end_reason::EndReason;
-use crate::net::connection::Connection;
 use crate::net::inbound_stream::ClientLiveness;
+use crate::net::outbound_connection::OutboundConnection;
 use crate::upstream::completion_guard::CompletionGuard;
 use crate::upstream::endpoint_state::EndpointState;
 use crate::upstream::exchange::{Deadlines, Exchange, ExchangeRequest};
@@ -88,7 +88,7 @@
 
 impl WriteProgress {
     /// Tracks the bytes written on this connection from now on.
-    fn observe(&self, connection: &Connection) {
+    fn observe(&self, connection: &OutboundConnection) {
         self.0.replace(Some(connection.bytes_written()));
     }
 
--- a/crates/daemon/src/upstream/attempt/send.rs
+++ b/crates/daemon/src/upstream/attempt/send.rs
@@ -2,7 +2,7 @@
 use super::RunningExchange;
 use super::connect::Checkout;
 use crate::net::body::BUFFERED_BODY_LIMIT;
-use crate::net::connection::{Connection, ConnectionError, ReceivedResponse};
+use crate::net::outbound_connection::{ConnectionError, OutboundConnection, ReceivedResponse};
 use crate::upstream::backend_protocol::{classify_response, encode_request};
 use crate::upstream::response_stream::stream_response;
 use crate::upstream::result::ExchangeResult;
@@ -123,7 +123,7 @@
     /// Streams the rest of a long response, keeps the connection for reuse and classifies the response.
     async fn receive(
         &self,
-        mut connection: Connection,
+        mut connection: OutboundConnection,
         address: SocketAddr,
         mut response: ReceivedResponse,
     ) -> ExchangeResult {
--- a/crates/daemon/src/upstream/backend_protocol.rs
+++ b/crates/daemon/src/upstream/backend_protocol.rs
@@ -2,7 +2,7 @@
 use crate::downstream::request::{ParsedRequest, RequestPayload};
 use crate::end_reason::EndReason;
 use crate::net::body::RequestBody;
-use crate::net::connection::ReceivedResponse;
+use crate::net::outbound_connection::ReceivedResponse;
 use crate::upstream::result::ExchangeResult;
 use birchhub::interface::{AttemptOutcome, LoadReport};
 use birchhub_settings::parse_load_report;
--- a/crates/daemon/src/upstream/endpoint_state.rs
+++ b/crates/daemon/src/upstream/endpoint_state.rs
@@ -1,7 +1,7 @@
 //! The state that an endpoint actor shares with the tasks of its exchanges.
 
 use crate::invariants::Invariants;
-use crate::net::connection::Connection;
+use crate::net::outbound_connection::OutboundConnection;
 use crate::net::socket_budget::SocketBudget;
 use crate::upstream::idle_connections::IdleConnections;
 use hyper::HeaderMap;
@@ -61,7 +61,7 @@
     /// address has changed.
     pub(super) async fn keep(
         &self,
-        mut connection: Connection,
+        mut connection: OutboundConnection,
         address: SocketAddr,
         response_headers: &HeaderMap,
     ) {
--- a/crates/daemon/src/upstream/idle_connections.rs
+++ b/crates/daemon/src/upstream/idle_connections.rs
@@ -1,7 +1,7 @@
 //! The pool of a backend's idle connections. A connection leaves it in one of four ways: the next exchange takes it,
 //! its close task drops it when the backend closes it or its reuse time expires, the socket budget evicts it to make
 //! room for another socket, or the endpoint actor clears the pool.
-use crate::net::connection::Connection;
+use crate::net::outbound_connection::OutboundConnection;
 use crate::net::socket_budget::{Evictable, EvictionRegistration, SocketBudget, SocketClass};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -28,7 +28,7 @@
 /// An idle connection, its registration as an eviction candidate and the task that waits for its close.
 struct IdleConnection {
     /// None once the connection was taken or evicted.
-    connection: RefCell<Option<Connection>>,
+    connection: RefCell<Option<OutboundConnection>>,
     last_used: Instant,
     registration: RefCell<Option<EvictionRegistration>>,
     /// Removes the connection from the pool when it is closed or expires.
@@ -36,7 +36,7 @@
 }
 
 impl IdleConnection {
-    fn new(connection: Connection) -> Self {
+    fn new(connection: OutboundConnection) -> Self {
         let last_used = connection.last_used;
         Self {
             connection: RefCell::new(Some(connection)),
@@ -107,7 +107,7 @@
     }
 
     /// Takes the most recently used connection that is open and has been silent since its response.
-    pub(crate) async fn take(&self) -> Option<Connection> {
+    pub(crate) async fn take(&self) -> Option<OutboundConnection> {
         // Lets the event loop receive bytes that follow a response: they would be read as the response to the next
         // request.
         yield_now().await;
@@ -136,7 +136,7 @@
     }
 
     /// Adds a connection for reuse.
-    pub(crate) fn insert(self: &Rc<Self>, connection: Connection) {
+    pub(crate) fn insert(self: &Rc<Self>, connection: OutboundConnection) {
         let idle = Rc::new(IdleConnection::new(connection));
         let registration =
             self.budget
--- a/crates/daemon/src/upstream/response_stream.rs
+++ b/crates/daemon/src/upstream/response_stream.rs
@@ -1,6 +1,6 @@
 //! Streams a long response from its backend to its client.
 use crate::net::body::{BODY_LIMIT, streamed_body};
-use crate::net::connection::{Connection, ReceivedResponse};
+use crate::net::outbound_connection::{OutboundConnection, ReceivedResponse};
 use crate::time_limits::{RESPONSE_STALL_TIMEOUT, RESPONSE_TIMEOUT};
 use crate::upstream::completion_guard::CompletionGuard;
 use birchhub::interface::AttemptOutcome;
@@ -12,7 +12,7 @@
 /// # Errors
 /// The response was not forwarded completely; the error is the outcome of the attempt.
 pub(super) async fn stream_response(
-    connection: &mut Connection,
+    connection: &mut OutboundConnection,
     response: &mut ReceivedResponse,
     completion: &CompletionGuard,
 ) -> Result<(), AttemptOutcome> {
