--- a/crates/daemon/src/net/inbound_stream.rs
+++ b/crates/daemon/src/net/inbound_stream.rs
@@ -18,7 +18,7 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// Maximum number of bytes to read ahead. Ordinary clients send nothing while their RPC is in flight.
+/// Number of buffered bytes at which reading ahead stops. Ordinary clients send nothing while their RPC is in flight.
 const READ_AHEAD_LIMIT: usize = 16 << 10;
 /// Size of the buffer for one read, in bytes. The buffer is on the stack.
 const READ_AHEAD_CHUNK: usize = 1 << 10;
