--- a/crates/daemon/src/upstream/attempt/send.rs
+++ b/crates/daemon/src/upstream/attempt/send.rs
@@ -32,7 +32,7 @@
                 }
                 return AttemptOutcome::NotSent.into();
             }
-            // The backend's address has changed during the connect, and another backend may use the old one.
+            // If the backend's address has changed during the connect, another backend may use the old one.
             if self.endpoint.address() != address {
                 continue;
             }
