--- a/crates/daemon/src/downstream/listener.rs
+++ b/crates/daemon/src/downstream/listener.rs
@@ -159,7 +159,7 @@
         if is_persistent || failures >= PERSISTENT_SHORTAGE_FAILURES {
             self.persistent_shortage_until
                 .set(Some(now + PERSISTENT_SHORTAGE_PERIOD));
-            self.budget.evict_oldest(SocketClass::Clients);
+            self.budget.evict_first(SocketClass::Clients);
             sleep(SHORTAGE_BACKOFF).await;
         } else {
             sleep(INITIAL_ACCEPT_BACKOFF * 2_u32.pow(failures - 1)).await;
--- a/crates/daemon/src/net/socket_budget.rs
+++ b/crates/daemon/src/net/socket_budget.rs
@@ -108,14 +108,14 @@
         self.backends.limit.set(sockets - sockets / 2);
         for class in [SocketClass::Clients, SocketClass::Backends] {
             for _ in 0..self.excess(class) {
-                self.evict_oldest(class);
+                self.evict_first(class);
             }
         }
     }
 
     /// Evicts the first candidate that is still idle; false if there is none. A client's connection is closed by its
     /// task, shortly afterwards.
-    pub(crate) fn evict_oldest(&self, class: SocketClass) -> bool {
+    pub(crate) fn evict_first(&self, class: SocketClass) -> bool {
         loop {
             let first = self.class(class).evictable.borrow_mut().pop_first();
             let Some((_, candidate)) = first else {
@@ -135,7 +135,7 @@
     pub(crate) fn acquire(self: &Rc<Self>, class: SocketClass) -> Option<SocketPermit> {
         let budget = self.class(class);
         let is_exhausted = budget.open.get() >= budget.limit.get();
-        if is_exhausted && !self.evict_oldest(class) {
+        if is_exhausted && !self.evict_first(class) {
             if !budget.is_exhaustion_logged.replace(true) {
                 log::warn!(
                     "socket budget of {class:?} exhausted: {} open, none idle, rejecting further ones",
