--- a/crates/daemon/src/decision/endpoints.rs
+++ b/crates/daemon/src/decision/endpoints.rs
@@ -6,7 +6,7 @@
 use crate::invariants::Invariants;
 use crate::lifecycle::admin_state::{AdminState, EndpointStatus};
 use crate::net::socket_budget::SocketBudget;
-use crate::upstream::endpoint::{ConnectionLimits, EndpointHandle};
+use crate::upstream::endpoint::{ConnectionTimeouts, EndpointHandle};
 use crate::upstream::endpoint_state::EndpointInfo;
 use crate::upstream::exchange::Exchange;
 use birchhub::interface::{Endpoint, Readiness};
@@ -32,7 +32,7 @@
     zones: Vec<String>,
     /// Whether the endpoint list contains the sizes of the backends.
     lists_sizes: bool,
-    limits: ConnectionLimits,
+    timeouts: ConnectionTimeouts,
     budget: Rc<SocketBudget>,
     invariants: Rc<Invariants>,
 }
@@ -50,7 +50,7 @@
             listed: HashMap::new(),
             zones: settings.zones.clone(),
             lists_sizes: settings.lists_endpoint_sizes,
-            limits: ConnectionLimits {
+            timeouts: ConnectionTimeouts {
                 connect: Duration::from_secs_f64(settings.connect_timeout),
                 idle: Duration::from_secs_f64(settings.idle_timeout),
             },
@@ -182,7 +182,7 @@
         } else {
             let budget = self.budget.clone();
             let invariants = self.invariants.clone();
-            let handle = EndpointHandle::start(info, self.limits, budget, invariants);
+            let handle = EndpointHandle::start(info, self.timeouts, budget, invariants);
             self.handles.insert(backend, handle);
         }
     }
--- a/crates/daemon/src/downstream/connection.rs
+++ b/crates/daemon/src/downstream/connection.rs
@@ -1,16 +1,16 @@
-//! The state of one client's connection: its phase, when it is closed, and whether it may be evicted.
+//! The state of a client's connection: its phase, when it is to be closed, and whether it may be evicted.
 use crate::downstream::connection_phase::{ConnectionPhase, ScheduledClose};
-use crate::downstream::head_scan::Framings;
-use crate::downstream::message_scan::MessageScan;
+use crate::downstream::head_scan::FramingCounts;
+use crate::downstream::message_scan::MessageScanner;
 use crate::end_reason::EndReason;
 use crate::lifecycle::state::DrainDeadlines;
 use crate::net::body::DeliveryStatus;
 use crate::net::observed_stream::IoObserver;
 use crate::net::progress_deadline::ProgressDeadline;
-use crate::net::socket_budget::{Evictable, EvictionCandidate, SocketBudget, SocketClass};
+use crate::net::socket_budget::{Evictable, EvictionRegistration, SocketBudget, SocketClass};
 use crate::time_limits::{
     FIRST_BYTE_TIMEOUT, FIRST_HEAD_TIMEOUT, HEAD_TIMEOUT, IDLE_TIMEOUT, LINGER_TIMEOUT,
-    RESPONSE_PROGRESS_BYTES, RESPONSE_STALL_TIMEOUT, RESPONSE_TIMEOUT, SETTLE_PERIOD,
+    NEW_CONNECTION_GRACE_PERIOD, RESPONSE_PROGRESS_BYTES, RESPONSE_STALL_TIMEOUT, RESPONSE_TIMEOUT,
 };
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -18,41 +18,42 @@
 use tokio::time::Instant;
 
 /// Order in which connections are evicted: the lowest rank first, and within a rank the one that has been silent for
-/// the longest. A connection with an RPC in flight is never evicted.
+/// the longest. A connection is never evicted while an RPC is in flight or its response is being written.
 #[derive(Clone, Copy)]
 enum EvictionRank {
-    /// The client has sent nothing, and its settle period is over.
+    /// The client has sent nothing, and its grace period is over.
     AwaitingFirstByte,
     /// Between two messages, or lingering.
     Idle,
-    /// A part of a head was received.
+    /// Part of a head was received.
     ReadingHead,
     /// Just accepted. Ranked above idle connections, because new connections would evict each other otherwise.
-    Settling,
-    /// A part of a body was received.
+    New,
+    /// Part of a body was received.
     ReadingBody,
 }
 
 /// The state of a client's connection, shared by its task, the observer of its stream and the socket budget.
 pub(crate) struct ClientConnection {
-    /// The connection's number in the log.
+    /// The connection's number in log lines.
     id: u64,
     phase: Cell<ConnectionPhase>,
-    /// Whether the connection is closed after the current response, once the client had time to read it.
+    /// Whether the connection is closed after the current response, once the client has had time to read it.
     is_closing: Cell<bool>,
-    scan: RefCell<MessageScan>,
-    /// Whether the current response was handed over to the connection.
+    scanner: RefCell<MessageScanner>,
+    /// Whether all bytes of the current response were handed over to the connection.
     delivery: RefCell<DeliveryStatus>,
-    /// Bytes of the current response that the client has read.
+    /// Bytes that were written to the socket for the current response.
     response_bytes_written: Cell<u64>,
     budget: Rc<SocketBudget>,
     /// Present while the connection may be evicted.
-    eviction: RefCell<Option<EvictionCandidate>>,
+    eviction_registration: RefCell<Option<EvictionRegistration>>,
     weak_self: Weak<ClientConnection>,
-    /// The budget has chosen the connection to make room for another one. Cleared if an RPC begins before the close.
+    /// Whether the budget has evicted the connection to make room for another one. Cleared if an RPC is received before
+    /// the connection is closed.
     is_evicted: Cell<bool>,
     opened_at: Instant,
-    /// Wakes the connection's task, which then computes the scheduled close again.
+    /// Wakes the connection's task, which then recomputes the scheduled close.
     changed: Notify,
 }
 
@@ -67,11 +68,11 @@
             id,
             phase: phase.into(),
             is_closing: false.into(),
-            scan: RefCell::default(),
+            scanner: RefCell::default(),
             delivery: RefCell::default(),
             response_bytes_written: Cell::new(0),
             budget: budget.clone(),
-            eviction: RefCell::default(),
+            eviction_registration: RefCell::default(),
             weak_self: weak_self.clone(),
             is_evicted: false.into(),
             opened_at,
@@ -81,11 +82,11 @@
         connection
     }
 
-    /// Enters a phase. The connection may be evicted in it unless an RPC is in flight.
+    /// Enters a phase. The connection may be evicted in it unless an RPC is in flight or its response is being written.
     pub(crate) fn enter(&self, phase: ConnectionPhase) {
         self.phase.set(phase);
         if phase.is_busy() {
-            self.eviction.take();
+            self.eviction_registration.take();
             self.is_evicted.set(false);
         } else {
             self.register_evictable();
@@ -93,7 +94,7 @@
         self.changed.notify_one();
     }
 
-    /// Starts to write a response, whose delivery is followed by `delivery`.
+    /// Enters the phase in which a response is written. `delivery` is the delivery status of its body.
     pub(crate) fn begin_response(&self, delivery: DeliveryStatus) {
         self.delivery.replace(delivery);
         self.response_bytes_written.set(0);
@@ -107,11 +108,11 @@
         self.enter(ConnectionPhase::WritingResponse { progress });
     }
 
-    /// Ends the current response. If a part of the next message was already read, the deadline of a head applies to
-    /// it: the connection is not idle.
+    /// Ends the current response. If part of the next message was already read, the connection is not idle: the
+    /// deadline for a head applies.
     fn end_response(&self) {
         let now = Instant::now();
-        let has_next_begun = self.scan.borrow().is_inside_message();
+        let has_next_begun = self.scanner.borrow().is_inside_message();
         self.enter(if has_next_begun {
             ConnectionPhase::ReadingHead {
                 deadline: now + HEAD_TIMEOUT,
@@ -123,7 +124,7 @@
         });
     }
 
-    /// The connection's number in the log.
+    /// The connection's number in log lines.
     pub(crate) fn id(&self) -> u64 {
         self.id
     }
@@ -158,47 +159,48 @@
         self.is_closing.set(is_closing);
     }
 
-    /// Takes the body framings that the head of the current message declares; none if no complete head was scanned.
-    pub(crate) fn take_framings(&self) -> Option<Framings> {
-        self.scan.borrow_mut().take_framings()
+    /// Takes the framing counts of the head of the current message; none if no complete head was scanned.
+    pub(crate) fn take_framing_counts(&self) -> Option<FramingCounts> {
+        self.scanner.borrow_mut().take_framing_counts()
     }
 
     /// Registers the connection with the budget as the most recently active one of its rank.
     pub(crate) fn register_evictable(&self) {
         if let Some(connection) = self.weak_self.upgrade() {
             let rank = self.eviction_rank() as u8;
-            let candidate = self
-                .budget
-                .register_evictable(SocketClass::Clients, rank, &connection);
-            self.eviction.replace(Some(candidate));
+            let registration =
+                self.budget
+                    .register_evictable(SocketClass::Clients, rank, &connection);
+            self.eviction_registration.replace(Some(registration));
         }
     }
 
     fn eviction_rank(&self) -> EvictionRank {
         match self.phase.get() {
-            ConnectionPhase::AwaitingFirstByte { .. } if self.settles_at().is_some() => {
-                EvictionRank::Settling
+            ConnectionPhase::AwaitingFirstByte { .. } if self.grace_period_end().is_some() => {
+                EvictionRank::New
             }
             ConnectionPhase::AwaitingFirstByte { .. } => EvictionRank::AwaitingFirstByte,
             // A higher rank for lingering would let rejected clients crowd out others.
             ConnectionPhase::Idle { .. } | ConnectionPhase::Lingering { .. } => EvictionRank::Idle,
             ConnectionPhase::ReadingHead { .. } => EvictionRank::ReadingHead,
-            // The last two are busy: `enter` withdraws them from eviction.
+            // The last two are busy: `enter` drops their registration, so they are never evicted.
             ConnectionPhase::ReadingBody { .. }
             | ConnectionPhase::RpcInFlight { .. }
             | ConnectionPhase::WritingResponse { .. } => EvictionRank::ReadingBody,
         }
     }
 
-    /// Returns the end of the settle period; none once it has passed or the client has sent a byte.
-    pub(crate) fn settles_at(&self) -> Option<Instant> {
+    /// Returns the end of the grace period; none once it has passed or the client has sent a byte.
+    pub(crate) fn grace_period_end(&self) -> Option<Instant> {
         let is_silent = matches!(self.phase.get(), ConnectionPhase::AwaitingFirstByte { .. });
-        let settles_at = self.opened_at + SETTLE_PERIOD;
-        (is_silent && Instant::now() < settles_at).then_some(settles_at)
+        let grace_period_end = self.opened_at + NEW_CONNECTION_GRACE_PERIOD;
+        (is_silent && Instant::now() < grace_period_end).then_some(grace_period_end)
     }
 
-    /// Returns when and why the connection is closed if nothing else happens: the earliest of the phase's deadline,
-    /// an eviction and the drain deadlines. Only the phase's deadline applies while an RPC is in flight.
+    /// Returns when and why the connection is closed if nothing else happens: the earliest of the phase's deadline, an
+    /// eviction and the drain deadlines. Only the phase's deadline applies while an RPC is in flight or its response is
+    /// being written.
     pub(crate) fn scheduled_close(&self, drain: Option<DrainDeadlines>) -> ScheduledClose {
         let phase = self.phase.get();
         let mut close = phase.scheduled_close();
@@ -206,7 +208,7 @@
             return close;
         }
         if self.is_evicted.get() {
-            // Closes at once: the time is past, and earlier than the deadline of any phase.
+            // A time in the past, before the deadline of any phase, closes the connection at once.
             close = close.earlier(ScheduledClose::new(self.opened_at, EndReason::Evicted));
         }
         if let Some(drain) = drain {
@@ -219,15 +221,15 @@
     /// Returns when a connection in this phase is closed while the proxy is draining.
     fn drain_deadline(&self, phase: ConnectionPhase, drain: DrainDeadlines) -> Instant {
         match phase {
-            // A new connection may still send an RPC.
+            // The client of a new connection may be about to send an RPC.
             ConnectionPhase::AwaitingFirstByte { .. } | ConnectionPhase::Idle { .. } => {
-                drain.idle.max(self.opened_at + SETTLE_PERIOD)
+                drain.idle.max(self.opened_at + NEW_CONNECTION_GRACE_PERIOD)
             }
             _ => drain.incomplete_message,
         }
     }
 
-    /// Gives the client time to read the last response.
+    /// Enters the phase in which the client gets time to read the last response.
     pub(crate) fn begin_linger(&self) {
         self.enter(ConnectionPhase::Lingering {
             deadline: Instant::now() + LINGER_TIMEOUT,
@@ -246,7 +248,7 @@
         }
     }
 
-    /// Returns the deadline of a head whose first byte was received now.
+    /// Returns the deadline for a head whose first byte was received now.
     fn head_deadline(&self) -> Instant {
         let deadline = Instant::now() + HEAD_TIMEOUT;
         match self.phase.get() {
@@ -260,7 +262,7 @@
 
 impl IoObserver for Rc<ClientConnection> {
     fn on_read(&self, bytes: &[u8]) {
-        self.scan.borrow_mut().feed(bytes);
+        self.scanner.borrow_mut().feed(bytes);
         match self.phase.get() {
             ConnectionPhase::AwaitingFirstByte { .. } | ConnectionPhase::Idle { .. } => {
                 self.enter(ConnectionPhase::ReadingHead {
@@ -293,7 +295,8 @@
 }
 
 impl Evictable for ClientConnection {
-    /// Tells the connection's task to close the connection. Returns false if an RPC is in flight: it is not evicted then.
+    /// Tells the connection's task to close the connection. Returns false, and does nothing, if an RPC is in flight or
+    /// its response is being written.
     fn evict(&self) -> bool {
         let may_be_evicted = !self.is_busy();
         if may_be_evicted {
--- a/crates/daemon/src/downstream/head_scan.rs
+++ b/crates/daemon/src/downstream/head_scan.rs
@@ -1,25 +1,25 @@
-//! Scans the head of a message for the framing of its body. hyper follows one declaration and silently drops another, and
-//! doesn't tell where a message ends.
+//! Scans the head of a message for the framing of its body. hyper is not enough: it follows one of several framing
+//! declarations and silently drops the others, and it doesn't report where a message ends.
 use httparse::{EMPTY_HEADER, Request, Status};
 
-/// Longest head that is accepted, in bytes.
+/// Maximum size of a head, in bytes.
 pub(super) const HEAD_LIMIT: usize = 16 << 10;
-/// Largest number of header fields, the same as in hyper.
+/// Maximum number of header fields, the same as in hyper.
 const MAX_FIELDS: usize = 100;
 
-/// The number of times that a head declares the framing of its body, by header field.
+/// How often a head declares the framing of its body, counted by header field.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Framings {
+pub(crate) struct FramingCounts {
     /// `Content-Length` fields.
-    pub lengths: usize,
+    pub content_lengths: usize,
     /// `Transfer-Encoding` fields.
-    pub codings: usize,
+    pub transfer_encodings: usize,
 }
 
-impl Framings {
-    /// Whether the framing is declared once at most, so that the end of the body is unambiguous.
+impl FramingCounts {
+    /// Whether the framing is declared at most once, so that the end of the body is unambiguous.
     pub(crate) fn is_unambiguous(self) -> bool {
-        self.lengths + self.codings <= 1
+        self.content_lengths + self.transfer_encodings <= 1
     }
 }
 
@@ -30,7 +30,8 @@
     Length(u64),
     /// The chunked transfer coding.
     Chunked,
-    /// Declared more than once, or in an unsupported way. Such a message is rejected and its connection closed.
+    /// Declared more than once, in an unsupported way or in a malformed head. The message is rejected and its
+    /// connection is closed.
     Ambiguous,
 }
 
@@ -38,24 +39,24 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ScannedHead {
     /// The number of declarations.
-    pub framings: Framings,
+    pub framing_counts: FramingCounts,
     /// The framing that follows from them.
     pub body: BodyFraming,
 }
 
-/// Collects the head of a message, received in pieces of any size.
+/// Collects the head of a message, which may be received in pieces of any size.
 #[derive(Default)]
-pub(super) struct HeadScan {
+pub(super) struct HeadScanner {
     head: Vec<u8>,
-    /// Number of complete lines that are not empty. The first one is the request line.
+    /// Number of complete non-empty lines. The first one is the request line.
     complete_lines: usize,
     /// Whether the current line has a byte other than its line ending.
-    is_line_begun: bool,
+    is_line_nonempty: bool,
 }
 
-impl HeadScan {
-    /// Whether a byte of the message was received.
-    pub(super) fn is_begun(&self) -> bool {
+impl HeadScanner {
+    /// Whether any byte of the message was received.
+    pub(super) fn has_begun(&self) -> bool {
         !self.head.is_empty()
     }
 
@@ -64,7 +65,7 @@
         let end = bytes.iter().position(|byte| self.ends_with(*byte));
         let (head, rest) = bytes.split_at(end.map_or(bytes.len(), |end| end + 1));
         *bytes = rest;
-        // hyper rejects a longer head. The scan only looks for its end.
+        // hyper rejects a longer head, so the bytes beyond the limit are not stored.
         let capacity_left = HEAD_LIMIT.saturating_sub(self.head.len());
         self.head
             .extend_from_slice(&head[..head.len().min(capacity_left)]);
@@ -76,13 +77,13 @@
         match byte {
             b'\r' => false,
             b'\n' => {
-                let is_end = self.complete_lines > 0 && !self.is_line_begun;
-                self.complete_lines += usize::from(self.is_line_begun);
-                self.is_line_begun = false;
+                let is_end = self.complete_lines > 0 && !self.is_line_nonempty;
+                self.complete_lines += usize::from(self.is_line_nonempty);
+                self.is_line_nonempty = false;
                 is_end
             }
             _ => {
-                self.is_line_begun = true;
+                self.is_line_nonempty = true;
                 false
             }
         }
@@ -98,9 +99,9 @@
         let fields = request.headers.iter();
         fields.filter(move |field| field.name.eq_ignore_ascii_case(name))
     };
-    let framings = Framings {
-        lengths: fields_named("content-length").count(),
-        codings: fields_named("transfer-encoding").count(),
+    let framing_counts = FramingCounts {
+        content_lengths: fields_named("content-length").count(),
+        transfer_encodings: fields_named("transfer-encoding").count(),
     };
     let length = fields_named("content-length")
         .next()
@@ -109,13 +110,16 @@
         .next()
         .map(|field| field.value);
     let body = match (length, coding) {
-        _ if !is_well_formed || !framings.is_unambiguous() => BodyFraming::Ambiguous,
+        _ if !is_well_formed || !framing_counts.is_unambiguous() => BodyFraming::Ambiguous,
         (None, None) => BodyFraming::Length(0),
         (_, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") => BodyFraming::Chunked,
         (_, Some(_)) => BodyFraming::Ambiguous,
         (Some(length), None) => parse_length(length),
     };
-    ScannedHead { framings, body }
+    ScannedHead {
+        framing_counts,
+        body,
+    }
 }
 
 /// Parses the value of `Content-Length`.
--- a/crates/daemon/src/downstream/rpc_service.rs
+++ b/crates/daemon/src/downstream/rpc_service.rs
@@ -60,15 +60,15 @@
         message: Request<Incoming>,
         body_deadline: ProgressDeadline,
         connection: &ClientConnection,
-        client: ClientLiveness,
+        liveness: ClientLiveness,
     ) -> ProxyResponse {
-        let framings = connection.take_framings();
+        let framing_counts = connection.take_framing_counts();
         if message.method() == Method::GET && message.uri().path() == READINESS_PATH {
             return ProxyResponse::Health(self.state.borrow().is_healthy());
         }
-        let parsed = self.parser.parse(message, framings, body_deadline);
+        let parsed = self.parser.parse(message, framing_counts, body_deadline);
         match parsed.await {
-            Ok(rpc) => self.serve(rpc, connection, client).await,
+            Ok(rpc) => self.serve(rpc, connection, liveness).await,
             Err(response) => {
                 let reason = EndReason::InvalidRequest;
                 log::log!(
@@ -85,7 +85,7 @@
         &self,
         rpc: ReceivedRpc,
         connection: &ClientConnection,
-        client: ClientLiveness,
+        liveness: ClientLiveness,
     ) -> ProxyResponse {
         connection.enter(ConnectionPhase::RpcInFlight {
             response_deadline: response_deadline(&rpc),
@@ -94,7 +94,7 @@
         let log = RpcLog::start(&rpc, connection.id(), self.invariants.clone());
         let timeout = rpc.timeout;
         let buffered_at = rpc.received_at;
-        let outcome = self.decide(rpc, client, log.request_id()).await;
+        let outcome = self.wait_for_outcome(rpc, liveness, log.request_id()).await;
         // The timeout of a streamed request starts with its last byte: without it there is no deadline.
         let received_at = match &upload {
             Some(upload) => upload.completed_at(),
@@ -105,23 +105,24 @@
                 .check_response(log.request_id(), received_at + timeout);
         }
         log.end(outcome.reason);
-        // The rest of a streamed request is not read any more, so the next message can't be found.
+        // The rest of a streamed request is no longer read, so the next message can't be found.
         connection.set_closing(upload.is_some_and(|upload| !upload.is_complete()));
         outcome.response
     }
 
     /// Waits for the outcome of an RPC: the decision actor's response, or a failure if there is none by its deadline.
-    async fn decide(
+    async fn wait_for_outcome(
         &self,
         mut rpc: ReceivedRpc,
-        client: ClientLiveness,
-        log_id: &str,
+        liveness: ClientLiveness,
+        request_id_text: &str,
     ) -> RpcOutcome {
         rpc.timeout = self.timeout_before_shutdown(&rpc);
         if rpc.timeout.is_zero() {
             return RpcOutcome::new(ProxyResponse::rejected(), EndReason::ShuttingDown);
         }
-        // Reserves a place in the mailbox for the client's disconnect. Without one nothing is sent, and a retry is safe.
+        // Reserves a slot in the mailbox for the report of a disconnect. If there is none, the RPC is not handed over,
+        // so a retry is safe.
         let Ok(permit) = self.events.clone().try_reserve_owned() else {
             return RpcOutcome::new(ProxyResponse::rejected(), EndReason::Overloaded);
         };
@@ -136,12 +137,12 @@
         select! {
             biased;
             outcome = incomplete_upload(upload.as_deref()) => outcome,
-            Some(response) = self.submit(id, rpc, request_id, client) => {
+            Some(response) = self.submit(id, rpc, request_id, liveness) => {
                 guard.disarm();
-                RpcOutcome::decided(response)
+                RpcOutcome::from_decision(response)
             }
             () = timeout => {
-                log::error!(request:% = log_id; "RPC exceeded its deadline without a response");
+                log::error!(request:% = request_id_text; "RPC exceeded its deadline without a response");
                 RpcOutcome::new(ProxyResponse::Failed, EndReason::DeadlineExceeded)
             }
             () = self.shutdown_deadline() => {
@@ -150,7 +151,8 @@
         }
     }
 
-    /// Returns the RPC's timeout, shortened if the process shuts down before: no RPC may be without a response then.
+    /// Returns the RPC's timeout, shortened to the response deadline of a shutdown: no RPC may be without a response by
+    /// then.
     fn timeout_before_shutdown(&self, rpc: &ReceivedRpc) -> Duration {
         match self.state.borrow().response_deadline() {
             Some(deadline) => rpc
@@ -166,22 +168,22 @@
         id: u64,
         rpc: ReceivedRpc,
         request_id: RequestIdGuard,
-        client: ClientLiveness,
+        liveness: ClientLiveness,
     ) -> Option<ProxyResponse> {
         let (responder, receiver) = oneshot::channel();
         let event = Event::RpcReceived {
             id,
             rpc: Box::new(rpc),
             request_id,
-            liveness: client,
+            liveness,
             responder,
         };
         self.events.send(event).await.ok()?;
         receiver.await.ok()
     }
 
-    /// Waits for the response deadline of a shutdown that begins after the RPC was received, whose own deadline may be
-    /// later.
+    /// Waits for the response deadline of a shutdown that begins after the RPC was received. The RPC's own deadline may
+    /// be later.
     async fn shutdown_deadline(&self) {
         let mut state = self.state.clone();
         let deadline = state
--- a/crates/daemon/src/net/socket_budget.rs
+++ b/crates/daemon/src/net/socket_budget.rs
@@ -6,15 +6,15 @@
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
 
-/// Concurrent admin connections; each has a reserved descriptor.
+/// Maximum number of concurrent admin connections; each has a reserved descriptor.
 pub(crate) const ADMIN_CONNECTIONS: usize = 8;
 /// Descriptors reserved for standard streams, listeners, epoll, discovery and connections beyond the budget that are
 /// rejected.
 const BASE_RESERVED_DESCRIPTORS: usize = 40;
-/// All reserved descriptors: also those of admin connections and of the process group.
+/// All reserved descriptors, including those of admin connections and of the process group.
 const RESERVED_DESCRIPTORS: usize =
     BASE_RESERVED_DESCRIPTORS + ADMIN_CONNECTIONS + PROCESS_GROUP_DESCRIPTORS;
-/// Sockets in the budget, however low the configured limit is.
+/// Minimum number of sockets in the budget, however low the configured limit is.
 const MIN_SOCKETS: usize = 8;
 
 /// A class of sockets with its own limit.
@@ -44,7 +44,7 @@
 struct ClassBudget {
     open: Cell<usize>,
     limit: Cell<usize>,
-    /// Whether the exhaustion was logged. Reset when the class has a free permit again.
+    /// Whether the exhaustion was logged. Reset once the class has a free permit again.
     is_exhaustion_logged: Cell<bool>,
     evictable: RefCell<BTreeMap<EvictionOrder, Weak<dyn Evictable>>>,
     next_registration: Cell<u64>,
@@ -64,13 +64,13 @@
 }
 
 /// The registration of an [`Evictable`]. Withdrawn when dropped.
-pub(crate) struct EvictionCandidate {
+pub(crate) struct EvictionRegistration {
     budget: Rc<SocketBudget>,
     class: SocketClass,
     order: EvictionOrder,
 }
 
-/// Returns how many descriptors the system permits this process; none if that can't be read.
+/// Returns the system's limit of open descriptors for this process; none if it can't be read.
 fn descriptor_limit() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = limits
@@ -80,8 +80,8 @@
 }
 
 impl SocketBudget {
-    /// Creates a budget of the configured number of sockets, or of fewer if the system permits no more. Otherwise clients
-    /// could take the last descriptor, which the connection to the discovery service needs.
+    /// Creates a budget of the configured number of sockets, or of the system's descriptor limit if that is lower.
+    /// Otherwise clients could take the last descriptor, which the connection to the discovery service needs.
     pub(crate) fn new(configured: usize) -> Rc<Self> {
         let sockets = configured.min(descriptor_limit().unwrap_or(configured));
         if sockets < configured {
@@ -98,7 +98,8 @@
         Rc::new(budget)
     }
 
-    /// Divides the budget evenly among this number of processes, and evicts idle connections beyond the new limits.
+    /// Divides the budget evenly among this number of processes, and evicts idle connections that exceed the new
+    /// limits.
     pub(crate) fn divide(&self, processes: usize) {
         let sockets = (self.sockets / processes)
             .saturating_sub(RESERVED_DESCRIPTORS)
@@ -107,14 +108,14 @@
         self.backends.limit.set(sockets - sockets / 2);
         for class in [SocketClass::Clients, SocketClass::Backends] {
             for _ in 0..self.excess(class) {
-                self.evict_oldest(class);
+                self.evict_first(class);
             }
         }
     }
 
-    /// Evicts the first candidate that is still idle; false if there is none. The task of a client's connection closes it a
-    /// moment later.
-    pub(crate) fn evict_oldest(&self, class: SocketClass) -> bool {
+    /// Evicts the first candidate that is still idle; false if there is none. A client's connection is closed by its
+    /// task, shortly afterwards.
+    pub(crate) fn evict_first(&self, class: SocketClass) -> bool {
         loop {
             let first = self.class(class).evictable.borrow_mut().pop_first();
             let Some((_, candidate)) = first else {
@@ -134,7 +135,7 @@
     pub(crate) fn acquire(self: &Rc<Self>, class: SocketClass) -> Option<SocketPermit> {
         let budget = self.class(class);
         let is_exhausted = budget.open.get() >= budget.limit.get();
-        if is_exhausted && !self.evict_oldest(class) {
+        if is_exhausted && !self.evict_first(class) {
             if !budget.is_exhaustion_logged.replace(true) {
                 log::warn!(
                     "socket budget of {class:?} exhausted: {} open, none idle, rejecting further ones",
@@ -162,14 +163,14 @@
         class: SocketClass,
         rank: u8,
         evictable: &Rc<E>,
-    ) -> EvictionCandidate {
+    ) -> EvictionRegistration {
         let budget = self.class(class);
         let registration = budget.next_registration.get();
         budget.next_registration.set(registration + 1);
         let order = EvictionOrder { rank, registration };
         let evictable = Rc::<E>::downgrade(evictable);
         budget.evictable.borrow_mut().insert(order, evictable);
-        EvictionCandidate {
+        EvictionRegistration {
             budget: self.clone(),
             class,
             order,
@@ -195,7 +196,7 @@
     }
 }
 
-impl Drop for EvictionCandidate {
+impl Drop for EvictionRegistration {
     fn drop(&mut self) {
         let budget = self.budget.class(self.class);
         budget.evictable.borrow_mut().remove(&self.order);
--- a/crates/daemon/src/upstream/attempt/mod.rs
+++ b/crates/daemon/src/upstream/attempt/mod.rs
@@ -1,15 +1,15 @@
 //! Runs one exchange with a backend, an attempt or a health check, as a task of its own.
 //!
-//! The exchange takes or opens a connection ([`connect`]), sends the request and reads the response ([`send`]), until that
-//! ends or something ends it early ([`early_end`]). The completion guard reports the end to the decision actor.
+//! The exchange takes or opens a connection ([`connect`]), sends the request and reads the response ([`send`]). Several
+//! conditions end it early ([`early_end`]). The completion guard reports the end to the decision actor.
 mod connect;
 mod early_end;
 mod send;
 
 use crate::downstream::request::ParsedRequest;
 use crate::end_reason::EndReason;
-use crate::net::connection::Connection;
 use crate::net::inbound_stream::ClientLiveness;
+use crate::net::outbound_connection::OutboundConnection;
 use crate::upstream::completion_guard::CompletionGuard;
 use crate::upstream::endpoint_state::EndpointState;
 use crate::upstream::exchange::{Deadlines, Exchange, ExchangeRequest};
@@ -51,7 +51,8 @@
         () = running.upload_failed() => ExchangeEnd::UploadFailed,
         () = running.backend_stalled() => ExchangeEnd::UploadFailed,
     };
-    // The connection of an exchange that ended early is closed by now, before the decision actor learns of the end.
+    // `select!` has dropped the connection of an exchange that ended early, so it is closed before the decision actor
+    // learns of the end.
     let reason = end.reason();
     let result = running.result(end);
     completion.set_result(result, reason);
@@ -61,7 +62,7 @@
 enum ExchangeEnd {
     /// It was cancelled, its backend became unavailable, or it would have been sent too late.
     Withdrawn(EndReason),
-    /// It ran to its end.
+    /// It completed, with or without a response.
     Completed(ExchangeResult),
     /// There was no response before the timeout.
     TimedOut,
@@ -86,8 +87,8 @@
 struct WriteProgress(RefCell<Option<Rc<Cell<u64>>>>);
 
 impl WriteProgress {
-    /// Follows the bytes written on this connection from now on.
-    fn observe(&self, connection: &Connection) {
+    /// Tracks the bytes written on this connection from now on.
+    fn observe(&self, connection: &OutboundConnection) {
         self.0.replace(Some(connection.bytes_written()));
     }
 
@@ -109,7 +110,8 @@
 }
 
 impl RunningExchange<'_> {
-    /// Returns the result for an end; none leaves it to the completion guard, which knows whether anything was sent.
+    /// Returns the result of an exchange that ended this way; none leaves it to the completion guard, which knows
+    /// whether a byte was sent.
     fn result(&self, end: ExchangeEnd) -> Option<ExchangeResult> {
         let upload = self.request.upload();
         let outcome = match end {
@@ -124,7 +126,8 @@
                 AttemptOutcome::NotSent
             }
             ExchangeEnd::TimedOut if self.completion.is_sent() => {
-                // A machine that vanished leaves its connections silent, also those that were idle meanwhile.
+                // A host that has failed leaves its connections open but silent, including those that were idle during
+                // the exchange.
                 self.endpoint.idle.close_unused_since(self.started_at);
                 AttemptOutcome::TimedOut
             }
--- a/crates/daemon/src/upstream/attempt/send.rs
+++ b/crates/daemon/src/upstream/attempt/send.rs
@@ -2,7 +2,7 @@
 use super::RunningExchange;
 use super::connect::Checkout;
 use crate::net::body::BUFFERED_BODY_LIMIT;
-use crate::net::connection::{Connection, ConnectionError, Reply};
+use crate::net::outbound_connection::{ConnectionError, OutboundConnection, ReceivedResponse};
 use crate::upstream::backend_protocol::{classify_response, encode_request};
 use crate::upstream::response_stream::stream_response;
 use crate::upstream::result::ExchangeResult;
@@ -22,8 +22,9 @@
                 Ok(checkout) => checkout,
                 Err(outcome) => return outcome.into(),
             };
-            // Checked again now, however long the connect took and however late this process runs: no backend works for
-            // a client that has disconnected. The decision actor will receive that event and cancel the exchange.
+            // Checked right before sending, because the connect may have taken long or this process may run late: no
+            // backend works for a client that has disconnected. The decision actor will receive that event and cancel
+            // the exchange.
             let send = self.attempt_send(self.is_client_disconnected().await);
             if !self.may_send(&send) {
                 if send.is_client_disconnected {
@@ -31,7 +32,7 @@
                 }
                 return AttemptOutcome::NotSent.into();
             }
-            // The backend has moved meanwhile, and another one may use its former address.
+            // If the backend's address has changed during the connect, another backend may use the old one.
             if self.endpoint.address() != address {
                 continue;
             }
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Whether the invariants permit to send the first byte now.
+    /// Whether the invariants permit sending the first byte now.
     fn may_send(&self, send: &AttemptSend) -> bool {
         let invariants = &self.endpoint.invariants;
         invariants.may_send(self.request.id_text(), send)
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Whether the client of this exchange has disconnected, as far as the system knows at this moment.
+    /// Whether the client of this exchange has disconnected, as far as the kernel knows now.
     async fn is_client_disconnected(&self) -> bool {
         match self.client {
             Some(client) => client.is_disconnected().await,
@@ -90,7 +91,7 @@
             .saturating_duration_since(Instant::now());
         let idle_for = connection.last_used.elapsed();
         let may_stream = !self.request.is_health_check();
-        let reply = connection
+        let response = connection
             .exchange(
                 encode_request(self.request, timeout),
                 BUFFERED_BODY_LIMIT,
@@ -98,47 +99,49 @@
                 self.completion.sent_flag(),
             )
             .await;
-        match reply {
-            Ok(reply) => {
+        match response {
+            Ok(response) => {
                 if is_reused {
-                    self.endpoint.idle.extend_reuse();
+                    self.endpoint.idle.extend_reuse_time();
                 }
-                Some(self.receive(connection, address, reply).await)
+                Some(self.receive(connection, address, response).await)
             }
             Err(ConnectionError::NotSent) if is_reused => None,
             Err(ConnectionError::NotSent) => Some(AttemptOutcome::ConnectFailed.into()),
             Err(ConnectionError::Closed) => {
                 if is_reused {
-                    self.endpoint.idle.shorten_reuse(idle_for);
+                    self.endpoint.idle.shorten_reuse_time(idle_for);
                 }
-                Some(self.broken_outcome().into())
+                Some(self.connection_failure_outcome().into())
+            }
+            Err(ConnectionError::MalformedResponse) => {
+                Some(self.connection_failure_outcome().into())
             }
-            Err(ConnectionError::MalformedResponse) => Some(self.broken_outcome().into()),
         }
     }
 
     /// Streams the rest of a long response, keeps the connection for reuse and classifies the response.
     async fn receive(
         &self,
-        mut connection: Connection,
+        mut connection: OutboundConnection,
         address: SocketAddr,
-        mut reply: Reply,
+        mut response: ReceivedResponse,
     ) -> ExchangeResult {
-        if reply.is_partial
+        if response.is_partial
             && let Err(outcome) =
-                stream_response(&mut connection, &mut reply, self.completion).await
+                stream_response(&mut connection, &mut response, self.completion).await
         {
             return outcome.into();
         }
         self.endpoint
-            .keep(connection, address, &reply.headers)
+            .keep(connection, address, &response.headers)
             .await;
-        classify_response(reply, self.request.is_health_check())
+        classify_response(response, self.request.is_health_check())
     }
 
-    /// Returns the outcome on a connection that failed: a backend can't have started a request whose last byte was not
-    /// written.
-    fn broken_outcome(&self) -> AttemptOutcome {
+    /// Returns the outcome of an exchange whose connection failed: a backend can't have started a request whose last
+    /// byte was not written.
+    fn connection_failure_outcome(&self) -> AttemptOutcome {
         if self.request.is_fully_received() {
             AttemptOutcome::Reset
         } else {
--- a/crates/daemon/src/upstream/endpoint.rs
+++ b/crates/daemon/src/upstream/endpoint.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 
-/// Exchanges that may wait in an endpoint's mailbox. Further ones end as not sent.
+/// Number of exchanges that may wait in an endpoint's mailbox. Further ones end as not sent.
 const MAILBOX_CAPACITY: usize = 256;
 
 /// Fraction of a backend's idle timeout for which an idle connection is reused: no request may be written to a connection
@@ -21,26 +21,26 @@
 
 /// Timeouts of connections to backends, from the settings.
 #[derive(Clone, Copy)]
-pub(crate) struct ConnectionLimits {
-    /// For opening a connection.
+pub(crate) struct ConnectionTimeouts {
+    /// Timeout for opening a connection.
     pub connect: Duration,
-    /// After which backends close an idle connection.
+    /// Time after which backends close an idle connection.
     pub idle: Duration,
 }
 
-impl ConnectionLimits {
+impl ConnectionTimeouts {
     /// Returns the longest time for which an idle connection is reused.
-    fn max_reuse(&self) -> Duration {
+    fn max_reuse_time(&self) -> Duration {
         self.idle.mul_f64(REUSE_FRACTION_OF_IDLE_TIMEOUT)
     }
 }
 
 /// The decision actor's handle of an endpoint actor, which ends when the handle is dropped.
 pub(crate) struct EndpointHandle {
-    /// Takes exchanges to run. They are boxed, because a channel allocates space for 32 messages at once, and most
+    /// Receives exchanges to run. They are boxed because a channel allocates space for 32 messages at once, and most
     /// backends of a large fleet have none waiting.
     pub mailbox: mpsc::Sender<Box<Exchange>>,
-    /// Takes the backend's entry in the endpoint list whenever it changes.
+    /// Receives the backend's entry in the endpoint list whenever it changes.
     pub info: watch::Sender<EndpointInfo>,
 }
 
@@ -48,7 +48,7 @@
     /// Starts the actor of a backend and returns its handle.
     pub(crate) fn start(
         info: EndpointInfo,
-        limits: ConnectionLimits,
+        timeouts: ConnectionTimeouts,
         budget: Rc<SocketBudget>,
         invariants: Rc<Invariants>,
     ) -> Self {
@@ -56,8 +56,11 @@
         let (sender, receiver) = watch::channel(info);
         let state = Rc::new(EndpointState {
             info: receiver,
-            idle: Rc::new(IdleConnections::new(limits.max_reuse(), budget.clone())),
-            connect_timeout: limits.connect,
+            idle: Rc::new(IdleConnections::new(
+                timeouts.max_reuse_time(),
+                budget.clone(),
+            )),
+            connect_timeout: timeouts.connect,
             budget,
             invariants,
         });
@@ -75,7 +78,8 @@
 }
 
 impl EndpointActor {
-    /// Runs until the backend is removed from the list. Running exchanges own their connections and go on by themselves.
+    /// Runs until the backend is removed from the list. Running exchanges own their connections and continue
+    /// without the actor.
     async fn run(self, mut exchanges: mpsc::Receiver<Box<Exchange>>) {
         let state = self.state;
         let mut info = state.info.clone();
--- a/crates/daemon/src/upstream/idle_connections.rs
+++ b/crates/daemon/src/upstream/idle_connections.rs
@@ -1,8 +1,8 @@
-//! The pool of a backend's idle connections. A connection leaves it in one of four ways: the next exchange takes it, its
-//! close task drops it when the backend closes it or its reuse time is over, the socket budget evicts it to make room
-//! for another socket, or the endpoint actor clears the pool.
-use crate::net::connection::Connection;
-use crate::net::socket_budget::{Evictable, EvictionCandidate, SocketBudget, SocketClass};
+//! The pool of a backend's idle connections. A connection leaves it in one of four ways: the next exchange takes it,
+//! its close task drops it when the backend closes it or its reuse time expires, the socket budget evicts it to make
+//! room for another socket, or the endpoint actor clears the pool.
+use crate::net::outbound_connection::OutboundConnection;
+use crate::net::socket_budget::{Evictable, EvictionRegistration, SocketBudget, SocketClass};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::rc::{Rc, Weak};
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Lower bound of the reuse time. Most connections are used again sooner.
-const MIN_REUSE: Duration = Duration::from_millis(50);
+const MIN_REUSE_TIME: Duration = Duration::from_millis(50);
 
 /// Factor by which each response on a reused connection extends the reuse time: 700 responses double it.
 const REUSE_GROWTH_FACTOR: f64 = 1.001;
@@ -28,20 +28,20 @@
 /// An idle connection, its registration as an eviction candidate and the task that waits for its close.
 struct IdleConnection {
     /// None once the connection was taken or evicted.
-    connection: RefCell<Option<Connection>>,
+    connection: RefCell<Option<OutboundConnection>>,
     last_used: Instant,
-    candidate: RefCell<Option<EvictionCandidate>>,
+    registration: RefCell<Option<EvictionRegistration>>,
     /// Removes the connection from the pool when it is closed or expires.
     close_task: RefCell<Option<JoinHandle<()>>>,
 }
 
 impl IdleConnection {
-    fn new(connection: Connection) -> Self {
+    fn new(connection: OutboundConnection) -> Self {
         let last_used = connection.last_used;
         Self {
             connection: RefCell::new(Some(connection)),
             last_used,
-            candidate: RefCell::default(),
+            registration: RefCell::default(),
             close_task: RefCell::default(),
         }
     }
@@ -65,20 +65,20 @@
 pub(crate) struct IdleConnections {
     /// Ordered by their last use, the most recent last.
     idle: RefCell<Vec<Rc<IdleConnection>>>,
-    /// How long a connection may be idle and still be reused. Adapts to the path to the backend.
+    /// How long a connection may be idle and still be reused. Adapts to the network path to the backend.
     reuse_time: Cell<Duration>,
     /// Upper bound of `reuse_time`, from the settings.
-    max_reuse: Duration,
+    max_reuse_time: Duration,
     budget: Rc<SocketBudget>,
 }
 
 impl IdleConnections {
-    /// Creates an empty pool whose connections are reused for at most `max_reuse`.
-    pub(crate) fn new(max_reuse: Duration, budget: Rc<SocketBudget>) -> Self {
+    /// Creates an empty pool whose connections are reused for at most `max_reuse_time`.
+    pub(crate) fn new(max_reuse_time: Duration, budget: Rc<SocketBudget>) -> Self {
         Self {
             idle: RefCell::default(),
-            reuse_time: Cell::new(max_reuse),
-            max_reuse,
+            reuse_time: Cell::new(max_reuse_time),
+            max_reuse_time,
             budget,
         }
     }
@@ -94,20 +94,20 @@
     }
 
     /// Extends the reuse time a little after a response on a reused connection.
-    pub(crate) fn extend_reuse(&self) {
+    pub(crate) fn extend_reuse_time(&self) {
         self.reuse_time
-            .update(|time| time.mul_f64(REUSE_GROWTH_FACTOR).min(self.max_reuse));
+            .update(|time| time.mul_f64(REUSE_GROWTH_FACTOR).min(self.max_reuse_time));
     }
 
     /// Shortens the reuse time after a connection that had been idle for `idle_for` failed when it was reused. Prevents
-    /// repeated resets on a path that drops idle connections sooner than the settings say.
-    pub(crate) fn shorten_reuse(&self, idle_for: Duration) {
+    /// repeated resets on a path that drops idle connections sooner than the configured idle timeout.
+    pub(crate) fn shorten_reuse_time(&self, idle_for: Duration) {
         self.reuse_time
-            .update(|time| (idle_for / 2).max(MIN_REUSE).min(time));
+            .update(|time| (idle_for / 2).max(MIN_REUSE_TIME).min(time));
     }
 
     /// Takes the most recently used connection that is open and has been silent since its response.
-    pub(crate) async fn take(&self) -> Option<Connection> {
+    pub(crate) async fn take(&self) -> Option<OutboundConnection> {
         // Lets the event loop receive bytes that follow a response: they would be read as the response to the next
         // request.
         yield_now().await;
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Takes the most recently used connection that has been silent, and closes those whose reuse time is over.
+    /// Takes the most recently used connection that has been silent, and closes those whose reuse time has expired.
     fn pop_latest(&self) -> Option<Rc<IdleConnection>> {
         let now = Instant::now();
         let reuse_time = self.reuse_time.get();
@@ -136,12 +136,12 @@
     }
 
     /// Adds a connection for reuse.
-    pub(crate) fn insert(self: &Rc<Self>, connection: Connection) {
+    pub(crate) fn insert(self: &Rc<Self>, connection: OutboundConnection) {
         let idle = Rc::new(IdleConnection::new(connection));
-        let candidate = self
-            .budget
-            .register_evictable(SocketClass::Backends, EVICTION_RANK, &idle);
-        idle.candidate.replace(Some(candidate));
+        let registration =
+            self.budget
+                .register_evictable(SocketClass::Backends, EVICTION_RANK, &idle);
+        idle.registration.replace(Some(registration));
         let expiry = idle.last_used + self.reuse_time.get();
         let removal = self
             .clone()
--- a/crates/daemon/src/upstream/response_stream.rs
+++ b/crates/daemon/src/upstream/response_stream.rs
@@ -1,22 +1,22 @@
 //! Streams a long response from its backend to its client.
 use crate::net::body::{BODY_LIMIT, streamed_body};
-use crate::net::connection::{Connection, Reply};
+use crate::net::outbound_connection::{OutboundConnection, ReceivedResponse};
 use crate::time_limits::{RESPONSE_STALL_TIMEOUT, RESPONSE_TIMEOUT};
 use crate::upstream::completion_guard::CompletionGuard;
 use birchhub::interface::AttemptOutcome;
 use tokio::select;
 use tokio::time::{Instant, timeout_at};
 
-/// Forwards the rest of a long response as it is received, at the pace of its client.
+/// Forwards the rest of a long response as it is received, as fast as its client reads it.
 ///
 /// # Errors
 /// The response was not forwarded completely; the error is the outcome of the attempt.
 pub(super) async fn stream_response(
-    connection: &mut Connection,
-    reply: &mut Reply,
+    connection: &mut OutboundConnection,
+    response: &mut ReceivedResponse,
     completion: &CompletionGuard,
 ) -> Result<(), AttemptOutcome> {
-    let (sender, body) = streamed_body(std::mem::take(&mut reply.body), reply.length);
+    let (sender, body) = streamed_body(std::mem::take(&mut response.body), response.length);
     completion.report_response_started(body).await;
     let mut bytes_left = BODY_LIMIT;
     let response_deadline = Instant::now() + RESPONSE_TIMEOUT;
@@ -31,7 +31,7 @@
             Ok(Ok(None)) => break,
             Ok(Err(_)) | Err(_) => return Err(AttemptOutcome::Reset),
         };
-        // Ends a response without an end: no body may be longer than the limit.
+        // Stops an endless response: no body may be longer than the limit.
         bytes_left = bytes_left
             .checked_sub(bytes.len() as u64)
             .ok_or(AttemptOutcome::Reset)?;
