--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -72,7 +72,7 @@
             .cloned()
             .collect();
         for backend in unused {
-            self.health_checks.tokens.finish(&backend);
+            self.health_checks.tokens.finish_check(&backend);
             self.fleet.index.remove(&backend);
         }
     }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -105,7 +105,7 @@
         let Some(backend) = dispatcher.fleet.index.get(backend).cloned() else {
             return;
         };
-        let sent_at = dispatcher.health_checks.tokens.finish(&backend);
+        let sent_at = dispatcher.health_checks.tokens.finish_check(&backend);
         let duration = sent_at.map(|sent_at| now - sent_at);
         match outcome {
             AttemptOutcome::Succeeded => dispatcher.record_report(&backend, report, duration, now),
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -104,7 +104,8 @@
     /// idle backend.
     fn serve_by_fallback(&mut self, platform: &mut dyn Platform) {
         let now = platform.now();
-        let may_wait = self.health_checks.tokens.any_left() || self.fleet.index.is_empty();
+        let may_wait =
+            self.health_checks.tokens.has_token_or_check_in_flight() || self.fleet.index.is_empty();
         while let Some(rpc) = self.next_for_fallback(may_wait, now) {
             self.pending.remove(&rpc);
             if !self.attempt_at_random_backend(&rpc, platform) {
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -9,9 +9,9 @@
 use super::outlier_detection::is_healthy;
 use crate::backend::Backend;
 use crate::backend_index::Subset;
-use crate::check_tokens::CheckTokens;
 use crate::estimates::{CLOCK_TOLERANCE, Estimates};
 use crate::fleet::Fleet;
+use crate::health_check_tokens::HealthCheckTokens;
 use crate::interface::{LoadReportSource, Platform, Settings};
 use std::rc::Rc;
 
@@ -64,7 +64,7 @@
     /// Time of the next round for pending RPCs.
     pub next_round_at: f64,
     /// Tokens that pay for health checks.
-    pub tokens: CheckTokens,
+    pub tokens: HealthCheckTokens,
     last_proactive_at: f64,
 }
 
@@ -107,13 +107,13 @@
         };
         let fits = |backend: &Rc<Backend>| is_healthy(backend, now) && is_unknown(backend);
         for number in 0..max {
-            if !self.usage.is_enabled() || !self.tokens.can_pay() {
+            if !self.usage.is_enabled() || !self.tokens.has_token() {
                 return;
             }
             let cell = cells.get(number * cells.len() / max);
             let subset = cell.copied().unwrap_or(Subset::Ready);
             if let Some(backend) = fleet.index.pick_random(subset, &fleet.rng, fits) {
-                self.tokens.start(&backend, now);
+                self.tokens.start_check(&backend, now);
                 platform.health_check(backend.id);
             }
         }
