--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -153,7 +153,7 @@
         if throttle::admits(&rpc, sheds_by_priority, &dispatcher.fleet.rng, now) {
             dispatcher.enqueue_rpc(&rpc, now);
         } else {
-            dispatcher.give_up(&rpc, platform);
+            dispatcher.reject_or_fail(&rpc, platform);
         }
         dispatcher.serve(platform);
         RpcHandle::new(self.0.clone(), rpc)
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -109,7 +109,7 @@
         while let Some(rpc) = self.next_for_fallback(may_wait, now) {
             self.pending.remove(&rpc);
             if !self.attempt_at_random_backend(&rpc, platform) {
-                self.give_up(&rpc, platform);
+                self.reject_or_fail(&rpc, platform);
             }
         }
     }
@@ -184,7 +184,7 @@
             return;
         }
         if !self.retry(rpc, platform) {
-            self.give_up(rpc, platform);
+            self.reject_or_fail(rpc, platform);
         }
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// Gives the final answer to an RPC that no backend has answered.
-    pub(crate) fn give_up(&mut self, rpc: &RpcState, platform: &mut dyn Platform) {
+    pub(crate) fn reject_or_fail(&mut self, rpc: &RpcState, platform: &mut dyn Platform) {
         self.cancel_attempts(rpc, platform);
         rpc.answered.set(true);
         if rules::may_reject(rpc) {
