--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -13,7 +13,7 @@
 use super::outlier_detection::OutlierDetection;
 use super::retry_budget::RetryBudget;
 use super::rules::{self, Rules};
-use super::slow_start::AttemptSample;
+use super::slow_start::SlowStartSample;
 use crate::attempt::BackendChoice;
 use crate::backend::Backend;
 use crate::fleet::Fleet;
@@ -130,7 +130,7 @@
         let retry_budget = &self.retry_budget;
         let fleet = &self.fleet;
         let fits = |backend: &Rc<Backend>| {
-            rules.may_attempt(rpc, backend, AttemptSample::LastReport, fleet, now)
+            rules.may_attempt(rpc, backend, SlowStartSample::LastReport, fleet, now)
                 && retry_budget.allows(rpc, backend)
         };
         let backend = self.idle_queue.dequeue(rpc, &fleet.estimates, now, fits);
@@ -155,7 +155,7 @@
         self.reindex_expired(now);
         let mean_load = self.fleet.estimates.recent_load(now);
         let budget = &self.rules.slow_start.budget;
-        let sample = AttemptSample::RandomChoice(budget.record_random_choice(rpc.id, now));
+        let sample = SlowStartSample::RandomChoice(budget.record_random_choice(rpc.id, now));
         let fits = |backend: &Rc<Backend>| {
             self.rules
                 .may_attempt(rpc, backend, sample, &self.fleet, now)
--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -6,7 +6,7 @@
 //! 3. A backend that is draining or removed gets nothing new.
 //! 4. A warming backend gets no more than its slow-start budget.
 use super::deadlines::DEADLINE_MARGIN_SECONDS;
-use super::slow_start::{AttemptSample, SlowStart};
+use super::slow_start::{SlowStart, SlowStartSample};
 use crate::backend::Backend;
 use crate::backend_index::Subset;
 use crate::fleet::Fleet;
@@ -29,7 +29,7 @@
         &self,
         rpc: &RpcState,
         to: &Backend,
-        sample: AttemptSample,
+        sample: SlowStartSample,
         fleet: &Fleet,
         now: f64,
     ) -> bool {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -26,7 +26,7 @@
 
 /// Random sample that decides on an attempt at a warming backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum AttemptSample {
+pub(crate) enum SlowStartSample {
     /// The sample of a random choice. It is the same for all backends: a choice that draws one for each
     /// of them would find a backend in the end.
     RandomChoice(f64),
@@ -57,7 +57,7 @@
     pub(crate) fn has_room(
         &self,
         to: &Backend,
-        sample: AttemptSample,
+        sample: SlowStartSample,
         fleet: &Fleet,
         now: f64,
     ) -> bool {
@@ -82,10 +82,12 @@
             return true;
         }
         let sample = match sample {
-            AttemptSample::RandomChoice(sample) => sample,
+            SlowStartSample::RandomChoice(sample) => sample,
             // Each health check brings a new sample. Scaling by their number for each RPC keeps the
             // probability for an RPC the same.
-            AttemptSample::LastReport => to.slow_start_sample.get() * budget.health_checks_per_rpc,
+            SlowStartSample::LastReport => {
+                to.slow_start_sample.get() * budget.health_checks_per_rpc
+            }
         };
         // Below one attempt in a window, the guaranteed number is the probability of one.
         let probability = self
