--- a/src/backend_index/mod.rs
+++ b/src/backend_index/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! It is updated with events, not with each RPC. Its caller decides which backend is available.
 use crate::backend::Backend;
-use crate::rng::{Rng, pair_sample};
+use crate::rng::{Rng, hash_pair};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::rc::Rc;
@@ -103,7 +103,7 @@
     pub(crate) fn cells_of_key(&self, key: u64, count: usize) -> Vec<Subset> {
         let score = |(subset, members): (&Subset, &Vec<_>)| match subset {
             Subset::Cell(cell) => {
-                let score = pair_sample(key, *cell).ln() / members.len() as f64;
+                let score = hash_pair(key, *cell).ln() / members.len() as f64;
                 Some((score, *cell))
             }
             _ => None,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -10,7 +10,7 @@
 use crate::estimates::Estimates;
 use crate::interface::{AttemptOutcome, CarriedOver, MethodSettings, Settings};
 use crate::method::Method;
-use crate::rng::pair_sample;
+use crate::rng::hash_pair;
 use crate::rpc_state::RpcState;
 use std::rc::Rc;
 
@@ -90,8 +90,8 @@
     /// is asked for, so that waiting does not change the answer.
     fn is_within_rate(&self, rpc: &RpcState, now: f64) -> bool {
         let rate = self.rate.read(now);
-        let random_rank = pair_sample(rpc.id, 0);
-        let is_ranked = rate < 1.0 && pair_sample(rpc.id, 1) < RANKED_FRACTION;
+        let random_rank = hash_pair(rpc.id, 0);
+        let is_ranked = rate < 1.0 && hash_pair(rpc.id, 1) < RANKED_FRACTION;
         let rank = if is_ranked {
             rpc.method.rank(&self.methods, random_rank, now)
         } else {
--- a/src/rng.rs
+++ b/src/rng.rs
@@ -5,7 +5,7 @@
 use std::ops::Range;
 
 /// Returns a hash of a pair as a number in [0, 1): the SplitMix64 finalizer, the same at every proxy.
-pub(crate) fn pair_sample(a: u64, b: u64) -> f64 {
+pub(crate) fn hash_pair(a: u64, b: u64) -> f64 {
     let mut bits = a ^ b.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     for factor in [0xbf58_476d_1ce4_e5b9_u64, 0x94d0_49bb_1331_11eb] {
         bits = (bits ^ (bits >> 30)).wrapping_mul(factor);
--- a/src/slow_start_budget.rs
+++ b/src/slow_start_budget.rs
@@ -5,7 +5,7 @@
 use crate::ewma::DecayingCounter;
 use crate::interface::Settings;
 use crate::policy::load_reports::ReportSource;
-use crate::rng::{Rng, pair_sample};
+use crate::rng::{Rng, hash_pair};
 use std::cell::Cell;
 
 /// Highest squared coefficient of variation assumed for the work of an RPC: the total of `count` RPCs
@@ -90,7 +90,7 @@
     /// Records that an RPC is about to choose a random backend. Returns the sample of that choice.
     pub(crate) fn record_random_choice(&self, rpc: u64, now: f64) -> f64 {
         self.offered.add(1.0, now, AVERAGING_TIME);
-        pair_sample(rpc, now.to_bits())
+        hash_pair(rpc, now.to_bits())
     }
 
     /// Records a load report. A report by a health check offers part of an RPC and gives the backend a new
