--- a/src/backend.rs
+++ b/src/backend.rs
@@ -76,7 +76,7 @@
     }
 
     /// Adopts its entry in the endpoint list, except for the start time.
-    pub(crate) fn describe(&self, entry: &Endpoint) {
+    pub(crate) fn apply_entry(&self, entry: &Endpoint) {
         self.ready.set(entry.readiness == Readiness::Ready);
         self.cell.set(entry.cell);
         self.zone.set(entry.zone);
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -30,10 +30,10 @@
         let backend = index.get_or_insert(entry.backend);
         backend.last_update.set(index.updates);
         if backend.is_indexed_as(entry) {
-            backend.describe(entry);
+            backend.apply_entry(entry);
         } else {
             index.remove_from_subsets(&backend);
-            backend.describe(entry);
+            backend.apply_entry(entry);
             self.reindex(&backend, now);
         }
         if backend.started_at.replace(entry.started_at) != entry.started_at {
