--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -33,7 +33,7 @@
         fleet: &Fleet,
         now: f64,
     ) -> bool {
-        self.is_open(rpc, now)
+        self.allows_another_attempt(rpc, now)
             && rpc.key_ready.get()
             && is_repeat_harmless(rpc, to, now)
             // `ready` is cleared in the call that announces a drain or a removal.
@@ -42,11 +42,11 @@
     }
 
     /// Returns whether the RPC may have another attempt at all.
-    fn is_open(&self, rpc: &RpcState, now: f64) -> bool {
+    fn allows_another_attempt(&self, rpc: &RpcState, now: f64) -> bool {
         let has_ended = rpc.answered.get() || rpc.retry_forbidden.get() || now >= rpc.deadline;
         let has_attempts_left = rpc.attempts.borrow().len() < self.limits.max_attempts;
-        let may_run_beside = self.limits.can_hedge || !rpc.has_attempt_in_flight();
-        !has_ended && has_attempts_left && may_run_beside
+        let may_run_concurrently = self.limits.can_hedge || !rpc.has_attempt_in_flight();
+        !has_ended && has_attempts_left && may_run_concurrently
     }
 }
 
