--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -142,7 +142,7 @@
     }
 
     /// Returns whether it was answered or timed out, so that its duration is a sample.
-    pub(crate) fn is_timed(&self) -> bool {
+    pub(crate) fn has_measured_duration(&self) -> bool {
         matches!(
             self.outcome,
             AttemptOutcome::Succeeded | AttemptOutcome::TimedOut
--- a/src/balancer/outcomes.rs
+++ b/src/balancer/outcomes.rs
@@ -15,7 +15,7 @@
     /// chosen.
     pub(super) fn record_attempt(&mut self, rpc: &RpcState, attempt: &CompletedAttempt, now: f64) {
         let duration = attempt.estimated_duration();
-        let is_sample = attempt.is_timed() || attempt.was_rejected();
+        let is_sample = attempt.has_measured_duration() || attempt.was_rejected();
         if let Some(level) = attempt.load_level.filter(|_| is_sample) {
             let objectives = duration / rpc.method.settings.latency_objective;
             self.load_reports
@@ -24,11 +24,11 @@
         }
         // Of rejected attempts only the last one tells how long the RPC would have waited.
         let is_last = attempt.number + 1 >= self.rules.limits.max_attempts;
-        if attempt.is_timed() || attempt.was_rejected() && is_last {
+        if attempt.has_measured_duration() || attempt.was_rejected() && is_last {
             self.record_wait(rpc, attempt, now);
         }
         self.admission.record_attempt(rpc, attempt, now);
-        if attempt.is_timed() {
+        if attempt.has_measured_duration() {
             let response_time = &attempt.backend.response_time;
             response_time.add(duration, now, AVERAGING_TIME);
             let idle_signal = self.load_reports.idle_signal(now);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -81,7 +81,7 @@
         let is_prompt = attempt.duration <= max_prompt_duration;
         if attempt.outcome == AttemptOutcome::Succeeded && is_prompt {
             self.rate.increase(now);
-        } else if attempt.is_timed() || attempt.was_rejected() {
+        } else if attempt.has_measured_duration() || attempt.was_rejected() {
             self.rate.decrease(now);
         }
     }
