--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -29,7 +29,7 @@
     ) {
         let now = platform.now();
         self.admission.last_attempt_at = now;
-        self.retry_budget.pay(rpc);
+        self.retry_budget.withdraw(rpc);
         let slow_start = &self.rules.slow_start;
         to.recent_attempts.add(now, slow_start.budget.window);
         if let Some(violation) = slow_start.violation(&to, &self.fleet, now) {
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -27,7 +27,7 @@
 
     /// Pays for an attempt that is about to start. It is free while no earlier attempt of the RPC may
     /// have run.
-    pub(crate) fn pay(&mut self, rpc: &RpcState) {
+    pub(crate) fn withdraw(&mut self, rpc: &RpcState) {
         if rpc.may_have_run() {
             self.retries -= 1.0;
         }
