--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,7 +1,7 @@
 //! Bookkeeping of pending RPCs, attempts and the timer around the dispatcher's decisions.
 use crate::attempt::{AttemptState, BackendChoice};
 use crate::backend::Backend;
-use crate::estimates::AVERAGING_TIME;
+use crate::estimates::AVERAGING_TIME_SECONDS;
 use crate::interface::Platform;
 use crate::policy::deadlines;
 use crate::policy::dispatch::Dispatcher;
@@ -35,7 +35,7 @@
         if let Some(violation) = slow_start.violation(&to, &self.fleet, now) {
             platform.report_violation(violation);
         }
-        to.change_in_flight(1, now, AVERAGING_TIME);
+        to.change_in_flight(1, now, AVERAGING_TIME_SECONDS);
         self.reindex(&to, now);
         let time_allowed = deadlines::time_allowed(rpc, now);
         platform.start_attempt(rpc.id, to.id, deadlines::timeout(time_allowed));
--- a/src/balancer/outcomes.rs
+++ b/src/balancer/outcomes.rs
@@ -1,7 +1,7 @@
 //! Outcomes of attempts and health checks, passed on to each mechanism that they concern.
 use crate::attempt::{BackendChoice, CompletedAttempt};
 use crate::backend::Backend;
-use crate::estimates::AVERAGING_TIME;
+use crate::estimates::AVERAGING_TIME_SECONDS;
 use crate::interface::{AttemptOutcome, LoadReport};
 use crate::policy::dispatch::Dispatcher;
 use crate::policy::idle_signal::IdleSignal;
@@ -30,7 +30,7 @@
         self.admission.record_attempt(rpc, attempt, now);
         if attempt.has_measured_duration() {
             let response_time = &attempt.backend.response_time;
-            response_time.add(duration, now, AVERAGING_TIME);
+            response_time.add(duration, now, AVERAGING_TIME_SECONDS);
             let idle_signal = self.load_reports.idle_signal(now);
             throttle::record_attempt(rpc, attempt, idle_signal, now);
         }
--- a/src/balancer/rpc_handle.rs
+++ b/src/balancer/rpc_handle.rs
@@ -1,5 +1,5 @@
 //! Handle of an accepted RPC, by which the platform passes on what happens to it.
-use crate::estimates::AVERAGING_TIME;
+use crate::estimates::AVERAGING_TIME_SECONDS;
 use crate::interface::{AttemptOutcome, LoadReport, PacedBy, Platform};
 use crate::policy::dispatch::{AttemptResult, Dispatcher};
 use crate::rpc_state::RpcState;
@@ -70,7 +70,9 @@
         let Some(attempt) = self.rpc.end_attempt(attempt, outcome, now) else {
             return;
         };
-        attempt.backend.change_in_flight(-1, now, AVERAGING_TIME);
+        attempt
+            .backend
+            .change_in_flight(-1, now, AVERAGING_TIME_SECONDS);
         dispatcher.record_attempt(&self.rpc, &attempt, now);
         dispatcher.record_outcome(&attempt, report, now);
         dispatcher.reindex(&attempt.backend, now);
--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -3,7 +3,7 @@
 use crate::interface::Settings;
 
 /// Time constant of the averages in seconds: long enough for tens of responses, shorter than most faults.
-pub(crate) const AVERAGING_TIME: f64 = 4.0;
+pub(crate) const AVERAGING_TIME_SECONDS: f64 = 4.0;
 /// Largest error of a clock of whole nanoseconds after the arithmetic done here, in seconds.
 pub(crate) const CLOCK_TOLERANCE: f64 = 1e-6;
 /// Multiple of the elapsed time that an attempt without a response is estimated to have needed.
@@ -30,8 +30,8 @@
 
     /// Records an attempt that was answered after this time.
     pub(crate) fn record_completion(&self, duration: f64, now: f64) {
-        self.service_time.add(duration, now, AVERAGING_TIME);
-        self.completions.add(1.0, now, AVERAGING_TIME);
+        self.service_time.add(duration, now, AVERAGING_TIME_SECONDS);
+        self.completions.add(1.0, now, AVERAGING_TIME_SECONDS);
     }
 
     /// Returns the mean time from an attempt to its response in seconds; before the first response,
@@ -42,19 +42,19 @@
             .max(CLOCK_TOLERANCE)
     }
 
-    /// Returns the number of responses, decaying with [`AVERAGING_TIME`].
+    /// Returns the number of responses, decaying with [`AVERAGING_TIME_SECONDS`].
     pub(crate) fn recent_completions(&self, now: f64) -> f64 {
-        self.completions.read(now, AVERAGING_TIME)
+        self.completions.read(now, AVERAGING_TIME_SECONDS)
     }
 
     /// Returns the responses per second.
     pub(crate) fn completion_rate(&self, now: f64) -> f64 {
-        self.recent_completions(now) / AVERAGING_TIME
+        self.recent_completions(now) / AVERAGING_TIME_SECONDS
     }
 
     /// Records the reported load of a backend, in RPCs.
     pub(crate) fn record_load(&self, load: f64, now: f64) {
-        self.reported_load.add(load, now, AVERAGING_TIME);
+        self.reported_load.add(load, now, AVERAGING_TIME_SECONDS);
     }
 
     /// Records a health check that failed after this time. A backend with too long a queue rejects it
@@ -72,7 +72,7 @@
 
     /// Returns the mean reported load, which decays while no reports arrive.
     pub(crate) fn recent_load(&self, now: f64) -> f64 {
-        self.reported_load.decayed(now, AVERAGING_TIME)
+        self.reported_load.decayed(now, AVERAGING_TIME_SECONDS)
     }
 
     /// Returns the time constant of expected waits, in seconds.
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -6,7 +6,7 @@
 //! fail, as an overload is no backend's fault; and after an ejection one attempt at a time is let
 //! through until one succeeds, as by a half-open circuit breaker.
 use crate::backend::Backend;
-use crate::estimates::AVERAGING_TIME;
+use crate::estimates::AVERAGING_TIME_SECONDS;
 use crate::ewma::Ewma;
 use crate::fleet::Fleet;
 use crate::interface::AttemptOutcome;
@@ -53,7 +53,7 @@
         now: f64,
     ) {
         let failures = failures_after(backend, outcome);
-        self.failure_rate.add(1.0, now, AVERAGING_TIME);
+        self.failure_rate.add(1.0, now, AVERAGING_TIME_SECONDS);
         backend.consecutive_failures.set(failures);
         backend.invalidate_queue_entry();
         if failures >= FAILURES_TO_EJECT && now >= backend.ejected_until.get() {
@@ -65,7 +65,7 @@
 
     /// Takes back part of the failures of a backend.
     pub(crate) fn record_success(&self, backend: &Backend, now: f64) {
-        self.failure_rate.add(0.0, now, AVERAGING_TIME);
+        self.failure_rate.add(0.0, now, AVERAGING_TIME_SECONDS);
         let rate = self.failure_rate.value_or(0.0);
         let forgiven_by_odds = FORGIVEN_MULTIPLE_OF_FAILURE_ODDS * rate / (1.0 - rate);
         let forgiven = FAILURES_FORGIVEN_PER_SUCCESS.max(forgiven_by_odds);
@@ -93,7 +93,7 @@
     let doublings = (failures - FAILURES_TO_EJECT).min(MAX_EJECTION_DOUBLINGS);
     let doubled = FIRST_EJECTION_SECONDS * 2_f64.powf(doublings);
     let shortest =
-        MIN_EJECTION_RESPONSES * AVERAGING_TIME / fleet.estimates.recent_completions(now);
+        MIN_EJECTION_RESPONSES * AVERAGING_TIME_SECONDS / fleet.estimates.recent_completions(now);
     let duration = doubled.max(shortest).min(MAX_EJECTION_SECONDS);
     duration * fleet.rng.uniform(EJECTION_JITTER)
 }
--- a/src/slow_start_budget.rs
+++ b/src/slow_start_budget.rs
@@ -1,7 +1,7 @@
 //! Slow-start budget: how much work all proxies together may send to a warming backend, and the
 //! traffic by which `policy::slow_start` splits it.
 use crate::backend::Backend;
-use crate::estimates::AVERAGING_TIME;
+use crate::estimates::AVERAGING_TIME_SECONDS;
 use crate::ewma::DecayingCounter;
 use crate::interface::Settings;
 use crate::policy::load_reports::ReportSource;
@@ -89,7 +89,7 @@
 
     /// Records that an RPC is about to choose a random backend. Returns the sample of that choice.
     pub(crate) fn record_random_choice(&self, rpc: u64, now: f64) -> f64 {
-        self.offered.add(1.0, now, AVERAGING_TIME);
+        self.offered.add(1.0, now, AVERAGING_TIME_SECONDS);
         hash_pair(rpc, now.to_bits())
     }
 
@@ -107,12 +107,13 @@
             ReportSource::HealthCheck => (rng.uniform(0.0..1.0), 1.0 / self.health_checks_per_rpc),
         };
         backend.slow_start_sample.set(sample);
-        self.offered.add(offered, now, AVERAGING_TIME);
+        self.offered.add(offered, now, AVERAGING_TIME_SECONDS);
     }
 
     /// Returns the rate of RPCs that may have gone to any backend, per second.
     pub(crate) fn offered_rate(&self, now: f64) -> f64 {
-        (self.offered.read(now, AVERAGING_TIME) + PRIOR_OFFERED_RPCS) / AVERAGING_TIME
+        (self.offered.read(now, AVERAGING_TIME_SECONDS) + PRIOR_OFFERED_RPCS)
+            / AVERAGING_TIME_SECONDS
     }
 
     /// Records a completed RPC at one of `ready_count` backends. It is divided by the capacity of all
@@ -122,7 +123,8 @@
         let work_limit = self.work_limit(backend, now);
         let capacity_fraction = work_limit.map_or(1.0, |limit| self.capacity_fraction(limit));
         let capacity = ready_count.max(1) as f64 * backend.relative_size.get() * capacity_fraction;
-        self.completed.add(1.0 / capacity, now, AVERAGING_TIME);
+        self.completed
+            .add(1.0 / capacity, now, AVERAGING_TIME_SECONDS);
     }
 
     /// Returns the relative capacity of a warming backend with this limit of work in a window.
@@ -132,7 +134,7 @@
 
     /// Returns the RPCs per second that a warm backend of size 1 completes for this proxy.
     pub(crate) fn completion_rate(&self, now: f64) -> f64 {
-        self.completed.read(now, AVERAGING_TIME) / AVERAGING_TIME
+        self.completed.read(now, AVERAGING_TIME_SECONDS) / AVERAGING_TIME_SECONDS
     }
 
     /// Returns the RPCs in flight that keep this many cores busy for a window.
