--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -6,7 +6,7 @@
 mod outcomes;
 mod rpc_handle;
 
-use crate::estimates::CLOCK_TOLERANCE;
+use crate::estimates::CLOCK_TOLERANCE_SECONDS;
 use crate::fleet::Fleet;
 use crate::interface::{
     AttemptOutcome, CarriedOver, Endpoint, EndpointUpdateKind, IncomingRpc, LoadReport, Platform,
@@ -124,7 +124,7 @@
         // Only the latest timer schedules the next one: otherwise the number of timers would grow.
         dispatcher
             .timer_at
-            .take_if(|at| now + CLOCK_TOLERANCE >= *at);
+            .take_if(|at| now + CLOCK_TOLERANCE_SECONDS >= *at);
         let poll_is_due = dispatcher
             .discovery
             .take_due_poll(&dispatcher.fleet.rng, now);
--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -5,7 +5,7 @@
 /// Time constant of the averages in seconds: long enough for tens of responses, shorter than most faults.
 pub(crate) const AVERAGING_TIME_SECONDS: f64 = 4.0;
 /// Largest error of a clock of whole nanoseconds after the arithmetic done here, in seconds.
-pub(crate) const CLOCK_TOLERANCE: f64 = 1e-6;
+pub(crate) const CLOCK_TOLERANCE_SECONDS: f64 = 1e-6;
 /// Multiple of the elapsed time that an attempt without a response is estimated to have needed.
 pub(crate) const NO_RESPONSE_FACTOR: f64 = 1.5;
 /// Time constant of expected waits, in mean service times. Waits change as fast as backends fill and
@@ -39,7 +39,7 @@
     pub(crate) fn service_time(&self) -> f64 {
         self.service_time
             .value_or(self.shortest_objective / 2.0)
-            .max(CLOCK_TOLERANCE)
+            .max(CLOCK_TOLERANCE_SECONDS)
     }
 
     /// Returns the number of responses, decaying with [`AVERAGING_TIME_SECONDS`].
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -9,7 +9,7 @@
 use super::outlier_detection::is_healthy;
 use crate::backend::Backend;
 use crate::backend_index::Subset;
-use crate::estimates::{CLOCK_TOLERANCE, Estimates};
+use crate::estimates::{CLOCK_TOLERANCE_SECONDS, Estimates};
 use crate::fleet::Fleet;
 use crate::health_check_tokens::HealthCheckTokens;
 use crate::interface::{LoadReportSource, Platform, Settings};
@@ -142,7 +142,7 @@
         platform: &mut dyn Platform,
     ) {
         let now = platform.now();
-        if now + CLOCK_TOLERANCE >= self.next_proactive_at(&fleet.estimates, now) {
+        if now + CLOCK_TOLERANCE_SECONDS >= self.next_proactive_at(&fleet.estimates, now) {
             self.last_proactive_at = now;
             self.start(usize::from(is_wanted), &[], fleet, platform);
         }
