--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of the birchhub proxy: which RPC goes to which backend, and when.
+//! Load balancing and admission control of the birchhub proxy: which RPC goes to which backend, and
+//! when.
 //!
-//! The package does no I/O and reads no clock. A platform calls [`balancer`] with events, and the
-//! decisions act through [`interface::Platform`]. [`policy`] holds every decision, one module for
-//! each mechanism; all other modules keep state, indexes and estimates for it.
+//! The crate performs no I/O and reads no clock. A platform passes events to [`balancer`], and the
+//! decisions take effect through [`interface::Platform`]. [`policy`] contains every decision, one
+//! module per mechanism; the other modules maintain its state, indexes and estimates.
 mod attempt;
 mod attempt_window;
 mod backend;
