--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,197 +1,201 @@
-//! Interface of the decisions: the settings and events that they take, and [`Platform`], through which
-//! they act.
+//! Interface between the balancer and its platform: settings, events, and the [`Platform`] trait
+//! through which the balancer acts.
 //!
 //! All times and durations are in seconds as `f64`; the platform chooses the origin of its clock.
 
 use birchhub_invariants::Violation;
 
-/// The settings of a deployment.
+/// Settings of a deployment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Number of proxies in front of the same backends, including this one.
     pub proxy_count: usize,
-    /// The methods. An [`IncomingRpc`] names one by its index here.
+    /// Methods. [`IncomingRpc::method`] is an index into this list.
     pub methods: Vec<MethodSettings>,
-    /// The tenants. An [`IncomingRpc`] names one by its index here.
+    /// Tenants. [`IncomingRpc::tenant`] is an index into this list.
     pub tenants: Vec<TenantSettings>,
-    /// Most attempts for one RPC, including the first.
+    /// Maximum number of attempts per RPC, including the first.
     pub max_attempts: usize,
-    /// An attempt in flight may be cancelled.
+    /// Whether an attempt in flight may be cancelled.
     pub can_cancel: bool,
-    /// Backends answer health checks.
+    /// Whether backends answer health checks.
     pub can_health_check: bool,
-    /// Cells cache what they need for a key: an RPC costs less where its key was served recently.
+    /// Whether cells cache data by key, so that an RPC costs less in a cell that served its key
+    /// recently.
     pub key_affinity: bool,
-    /// An RPC may be hedged: it may have a second attempt while the first is in flight.
+    /// Whether an RPC may be hedged, that is, have a second attempt while the first is in flight.
     pub can_hedge: bool,
-    /// Longest `retry_after` that clients honour, in seconds; 0 where rejections carry none.
+    /// Longest `retry_after` that clients honour, in seconds; 0 if rejections do not carry one.
     pub max_retry_after: f64,
-    /// Cost of one health check for every RPC, in points of service.
+    /// Cost of sending one health check per RPC, in points of the service score.
     pub health_check_cost: f64,
-    /// Cost of sending every RPC to another zone, in points of service.
+    /// Cost of sending every RPC to another zone, in points of the service score.
     pub cross_zone_cost: f64,
-    /// Index of the zone of this proxy, as in [`Endpoint::zone`].
+    /// Index of this proxy's zone, comparable with [`Endpoint::zone`].
     pub own_zone: usize,
     /// Number of zones.
     pub zone_count: usize,
-    /// Weight of the nines of availability in the objective; 0 where they do not count.
+    /// Weight of availability, counted in nines, in the service score; 0 if it does not count.
     pub log_loss_weight: f64,
-    /// Availability objective, in nines.
+    /// Availability objective in nines.
     pub target_nines: f64,
-    /// What carries load reports.
+    /// Messages that carry load reports.
     pub load_report_source: LoadReportSource,
-    /// Load reports count the RPCs at a backend; otherwise they tell its utilisation only.
+    /// Whether load reports include the number of RPCs at a backend; otherwise they contain only
+    /// its utilisation.
     pub reports_include_queue: bool,
-    /// The endpoint list is polled; otherwise its updates are pushed.
+    /// Whether the endpoint list is polled; otherwise updates are pushed.
     pub polls_endpoint_list: bool,
-    /// Longest time allowed between two polls of the endpoint list, in seconds.
+    /// Maximum time between two polls of the endpoint list, in seconds.
     pub max_poll_interval: f64,
-    /// Time for which a draining backend may still be sent RPCs after its drain was announced, in
+    /// Time after the announcement of a drain during which the backend may still be sent RPCs, in
     /// seconds.
     pub drain_grace: f64,
-    /// Of the endpoint list only [`Readiness::Draining`] binds: a backend that is removed or no longer
-    /// listed may still run.
+    /// Whether only [`Readiness::Draining`] forbids attempts: a backend that is removed or no
+    /// longer listed may still be running.
     pub only_draining_is_binding: bool,
-    /// Cooldown of a key after an attempt that may still run, in seconds; the next RPC with the key of
-    /// a method that is ordered by key waits for it.
+    /// Cooldown of a key after an attempt that may still be running, in seconds. For methods that
+    /// are ordered by key, the next RPC with the same key waits for its end.
     pub key_cooldown: f64,
-    /// Fraction of its capacity that a backend has when it starts.
+    /// Fraction of its full capacity that a backend has when it starts.
     pub slow_start_initial_fraction: f64,
     /// Time that a backend takes to warm up, in seconds.
     pub slow_start_duration: f64,
-    /// Multiple of its present capacity above which a warming backend fails.
+    /// Load at which a warming backend fails, as a multiple of its current capacity.
     pub overload_multiple: f64,
-    /// Time over which the load of a warming backend is averaged, in seconds.
+    /// Window over which the load of a warming backend is averaged, in seconds.
     pub overload_window: f64,
 }
 
-/// What carries load reports.
+/// Messages that carry load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LoadReportSource {
-    /// Nothing: there are no load reports.
+    /// There are no load reports.
     #[default]
     None,
-    /// The responses to attempts.
+    /// Responses to attempts.
     Responses,
-    /// The responses to health checks.
+    /// Responses to health checks.
     HealthChecks,
 }
 
-/// The settings of one method.
+/// Settings of one method.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MethodSettings {
-    /// Effect of a repeated execution.
+    /// What a repeated execution does.
     pub idempotency: Idempotency,
-    /// Time within which a response has its full weight, in seconds.
+    /// Time from the arrival of an RPC within which a response has its full weight, in seconds.
     pub latency_objective: f64,
-    /// Multiple of the RPC's expected work that is added to the objective.
+    /// Multiple of the RPC's expected work that is added to the latency objective.
     pub objective_stretch: f64,
-    /// Weight of a response within the objective.
+    /// Weight of a response within the latency objective.
     pub priority_weight: f64,
-    /// Fraction of the weight left for a response between objective and deadline.
+    /// Fraction of the weight that a response has between the latency objective and the deadline.
     pub late_weight_fraction: f64,
-    /// RPCs with the same key run one at a time, in the order in which this proxy accepted them.
+    /// Whether RPCs with the same key run one at a time, in the order in which this proxy accepted
+    /// them.
     pub ordered_by_key: bool,
 }
 
-/// Effect of a repeated execution of a method.
+/// What a repeated execution of a method does.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// None beyond that of the first execution.
+    /// It has no effect beyond that of the first execution.
     Idempotent,
-    /// The effect is repeated.
+    /// It repeats the effect.
     NonIdempotent,
-    /// None: the backends of `scope` drop duplicates for `window` seconds after the first attempt was
-    /// sent.
+    /// It has no effect: the backends in `scope` drop duplicates for `window` seconds after the
+    /// first attempt was sent.
     Deduplicated {
-        /// The backends that drop each other's duplicates.
+        /// Backends that share deduplication.
         scope: DeduplicationScope,
-        /// Time for which they drop them, in seconds.
+        /// Time for which duplicates are dropped, in seconds.
         window: f64,
     },
 }
 
-/// The backends that drop each other's duplicates.
+/// Set of backends that share deduplication: each drops duplicates of RPCs that another has
+/// executed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DeduplicationScope {
     /// All backends.
     All,
-    /// The backends of one zone.
+    /// Backends of the same zone.
     Zone,
-    /// The backends of one cell.
+    /// Backends of the same cell.
     Cell,
 }
 
-/// The settings of one tenant.
+/// Settings of one tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// RPCs per second within the tenant's quota, summed over all proxies.
+    /// Quota of the tenant over all proxies, in RPCs per second.
     pub quota: f64,
 }
 
-/// For each method and tenant of new settings, in their order: its index in the former settings, or
-/// `None` if it is new.
+/// Maps each method and tenant of new settings to its index in the previous settings, or to `None`
+/// if it is new.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CarriedOver {
-    /// Former indexes of the methods.
+    /// Previous index of each method.
     pub methods: Vec<Option<usize>>,
-    /// Former indexes of the tenants.
+    /// Previous index of each tenant.
     pub tenants: Vec<Option<usize>>,
 }
 
-/// An RPC that arrives.
+/// An RPC received from a client.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IncomingRpc {
-    /// Number that identifies it in calls of [`Platform`].
+    /// Identifier of the RPC in calls to [`Platform`].
     pub id: u64,
     /// Index into [`Settings::methods`].
     pub method: usize,
     /// Index into [`Settings::tenants`].
     pub tenant: Option<usize>,
-    /// Time by which the client needs the final answer.
+    /// Time by which the client needs the final response.
     pub deadline: f64,
-    /// Work that the client expects it to take, in seconds.
+    /// Work that the client expects the RPC to take, in seconds.
     pub expected_work: Option<f64>,
-    /// The client has marked it as a retry.
+    /// Whether the client marked the RPC as a retry.
     pub client_retry: bool,
-    /// Its body is still arriving: each attempt is being sent until
+    /// Whether the body is still arriving. Each attempt is then being sent until
     /// [`RpcHandle::on_request_sent`] is called.
     ///
     /// [`RpcHandle::on_request_sent`]: crate::balancer::RpcHandle::on_request_sent
     pub streams_request: bool,
-    /// A hash of the RPC's key that is the same at every proxy.
+    /// Hash of the RPC's key; the same at every proxy.
     pub key: Option<u64>,
 }
 
-/// What an update of the endpoint list means for the endpoints that it does not name.
+/// How an update of the endpoint list affects endpoints that it does not contain.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointUpdateKind {
-    /// They are unchanged.
+    /// They remain unchanged.
     Incremental,
     /// They are removed.
     Snapshot,
-    /// They are removed; the list was cached and may be out of date.
+    /// They are removed. The list comes from a cache and may be out of date.
     StaleSnapshot,
-    /// They are unchanged; the update is an operator's command and does not come from the discovery
-    /// service.
+    /// They remain unchanged. The update is an operator's command and does not come from the
+    /// discovery service.
     Administrative,
 }
 
 impl EndpointUpdateKind {
-    /// Returns whether endpoints that the update does not name are removed.
+    /// Returns whether endpoints that the update does not contain are removed.
     pub fn is_snapshot(self) -> bool {
         matches!(self, Self::Snapshot | Self::StaleSnapshot)
     }
 }
 
-/// Whether an endpoint takes new RPCs.
+/// Whether an endpoint accepts new RPCs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Readiness {
-    /// It takes new RPCs.
+    /// The endpoint accepts new RPCs.
     Ready,
-    /// It finishes its RPCs and takes no new ones.
+    /// The endpoint finishes its RPCs and accepts no new ones.
     Draining,
-    /// It has stopped.
+    /// The endpoint has stopped.
     Removed,
 }
 
@@ -200,31 +204,31 @@
 pub struct Endpoint {
     /// Number of the backend.
     pub backend: u32,
-    /// Capacity relative to other backends; 1 where the list does not say.
+    /// Capacity relative to other backends; 1 if the list does not specify it.
     pub relative_size: f64,
-    /// Time of the latest start; `None` if it was long ago.
+    /// Time of the last start; `None` if it was long ago.
     pub started_at: Option<f64>,
-    /// Number of its cell.
+    /// Number of the backend's cell.
     pub cell: u64,
-    /// Index of its zone.
+    /// Index of the backend's zone.
     pub zone: usize,
-    /// Whether it takes new RPCs.
+    /// Whether the backend accepts new RPCs.
     pub readiness: Readiness,
 }
 
-/// A backend's report of its load. Fields that it does not carry are `None`.
+/// Load reported by a backend. Fields missing from the report are `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     /// Number of RPCs being executed.
     pub in_flight: Option<f64>,
-    /// Number of RPCs in the queue.
+    /// Number of queued RPCs.
     pub queued: Option<f64>,
-    /// Fraction of its capacity in use.
+    /// Fraction of the capacity in use.
     pub utilisation: Option<f64>,
 }
 
 impl LoadReport {
-    /// Returns the field that comes closest to the number of RPCs at the backend.
+    /// Returns the available field that best approximates the number of RPCs at the backend.
     pub fn load(self) -> Option<f64> {
         self.in_flight.or(self.queued).or(self.utilisation)
     }
@@ -235,9 +239,9 @@
 pub enum AttemptOutcome {
     /// A complete response arrived.
     Succeeded,
-    /// A response arrived that reports a failure.
+    /// A response that reports a failure arrived.
     Failed,
-    /// The backend rejected it before any work.
+    /// The backend rejected it without doing any work.
     Rejected,
     /// No response arrived in time.
     TimedOut,
@@ -252,47 +256,48 @@
 }
 
 impl AttemptOutcome {
-    /// Returns whether the outcome proves that the attempt was never executed.
+    /// Returns whether the outcome proves that the backend never executed the attempt.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 
-    /// Returns whether the attempt never arrived at its backend.
+    /// Returns whether the outcome proves that the attempt never reached the backend.
     pub fn never_reached_backend(self) -> bool {
         matches!(self, Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// Who sets the pace of a streamed response.
+/// Which side limits the rate of a streamed response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PacedBy {
-    /// The backend, which works on it until its end.
+    /// The backend, which is working on the response until it ends.
     Backend,
-    /// The client; the duration tells nothing about the backend.
+    /// The client; the duration of the response is no measure of the backend's speed.
     Client,
 }
 
-/// What the decisions ask of the platform that they run on. No call waits for its effect.
+/// Actions that the balancer requests from its platform. No call blocks until the action has
+/// completed.
 pub trait Platform {
-    /// Returns the present time.
+    /// Returns the current time.
     fn now(&self) -> f64;
-    /// Starts the next attempt of an RPC, which times out after `timeout` seconds. The attempts of an
-    /// RPC are numbered from 0.
+    /// Starts the next attempt of an RPC, with a timeout in seconds. The attempts of an RPC are
+    /// numbered from 0.
     fn start_attempt(&mut self, rpc: u64, backend: u32, timeout: f64);
     /// Cancels an attempt.
     fn cancel_attempt(&mut self, rpc: u64, attempt: usize);
-    /// Gives the final answer that the RPC is rejected and a retry is harmless. A `retry_after` of 0
-    /// does not say when to retry.
+    /// Sends the final response that the RPC is rejected and that a retry is harmless. A
+    /// `retry_after` of 0 means that the response does not say when to retry.
     fn reject(&mut self, rpc: u64, retry_after: f64);
-    /// Gives the final answer that the RPC has failed and may have been executed.
+    /// Sends the final response that the RPC has failed and may have been executed.
     fn fail(&mut self, rpc: u64);
-    /// Starts a health check.
+    /// Starts a health check of a backend.
     fn health_check(&mut self, backend: u32);
     /// Polls the endpoint list, or subscribes to its updates.
     fn watch_endpoints(&mut self);
-    /// Reports the violation of an invariant, to be counted and shown to operators.
+    /// Reports a violated invariant, which is counted and shown to operators.
     fn report_violation(&mut self, _violation: Violation) {}
-    /// Has [`Balancer::on_timer`] called after `delay` seconds.
+    /// Schedules a call of [`Balancer::on_timer`] after `delay` seconds.
     ///
     /// [`Balancer::on_timer`]: crate::balancer::Balancer::on_timer
     fn schedule_timer(&mut self, delay: f64);
