--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -1,4 +1,4 @@
-//! State of one attempt of an RPC, and what an attempt that has ended tells.
+//! State of one attempt of an RPC, and its result once it has ended.
 use crate::backend::Backend;
 use crate::estimates::NO_RESPONSE_FACTOR;
 use crate::interface::AttemptOutcome;
@@ -9,9 +9,9 @@
 /// How the backend of an attempt was chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum BackendChoice {
-    /// From the idle queue.
+    /// Taken from the idle queue.
     IdleQueue,
-    /// At random, by the fallback.
+    /// Chosen at random by the fallback.
     Random {
         /// Mean reported load of the backends when the attempt was sent, in RPCs.
         mean_load: f64,
@@ -20,26 +20,27 @@
 
 /// One attempt of an RPC.
 pub(crate) struct AttemptState {
-    /// Backend that it was sent to.
+    /// Backend that the attempt was sent to.
     pub backend: Rc<Backend>,
-    /// Time at which the last byte was sent, as far as is known.
+    /// Time at which the last byte was sent, or the start of the attempt while that is unknown.
     pub sent_at: f64,
-    /// How it ended; `None` while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub outcome: Option<AttemptOutcome>,
     /// How the backend was chosen.
     choice: BackendChoice,
-    /// Time that it had when it was sent, in seconds.
+    /// Time left for the attempt when it was sent, in seconds.
     time_allowed: f64,
-    /// Load level of the backend's last report, if it was recent when the attempt was sent.
+    /// Load level in the backend's last report, if that was recent when the attempt was sent.
     load_level: Option<LoadLevel>,
-    /// Time at which a response started whose pace the client sets.
+    /// Start of the response, if the client limits its rate.
     response_started_at: Option<f64>,
-    /// Its body is on its way from or to a client.
+    /// Whether its progress depends on the client: the request body is still arriving, or the
+    /// client limits the rate of the response.
     client_paced: bool,
 }
 
 impl AttemptState {
-    /// Creates an attempt that is sent now.
+    /// Creates an attempt that is being sent now.
     pub(crate) fn new(
         backend: Rc<Backend>,
         choice: BackendChoice,
@@ -59,38 +60,41 @@
         }
     }
 
-    /// Returns whether it has not ended yet.
+    /// Returns whether the attempt has not ended yet.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 
-    /// Returns whether it may have been executed, or still may be.
+    /// Returns whether the attempt may have been executed or may still be executed.
     pub(crate) fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(AttemptOutcome::never_ran)
     }
 
-    /// Sets whether its body is on its way from or to a client; it is no work for its backend then.
+    /// Sets whether progress depends on the client; the backend is not working on the attempt
+    /// meanwhile.
     pub(crate) fn set_client_paced(&mut self, client_paced: bool) {
-        let before = std::mem::replace(&mut self.client_paced, client_paced);
+        let previous = std::mem::replace(&mut self.client_paced, client_paced);
         self.backend
             .client_paced
-            .update(|all| all + usize::from(client_paced) - usize::from(before));
+            .update(|count| count + usize::from(client_paced) - usize::from(previous));
     }
 
-    /// Records that the last byte of a streamed request was sent; its time counts from here.
+    /// Records that the last byte of a streamed request was sent. Its duration is measured from
+    /// now.
     pub(crate) fn record_request_sent(&mut self, now: f64) {
         self.sent_at = now;
         self.set_client_paced(false);
     }
 
-    /// Records the start of a response whose pace the client sets. How long the rest takes tells
-    /// nothing about the backend.
+    /// Records the start of a response whose rate the client limits. The duration of the rest is no
+    /// measure of the backend's speed.
     pub(crate) fn record_client_paced_response(&mut self, now: f64) {
         self.response_started_at = Some(now);
         self.set_client_paced(true);
     }
 
-    /// Ends the attempt and returns what it tells. `number` is its number among those of its RPC.
+    /// Ends the attempt and returns its result. `number` is its index among the attempts of its
+    /// RPC.
     pub(crate) fn end(
         &mut self,
         number: usize,
@@ -99,7 +103,7 @@
     ) -> CompletedAttempt {
         self.outcome = Some(outcome);
         self.set_client_paced(false);
-        // A rejected attempt would have waited for longer than the time that it had.
+        // A rejected attempt counts as one that would have waited for all of its time.
         let duration = if outcome == AttemptOutcome::Rejected {
             self.time_allowed
         } else {
@@ -117,19 +121,19 @@
     }
 }
 
-/// What an attempt that has ended tells.
+/// Result of an attempt that has ended.
 pub(crate) struct CompletedAttempt {
-    /// Backend that it was sent to.
+    /// Backend that the attempt was sent to.
     pub backend: Rc<Backend>,
-    /// Its number among the RPC's attempts, from 0.
+    /// Index among the attempts of the RPC.
     pub number: usize,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Time that it took at the least, in seconds.
+    /// Lower bound of the time that the backend needs, in seconds.
     pub duration: f64,
-    /// Time that it had, in seconds.
+    /// Time left for the attempt when it was sent, in seconds.
     pub time_allowed: f64,
-    /// Load level of the backend's last report, if it was recent when the attempt was sent.
+    /// Load level in the backend's last report, if that was recent when the attempt was sent.
     pub load_level: Option<LoadLevel>,
     /// How the backend was chosen.
     pub choice: BackendChoice,
@@ -141,7 +145,7 @@
         self.outcome == AttemptOutcome::Succeeded
     }
 
-    /// Returns whether it was answered or timed out, so that its duration is a sample.
+    /// Returns whether the attempt succeeded or timed out, so that its duration is a usable sample.
     pub(crate) fn has_measured_duration(&self) -> bool {
         matches!(
             self.outcome,
@@ -149,12 +153,12 @@
         )
     }
 
-    /// Returns whether the backend rejected it.
+    /// Returns whether the backend rejected the attempt.
     pub(crate) fn was_rejected(&self) -> bool {
         self.outcome == AttemptOutcome::Rejected
     }
 
-    /// Returns whether the backend may still be executing it.
+    /// Returns whether the backend may still be executing the attempt.
     pub(crate) fn may_still_run(&self) -> bool {
         matches!(
             self.outcome,
@@ -162,7 +166,8 @@
         )
     }
 
-    /// Returns the fraction of its time that it used; [`NO_RESPONSE_FACTOR`] without a response.
+    /// Returns the fraction of the allowed time that the attempt used, or [`NO_RESPONSE_FACTOR`] if
+    /// it did not succeed.
     pub(crate) fn used_time_fraction(&self) -> f64 {
         if self.succeeded() {
             self.duration / self.time_allowed
@@ -171,8 +176,8 @@
         }
     }
 
-    /// Returns the time that the backend needed in seconds, or an estimate of it where no response
-    /// arrived.
+    /// Returns the time that the backend needed, in seconds. It is an estimate if the attempt did
+    /// not succeed.
     pub(crate) fn estimated_duration(&self) -> f64 {
         if self.succeeded() {
             self.duration
