--- a/src/attempt_window.rs
+++ b/src/attempt_window.rs
@@ -1,8 +1,8 @@
-//! Sliding window over the attempts that were sent to one backend.
+//! Sliding window of the attempts sent to one backend.
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 
-/// The times at which attempts were sent, as far back as the window reaches.
+/// Times of the attempts sent within the window.
 #[derive(Default)]
 pub(crate) struct AttemptWindow {
     sent_at: RefCell<VecDeque<f64>>,
@@ -16,14 +16,14 @@
         self.sent_at.borrow_mut().push_back(now);
     }
 
-    /// Counts the window that starts now as full: another process may have sent as many attempts as
-    /// are allowed.
+    /// Treats the window as full until its length has passed from now: another process of this
+    /// proxy may have sent as many attempts as are allowed, which this process cannot count.
     pub(crate) fn assume_full(&self, now: f64) {
         self.assumed_full_at.set(Some(now));
     }
 
-    /// Returns the number of attempts sent in the window that ends now; infinite while the window is
-    /// assumed to be full.
+    /// Returns the number of attempts sent in the window that ends now, or infinity while the
+    /// window is assumed to be full.
     pub(crate) fn count(&self, now: f64, window: f64) -> f64 {
         let mut sent_at = self.sent_at.borrow_mut();
         while sent_at.front().is_some_and(|at| *at <= now - window) {
