--- a/src/backend_index/mod.rs
+++ b/src/backend_index/mod.rs
@@ -1,6 +1,7 @@
-//! Index of the backends by number and by subset, so that no decision walks the whole fleet.
+//! Index of the backends by number and by subset, so that no decision iterates over all backends.
 //!
-//! It is updated with events, not with each RPC. Its caller decides which backend is available.
+//! It is updated when the state of a backend changes. Its caller decides which backends are
+//! available.
 use crate::backend::Backend;
 use crate::rng::{Rng, hash_pair};
 use std::cmp::Reverse;
@@ -10,18 +11,18 @@
 #[cfg(test)]
 mod tests;
 
-/// Most backends that one random choice scans; bounds its cost in a large fleet.
+/// Maximum number of backends that one random choice scans, which bounds its cost in a large fleet.
 const SCAN_LIMIT: usize = 64;
-/// Random backends that are tried before a larger subset is scanned. They suffice if a fifth of the
-/// subset fits.
+/// Number of random members that are tried before part of a subset with more than [`SCAN_LIMIT`]
+/// members is scanned. It suffices if a fifth of the members fit.
 const RANDOM_TRIES: usize = 16;
 
 /// A set of backends to choose from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Subset {
-    /// The backends that are ready by the endpoint list.
+    /// The backends that are ready according to the endpoint list.
     Ready,
-    /// The ready backends that are available to a random choice.
+    /// The ready backends that are available for a random choice.
     Available,
     /// The available backends in the zone of this proxy.
     AvailableLocal,
@@ -29,13 +30,13 @@
     Zone(usize),
     /// The ready backends of one cell.
     Cell(u64),
-    /// The backends that are not ready, kept while something still refers to them.
+    /// The backends that are not ready, kept while they are still in use.
     Unready,
 }
 
 impl Subset {
-    /// Returns its slot in [`Backend::index_positions`]. `Ready` and `Unready` exclude each other and
-    /// use the same slot.
+    /// Returns the slot of this subset in [`Backend::index_positions`]. `Ready` and `Unready` share
+    /// a slot because they are mutually exclusive.
     fn slot(self) -> usize {
         match self {
             Self::Ready | Self::Unready => 0,
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Returns the subset of the backends that are ready, or not.
-    fn of_readiness(ready: bool) -> Self {
+    /// Returns `Ready` or `Unready`.
+    fn for_readiness(ready: bool) -> Self {
         if ready { Self::Ready } else { Self::Unready }
     }
 }
@@ -55,14 +56,14 @@
 /// The backends that this proxy knows.
 #[derive(Default)]
 pub(crate) struct BackendIndex {
-    /// Zone of this proxy, whose backends are local.
+    /// Zone of this proxy; the backends in it are local.
     pub own_zone: usize,
     /// Number of updates of the endpoint list so far.
     pub updates: u64,
     by_id: BTreeMap<u32, Rc<Backend>>,
     subsets: HashMap<Subset, Vec<Rc<Backend>>>,
-    /// Times at which a state of a backend ends by time alone, with the backend's number. The bits of
-    /// times that are not negative have the order of the times.
+    /// Expiry times of temporary states such as ejections, each with the number of the backend.
+    /// Times are stored as bits, which compare like the times because none is negative.
     expiries: BinaryHeap<Reverse<(u64, u32)>>,
 }
 
@@ -72,7 +73,7 @@
         self.by_id.get(&id)
     }
 
-    /// Returns the backend with this number, creating it if it is not known.
+    /// Returns the backend with this number, and creates it if it is not known.
     pub(crate) fn get_or_insert(&mut self, id: u32) -> Rc<Backend> {
         let new_backend = || Rc::new(Backend::new(id));
         self.by_id.entry(id).or_insert_with(new_backend).clone()
@@ -98,8 +99,8 @@
         self.count(Subset::Ready)
     }
 
-    /// Returns the `count` cells that come first for a key by weighted rendezvous hashing; they are
-    /// the same at every proxy.
+    /// Returns the `count` highest-ranked cells for a key by weighted rendezvous hashing, with the
+    /// number of ready backends as weight. They are the same at every proxy.
     pub(crate) fn cells_of_key(&self, key: u64, count: usize) -> Vec<Subset> {
         let score = |(subset, members): (&Subset, &Vec<_>)| match subset {
             Subset::Cell(cell) => {
@@ -114,8 +115,8 @@
         first_cells.map(|(_, cell)| Subset::Cell(*cell)).collect()
     }
 
-    /// Returns a random member of a subset that fits. In a large subset some random members are tried,
-    /// then a stretch from a random position is scanned, which bounds the cost.
+    /// Returns a random member of a subset that fits. In a large subset a few random members are
+    /// tried before a bounded number of members is scanned from a random position.
     pub(crate) fn pick_random(
         &self,
         subset: Subset,
@@ -133,12 +134,12 @@
         }
         let start = rng.index(members.len().max(1));
         let length = members.len().min(SCAN_LIMIT);
-        let stretch = members.iter().cycle().skip(start).take(length);
-        let mut fitting: Vec<_> = stretch.filter(|backend| fits(backend)).cloned().collect();
+        let scanned = members.iter().cycle().skip(start).take(length);
+        let mut fitting: Vec<_> = scanned.filter(|backend| fits(backend)).cloned().collect();
         rng.take_one(&mut fitting)
     }
 
-    /// Makes a backend a member of a subset, or no member.
+    /// Adds a backend to a subset or removes it.
     fn set_member(&mut self, backend: &Rc<Backend>, subset: Subset, is_member: bool) {
         let position = &backend.index_positions[subset.slot()];
         match (position.get(), is_member) {
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Removes a backend from its position in a subset. The last member takes that position.
+    /// Removes a backend from a subset. The last member takes its position.
     fn remove_member(&mut self, backend: &Backend, subset: Subset, at: usize) {
         let Some(members) = self.subsets.get_mut(&subset) else {
             return;
@@ -162,29 +163,30 @@
         if let Some(moved) = members.get(at) {
             moved.index_positions[subset.slot()].set(Some(at));
         } else if members.is_empty() {
-            // Without this, memory would grow with every cell there ever was.
+            // Otherwise memory would grow with every cell that ever existed.
             self.subsets.remove(&subset);
         }
     }
 
-    /// Makes a backend a member of the subsets that follow from its description and its availability.
+    /// Updates the subsets that contain a backend, by its readiness, zone, cell and availability.
+    /// Before its readiness, zone or cell changes, [`Self::remove_from_subsets`] must be called.
     pub(crate) fn update(&mut self, backend: &Rc<Backend>, is_available: bool) {
         let is_ready = backend.ready.get();
         let zone = backend.zone.get();
         let cell = backend.cell.get();
         let is_available = is_ready && is_available;
         let is_local = zone == self.own_zone;
-        self.set_member(backend, Subset::of_readiness(is_ready), true);
+        self.set_member(backend, Subset::for_readiness(is_ready), true);
         self.set_member(backend, Subset::Zone(zone), is_ready);
         self.set_member(backend, Subset::Cell(cell), is_ready);
         self.set_member(backend, Subset::Available, is_available);
         self.set_member(backend, Subset::AvailableLocal, is_available && is_local);
     }
 
-    /// Removes a backend from all subsets, by its present readiness, zone and cell.
+    /// Removes a backend from all subsets.
     pub(crate) fn remove_from_subsets(&mut self, backend: &Rc<Backend>) {
         let subsets = [
-            Subset::of_readiness(backend.ready.get()),
+            Subset::for_readiness(backend.ready.get()),
             Subset::Available,
             Subset::AvailableLocal,
             Subset::Zone(backend.zone.get()),
@@ -195,19 +197,19 @@
         }
     }
 
-    /// Removes a backend altogether.
+    /// Removes a backend from the index.
     pub(crate) fn remove(&mut self, backend: &Rc<Backend>) {
         self.remove_from_subsets(backend);
         self.by_id.remove(&backend.id);
     }
 
-    /// Records that a state of the backend ends at this time, such as an ejection.
+    /// Records that a temporary state of the backend, such as an ejection, ends at this time.
     pub(crate) fn add_expiry(&mut self, time: f64, backend: &Backend) {
         let time_bits = time.max(0.0).to_bits();
         self.expiries.push(Reverse((time_bits, backend.id)));
     }
 
-    /// Returns a backend of which a state has ended; once for each recorded time.
+    /// Returns a backend with a temporary state that has ended, once per recorded time.
     pub(crate) fn next_expired(&mut self, now: f64) -> Option<Rc<Backend>> {
         while let Some(Reverse((time_bits, id))) = self.expiries.peek().copied() {
             if f64::from_bits(time_bits) > now {
