--- a/src/backend_index/tests.rs
+++ b/src/backend_index/tests.rs
@@ -10,14 +10,14 @@
     Subset::Zone(2),
 ];
 
-/// The index, and a list of the memberships that it should hold.
+/// The index under test, and a reference model: a list of the expected memberships.
 #[derive(Default)]
-struct ModelledIndex {
+struct IndexWithModel {
     index: BackendIndex,
     memberships: Vec<(u32, Subset)>,
 }
 
-impl ModelledIndex {
+impl IndexWithModel {
     fn is_in_another_zone(&self, id: u32, zone: usize) -> bool {
         let is_another = |subset: &Subset| matches!(subset, Subset::Zone(other) if *other != zone);
         self.memberships
@@ -25,7 +25,7 @@
             .any(|(member, subset)| *member == id && is_another(subset))
     }
 
-    /// Adds a backend to a subset or removes it. A backend is in one zone at a time, as its description has it.
+    /// Adds a backend to a subset or removes it. Ignores a second zone, as a backend has only one.
     fn set_member(&mut self, id: u32, subset: Subset, member: bool) {
         let backend = self.index.get_or_insert(id);
         if let Subset::Zone(zone) = subset {
@@ -47,11 +47,11 @@
         self.memberships.retain(|(member, _)| *member != id);
     }
 
-    /// The subset has the listed members, and each of them knows its position.
-    fn agrees_on(&self, subset: Subset) -> bool {
+    /// Returns whether the subset has the members of the model, each with its correct position.
+    fn matches_model(&self, subset: Subset) -> bool {
         let members = self.index.subset(subset);
         let position = |backend: &Backend| backend.index_positions[subset.slot()].get();
-        let positions_are_known = members
+        let positions_are_correct = members
             .iter()
             .enumerate()
             .all(|(n, backend)| position(backend) == Some(n));
@@ -60,30 +60,30 @@
         let mut expected: Vec<_> = of_subset.map(|(id, _)| *id).collect();
         found.sort_unstable();
         expected.sort_unstable();
-        positions_are_known && found == expected
+        positions_are_correct && found == expected
     }
 }
 
-/// After any additions and removals each subset has the members that a plain list says.
-fn subsets_match_a_plain_list(moves: Vec<(u8, u8, bool)>) -> bool {
-    let mut modelled = ModelledIndex::default();
-    for (id, subset, member) in moves {
+/// Property: after any additions and removals each subset has the members of the model.
+fn subsets_match_model(operations: Vec<(u8, u8, bool)>) -> bool {
+    let mut index = IndexWithModel::default();
+    for (id, subset, member) in operations {
         let id = u32::from(id % 12);
         let subset = SUBSETS[subset as usize % SUBSETS.len()];
-        modelled.set_member(id, subset, member);
+        index.set_member(id, subset, member);
         if id == 5 && !member {
-            modelled.remove(id);
+            index.remove(id);
         }
     }
-    SUBSETS.iter().all(|subset| modelled.agrees_on(*subset))
+    SUBSETS.iter().all(|subset| index.matches_model(*subset))
 }
 
 #[test]
-fn subsets_follow_generated_moves() {
+fn subsets_match_model_after_generated_operations() {
     let mut check = QuickCheck::new()
         .tests(500)
         .rng(Gen::from_size_and_seed(120, 3));
-    check.quickcheck(subsets_match_a_plain_list as fn(_) -> bool);
+    check.quickcheck(subsets_match_model as fn(_) -> bool);
 }
 
 #[test]
