--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,6 +1,6 @@
-//! The balancer as its platform sees it: takes events and passes them on to the mechanisms.
+//! Public interface of the balancer: receives events and forwards them to the mechanisms.
 //!
-//! It decides nothing; `crate::policy` does.
+//! It makes no decisions itself; those are in `crate::policy`.
 mod attempts;
 mod endpoint_list;
 mod outcomes;
@@ -25,11 +25,11 @@
 
 pub use rpc_handle::RpcHandle;
 
-/// The decisions of one proxy.
+/// The load balancer of one proxy.
 pub struct Balancer(Rc<RefCell<Dispatcher>>);
 
 impl Balancer {
-    /// Creates a balancer that knows no backend yet. The seed determines all random numbers.
+    /// Creates a balancer without backends. The seed determines all random numbers.
     pub fn new(settings: &Settings, seed: u64) -> Self {
         let fleet = Fleet {
             rng: Rng::new(seed),
@@ -48,7 +48,7 @@
         Self(Rc::new(RefCell::new(dispatcher)))
     }
 
-    /// Applies new settings. RPCs that were accepted keep the settings of their method.
+    /// Applies new settings. RPCs that were accepted before keep the settings of their method.
     pub fn apply_settings(
         &self,
         settings: &Settings,
@@ -60,14 +60,15 @@
         dispatcher.serve(platform);
     }
 
-    /// Sets the number of processes of this proxy, which share its part of the slow-start budget.
+    /// Sets the number of processes of this proxy, which divide its share of the slow-start budget.
     pub fn set_process_count(&self, processes: usize) {
         let mut dispatcher = self.0.borrow_mut();
         let budget = &mut dispatcher.rules.slow_start.budget;
         budget.set_process_count(processes);
     }
 
-    /// Handles a failed poll of the endpoint list or the end of the subscription. The list is kept.
+    /// Handles a failed poll of the endpoint list or the end of the subscription. The current list
+    /// is kept.
     pub fn on_discovery_failure(&self, platform: &mut dyn Platform) {
         let dispatcher = &mut *self.0.borrow_mut();
         dispatcher
@@ -109,7 +110,7 @@
         let duration = sent_at.map(|sent_at| now - sent_at);
         match outcome {
             AttemptOutcome::Succeeded => dispatcher.record_report(&backend, report, duration, now),
-            // No backend is to blame for what this proxy could not send.
+            // A health check that this proxy could not send is no failure of the backend.
             AttemptOutcome::NotSent => {}
             _ => dispatcher.record_failed_check(&backend, outcome, duration, now),
         }
@@ -121,7 +122,7 @@
     pub fn on_timer(&self, platform: &mut dyn Platform) {
         let dispatcher = &mut *self.0.borrow_mut();
         let now = platform.now();
-        // Only the latest timer schedules the next one: otherwise the number of timers would grow.
+        // Only the latest timer schedules another one; otherwise the number of timers would grow.
         dispatcher
             .timer_at
             .take_if(|at| now + CLOCK_TOLERANCE_SECONDS >= *at);
@@ -138,8 +139,8 @@
         dispatcher.serve(platform);
     }
 
-    /// Accepts an RPC. It is rejected by the throttle, or waits in the order of its quota class and
-    /// priority until it is served.
+    /// Accepts an RPC. It is rejected if the throttle does not admit it; otherwise it is queued by
+    /// quota class and priority until it is sent, rejected or failed.
     pub fn accept(&self, incoming: &IncomingRpc, platform: &mut dyn Platform) -> RpcHandle {
         let mut dispatcher = self.0.borrow_mut();
         let now = platform.now();
@@ -161,7 +162,7 @@
 }
 
 impl Dispatcher {
-    /// Passes new settings to each mechanism. Observations and RPCs in flight are kept.
+    /// Applies new settings to each mechanism. Observations and RPCs in flight are kept.
     fn apply_settings(&mut self, settings: &Settings, carried: &CarriedOver, now: f64) {
         self.health_checks.apply_settings(settings);
         let health_checks = self.health_checks.usage;
@@ -180,7 +181,8 @@
         self.fleet.index.own_zone = settings.own_zone;
     }
 
-    /// Creates the state of an RPC that arrives, and counts its arrival and its use of a quota.
+    /// Creates the state of an arriving RPC, and counts it for its method and against its tenant's
+    /// quota.
     fn new_rpc(&self, incoming: &IncomingRpc, now: f64) -> RpcState {
         let method = self.admission.methods[incoming.method].clone();
         method.record_arrival(now);
@@ -191,7 +193,7 @@
         if let Some(tenant) = tenant {
             self.quotas.record(tenant, quota_class, now);
         }
-        // Every proxy chooses the same cells for a key: otherwise all cells would have to cache it.
+        // All proxies choose the same cells for a key; otherwise every cell would have to cache it.
         let key = incoming.key.filter(|_| self.rules.limits.key_affinity);
         let cells = key.map_or(Vec::new(), |key| {
             self.fleet.index.cells_of_key(key, CELLS_PER_KEY)
