--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,4 +1,4 @@
-//! Bookkeeping of pending RPCs, attempts and the timer around the dispatcher's decisions.
+//! Starts and cancels attempts as the dispatcher decides, and maintains pending RPCs and the timer.
 use crate::attempt::{AttemptState, BackendChoice};
 use crate::backend::Backend;
 use crate::estimates::AVERAGING_TIME_SECONDS;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Lets an RPC wait for a backend, or for its key.
+    /// Queues an RPC until a backend is available, or until its key is ready.
     pub(crate) fn enqueue_rpc(&mut self, rpc: &Rc<RpcState>, now: f64) {
         let health_checks_enabled = self.health_checks.usage.is_enabled();
         let until =
@@ -19,7 +19,7 @@
         self.pending.insert(rpc.clone());
     }
 
-    /// Starts an attempt that was decided on, and tells the mechanisms that count attempts.
+    /// Starts an attempt, and records it with the mechanisms that count attempts.
     pub(crate) fn start_attempt(
         &mut self,
         rpc: &Rc<RpcState>,
@@ -44,7 +44,7 @@
         rpc.attempts.borrow_mut().push(attempt);
     }
 
-    /// Cancels the attempts in flight where that is possible.
+    /// Cancels the attempts in flight, if the settings permit it and no response has started.
     pub(crate) fn cancel_attempts(&self, rpc: &RpcState, platform: &mut dyn Platform) {
         if self.rules.limits.can_cancel && !rpc.streaming.get() {
             for attempt in rpc.attempts_in_flight() {
@@ -53,14 +53,15 @@
         }
     }
 
-    /// Releases the key of an RPC that is finished, so that the next RPC with the key can run.
+    /// Releases the key of an RPC if it is finished, so that the next RPC with that key can run.
     pub(crate) fn release_key(&mut self, rpc: &RpcState) {
         if rpc.is_finished() {
             self.keyed.remove(rpc);
         }
     }
 
-    /// Schedules a timer for the next time at which something is due, unless an earlier one is set.
+    /// Schedules a timer for the earliest time at which something is due, unless an earlier one is
+    /// set.
     pub(crate) fn schedule_timer(&mut self, platform: &mut dyn Platform) {
         let now = platform.now();
         let first_pending_end = self.pending.first_end().map(|(end, _)| end);
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Returns the time of the next health check: proactive while no RPC is pending, else of the next
-    /// round.
+    /// Returns the time of the next proactive health check, or of the next round of health checks
+    /// if an RPC is pending. `None` if health checks are disabled.
     fn next_health_check_at(&self, now: f64) -> Option<f64> {
         let health_checks = &self.health_checks;
         let check_at = if self.pending.is_empty() {
