--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and the subsets that each backend is indexed in.
+//! Applies updates of the endpoint list, and keeps the index of the backends up to date.
 use crate::backend::Backend;
 use crate::backend_index::Subset;
 use crate::interface::{Endpoint, EndpointUpdateKind};
@@ -25,6 +25,7 @@
         self.forget_unused(now);
     }
 
+    /// Applies one entry of an update.
     fn apply_entry(&mut self, entry: &Endpoint, now: f64) {
         let index = &mut self.fleet.index;
         let backend = index.get_or_insert(entry.backend);
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Marks backends as not ready that the last update does not name.
+    /// Marks all backends that the last update does not contain as not ready.
     fn remove_unlisted(&mut self, now: f64) {
         let index = &self.fleet.index;
         let ready = index.subset(Subset::Ready).iter();
@@ -59,8 +60,9 @@
         }
     }
 
-    /// Removes backends that are not ready and not used any more; otherwise memory would grow with
-    /// every backend there ever was. A backend is kept while its slow-start window has attempts.
+    /// Removes backends that are neither ready nor in use; otherwise memory would grow with every
+    /// backend that was ever listed. A backend is kept while its slow-start window contains
+    /// attempts.
     fn forget_unused(&mut self, now: f64) {
         let window = self.rules.slow_start.budget.window;
         let is_used = |backend: &Backend| {
@@ -77,12 +79,12 @@
         }
     }
 
-    /// Indexes a backend in the subsets that follow from its description and its health.
+    /// Updates the index of a backend after its readiness, zone, cell or health has changed.
     pub(crate) fn reindex(&mut self, backend: &Rc<Backend>, now: f64) {
         self.fleet.index.update(backend, is_available(backend, now));
     }
 
-    /// Indexes all backends anew whose ejection or saturation has ended.
+    /// Updates the index of all backends whose ejection or saturation has ended.
     pub(crate) fn reindex_expired(&mut self, now: f64) {
         while let Some(backend) = self.fleet.index.next_expired(now) {
             self.reindex(&backend, now);
