--- a/src/balancer/outcomes.rs
+++ b/src/balancer/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of attempts and health checks, passed on to each mechanism that they concern.
+//! Updates the mechanisms with the outcomes of attempts and health checks.
 use crate::attempt::{BackendChoice, CompletedAttempt};
 use crate::backend::Backend;
 use crate::estimates::AVERAGING_TIME_SECONDS;
@@ -11,18 +11,19 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Records what an attempt tells about its method, its tenant and the way in which its backend was
-    /// chosen.
+    /// Updates the statistics of the method, the tenant and the way in which the backend was
+    /// chosen, and starts the cooldown of the key if the attempt may still be running.
     pub(super) fn record_attempt(&mut self, rpc: &RpcState, attempt: &CompletedAttempt, now: f64) {
         let duration = attempt.estimated_duration();
-        let is_sample = attempt.has_measured_duration() || attempt.was_rejected();
-        if let Some(level) = attempt.load_level.filter(|_| is_sample) {
-            let objectives = duration / rpc.method.settings.latency_objective;
+        let is_usable_sample = attempt.has_measured_duration() || attempt.was_rejected();
+        if let Some(level) = attempt.load_level.filter(|_| is_usable_sample) {
+            let relative_duration = duration / rpc.method.settings.latency_objective;
             self.load_reports
                 .quality
-                .record_attempt(level, objectives, now);
+                .record_attempt(level, relative_duration, now);
         }
-        // Of rejected attempts only the last one tells how long the RPC would have waited.
+        // A rejected attempt counts as a wait only if it was the last that the RPC may have; an
+        // earlier one may be followed by an attempt at a backend that accepts it.
         let is_last = attempt.number + 1 >= self.rules.limits.max_attempts;
         if attempt.has_measured_duration() || attempt.was_rejected() && is_last {
             self.record_wait(rpc, attempt, now);
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Records how long an attempt took, with the way in which its backend was chosen.
+    /// Records the duration of an attempt with the mechanism that chose its backend.
     fn record_wait(&self, rpc: &RpcState, attempt: &CompletedAttempt, now: f64) {
         let estimates = &self.fleet.estimates;
         match attempt.choice {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Records what the outcome of an attempt tells about its backend.
+    /// Updates the state of the backend with the outcome of an attempt.
     pub(super) fn record_outcome(
         &mut self,
         attempt: &CompletedAttempt,
@@ -74,6 +75,7 @@
         }
     }
 
+    /// Records a complete response, with the load report that it carried.
     fn record_success(&mut self, attempt: &CompletedAttempt, report: Option<LoadReport>, now: f64) {
         let backend = &attempt.backend;
         self.outlier_detection.record_success(backend, now);
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Records the load of a backend by its report, or by the duration of a health check.
+    /// Records the load of a backend from its report or from the duration of a health check, and
+    /// adds the backend to the idle queue if it counts as idle.
     pub(super) fn record_report(
         &mut self,
         backend: &Rc<Backend>,
@@ -115,8 +118,9 @@
         }
     }
 
-    /// Records a health check that did not succeed: its duration tells the load of the backend, and
-    /// unless it was rejected the backend fails.
+    /// Records a health check that did not succeed. Its duration is a measure of the load where
+    /// reports do not include the queue. Unless it was rejected, it counts as a failure of the
+    /// backend.
     pub(super) fn record_failed_check(
         &mut self,
         backend: &Backend,
@@ -133,6 +137,7 @@
         }
     }
 
+    /// Adds a backend to the idle queue.
     fn enqueue_idle(&mut self, backend: &Rc<Backend>, now: f64) {
         let idle_signal = self.load_reports.idle_signal(now);
         self.idle_queue
