--- a/src/balancer/rpc_handle.rs
+++ b/src/balancer/rpc_handle.rs
@@ -1,4 +1,4 @@
-//! Handle of an accepted RPC, by which the platform passes on what happens to it.
+//! Handle of an accepted RPC, through which the platform reports events that concern it.
 use crate::estimates::AVERAGING_TIME_SECONDS;
 use crate::interface::{AttemptOutcome, LoadReport, PacedBy, Platform};
 use crate::policy::dispatch::{AttemptResult, Dispatcher};
@@ -18,13 +18,13 @@
         Self { dispatcher, rpc }
     }
 
-    /// Returns whether the RPC has its final answer and no attempt in flight.
+    /// Returns whether the RPC has its final response and no attempt in flight.
     pub fn is_finished(&self) -> bool {
         self.rpc.is_finished()
     }
 
-    /// Handles the start of a response. It goes to the client, and neither timeout nor deadline
-    /// applies any more.
+    /// Handles the start of a response that is forwarded to the client. From then on neither the
+    /// timeout nor the deadline applies.
     pub fn on_response_started(
         &self,
         attempt: usize,
@@ -35,18 +35,19 @@
             .record_response_started(attempt, paced_by, platform.now());
     }
 
-    /// Handles the sending of the last byte of a streamed request. The backend's time counts from here.
+    /// Handles the sending of the last byte of a streamed request. The duration of the attempt is
+    /// measured from now.
     pub fn on_request_sent(&self, attempt: usize, platform: &mut dyn Platform) {
         self.rpc.record_request_sent(attempt, platform.now());
     }
 
-    /// Forbids retries: part of the body was sent and not buffered, so that no retry could send all
-    /// of it.
+    /// Forbids retries. Called when part of the body was sent without being buffered, so that a
+    /// retry could not send all of it.
     pub fn forbid_retry(&self) {
         self.rpc.retry_forbidden.set(true);
     }
 
-    /// Handles a client that has closed its connection or cancelled the RPC.
+    /// Handles the disconnection of the client, or its cancellation of the RPC.
     pub fn on_client_disconnected(&self, platform: &mut dyn Platform) {
         self.rpc.answered.set(true);
         let mut dispatcher = self.dispatcher.borrow_mut();
@@ -56,7 +57,8 @@
         dispatcher.serve(platform);
     }
 
-    /// Handles the end of an attempt. `answered` says that the client was answered with it.
+    /// Handles the end of an attempt. `answered` is true if its response was the client's final
+    /// response.
     pub fn on_attempt_ended(
         &self,
         attempt: usize,
