--- a/src/ewma.rs
+++ b/src/ewma.rs
@@ -1,10 +1,10 @@
-//! Exponentially weighted counters and averages.
+//! Counters and moving averages with exponential decay.
 //!
-//! They are brought up to date when they are read, so that they cost nothing while idle. Time constants
-//! are given with each call, in seconds.
+//! The decay is computed on access, so that an unused counter costs nothing. Each call takes the
+//! time constant in seconds.
 use std::cell::Cell;
 
-/// A counter that decays with a time constant.
+/// A counter that decays exponentially.
 #[derive(Debug, Default)]
 pub(crate) struct DecayingCounter {
     sum: Cell<f64>,
@@ -12,25 +12,25 @@
 }
 
 impl DecayingCounter {
-    /// Returns the factor by which it has decayed since it was updated.
+    /// Returns the factor by which the counter has decayed since its last update.
     fn decay(&self, now: f64, time_constant: f64) -> f64 {
         let elapsed = (now - self.updated_at.get()).max(0.0);
         (-elapsed / time_constant).exp()
     }
 
-    /// Returns its value now.
+    /// Returns the current value.
     pub(crate) fn read(&self, now: f64, time_constant: f64) -> f64 {
         self.sum.get() * self.decay(now, time_constant)
     }
 
-    /// Adds an amount now.
+    /// Adds an amount to the current value.
     pub(crate) fn add(&self, amount: f64, now: f64, time_constant: f64) {
         self.sum.set(self.read(now, time_constant) + amount);
         self.updated_at.set(now);
     }
 }
 
-/// An average of recent samples, which keeps its value while no samples arrive.
+/// An exponentially weighted moving average, which keeps its value while no samples arrive.
 #[derive(Debug, Default)]
 pub(crate) struct Ewma {
     total: DecayingCounter,
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Returns the average of the recent samples together with `prior_count` samples of value `prior`,
-    /// so that few samples change little.
+    /// Returns the average of the recent samples and `prior_count` samples of value `prior`, so
+    /// that a few samples do not dominate the result.
     pub(crate) fn with_prior(
         &self,
         now: f64,
@@ -68,7 +68,7 @@
         total / count
     }
 
-    /// Returns the average, which decays towards 0 while no samples arrive.
+    /// Returns the average, decayed towards 0 by the time since the last sample.
     pub(crate) fn decayed(&self, now: f64, time_constant: f64) -> f64 {
         self.value_or(0.0) * self.count.decay(now, time_constant)
     }
