--- a/src/keyed_queue/mod.rs
+++ b/src/keyed_queue/mod.rs
@@ -1,6 +1,8 @@
-//! Queues of the RPCs that run one at a time for each key, in the order in which they were accepted.
+//! Queues of RPCs that are ordered by key: RPCs with the same key run one at a time, in the order
+//! in which they were accepted.
 //!
-//! After an attempt that may still run at its backend, a key cools down before its next RPC is ready.
+//! After an attempt that may still be running at its backend, the key has a cooldown before its
+//! next RPC becomes ready.
 use crate::queue_position::KeyPosition;
 use crate::rpc_state::RpcState;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -9,44 +11,47 @@
 #[cfg(test)]
 mod tests;
 
-/// The RPCs of one key.
+/// Queue of the RPCs with one key.
 #[derive(Default)]
 struct KeyState {
-    /// The RPCs by their sequence numbers.
+    /// RPCs by sequence number.
     rpcs: BTreeMap<u64, Rc<RpcState>>,
+    /// End of the cooldown.
     cooldown_until: f64,
 }
 
-/// The RPCs of all keys.
+/// Queues of the RPCs with each key.
 #[derive(Default)]
 pub(crate) struct KeyedQueue {
     keys: HashMap<u64, KeyState>,
-    /// Keys whose next RPC becomes ready, each behind the time of that: the bits of times that are not
-    /// negative have the order of the times.
+    /// Keys whose next RPC becomes ready at a known time, as pairs of that time and the key. Times
+    /// are stored as bits, which compare like the times because none is negative.
     due: BTreeSet<(u64, u64)>,
     last_sequence: u64,
 }
 
 impl KeyedQueue {
-    /// Adds an RPC behind all others of its key. It is ready at once if the key is not in use.
+    /// Adds an RPC to the end of its key's queue. It is ready immediately if the key has neither
+    /// RPCs nor a cooldown.
     pub(crate) fn push(&mut self, rpc: &Rc<RpcState>, key: u64) {
         self.last_sequence += 1;
         let sequence = self.last_sequence;
         rpc.key_position.set(Some(KeyPosition { key, sequence }));
-        // A key stays in use after its last RPC until `next_ready` has seen the end of its cooldown.
+        // A key is kept after its last RPC until `next_ready` removes it at the end of its
+        // cooldown.
         rpc.key_ready.set(!self.keys.contains_key(&key));
         let state = self.keys.entry(key).or_default();
         state.rpcs.insert(sequence, rpc.clone());
     }
 
-    /// Returns the number of RPCs with the key of this RPC, itself included.
+    /// Returns the number of RPCs with the key of this RPC, including the RPC itself.
     pub(crate) fn length(&self, rpc: &RpcState) -> usize {
         let position = rpc.key_position.get();
         let key = position.and_then(|position| self.keys.get(&position.key));
         key.map_or(0, |key| key.rpcs.len())
     }
 
-    /// Extends the cooldown of the RPC's key: an attempt of the RPC may still be running.
+    /// Extends the cooldown of the RPC's key, because an attempt of the RPC may still be running.
     pub(crate) fn cool_down(&mut self, rpc: &RpcState, until: f64) {
         let position = rpc.key_position.get();
         if let Some(key) = position.and_then(|position| self.keys.get_mut(&position.key)) {
@@ -71,8 +76,8 @@
         }
     }
 
-    /// Returns an RPC that has become ready; each is returned once. Forgets keys that are not in use
-    /// any more.
+    /// Returns an RPC that has become ready. Each RPC is returned at most once. Removes keys that
+    /// have neither RPCs nor a cooldown.
     pub(crate) fn next_ready(&mut self, now: f64) -> Option<Rc<RpcState>> {
         while let Some((time_bits, key)) = self.due.first().copied() {
             if f64::from_bits(time_bits) > now {
@@ -92,7 +97,7 @@
         None
     }
 
-    /// Returns the time at which the next RPC becomes ready.
+    /// Returns the earliest time at which an RPC becomes ready, if one is known.
     pub(crate) fn next_due(&self) -> Option<f64> {
         let (time_bits, _) = self.due.first()?;
         Some(f64::from_bits(*time_bits))
