--- a/src/keyed_queue/tests.rs
+++ b/src/keyed_queue/tests.rs
@@ -6,8 +6,8 @@
     Rc::new(rpc_state(0, 1.0, QuotaClass::Within))
 }
 
-/// Memory must not grow with every key there ever was, nor with keys that cooled down after their RPCs
-/// had ended.
+/// Guards against memory that grows with the number of keys ever used, with or without a cooldown
+/// that outlasts the last RPC of the key.
 #[test]
 fn unused_keys_are_removed() {
     let mut queue = KeyedQueue::default();
@@ -26,13 +26,14 @@
     }
     assert!(
         most_entries < 60,
-        "{most_entries} entries at a thousand keys a second with a cooldown of 0.05 s"
+        "{most_entries} entries with 1000 new keys per second and a cooldown of 0.05 s"
     );
     assert!(queue.next_ready(f64::INFINITY).is_none());
     assert_eq!((queue.keys.len(), queue.next_due()), (0, None));
 }
 
-/// An RPC that ends before it was ready makes no other RPC ready.
+/// Guards against an RPC that becomes ready too early, because an RPC ahead of it ended before it
+/// was ready itself or was removed twice.
 #[test]
 fn rpc_becomes_ready_once_after_the_previous_rpc_with_its_key_has_finished() {
     let mut queue = KeyedQueue::default();
