--- a/src/limits.rs
+++ b/src/limits.rs
@@ -1,25 +1,25 @@
-//! Settings that bind decisions as they are.
+//! Settings that restrict decisions directly, without deriving anything from them.
 use crate::interface::Settings;
 
-/// The limits of the deployment; see the fields of [`Settings`].
+/// Limits of the deployment, copied from the fields of [`Settings`] with the same names.
 #[derive(Default)]
 pub(crate) struct Limits {
-    /// Most attempts for one RPC.
+    /// Maximum number of attempts per RPC.
     pub max_attempts: usize,
-    /// An RPC may have two attempts in flight.
+    /// Whether an RPC may have two attempts in flight.
     pub can_hedge: bool,
-    /// An attempt in flight may be cancelled.
+    /// Whether an attempt in flight may be cancelled.
     pub can_cancel: bool,
-    /// Cells cache what they need for a key, so that its RPCs are kept to a few cells.
+    /// Whether cells cache data by key, so that the RPCs with a key are sent to a few cells only.
     pub key_affinity: bool,
     /// Longest `retry_after` that clients honour, in seconds.
     pub max_retry_after: f64,
-    /// Time for which a key waits after an attempt that may still run, in seconds.
+    /// Cooldown of a key after an attempt that may still be running, in seconds.
     pub key_cooldown: f64,
 }
 
 impl Limits {
-    /// Returns the limits that these settings name.
+    /// Returns the limits from these settings.
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
             max_attempts: settings.max_attempts,
