--- a/src/load_level.rs
+++ b/src/load_level.rs
@@ -1,10 +1,10 @@
-//! Level of a load report.
+//! Level of a reported load.
 
-/// The load of a backend by a report, compared with that of other backends.
+/// Reported load of a backend relative to the mean of all backends; see `policy::load_reports`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadLevel {
-    /// At or below the threshold at which a backend counts as idle.
+    /// At or below the threshold for idle backends.
     Low,
-    /// Above it.
+    /// Above the threshold for idle backends.
     High,
 }
