--- a/src/pending_queue/mod.rs
+++ b/src/pending_queue/mod.rs
@@ -1,4 +1,5 @@
-//! Queue of the RPCs that wait for a backend, ordered by precedence and by the end of their wait.
+//! Queue of RPCs that wait for a backend or for their key, ordered both by precedence and by the
+//! time at which their wait ends.
 use crate::queue_position::PendingPosition;
 use crate::rpc_state::RpcState;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,27 +9,27 @@
 #[cfg(test)]
 mod tests;
 
-/// The pending RPCs in two orders.
+/// Pending RPCs in two orders.
 #[derive(Default)]
 pub(crate) struct PendingQueue {
     by_precedence: BTreeMap<PendingPosition, Rc<RpcState>>,
-    /// The end of each RPC's wait, as [`end_bits`], with its position.
+    /// [`end_bits`] and position of each RPC.
     by_end: BTreeSet<(u64, PendingPosition)>,
     last_sequence: u64,
 }
 
-/// Returns the end of an RPC's wait as bits, which are ordered as the times, since none is negative.
+/// Returns the end of an RPC's wait as bits, which compare like the times because none is negative.
 fn end_bits(rpc: &RpcState) -> u64 {
     rpc.pending_until.get().max(0.0).to_bits()
 }
 
 impl PendingQueue {
-    /// Returns whether no RPC could be sent now.
+    /// Returns whether no RPC is ready to be sent. RPCs that wait for their key are not.
     pub(crate) fn is_empty(&self) -> bool {
         self.next_after(None).is_none()
     }
 
-    /// Inserts an RPC, which waits until its `pending_until`.
+    /// Inserts an RPC, which waits until [`RpcState::pending_until`].
     pub(crate) fn insert(&mut self, rpc: Rc<RpcState>) {
         self.last_sequence += 1;
         let position = PendingPosition {
@@ -50,14 +51,15 @@
         }
     }
 
-    /// Returns the first RPC behind a position that could be sent, or the first of all.
+    /// Returns the first RPC after a position, or the first of all for `None`, if it is ready to be
+    /// sent.
     pub(crate) fn next_after(&self, position: Option<PendingPosition>) -> Option<Rc<RpcState>> {
         let from = position.map_or(Unbounded, Excluded);
         let (next, rpc) = self.by_precedence.range((from, Unbounded)).next()?;
         (!next.key_blocked).then(|| rpc.clone())
     }
 
-    /// Returns the RPC whose wait ends first, with the time of that.
+    /// Returns the RPC whose wait ends first, and the end of its wait.
     pub(crate) fn first_end(&self) -> Option<(f64, Rc<RpcState>)> {
         let (end_bits, position) = self.by_end.first()?;
         let rpc = self.by_precedence.get(position)?;
