--- a/src/pending_queue/tests.rs
+++ b/src/pending_queue/tests.rs
@@ -11,28 +11,28 @@
 
 const CLASSES: [QuotaClass; 3] = [QuotaClass::Within, QuotaClass::Borrowed, QuotaClass::Beyond];
 
-/// The queue, and a list of the RPCs that it should hold.
+/// The queue under test, and a reference model: a list of the RPCs that it should contain.
 #[derive(Default)]
-struct ModelledQueue {
+struct QueueWithModel {
     queue: PendingQueue,
     rpcs: Vec<Rc<RpcState>>,
 }
 
-impl ModelledQueue {
+impl QueueWithModel {
     fn insert(&mut self, rpc: Rc<RpcState>) {
         self.queue.insert(rpc.clone());
         self.rpcs.push(rpc);
     }
 
-    /// Removes an RPC twice; the second time has no effect.
+    /// Removes an RPC twice. The second removal must have no effect.
     fn remove(&mut self, index: usize) {
         let rpc = self.rpcs.remove(index);
         self.queue.remove(&rpc);
         self.queue.remove(&rpc);
     }
 
-    /// The RPCs are walked in the order of the sorted list.
-    fn agrees_on_precedence(&self) -> bool {
+    /// Returns whether iteration yields the RPCs in the order of the sorted model.
+    fn precedence_matches_model(&self) -> bool {
         let mut ranked = self.rpcs.clone();
         ranked.sort_by(|a, b| {
             let weight = |rpc: &RpcState| rpc.method.settings.priority_weight;
@@ -40,41 +40,42 @@
             key(a).partial_cmp(&key(b)).expect("no NaN")
         });
         let mut position = None;
-        let walked = std::iter::from_fn(|| {
+        let visited = std::iter::from_fn(|| {
             let rpc = self.queue.next_after(position)?;
             position = rpc.pending_position.get();
             Some(rpc.id)
         });
-        walked.eq(ranked.iter().map(|rpc| rpc.id))
+        visited.eq(ranked.iter().map(|rpc| rpc.id))
     }
 
-    fn agrees_on_first_end(&self) -> bool {
+    /// Returns whether the first end of a wait is the earliest in the model.
+    fn first_end_matches_model(&self) -> bool {
         let ends = self.rpcs.iter().map(|rpc| rpc.pending_until.get());
         let first_end = self.queue.first_end().map(|(end, _)| end);
         first_end == ends.reduce(f64::min)
     }
 }
 
-/// After each move the queue has the order of a plain list that is sorted.
-fn order_matches_a_sorted_list(moves: Vec<(u8, u8, u8, bool)>) -> bool {
-    let mut modelled = ModelledQueue::default();
-    let mut moves = moves.iter().enumerate();
-    moves.all(|(id, (weight, class, until, removes))| {
-        if *removes && !modelled.rpcs.is_empty() {
-            modelled.remove(usize::from(*weight) % modelled.rpcs.len());
+/// Property: after each operation both orders of the queue match the model.
+fn orders_match_model(operations: Vec<(u8, u8, u8, bool)>) -> bool {
+    let mut queue = QueueWithModel::default();
+    let mut operations = operations.iter().enumerate();
+    operations.all(|(id, (weight, class, until, removes))| {
+        if *removes && !queue.rpcs.is_empty() {
+            queue.remove(usize::from(*weight) % queue.rpcs.len());
         } else {
             let weight = f64::from(weight % 4);
             let class = CLASSES[usize::from(*class) % CLASSES.len()];
-            modelled.insert(rpc(id as u64, weight, class, f64::from(*until) / 10.0));
+            queue.insert(rpc(id as u64, weight, class, f64::from(*until) / 10.0));
         }
-        modelled.agrees_on_precedence() && modelled.agrees_on_first_end()
+        queue.precedence_matches_model() && queue.first_end_matches_model()
     })
 }
 
 #[test]
-fn order_follows_generated_moves() {
+fn orders_match_model_after_generated_operations() {
     let mut check = QuickCheck::new()
         .tests(300)
         .rng(Gen::from_size_and_seed(60, 5));
-    check.quickcheck(order_matches_a_sorted_list as fn(_) -> bool);
+    check.quickcheck(orders_match_model as fn(_) -> bool);
 }
