--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,9 @@
-//! All decisions of birchhub: Join-Idle-Queue load balancing and the mechanisms beside it.
+//! All decisions of birchhub: Join-Idle-Queue load balancing and the mechanisms that complement it.
 //!
-//! Each mechanism is one module. `dispatch` is the place to start: it asks the others which RPC goes
-//! to which backend; `rules` holds what is never done. `crate::balancer` passes events on to them.
-//! Times and durations are in seconds; `docs/design.md` explains the design.
+//! Each mechanism is one module. Start reading at `dispatch`, which combines the others to decide
+//! which RPC goes to which backend; `rules` defines what is never permitted. `crate::balancer`
+//! forwards events to the mechanisms. Times and durations are in seconds. `docs/design.md` explains
+//! the design.
 pub(crate) mod admission;
 pub(crate) mod admission_rate;
 pub(crate) mod deadlines;
