--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,10 +1,10 @@
 //! Admission control of the fallback: whether an RPC may go to a random backend.
 //!
-//! Where health checks can tell loads, or all methods have the same priority, RPCs are admitted by
-//! their deadlines: the expected wait at a random backend must fit into the time left. Elsewhere load
-//! is shed by priority, as in DAGOR (Zhou et al., 2018): an RPC must rank within the admission rate.
-//! What differs from DAGOR: ranks go by the recent arrivals of this proxy, and some RPCs take a random
-//! rank, so that no priority starves.
+//! If health checks are enabled or all methods have the same priority, RPCs are admitted by
+//! deadline: the expected wait at a random backend must fit into the remaining time. Otherwise load
+//! is shed by priority, as in DAGOR (Zhou et al., 2018): an RPC is admitted if its rank is within
+//! the admission rate. Unlike in DAGOR, ranks are computed from the recent arrivals at this proxy,
+//! and some RPCs get a random rank, so that no priority starves.
 use super::admission_rate::AdmissionRate;
 use crate::attempt::CompletedAttempt;
 use crate::estimates::Estimates;
@@ -14,35 +14,37 @@
 use crate::rpc_state::RpcState;
 use std::rc::Rc;
 
-/// Multiple of the expected wait that must fit into the time left of an RPC of the highest priority.
-/// Below 1, since some of the random backends have less than the mean load.
+/// Multiple of the expected wait that must fit into the remaining time of an RPC of the highest
+/// priority. It is below 1 because some backends have less than the mean load.
 const WAIT_MULTIPLE: f64 = 0.6;
-/// The same where late responses have weight: late RPCs run on and delay those behind them.
+/// Like [`WAIT_MULTIPLE`], but for methods whose late responses have weight. It is higher because
+/// late RPCs continue to run and delay the RPCs queued behind them.
 const WAIT_MULTIPLE_IF_LATE_COUNTS: f64 = 2.2;
-/// Fraction of the RPCs that are ranked by priority; the others take a random rank.
+/// Fraction of the RPCs that are ranked by priority; the others get a random rank.
 const RANKED_FRACTION: f64 = 0.85;
-/// Fraction of the latency objective within which a response is prompt.
+/// Longest duration of a prompt response, as a fraction of the latency objective.
 const PROMPT_FRACTION_OF_OBJECTIVE: f64 = 0.4;
-/// Time without any attempt after which one RPC is admitted whatever its rank, in seconds: without
-/// attempts nothing would show that the backends have recovered.
+/// Time without any attempt after which one RPC is admitted regardless of its rank, in seconds.
+/// Without attempts the proxy would not notice that the backends have recovered.
 const MAX_SECONDS_WITHOUT_ATTEMPT: f64 = 2.0;
 
-/// The methods and the admission rate.
+/// State of admission control: the methods and the admission rate.
 #[derive(Default)]
 pub(crate) struct Admission {
-    /// The methods, by their index in the settings.
+    /// Methods by index in the settings.
     pub methods: Vec<Rc<Method>>,
-    /// Load is shed by priority rather than by deadline.
+    /// Whether load is shed by priority rather than by deadline.
     pub sheds_by_priority: bool,
-    /// Time of the last attempt at any backend.
+    /// Time at which the last attempt was started.
     pub last_attempt_at: f64,
-    /// Lowest [`Method::wait_multiple`] of all methods.
+    /// Minimum of [`Method::wait_multiple`] over all methods.
     lowest_wait_multiple: f64,
     rate: AdmissionRate,
 }
 
 impl Admission {
-    /// Derives the methods from new settings, and chooses how load is shed.
+    /// Creates the methods of new settings, and chooses whether load is shed by priority or by
+    /// deadline.
     pub(crate) fn apply_settings(
         &mut self,
         settings: &Settings,
@@ -55,10 +57,10 @@
         self.sheds_by_priority = !health_checks_enabled && priorities_differ;
 
         let method = |(n, method): (usize, &MethodSettings)| {
-            let before_index = carried.methods.get(n).copied().flatten();
-            let before = before_index.and_then(|index| self.methods.get(index));
+            let previous_index = carried.methods.get(n).copied().flatten();
+            let previous = previous_index.and_then(|index| self.methods.get(index));
             let wait_multiple = wait_multiple(method, highest_weight);
-            Rc::new(Method::new(method, wait_multiple, before))
+            Rc::new(Method::new(method, wait_multiple, previous))
         };
         self.methods = settings.methods.iter().enumerate().map(method).collect();
         let wait_multiples = self.methods.iter().map(|m| m.wait_multiple);
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Adapts the admission rate to how an attempt has ended.
+    /// Adapts the admission rate to the result of an attempt.
     pub(crate) fn record_attempt(&mut self, rpc: &RpcState, attempt: &CompletedAttempt, now: f64) {
         let max_prompt_duration =
             rpc.method.settings.latency_objective * PROMPT_FRACTION_OF_OBJECTIVE;
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Returns whether an RPC ranks within the admission rate. Its samples are the same whenever it
-    /// is asked for, so that waiting does not change the answer.
+    /// Returns whether the rank of an RPC is within the admission rate. The random numbers of an
+    /// RPC are the same in each call, so that repeated calls do not raise its chances.
     fn is_within_rate(&self, rpc: &RpcState, now: f64) -> bool {
         let rate = self.rate.read(now);
         let random_rank = hash_pair(rpc.id, 0);
@@ -100,9 +102,9 @@
         rank < rate || now > self.last_attempt_at + MAX_SECONDS_WITHOUT_ATTEMPT
     }
 
-    /// Returns whether a random backend is expected to answer in time. RPCs with long objectives must
-    /// not fill the backends until those with short ones find no time there: the load may not exceed
-    /// what the method with the tightest limit can bear.
+    /// Returns whether a random backend is expected to respond in time. In addition, the load must
+    /// not exceed the lowest limit of any method; otherwise RPCs with long latency objectives would
+    /// fill the backends until RPCs with short ones could no longer meet theirs.
     fn fits_deadline(&self, rpc: &RpcState, estimates: &Estimates, now: f64) -> bool {
         let time_constant = estimates.wait_time_constant();
         let time_per_rpc = |method: &Method| method.time_per_rpc.decayed(now, time_constant);
@@ -122,7 +124,8 @@
     }
 }
 
-/// Returns the multiple of the expected wait that must fit into the time left of an RPC of a method.
+/// Returns the multiple of the expected wait that must fit into the remaining time of an RPC of a
+/// method.
 fn wait_multiple(method: &MethodSettings, highest_weight: f64) -> f64 {
     let multiple = if method.late_weight_fraction > 0.0 {
         WAIT_MULTIPLE_IF_LATE_COUNTS
