--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,8 +1,9 @@
-//! Dispatch: which RPC goes to which backend, and what follows a failed attempt.
+//! Dispatch: which RPC is sent to which backend, and whether a failed attempt is retried.
 //!
-//! As in Join-Idle-Queue, an RPC takes a backend from the idle queue, and a random one if there is
-//! none. What differs: while health checks look for idle backends the RPC waits a moment, and pending
-//! RPCs are served by precedence instead of by arrival.
+//! As in Join-Idle-Queue, an RPC is sent to a backend from the idle queue, or to a random one if
+//! the queue is empty. Unlike in Join-Idle-Queue, the RPC waits for a short time while health
+//! checks look for idle backends, and pending RPCs are served in order of precedence rather than of
+//! arrival.
 use super::admission::Admission;
 use super::deadlines;
 use super::discovery::Discovery;
@@ -24,15 +25,16 @@
 use crate::tenant::{QuotaClass, TenantQuotas};
 use std::rc::Rc;
 
-/// The mechanisms, each with its own state, and the pending RPCs. `crate::balancer` passes it events,
-/// records the attempts that start, and maintains the timer and the backend index.
+/// Combines the mechanisms, each with its own state, and the pending RPCs. `crate::balancer`
+/// forwards events to it, records the attempts that it starts, and maintains the timer and the
+/// backend index.
 #[derive(Default)]
 pub(crate) struct Dispatcher {
-    /// Rules that no attempt may break.
+    /// Rules that every attempt must satisfy.
     pub rules: Rules,
-    /// Backends that are believed to be idle.
+    /// Backends that are assumed to be idle.
     pub idle_queue: IdleQueue,
-    /// What load reports tell.
+    /// Evaluation of load reports.
     pub load_reports: LoadReports,
     /// Choice of a random backend.
     pub fallback: Fallback,
@@ -40,7 +42,7 @@
     pub admission: Admission,
     /// Use of the tenants' quotas.
     pub quotas: TenantQuotas,
-    /// Retries that may be sent.
+    /// Budget of retries.
     pub retry_budget: RetryBudget,
     /// Ejection of failing backends.
     pub outlier_detection: OutlierDetection,
@@ -48,27 +50,27 @@
     pub health_checks: HealthChecks,
     /// Schedule of polls of the endpoint list.
     pub discovery: Discovery,
-    /// The backends.
+    /// Backends, averages over them and the random number generator.
     pub fleet: Fleet,
     /// RPCs that wait for a backend.
     pub pending: PendingQueue,
-    /// RPCs that run in the order of their keys.
+    /// RPCs of methods that are ordered by key.
     pub keyed: KeyedQueue,
-    /// Time for which a timer is set.
+    /// Time for which the timer is set, if it is.
     pub timer_at: Option<f64>,
 }
 
-/// Whether an attempt has ended its RPC.
+/// Whether an attempt that ended has answered its RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptResult {
-    /// The client has its final answer from this attempt.
+    /// The client got its final response from this attempt.
     Answered,
-    /// The RPC still needs an answer.
+    /// The RPC still needs a response.
     Failed,
 }
 
 impl Dispatcher {
-    /// Serves the pending RPCs; called after each event.
+    /// Serves the pending RPCs and schedules the timer. Called after each event.
     pub(crate) fn serve(&mut self, platform: &mut dyn Platform) {
         let now = platform.now();
         while let Some(rpc) = self.keyed.next_ready(now) {
@@ -83,7 +85,8 @@
         self.schedule_timer(platform);
     }
 
-    /// Serves pending RPCs by precedence while there are idle backends.
+    /// Sends pending RPCs to idle backends in order of precedence, as long as the idle queue has
+    /// entries.
     fn serve_from_idle_queue(&mut self, platform: &mut dyn Platform) {
         let mut position = None;
         let mut passed_over = 0;
@@ -100,8 +103,9 @@
         }
     }
 
-    /// Sends RPCs whose wait is over to random backends, or all RPCs if no health check may find an
-    /// idle backend.
+    /// Sends RPCs whose wait has ended to random backends, or rejects or fails them. If backends
+    /// are known and no health check is in flight or can be paid for, all pending RPCs are served,
+    /// because waiting would not find an idle backend.
     fn serve_by_fallback(&mut self, platform: &mut dyn Platform) {
         let now = platform.now();
         let may_wait =
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Returns the next RPC whose wait is over or, if RPCs may not wait, the first pending one.
+    /// Returns the next RPC whose wait has ended or, if RPCs may not wait, the first pending RPC.
     fn next_for_fallback(&self, may_wait: bool, now: f64) -> Option<Rc<RpcState>> {
         match self.pending.first_end() {
             Some((end, rpc)) if end <= now => Some(rpc),
@@ -123,7 +127,8 @@
         }
     }
 
-    /// Starts an attempt at a backend of the idle queue. Returns false if none fits.
+    /// Starts an attempt at a backend from the idle queue. Returns whether a suitable one was
+    /// found.
     fn attempt_at_idle_backend(&mut self, rpc: &Rc<RpcState>, platform: &mut dyn Platform) -> bool {
         let now = platform.now();
         let rules = &self.rules;
@@ -141,7 +146,8 @@
         true
     }
 
-    /// Starts an attempt at a random backend. Returns false if the RPC is not admitted or none fits.
+    /// Starts an attempt at a random backend. Returns whether the RPC was admitted and a suitable
+    /// backend was found.
     fn attempt_at_random_backend(
         &mut self,
         rpc: &Rc<RpcState>,
@@ -168,7 +174,8 @@
         true
     }
 
-    /// Finishes an RPC after an attempt, or retries it where rules, time and budget allow.
+    /// Finishes an RPC after an attempt, or retries it if the rules, the remaining time and the
+    /// retry budget allow it.
     pub(crate) fn finish_or_retry(
         &mut self,
         rpc: &Rc<RpcState>,
@@ -188,7 +195,7 @@
         }
     }
 
-    /// Starts another attempt if a response is expected in time. Returns false if none was started.
+    /// Starts another attempt if a response is expected in time. Returns whether one was started.
     fn retry(&mut self, rpc: &Rc<RpcState>, platform: &mut dyn Platform) -> bool {
         let time_left = rpc.useful_until - platform.now();
         time_left > self.fleet.estimates.service_time()
@@ -196,7 +203,8 @@
                 || self.attempt_at_random_backend(rpc, platform))
     }
 
-    /// Gives the final answer to an RPC that no backend has answered.
+    /// Sends the final response to an RPC that no backend has answered: a rejection if a retry by
+    /// the client is harmless, otherwise a failure.
     pub(crate) fn reject_or_fail(&mut self, rpc: &RpcState, platform: &mut dyn Platform) {
         self.cancel_attempts(rpc, platform);
         rpc.answered.set(true);
