--- a/src/policy/fairness.rs
+++ b/src/policy/fairness.rs
@@ -1,15 +1,16 @@
 //! Fairness between tenants: classifies each RPC by its tenant's use of its quota.
 //!
-//! Like max-min fair sharing, it lends the quota that other tenants leave unused. Each proxy decides
-//! by its own traffic instead of a shared counter: a tenant may use an even split of its quota over
-//! the proxies, or more where this proxy carries more of all tenants' traffic. RPCs that clients
-//! mark as retries use lent quota only, so that retries do not crowd out other tenants.
+//! As in max-min fair sharing, a tenant may use quota that other tenants leave unused. Each proxy
+//! decides by its own traffic rather than by a shared counter: a tenant may use an even share of
+//! its quota at each proxy, or more at a proxy that receives more of the traffic of all tenants.
+//! RPCs that clients mark as retries use only the unused quota of others, so that retries do not
+//! crowd out other tenants.
 use crate::tenant::{QuotaClass, Tenant, TenantQuotas};
 
-/// Multiple of the mean use of all tenants that one tenant may reach, to allow for chance.
+/// Multiple of the mean use of all tenants that one tenant may reach; allows for random variation.
 const USAGE_MARGIN: f64 = 1.2;
 
-/// Classifies an RPC of this tenant.
+/// Returns the quota class of an RPC of this tenant.
 pub(crate) fn quota_class(
     quotas: &TenantQuotas,
     tenant: &Tenant,
