--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -1,9 +1,9 @@
 //! The fallback of Join-Idle-Queue: a random ready backend while the idle queue is empty.
 //!
-//! What differs from a uniform choice: backends that are ejected, saturated or hang are skipped while
-//! enough others are available (the panic threshold of Envoy); where crossing zones has a cost, some
-//! choices stay local, as in zone-aware routing; and an RPC with a key goes to the few cells that are
-//! likely to have the key cached.
+//! The choice is not uniform. Backends that are ejected, saturated or hanging are skipped while
+//! enough others are available, as with Envoy's panic threshold. If traffic between zones has a
+//! cost, local backends are preferred with a probability, as in zone-aware routing. An RPC with a
+//! key is sent to the few cells that are likely to have data for the key cached.
 use super::outlier_detection::is_available;
 use super::rules::allowed_subset;
 use crate::backend::Backend;
@@ -13,30 +13,35 @@
 use crate::rpc_state::RpcState;
 use std::rc::Rc;
 
-/// Cost of crossing zones, in points of service, at which choices stay local if the own zone has its even
-/// share of the backends. Below it the probability falls with the square of the cost.
+/// Cost of crossing zones, in points of the service score, from which all choices are local if the
+/// own zone has an even share of the backends. Below it the probability falls with the square of
+/// the cost.
 const FULL_LOCALITY_COST_POINTS: f64 = 0.033;
-/// Availability is ignored if fewer than one of this many allowed backends is available: some backends
-/// must remain when all are slow.
+/// Divisor of the panic threshold: availability is ignored if fewer than one in this many allowed
+/// backends is available, because some backends must remain when all are slow.
 const PANIC_THRESHOLD_DIVISOR: usize = 3;
-/// Number of cells that the RPCs with a key go to. Each health check of a round goes to another cell.
+/// Number of cells to which the RPCs with a key are sent. Each health check of a round goes to
+/// another of them.
 pub(crate) const CELLS_PER_KEY: usize = 3;
 
-/// The preference for the own zone.
+/// Random choice of a backend, with a preference for the own zone.
 #[derive(Default)]
 pub(crate) struct Fallback {
-    /// Probability of a local choice, divided by the fraction of the backends that are local.
+    /// Probability of a local choice, divided by the fraction of local backends.
     local_weight: f64,
 }
 
-/// The subsets that a backend is chosen from.
+/// Subsets from which a backend is chosen.
 struct Candidates {
+    /// All candidates.
     all: Subset,
+    /// Candidates in the own zone.
     local: Subset,
 }
 
 impl Candidates {
-    /// Returns the available backends, or all allowed ones if too few are available.
+    /// Returns the available backends, or all allowed ones if too few are available or if not all
+    /// ready backends are allowed.
     fn of(allowed: Subset, fleet: &Fleet) -> Self {
         let index = &fleet.index;
         let available = index.count(Subset::Available);
@@ -56,14 +61,14 @@
 }
 
 impl Fallback {
-    /// Adopts the cost of crossing zones.
+    /// Applies the cost of crossing zones.
     pub(crate) fn apply_settings(&mut self, settings: &Settings) {
         let relative_cost = (settings.cross_zone_cost / FULL_LOCALITY_COST_POINTS).min(1.0);
         self.local_weight = settings.zone_count as f64 * relative_cost.powi(2);
     }
 
-    /// Returns a random backend: in a cell that the RPC prefers, else a local one with some
-    /// probability, else any.
+    /// Returns a random backend: one in a preferred cell of the RPC, otherwise with some
+    /// probability a local one, otherwise any.
     pub(crate) fn pick(
         &self,
         rpc: &RpcState,
@@ -89,7 +94,7 @@
             .or_else(|| pick(allowed))
     }
 
-    /// Draws whether a choice stays in the own zone.
+    /// Decides at random whether a choice is restricted to the own zone.
     fn stays_local(&self, candidates: &Candidates, fleet: &Fleet) -> bool {
         let local_count = fleet.index.count(candidates.local) as f64;
         let local_fraction = local_count / fleet.index.count(candidates.all) as f64;
@@ -97,7 +102,7 @@
     }
 }
 
-/// Returns an available backend in the first of the RPC's preferred cells that has one.
+/// Returns a random available backend from the first of the RPC's preferred cells that has one.
 fn pick_in_preferred_cell(
     rpc: &RpcState,
     fleet: &Fleet,
