--- a/src/policy/idle_queue.rs
+++ b/src/policy/idle_queue.rs
@@ -1,10 +1,10 @@
-//! The idle queue of Join-Idle-Queue (Lu et al., 2011): backends that are believed to be idle.
+//! The idle queue of Join-Idle-Queue (Lu et al., 2011): backends that are assumed to be idle.
 //!
-//! Each backend is queued at most once, and an RPC takes the first one that it may be sent to. What
-//! differs: several proxies may have queued the same backend, so that an entry expires soon; where
-//! responses instead of reports fill the queue, the quickest backends come first, so that not every
-//! proxy uses every backend; and the queue is not used while attempts through it are slow, as reports
-//! may be out of date.
+//! Each backend is queued at most once, and an RPC takes the first one that it may be sent to.
+//! Three things differ from the paper. Entries expire soon, because several proxies may have queued
+//! the same backend. If responses rather than reports fill the queue, the backends with the
+//! shortest response times come first, so that not every proxy uses every backend. And the queue is
+//! not used while attempts through it are slow, because reports may be out of date.
 use super::idle_signal::IdleSignal;
 use super::outlier_detection::is_healthy;
 use crate::attempt::CompletedAttempt;
@@ -16,38 +16,39 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Lifetime of an entry that a report made, in mean service times.
+/// Lifetime of an entry created by a load report, in mean service times.
 const ENTRY_LIFETIME_SERVICE_TIMES: f64 = 0.3;
-/// Longest lifetime of such an entry in seconds; also the lifetime of an entry that a response made, as
-/// the capacity that it released was used by this proxy.
+/// Maximum lifetime of an entry created by a load report, in seconds. Also the lifetime of an entry
+/// created by a response, because the capacity that it released was used by this proxy.
 const MAX_ENTRY_LIFETIME_SECONDS: f64 = 4.0;
-/// Fraction of its time that an attempt through the queue may be expected to use.
+/// Maximum fraction of the allowed time that an attempt through the queue may be expected to use.
 const MAX_EXPECTED_TIME_FRACTION: f64 = 0.7;
-/// Number of attempts that are assumed to have used no time: a few slow attempts prove nothing.
+/// Weight of the prior, as a number of attempts that used no time: a few slow attempts prove
+/// little.
 const PRIOR_ATTEMPTS: f64 = 4.0;
-/// Most entries that are scanned for one RPC, and most RPCs that are scanned for one event.
+/// Maximum number of entries scanned per RPC, and of RPCs passed over per event.
 pub(crate) const SCAN_LIMIT: usize = 32;
 
-/// The entries, and the outcomes of attempts through them.
+/// Queue of idle backends, and statistics of the attempts sent to them.
 #[derive(Default)]
 pub(crate) struct IdleQueue {
     entries: VecDeque<Rc<Backend>>,
-    /// Fraction of their time that attempts through the queue used.
+    /// Mean fraction of the allowed time that attempts through the queue used.
     used_time_fraction: Ewma,
 }
 
-/// Returns the lifetime of an entry that a report made, in seconds.
+/// Returns the lifetime of an entry created by a load report, in seconds.
 pub(crate) fn entry_lifetime(estimates: &Estimates) -> f64 {
     (estimates.service_time() * ENTRY_LIFETIME_SERVICE_TIMES).min(MAX_ENTRY_LIFETIME_SECONDS)
 }
 
 impl IdleQueue {
-    /// Returns whether there are no entries, expired ones included.
+    /// Returns whether there are no entries, including expired ones.
     pub(crate) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Adds a backend, or extends the lifetime of its entry.
+    /// Adds a backend if it is ready and healthy, or extends the lifetime of its entry.
     pub(crate) fn enqueue(
         &mut self,
         backend: &Rc<Backend>,
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Returns where a backend joins: last, or in the order of mean response times.
+    /// Returns the position at which a backend is inserted: at the end if a load report created the
+    /// entry, otherwise in order of mean response time.
     fn insert_position(&self, backend: &Backend, signal: IdleSignal) -> usize {
         if signal == IdleSignal::LowLoad {
             return self.entries.len();
@@ -79,7 +81,8 @@
             .partition_point(|other| response_time(other) <= own_response_time)
     }
 
-    /// Takes the first backend that the RPC prefers and may go to. Removes expired entries before it.
+    /// Removes and returns the first backend that the RPC prefers and may be sent to. Removes
+    /// expired entries that precede it.
     pub(crate) fn dequeue(
         &mut self,
         rpc: &RpcState,
@@ -105,13 +108,14 @@
         None
     }
 
+    /// Removes the entry of a backend.
     fn remove_entry(&mut self, position: usize, backend: &Backend) {
         self.entries.remove(position);
         backend.queued_until.set(None);
     }
 
-    /// Returns whether recent attempts through the queue have used too much of their time for an RPC of
-    /// this priority; the wait multiple of its method is higher the lower the priority.
+    /// Returns whether recent attempts through the queue used too much of their allowed time for an
+    /// RPC of this priority. The lower the priority, the higher is the wait multiple of its method.
     fn is_too_slow_for(&self, rpc: &RpcState, estimates: &Estimates, now: f64) -> bool {
         let time_constant = estimates.wait_time_constant();
         let expected_fraction =
@@ -120,7 +124,7 @@
         expected_fraction * rpc.method.wait_multiple > MAX_EXPECTED_TIME_FRACTION
     }
 
-    /// Records an attempt through the queue that has ended.
+    /// Records the result of an attempt through the queue.
     pub(crate) fn record_attempt(
         &self,
         attempt: &CompletedAttempt,
