--- a/src/policy/idle_signal.rs
+++ b/src/policy/idle_signal.rs
@@ -1,10 +1,11 @@
-//! Signal that fills the idle queue: the role of the idle servers' own announcements in Join-Idle-Queue.
+//! Signal that adds a backend to the idle queue. In Join-Idle-Queue idle servers announce
+//! themselves instead.
 
-/// What puts a backend into the idle queue.
+/// What adds a backend to the idle queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum IdleSignal {
     /// A report of low load.
     LowLoad,
-    /// Any response: it has just released capacity of the backend.
+    /// Any response, because it has just released capacity of the backend.
     Response,
 }
