--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -1,9 +1,11 @@
-//! Load reports: whether a report marks a backend as idle, and whether reports are worth using.
+//! Load reports: whether a report shows that a backend is idle, and whether reports are worth
+//! using.
 //!
-//! In Join-Idle-Queue a backend announces itself when its queue falls to a fixed threshold. Here it is
-//! marked by the load in a response or a health check, compared with the mean load of all backends:
-//! capacities and load levels differ, and a fixed threshold would fit few of them. Reports that do not
-//! predict durations (late, frozen or untrue ones) are replaced by the responses themselves.
+//! In Join-Idle-Queue a backend announces itself when its queue falls to a fixed threshold. Here
+//! the load reported in a response or a health check is compared with the mean load of all
+//! backends, because capacities and load levels differ, and a fixed threshold would suit few of
+//! them. If reports do not predict the duration of attempts (because they are late, constant or
+//! false), responses are used as the signal instead.
 use super::health_checks::HealthCheckUse;
 use super::idle_signal::IdleSignal;
 use crate::backend::Backend;
@@ -12,17 +14,18 @@
 use crate::load_level::LoadLevel;
 use crate::report_quality::ReportQuality;
 
-/// Highest load of an idle backend, as a fraction of the mean reported load. While backends have one RPC
-/// each, only a load of 0 is below it.
+/// Maximum load of an idle backend, as a fraction of the mean reported load. While each backend has
+/// one RPC, only a load of 0 is below it.
 const LOW_LOAD_FRACTION: f64 = 0.75;
-/// Fraction of the mean duration that attempts after reports of low load must save; otherwise reports
-/// are not worth using.
+/// Minimum fraction by which attempts after reports of low load must be shorter than the mean;
+/// otherwise reports are not worth using.
 const MIN_TIME_SAVED_FRACTION: f64 = 0.1;
-/// Longest duration after reports of low load, as a fraction of that after others, at which reports in
-/// responses still keep loaded backends out of the idle queue.
+/// Maximum mean duration of attempts after reports of low load, as a fraction of that after reports
+/// of high load, at which reports in responses are used to keep loaded backends out of the idle
+/// queue.
 const MAX_PREDICTIVE_DURATION_RATIO: f64 = 0.75;
 
-/// What brought a load report.
+/// Message that carried a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReportSource {
     /// The response to an attempt.
@@ -31,26 +34,28 @@
     HealthCheck,
 }
 
-/// What is known of load reports.
+/// Evaluation of load reports.
 #[derive(Default)]
 pub(crate) struct LoadReports {
     /// How well reports predict the duration of attempts.
     pub quality: ReportQuality,
-    /// Reports do not tell the length of a queue, but the duration of a health check does.
+    /// Whether the duration of a health check is used as a measure of the queue, because reports do
+    /// not include it.
     pub checks_measure_queue: bool,
     /// Whether health checks are sent.
     health_checks: HealthCheckUse,
 }
 
 impl LoadReports {
-    /// Adopts what reports carry, and whether health checks are sent.
+    /// Applies new settings and whether health checks are sent.
     pub(crate) fn apply_settings(&mut self, settings: &Settings, health_checks: HealthCheckUse) {
         self.checks_measure_queue = health_checks.is_enabled() && !settings.reports_include_queue;
         self.health_checks = health_checks;
     }
 
-    /// Returns the load of a backend in RPCs, by its report or by the duration of a health check. The
-    /// latter counts where reports tell the utilisation only, which says nothing about the queue.
+    /// Returns the load of a backend in RPCs, from its report or from the duration of a health
+    /// check. The duration is used if reports contain only the utilisation, which does not include
+    /// the queue.
     pub(crate) fn load(
         &self,
         report: Option<LoadReport>,
@@ -64,9 +69,9 @@
         }
     }
 
-    /// Records the load of a backend. Returns whether it marks the backend as idle. Where health checks
-    /// measure the queue, each one that returns does: it has waited as an RPC would, and the first to
-    /// return came from the shortest queue.
+    /// Records the load of a backend. Returns whether the backend counts as idle. If health checks
+    /// measure the queue, every backend that responds counts as idle: the check waited as an RPC
+    /// would, so that the first response comes from the shortest queue.
     pub(crate) fn record(
         &self,
         backend: &Backend,
@@ -96,15 +101,16 @@
         }
     }
 
-    /// Returns whether attempts are clearly quicker after reports of low load. Reports in responses
-    /// may be untrue.
+    /// Returns whether attempts are clearly faster after reports of low load. Reports in responses
+    /// may be false.
     fn reports_are_predictive(&self, now: f64) -> bool {
         self.quality.low_load_duration_ratio(now) <= MAX_PREDICTIVE_DURATION_RATIO
     }
 
-    /// Returns what puts a backend into the idle queue: reports of low load, or any response where health
-    /// checks are not affordable or reports hardly save time, for example because all tell a low load.
-    /// Otherwise a proxy with few RPCs would find its idle queue empty and always choose at random.
+    /// Returns what adds a backend to the idle queue: reports of low load, or any response if
+    /// health checks are not affordable or reports save hardly any time, for example because all of
+    /// them report a low load. With reports alone, the idle queue of a proxy with few RPCs would
+    /// always be empty then, and every choice would be random.
     pub(crate) fn idle_signal(&self, now: f64) -> IdleSignal {
         let is_affordable = self.health_checks == HealthCheckUse::Affordable;
         if is_affordable && (self.checks_measure_queue || self.reports_save_time(now)) {
@@ -114,8 +120,8 @@
         }
     }
 
-    /// Returns whether attempts after reports of low load save enough of the mean duration. Durations
-    /// are fractions of those after reports of high load.
+    /// Returns whether attempts after reports of low load are sufficiently shorter than the mean.
+    /// Durations are fractions of the mean duration after reports of high load.
     fn reports_save_time(&self, now: f64) -> bool {
         let low_load_fraction = self.quality.low_load_fraction();
         let low_load_duration = self.quality.low_load_duration_ratio(now);
