--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,10 +1,11 @@
-//! Outlier detection: ejects backends that fail, and skips those that are saturated or hang.
+//! Outlier detection: ejects backends that fail, and skips those that are saturated or hanging.
 //!
-//! After Envoy's outlier detection by consecutive failures, with ejections that grow with each further
-//! failure. What differs: a success takes back part of a failure instead of all, as a backend that
-//! loses some responses seldom fails several times in a row; more is taken back while all backends
-//! fail, as an overload is no backend's fault; and after an ejection one attempt at a time is let
-//! through until one succeeds, as by a half-open circuit breaker.
+//! It follows Envoy's outlier detection by consecutive failures, with ejections that last longer
+//! after each further failure. Three things differ. A success reduces the failure count instead of
+//! resetting it, because a backend that loses some responses rarely fails several times in a row.
+//! The reduction is larger while all backends fail, because an overload is not the fault of a
+//! single backend. And after an ejection one attempt at a time is permitted until one succeeds, as
+//! with a half-open circuit breaker.
 use crate::backend::Backend;
 use crate::estimates::AVERAGING_TIME_SECONDS;
 use crate::ewma::Ewma;
@@ -12,39 +13,43 @@
 use crate::interface::AttemptOutcome;
 use std::ops::Range;
 
-/// Consecutive timeouts and resets that eject a backend. Any other failure ejects it at once.
+/// Number of consecutive timeouts and resets after which a backend is ejected. Any other failure
+/// ejects it immediately.
 const FAILURES_TO_EJECT: f64 = 3.0;
-/// Failures that one success takes back at the least.
-const FAILURES_FORGIVEN_PER_SUCCESS: f64 = 0.2;
-/// Failures that one success takes back, as a multiple of the odds of a failure at any backend.
-const FORGIVEN_MULTIPLE_OF_FAILURE_ODDS: f64 = 3.0;
-/// Duration of the first ejection in seconds; each further failure doubles it.
+/// Minimum reduction of the failure count per success.
+const MIN_REDUCTION_PER_SUCCESS: f64 = 0.2;
+/// Reduction of the failure count per success, as a multiple of the odds of a failure over all
+/// backends.
+const REDUCTION_MULTIPLE_OF_FAILURE_ODDS: f64 = 3.0;
+/// Duration of the first ejection in seconds. Each further failure doubles it.
 const FIRST_EJECTION_SECONDS: f64 = 0.5;
-/// Most doublings of an ejection, before [`MAX_EJECTION_SECONDS`] applies.
+/// Maximum number of doublings of an ejection, before [`MAX_EJECTION_SECONDS`] applies.
 const MAX_EJECTION_DOUBLINGS: f64 = 10.0;
-/// Shortest ejection, in mean times between two responses to this proxy: with few RPCs a shorter one
-/// would have no effect.
+/// Minimum ejection, in mean intervals between responses to this proxy: with few RPCs a shorter
+/// ejection would have no effect.
 const MIN_EJECTION_RESPONSES: f64 = 12.0;
-/// Longest ejection in seconds, before [`EJECTION_JITTER`] applies: a recovered backend must not wait
-/// longer.
+/// Maximum ejection in seconds, before [`EJECTION_JITTER`] applies. It limits how long a recovered
+/// backend stays unused.
 const MAX_EJECTION_SECONDS: f64 = 8.0;
-/// Random factor of an ejection, so that not all proxies return to the backend at once.
+/// Range of the random factor applied to an ejection, so that the proxies do not all return to the
+/// backend simultaneously.
 const EJECTION_JITTER: Range<f64> = 0.8..1.2;
-/// RPCs in flight above which a backend is skipped, as a multiple of its own mean.
+/// Number of attempts in flight above which a backend is skipped, as a multiple of its own mean.
 const MAX_IN_FLIGHT_MULTIPLE: f64 = 2.0;
-/// RPCs added to that limit; otherwise a mean near 0 would shut a backend out.
+/// Constant added to that limit; otherwise a backend with a mean near 0 would always be skipped.
 const MAX_IN_FLIGHT_MARGIN: f64 = 1.0;
 
-/// The failure rate over all backends. Failures and ejections of each are kept in [`Backend`].
+/// Failure rate over all backends. The failures and ejections of each backend are stored in
+/// [`Backend`].
 #[derive(Default)]
 pub(crate) struct OutlierDetection {
-    /// Fraction of the attempts and health checks that fail.
+    /// Fraction of attempts and health checks that fail.
     failure_rate: Ewma,
 }
 
 impl OutlierDetection {
-    /// Records a failure, and ejects the backend if it is one too many. Removes the backend from the
-    /// idle queue: one that fails at once must not look idle.
+    /// Records a failure, and ejects the backend if the limit is reached. Invalidates the backend's
+    /// entry in the idle queue, because a backend that fails immediately must not look idle.
     pub(crate) fn record_failure(
         &self,
         backend: &Backend,
@@ -52,7 +57,7 @@
         fleet: &mut Fleet,
         now: f64,
     ) {
-        let failures = failures_after(backend, outcome);
+        let failures = failures_including(backend, outcome);
         self.failure_rate.add(1.0, now, AVERAGING_TIME_SECONDS);
         backend.consecutive_failures.set(failures);
         backend.invalidate_queue_entry();
@@ -63,29 +68,30 @@
         }
     }
 
-    /// Takes back part of the failures of a backend.
+    /// Records a success, which reduces the failure count of the backend.
     pub(crate) fn record_success(&self, backend: &Backend, now: f64) {
         self.failure_rate.add(0.0, now, AVERAGING_TIME_SECONDS);
         let rate = self.failure_rate.value_or(0.0);
-        let forgiven_by_odds = FORGIVEN_MULTIPLE_OF_FAILURE_ODDS * rate / (1.0 - rate);
-        let forgiven = FAILURES_FORGIVEN_PER_SUCCESS.max(forgiven_by_odds);
+        let reduction_by_odds = REDUCTION_MULTIPLE_OF_FAILURE_ODDS * rate / (1.0 - rate);
+        let reduction = MIN_REDUCTION_PER_SUCCESS.max(reduction_by_odds);
         let failures = backend.consecutive_failures.get().min(FAILURES_TO_EJECT);
         backend
             .consecutive_failures
-            .set((failures - forgiven).max(0.0));
+            .set((failures - reduction).max(0.0));
     }
 }
 
-/// Returns the consecutive failures of a backend including this one. Timeouts and resets may happen by
-/// chance and would eject all backends in turn; all other failures are expected to repeat.
-fn failures_after(backend: &Backend, outcome: AttemptOutcome) -> f64 {
-    let may_be_chance = matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset);
-    let least = if may_be_chance {
+/// Returns the consecutive failures of a backend, including this one. Timeouts and resets may be
+/// transient; if one were enough, all backends would be ejected in turn. Other failures are
+/// expected to recur.
+fn failures_including(backend: &Backend, outcome: AttemptOutcome) -> f64 {
+    let may_be_transient = matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset);
+    let min_failures = if may_be_transient {
         1.0
     } else {
         FAILURES_TO_EJECT
     };
-    (backend.consecutive_failures.get() + 1.0).max(least)
+    (backend.consecutive_failures.get() + 1.0).max(min_failures)
 }
 
 /// Returns the duration of an ejection after this many consecutive failures, in seconds.
@@ -105,18 +111,18 @@
     fleet.index.add_expiry(until, backend);
 }
 
-/// Returns whether a backend is neither ejected nor saturated. After an ejection it is healthy while
-/// it has no attempt in flight, until one succeeds.
+/// Returns whether a backend is neither ejected nor saturated. After an ejection, and until an
+/// attempt succeeds, it is healthy only while no attempt is in flight.
 pub(crate) fn is_healthy(backend: &Backend, now: f64) -> bool {
     let has_failed = backend.consecutive_failures.get() >= FAILURES_TO_EJECT;
     let ejection_is_over = now >= backend.ejected_until.get();
-    let takes_trial = ejection_is_over && backend.in_flight.get() == 0;
+    let accepts_trial = ejection_is_over && backend.in_flight.get() == 0;
     let is_saturated = now < backend.saturated_until.get();
-    (!has_failed || takes_trial) && !is_saturated
+    (!has_failed || accepts_trial) && !is_saturated
 }
 
-/// Returns whether a backend is healthy and has no more in flight than usual. A backend that hangs
-/// collects RPCs.
+/// Returns whether a backend is healthy and has no unusual number of attempts in flight, as a
+/// hanging backend accumulates them.
 pub(crate) fn is_available(backend: &Backend, now: f64) -> bool {
     let mean_in_flight = backend.mean_in_flight.value_or(0.0);
     let max_in_flight = mean_in_flight * MAX_IN_FLIGHT_MULTIPLE + MAX_IN_FLIGHT_MARGIN;
