--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,41 +1,42 @@
-//! Retry budget: bounds the load that retries add when many attempts fail.
+//! Retry budget: limits the load that retries add when many attempts fail.
 //!
-//! After the retry budgets of Finagle and linkerd: each success earns a fraction of a retry, up to a
-//! maximum. What differs: a retry is free while no earlier attempt of the RPC may have run (each was
-//! not sent, found no connection or was rejected), as those add no work to the backends; and an RPC is
-//! never retried at a backend that it was tried at before.
+//! It follows the retry budgets of Finagle and linkerd: each success deposits a fraction of a
+//! retry, up to a maximum balance. Two things differ. A retry is free if no earlier attempt of the
+//! RPC may have run (each was not sent, could not connect or was rejected), because such attempts
+//! add no work to the backends. And an RPC is never sent to the same backend twice.
 use crate::backend::Backend;
 use crate::rpc_state::RpcState;
 use std::rc::Rc;
 
-/// Retries earned by one success: retries add at most a tenth to the load.
-const RETRIES_EARNED_PER_SUCCESS: f64 = 0.1;
-/// Retries that can be saved up, which bounds the burst when many backends fail at once.
-const MAX_SAVED_RETRIES: f64 = 3.0;
+/// Retries deposited per success. Retries thus add at most a tenth to the load.
+const RETRIES_DEPOSITED_PER_SUCCESS: f64 = 0.1;
+/// Maximum balance, which limits the burst of retries when many backends fail simultaneously.
+const MAX_BALANCE: f64 = 3.0;
 
-/// The retries that may still be sent.
+/// Balance of retries that may be sent.
 #[derive(Default)]
 pub(crate) struct RetryBudget {
-    retries: f64,
+    balance: f64,
 }
 
 impl RetryBudget {
-    /// Earns a fraction of a retry.
+    /// Deposits a fraction of a retry.
     pub(crate) fn record_success(&mut self) {
-        self.retries = (self.retries + RETRIES_EARNED_PER_SUCCESS).min(MAX_SAVED_RETRIES);
+        self.balance = (self.balance + RETRIES_DEPOSITED_PER_SUCCESS).min(MAX_BALANCE);
     }
 
-    /// Pays for an attempt that is about to start. It is free while no earlier attempt of the RPC may
-    /// have run.
+    /// Withdraws the cost of an attempt that is about to start. It is free if no earlier attempt of
+    /// the RPC may have run.
     pub(crate) fn withdraw(&mut self, rpc: &RpcState) {
         if rpc.may_have_run() {
-            self.retries -= 1.0;
+            self.balance -= 1.0;
         }
     }
 
-    /// Returns whether an attempt of the RPC at this backend is within the budget.
+    /// Returns whether the budget permits an attempt of the RPC at this backend, which must be one
+    /// that the RPC was not sent to before.
     pub(crate) fn allows(&self, rpc: &RpcState, to: &Rc<Backend>) -> bool {
-        let is_affordable = self.retries >= 1.0 || !rpc.may_have_run();
+        let is_affordable = self.balance >= 1.0 || !rpc.may_have_run();
         !rpc.was_tried_at(to) && is_affordable
     }
 }
