--- a/src/policy/rules.rs
+++ b/src/policy/rules.rs
@@ -1,10 +1,11 @@
-//! Rules that no attempt and no rejection may break. Other modules decide whether an attempt is wise.
+//! Rules that every attempt and every rejection must satisfy. Other modules decide whether a
+//! permitted attempt is useful.
 //!
-//! 1. An RPC gets one final answer, in time, and no attempt after it.
-//! 2. No effect is executed twice: an RPC that may have run is repeated only where that is harmless.
-//!    RPCs with a key run in order.
-//! 3. A backend that is draining or removed gets nothing new.
-//! 4. A warming backend gets no more than its slow-start budget.
+//! 1. An RPC gets one final response, before its deadline, and no attempt after it.
+//! 2. No effect is executed twice: an RPC that may have run is repeated only where that is
+//!    harmless. RPCs of methods that are ordered by key run in order.
+//! 3. A backend that is draining or removed gets no new attempts.
+//! 4. A warming backend gets no more attempts than its slow-start budget permits.
 use super::deadlines::DEADLINE_MARGIN_SECONDS;
 use super::slow_start::{SlowStart, SlowStartSample};
 use crate::backend::Backend;
@@ -17,14 +18,14 @@
 /// The limits of the deployment and the slow-start budget.
 #[derive(Default)]
 pub(crate) struct Rules {
-    /// Limits that the settings name.
+    /// Limits from the settings.
     pub limits: Limits,
     /// Slow start of warming backends.
     pub slow_start: SlowStart,
 }
 
 impl Rules {
-    /// Returns whether an attempt breaks no rule; every attempt is judged here.
+    /// Returns whether an attempt satisfies all rules. Every attempt is checked here.
     pub(crate) fn may_attempt(
         &self,
         rpc: &RpcState,
@@ -36,12 +37,12 @@
         self.allows_another_attempt(rpc, now)
             && rpc.key_ready.get()
             && is_repeat_harmless(rpc, to, now)
-            // `ready` is cleared in the call that announces a drain or a removal.
+            // The update that announces a drain or a removal clears `ready` immediately.
             && to.ready.get()
             && self.slow_start.has_room(to, sample, fleet, now)
     }
 
-    /// Returns whether the RPC may have another attempt at all.
+    /// Returns whether the RPC may have another attempt at any backend.
     fn allows_another_attempt(&self, rpc: &RpcState, now: f64) -> bool {
         let has_ended = rpc.answered.get() || rpc.retry_forbidden.get() || now >= rpc.deadline;
         let has_attempts_left = rpc.attempts.borrow().len() < self.limits.max_attempts;
@@ -50,8 +51,8 @@
     }
 }
 
-/// Returns whether executing the RPC at this backend repeats no effect. An attempt in flight may have
-/// run.
+/// Returns whether executing the RPC at this backend repeats no effect. Attempts in flight count as
+/// possibly executed.
 fn is_repeat_harmless(rpc: &RpcState, to: &Backend, now: f64) -> bool {
     match rpc.method.settings.idempotency {
         Idempotency::Idempotent => true,
@@ -67,7 +68,7 @@
     }
 }
 
-/// Returns whether two backends drop each other's duplicates.
+/// Returns whether two backends share deduplication.
 fn shares_deduplication(scope: DeduplicationScope, one: &Backend, other: &Backend) -> bool {
     match scope {
         DeduplicationScope::All => true,
@@ -76,7 +77,8 @@
     }
 }
 
-/// Returns whether the RPC may be rejected, which tells its client that a retry is harmless.
+/// Returns whether the RPC may be rejected. A rejection states to the client that a retry is
+/// harmless.
 pub(crate) fn may_reject(rpc: &RpcState) -> bool {
     match rpc.method.settings.idempotency {
         Idempotency::Idempotent
@@ -88,8 +90,8 @@
     }
 }
 
-/// Returns the subset of backends at which a repeat is harmless: an RPC that may have run stays in the
-/// scope that drops its duplicates.
+/// Returns the subset of backends to which the RPC may be sent as far as deduplication is
+/// concerned: an RPC that may have run stays within the scope that drops its duplicates.
 pub(crate) fn allowed_subset(rpc: &RpcState) -> Subset {
     let Idempotency::Deduplicated { scope, .. } = rpc.method.settings.idempotency else {
         return Subset::Ready;
