--- a/src/policy/throttle.rs
+++ b/src/policy/throttle.rs
@@ -1,27 +1,28 @@
-//! Throttle: sheds RPCs of a method or tenant by the outcomes of its recent attempts.
+//! Throttle: sheds RPCs of a method or tenant according to the results of its recent attempts.
 //!
-//! After client-side adaptive throttling in the SRE book: RPCs are admitted at a multiple of the rate
-//! of good attempts. What differs: the throttle covers a method or a tenant at all backends,
-//! so that a slow one does not use up the capacity of the others; and where nothing tells loads only
-//! prompt attempts count as good, as backends would otherwise fill up until no response is in time.
+//! It follows client-side adaptive throttling as described in the SRE book: RPCs are admitted at a
+//! multiple of the rate of good attempts. Two things differ. A throttle covers one method or tenant
+//! at all backends, so that a slow method or tenant does not use up the capacity of the others. And
+//! if load reports do not fill the idle queue, only prompt attempts count as good, because the
+//! queues of the backends would otherwise grow until every response is late.
 use super::idle_signal::IdleSignal;
 use crate::attempt::CompletedAttempt;
 use crate::rng::Rng;
 use crate::rpc_state::RpcState;
 
-/// RPCs admitted for each good attempt. At 2 the throttle stays as it is while half of the
+/// RPCs admitted per good attempt. At 2 the admission rate stays constant while half of the
 /// attempts are good.
 const ADMITTED_PER_GOOD_ATTEMPT: f64 = 2.0;
-/// RPCs admitted for each attempt that was in time but slow.
+/// RPCs admitted per attempt that succeeded in time but slowly.
 const ADMITTED_PER_SLOW_ATTEMPT: f64 = 1.0;
-/// Time constant of the averages in seconds; backends fill up in less.
+/// Time constant of the averages in seconds. The queues of backends can fill up in less.
 const TIME_CONSTANT_SECONDS: f64 = 1.0;
-/// Number of attempts that count as having gone well: a single late one throttles nothing.
+/// Weight of the prior, as a number of good attempts, so that a single late attempt sheds nothing.
 const PRIOR_GOOD_ATTEMPTS: f64 = 1.0;
-/// Largest fraction of its time that a prompt attempt uses.
+/// Maximum fraction of the allowed time that a prompt attempt uses.
 const MAX_PROMPT_TIME_FRACTION: f64 = 0.4;
 
-/// Returns whether an RPC that has arrived is admitted. All are where load is shed by priority.
+/// Returns whether an arriving RPC is admitted. Every RPC is if load is shed by priority.
 pub(crate) fn admits(rpc: &RpcState, sheds_by_priority: bool, rng: &Rng, now: f64) -> bool {
     let rate = rpc.lowest_throttle_rate(
         now,
@@ -36,7 +37,7 @@
     is_admitted
 }
 
-/// Records an attempt that succeeded or timed out.
+/// Updates the throttles of an RPC with an attempt that succeeded or timed out.
 pub(crate) fn record_attempt(
     rpc: &RpcState,
     attempt: &CompletedAttempt,
