--- a/src/queue_position.rs
+++ b/src/queue_position.rs
@@ -1,25 +1,25 @@
-//! Positions of an RPC in the queues that it may wait in.
+//! Positions of an RPC in the pending queue and in the queue of its key.
 use crate::tenant::QuotaClass;
 
-/// Position in the pending queue: by quota class, then priority weight, then arrival. RPCs that wait
-/// for their key come last, as they can not be sent yet.
+/// Position in the pending queue: ordered by quota class, then by priority weight, then by
+/// insertion. RPCs that wait for their key come last because they cannot be sent yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PendingPosition {
-    /// The RPC waits for RPCs with the same key.
+    /// Whether the RPC waits for other RPCs with the same key.
     pub key_blocked: bool,
-    /// Class of the RPC by its tenant's quota.
+    /// Quota class of the RPC.
     pub quota_class: QuotaClass,
-    /// Inverted bits of the priority weight, so that the highest weight comes first.
+    /// Inverted bits of the priority weight, so that the highest weight sorts first.
     pub inverted_priority: u64,
-    /// Number of the insertion.
+    /// Sequence number of the insertion.
     pub sequence: u64,
 }
 
-/// Position among the RPCs of one key.
+/// Position in the queue of RPCs with the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct KeyPosition {
     /// The key.
     pub key: u64,
-    /// Number of the RPC in the order in which RPCs were accepted.
+    /// Sequence number in order of acceptance.
     pub sequence: u64,
 }
