--- a/src/report_quality.rs
+++ b/src/report_quality.rs
@@ -3,18 +3,20 @@
 use crate::ewma::Ewma;
 use crate::load_level::LoadLevel;
 
-/// Time constant in seconds, long enough to hold some samples at a few attempts a second.
+/// Time constant in seconds, long enough to cover several samples at a few attempts per second.
 const TIME_CONSTANT_SECONDS: f64 = 12.0;
-/// Number of attempts that the estimate starts from.
+/// Weight of the prior estimate, as a number of attempts.
 const PRIOR_ATTEMPTS: f64 = 5.0;
-/// Initial estimate of how many times longer attempts take after a report of high load.
+/// Prior estimate of the duration of attempts after a report of high load, as a multiple of that
+/// after a report of low load.
 const PRIOR_SLOWDOWN: f64 = 2.0;
-/// Time for which a report tells the load of its backend, in seconds.
+/// Time for which a load report counts as recent, in seconds.
 const REPORT_LIFETIME_SECONDS: f64 = 4.0;
 
-/// How many reports tell a low load, and how long attempts take after reports of each level.
+/// Fraction of the reports with a low load, and the durations of attempts after reports of each
+/// level.
 pub(crate) struct ReportQuality {
-    /// Fraction of the reports that tell a low load.
+    /// Fraction of the reports with a low load.
     low_load: Ewma,
     /// Durations after reports of low load, as multiples of the latency objective.
     durations_at_low_load: Ewma,
@@ -37,7 +39,7 @@
 }
 
 impl ReportQuality {
-    /// Records a report of a backend.
+    /// Records a load report of a backend.
     pub(crate) fn record_report(&self, backend: &Backend, level: LoadLevel, now: f64) {
         backend.last_report.set(Some(LastReport {
             level,
@@ -47,8 +49,8 @@
         self.low_load.add(is_low, now, TIME_CONSTANT_SECONDS);
     }
 
-    /// Records the duration of an attempt that followed a report of this level, as a multiple of the
-    /// latency objective.
+    /// Records the duration of an attempt that followed a report of this level, as a multiple of
+    /// the latency objective.
     pub(crate) fn record_attempt(&self, level: LoadLevel, duration: f64, now: f64) {
         let durations = match level {
             LoadLevel::Low => &self.durations_at_low_load,
@@ -57,13 +59,13 @@
         durations.add(duration, now, TIME_CONSTANT_SECONDS);
     }
 
-    /// Returns the fraction of the reports that tell a low load.
+    /// Returns the fraction of the reports with a low load.
     pub(crate) fn low_load_fraction(&self) -> f64 {
         self.low_load.value_or(0.5)
     }
 
-    /// Returns the mean duration of attempts after a report of low load, as a fraction of that after
-    /// a report of high load.
+    /// Returns the mean duration of attempts after a report of low load, as a fraction of that
+    /// after a report of high load.
     pub(crate) fn low_load_duration_ratio(&self, now: f64) -> f64 {
         let low = &self.durations_at_low_load;
         let high = &self.durations_at_high_load;
@@ -78,7 +80,7 @@
     }
 }
 
-/// Returns the load level that a backend has reported, if the report is recent.
+/// Returns the load level last reported by a backend, if the report is recent.
 pub(crate) fn recent_load_level(backend: &Backend, now: f64) -> Option<LoadLevel> {
     let report = backend.last_report.get()?;
     let is_recent = now < report.received_at + REPORT_LIFETIME_SECONDS;
