--- a/src/rpc_state.rs
+++ b/src/rpc_state.rs
@@ -1,4 +1,4 @@
-//! State of one RPC from its arrival to its end.
+//! State of one RPC from its arrival until it is finished.
 use crate::attempt::{AttemptState, CompletedAttempt};
 use crate::backend::Backend;
 use crate::backend_index::Subset;
@@ -10,39 +10,39 @@
 use std::cell::{Cell, RefCell, RefMut};
 use std::rc::Rc;
 
-/// One RPC.
+/// State of one RPC.
 pub(crate) struct RpcState {
-    /// Number by which the platform knows it.
+    /// Identifier in calls to the platform.
     pub id: u64,
-    /// Its method.
+    /// Method of the RPC.
     pub method: Rc<Method>,
-    /// Time by which it needs its final answer.
+    /// Time by which the client needs the final response.
     pub deadline: f64,
-    /// Time until which a response has weight.
+    /// Time until which a response has any weight.
     pub useful_until: f64,
-    /// End of its wait in the pending queue.
+    /// Time at which the wait in the pending queue ends.
     pub pending_until: Cell<f64>,
-    /// Its class by its tenant's use of the quota.
+    /// Class by the tenant's use of its quota.
     pub quota_class: QuotaClass,
-    /// Its attempts, in the order in which they were started.
+    /// Attempts in the order in which they were started.
     pub attempts: RefCell<Vec<AttemptState>>,
-    /// It has its final answer.
+    /// Whether the final response was sent or the client has disconnected.
     pub answered: Cell<bool>,
-    /// Its response has started.
+    /// Whether a response has started.
     pub streaming: Cell<bool>,
-    /// It can not be sent again.
+    /// Whether retries are forbidden because the body cannot be sent again.
     pub retry_forbidden: Cell<bool>,
-    /// Its body is still arriving when an attempt starts.
+    /// Whether the body is still arriving when an attempt starts.
     pub streams_request: bool,
-    /// Cells that are likely to have its key cached, the likeliest first.
+    /// Cells that are likely to have data for the key cached, in order of preference.
     pub preferred_cells: Vec<Subset>,
-    /// Throttles of its tenant and its method.
+    /// Throttles of the tenant and the method.
     pub throttles: Vec<Rc<Ewma>>,
-    /// Its position in the pending queue, while it is there.
+    /// Position in the pending queue; `None` if the RPC is not queued.
     pub pending_position: Cell<Option<PendingPosition>>,
-    /// Its position among the RPCs of its key, while it is there.
+    /// Position in the queue of the key; `None` if the RPC is not queued.
     pub key_position: Cell<Option<KeyPosition>>,
-    /// No RPC of its key is ahead of it, and the key's cooldown is over.
+    /// Whether no RPC with the same key is ahead and the cooldown of the key has ended.
     pub key_ready: Cell<bool>,
 }
 
@@ -85,7 +85,7 @@
         .ok()
     }
 
-    /// Ends an attempt. Returns what it tells, or `None` if it had ended before.
+    /// Ends an attempt. Returns its result, or `None` if it had already ended.
     pub(crate) fn end_attempt(
         &self,
         number: usize,
@@ -96,7 +96,7 @@
         Some(attempt.end(number, outcome, now))
     }
 
-    /// Records that the last byte of an attempt was sent.
+    /// Records that the last byte of an attempt's request was sent.
     pub(crate) fn record_request_sent(&self, number: usize, now: f64) {
         if let Some(mut attempt) = self.attempt_in_flight(number) {
             attempt.record_request_sent(now);
@@ -119,20 +119,21 @@
         attempts.iter().any(AttemptState::may_have_run)
     }
 
-    /// Returns whether it was tried at this backend.
+    /// Returns whether an attempt was sent to this backend.
     pub(crate) fn was_tried_at(&self, backend: &Rc<Backend>) -> bool {
         let attempts = self.attempts.borrow();
         let mut backends = attempts.iter().map(|attempt| &attempt.backend);
         backends.any(|tried| Rc::ptr_eq(tried, backend))
     }
 
-    /// Returns whether the backend is in one of its preferred cells, or it prefers none.
+    /// Returns whether the backend is in a preferred cell. Without preferred cells, every backend
+    /// is.
     pub(crate) fn prefers(&self, backend: &Backend) -> bool {
         let cells = &self.preferred_cells;
         cells.is_empty() || cells.contains(&Subset::Cell(backend.cell.get()))
     }
 
-    /// Returns the lowest admission rate of the throttles of its tenant and its method, at most 1.
+    /// Returns the lowest admission rate of the throttles of the tenant and the method, at most 1.
     /// Each throttle is averaged with `prior_count` samples of `prior`.
     pub(crate) fn lowest_throttle_rate(
         &self,
@@ -146,14 +147,14 @@
         self.throttles.iter().map(rate).fold(1.0, f64::min)
     }
 
-    /// Adds a sample to the throttles of its tenant and its method.
+    /// Adds a sample to the throttles of the tenant and the method.
     pub(crate) fn record_throttle_rate(&self, rate: f64, now: f64, time_constant: f64) {
         for throttle in &self.throttles {
             throttle.add(rate, now, time_constant);
         }
     }
 
-    /// Returns the numbers of its attempts in flight.
+    /// Returns the numbers of the attempts in flight.
     pub(crate) fn attempts_in_flight(&self) -> Vec<usize> {
         let attempts = self.attempts.borrow();
         (0..attempts.len())
@@ -161,13 +162,13 @@
             .collect()
     }
 
-    /// Returns whether an attempt is in flight.
+    /// Returns whether any attempt is in flight.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         let attempts = self.attempts.borrow();
         attempts.iter().any(AttemptState::is_in_flight)
     }
 
-    /// Returns whether it has its final answer and no attempt in flight.
+    /// Returns whether the RPC has its final response and no attempt in flight.
     pub(crate) fn is_finished(&self) -> bool {
         self.answered.get() && !self.has_attempt_in_flight()
     }
