--- a/src/test_fixtures.rs
+++ b/src/test_fixtures.rs
@@ -1,11 +1,12 @@
-//! RPCs that the tests of the queues start from.
+//! Fixtures for the unit tests of the queues.
 use crate::interface::{Idempotency, IncomingRpc, MethodSettings};
 use crate::method::Method;
 use crate::rpc_state::RpcState;
 use crate::tenant::QuotaClass;
 use std::rc::Rc;
 
-/// Returns the state of an RPC of an idempotent method with this priority weight.
+/// Returns the state of an RPC that arrived at time 0, of an idempotent method with this priority
+/// weight.
 pub(crate) fn rpc_state(id: u64, priority_weight: f64, quota_class: QuotaClass) -> RpcState {
     let settings = MethodSettings {
         idempotency: Idempotency::Idempotent,
