--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,7 +1,7 @@
-//! Cost of a decision by the size of the fleet, at half load: `cargo bench`.
+//! Benchmarks the cost of decisions at half load by the number of backends. Run with `cargo bench`.
 #![expect(
     missing_docs,
-    reason = "criterion_group writes a public function without one"
+    reason = "criterion_group generates a public function without documentation"
 )]
 
 #[path = "../tests/common/fixtures.rs"]
@@ -18,7 +18,7 @@
 /// Duration of each attempt in seconds.
 const SERVICE_TIME_SECONDS: f64 = 0.05;
 
-/// A platform that records the attempts and health checks that it is asked for.
+/// Platform that records the requested attempts and health checks.
 #[derive(Default)]
 struct RecordingPlatform {
     now: f64,
@@ -43,7 +43,7 @@
     fn schedule_timer(&mut self, _delay: f64) {}
 }
 
-/// Returns settings with two methods of different priority, where load reports come from `reports`.
+/// Returns settings with two methods of different priority and load reports from `reports`.
 fn settings(reports: LoadReportSource) -> Settings {
     let mut settings = fixtures::settings(&[Idempotency::Idempotent, Idempotency::NonIdempotent]);
     for (method, priority_weight) in settings.methods.iter_mut().zip([1.0, 4.0]) {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns an endpoint in a cell of eight, all in one zone.
+/// Returns an endpoint in a cell of eight backends. All cells are in one zone.
 fn endpoint(backend: u32) -> Endpoint {
     Endpoint {
         cell: u64::from(backend / 8),
@@ -73,8 +73,8 @@
     backend: u32,
 }
 
-/// A single proxy with backends that report the number of attempts in flight.
-struct Bench {
+/// A single proxy whose backends are at half load and report the number of attempts in flight.
+struct ProxyAtHalfLoad {
     balancer: Balancer,
     platform: RecordingPlatform,
     in_flight: VecDeque<RpcInFlight>,
@@ -82,22 +82,22 @@
     next_id: u64,
 }
 
-impl Bench {
+impl ProxyAtHalfLoad {
     fn new(backends: u32, reports: LoadReportSource) -> Self {
         let mut platform = RecordingPlatform::default();
         let balancer = Balancer::new(&settings(reports), 1);
         let listed: Vec<_> = (0..backends).map(endpoint).collect();
         balancer.update_endpoints(EndpointUpdateKind::Snapshot, &listed, &mut platform);
         let loads = vec![0; backends as usize];
-        let mut bench = Self {
+        let mut proxy = Self {
             balancer,
             platform,
             in_flight: VecDeque::new(),
             loads,
             next_id: 0,
         };
-        (0..backends * 2).for_each(|_| bench.rpc());
-        bench
+        (0..backends * 2).for_each(|_| proxy.rpc());
+        proxy
     }
 
     /// Returns the load report of a backend.
@@ -109,7 +109,7 @@
         })
     }
 
-    /// Accepts an RPC and answers its health checks until it is sent.
+    /// Accepts an RPC and responds to health checks until it is sent.
     fn accept(&mut self) {
         let incoming = IncomingRpc {
             id: self.next_id,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Accepts an RPC and, above half load, ends the oldest attempt.
+    /// Accepts an RPC and, above half load, completes the oldest attempt.
     fn rpc(&mut self) {
         self.platform.now += SERVICE_TIME_SECONDS * 2.0 / self.loads.len() as f64;
         self.accept();
@@ -158,7 +158,7 @@
     }
 }
 
-/// Measures an RPC from its arrival to its end.
+/// Measures an RPC from its arrival until it is finished.
 fn rpcs(c: &mut Criterion) {
     for (name, reports) in [
         ("rpc, reports in answers", LoadReportSource::Responses),
@@ -166,44 +166,44 @@
     ] {
         let mut group = c.benchmark_group(name);
         for size in SIZES {
-            let mut bench = Bench::new(size, reports);
+            let mut proxy = ProxyAtHalfLoad::new(size, reports);
             group.bench_function(BenchmarkId::from_parameter(size), |b| {
-                b.iter(|| bench.rpc())
+                b.iter(|| proxy.rpc())
             });
         }
         group.finish();
     }
 }
 
-/// Measures a health check that ends while RPCs are pending: each event has to serve them.
-fn waiting(c: &mut Criterion) {
+/// Measures the end of a health check while RPCs are pending, as each event has to serve them.
+fn pending_rpcs(c: &mut Criterion) {
     let mut group = c.benchmark_group("probe answered while RPCs wait");
-    for waiting in [1, 100, 1_000] {
-        let mut bench = Bench::new(100, LoadReportSource::HealthChecks);
-        let deadline = bench.platform.now + 60.0;
+    for pending in [1, 100, 1_000] {
+        let mut proxy = ProxyAtHalfLoad::new(100, LoadReportSource::HealthChecks);
+        let deadline = proxy.platform.now + 60.0;
         let incoming = |id| IncomingRpc {
             id,
             deadline,
             ..IncomingRpc::default()
         };
-        let mut rpcs: Vec<_> = (0..waiting)
+        let mut rpcs: Vec<_> = (0..pending)
             .map(|n| {
-                bench
+                proxy
                     .balancer
-                    .accept(&incoming(1 << 40 | n), &mut bench.platform)
+                    .accept(&incoming(1 << 40 | n), &mut proxy.platform)
             })
             .collect();
         let busy = Some(LoadReport {
             in_flight: Some(9.0),
             ..LoadReport::default()
         });
-        group.bench_function(BenchmarkId::from_parameter(waiting), |b| {
+        group.bench_function(BenchmarkId::from_parameter(pending), |b| {
             b.iter(|| {
-                bench.balancer.on_health_check(
+                proxy.balancer.on_health_check(
                     5,
                     AttemptOutcome::Succeeded,
                     busy,
-                    &mut bench.platform,
+                    &mut proxy.platform,
                 )
             });
         });
@@ -212,11 +212,11 @@
     group.finish();
 }
 
-/// Measures an update of one endpoint.
-fn list_change(c: &mut Criterion) {
+/// Measures an incremental update of one endpoint.
+fn endpoint_update(c: &mut Criterion) {
     let mut group = c.benchmark_group("one list change");
     for size in SIZES {
-        let mut bench = Bench::new(size, LoadReportSource::Responses);
+        let mut proxy = ProxyAtHalfLoad::new(size, LoadReportSource::Responses);
         let mut ready = true;
         group.bench_function(BenchmarkId::from_parameter(size), |b| {
             b.iter(|| {
@@ -226,13 +226,13 @@
                 } else {
                     Readiness::Draining
                 };
-                bench.balancer.update_endpoints(
+                proxy.balancer.update_endpoints(
                     EndpointUpdateKind::Incremental,
                     &[Endpoint {
                         readiness,
                         ..endpoint(3)
                     }],
-                    &mut bench.platform,
+                    &mut proxy.platform,
                 );
             });
         });
@@ -241,7 +241,7 @@
 }
 
 /// Measures the first snapshot of the endpoint list.
-fn whole_list(c: &mut Criterion) {
+fn first_snapshot(c: &mut Criterion) {
     let mut group = c.benchmark_group("whole list, by line");
     for size in SIZES {
         let listed: Vec<_> = (0..size).map(endpoint).collect();
@@ -269,6 +269,6 @@
 criterion_group! {
     name = decisions;
     config = Criterion::default().sample_size(20).measurement_time(std::time::Duration::from_secs(1)).warm_up_time(std::time::Duration::from_millis(300));
-    targets = rpcs, waiting, list_change, whole_list
+    targets = rpcs, pending_rpcs, endpoint_update, first_snapshot
 }
 criterion_main!(decisions);
