--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -46,7 +46,7 @@
 
     /// Cancels the attempts in flight, if the settings permit it and no response has started.
     pub(crate) fn cancel_attempts(&self, rpc: &RpcState, platform: &mut dyn Platform) {
-        if self.rules.limits.can_cancel && !rpc.streaming.get() {
+        if self.rules.limits.can_cancel && !rpc.response_started.get() {
             for attempt in rpc.attempts_in_flight() {
                 platform.cancel_attempt(rpc.id, attempt);
             }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -182,7 +182,7 @@
         result: AttemptResult,
         platform: &mut dyn Platform,
     ) {
-        if result == AttemptResult::Answered || rpc.streaming.get() {
+        if result == AttemptResult::Answered || rpc.response_started.get() {
             rpc.answered.set(true);
             self.cancel_attempts(rpc, platform);
             return;
--- a/src/rpc_state.rs
+++ b/src/rpc_state.rs
@@ -29,7 +29,7 @@
     /// Whether the final response was sent or the client has disconnected.
     pub answered: Cell<bool>,
     /// Whether a response has started.
-    pub streaming: Cell<bool>,
+    pub response_started: Cell<bool>,
     /// Whether retries are forbidden because the body cannot be sent again.
     pub retry_forbidden: Cell<bool>,
     /// Whether the body is still arriving when an attempt starts.
@@ -65,7 +65,7 @@
             quota_class,
             attempts: RefCell::default(),
             answered: Cell::default(),
-            streaming: Cell::default(),
+            response_started: Cell::default(),
             retry_forbidden: Cell::default(),
             streams_request: incoming.streams_request,
             preferred_cells,
@@ -105,7 +105,7 @@
 
     /// Records that the response to an attempt has started.
     pub(crate) fn record_response_started(&self, number: usize, paced_by: PacedBy, now: f64) {
-        self.streaming.set(true);
+        self.response_started.set(true);
         if paced_by == PacedBy::Client
             && let Some(mut attempt) = self.attempt_in_flight(number)
         {
