--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -22,7 +22,7 @@
         if kind.is_snapshot() {
             self.remove_unlisted(now);
         }
-        self.forget_unused(now);
+        self.remove_unused(now);
     }
 
     /// Applies one entry of an update.
@@ -63,7 +63,7 @@
     /// Removes backends that are neither ready nor in use; otherwise memory would grow with every
     /// backend that was ever listed. A backend is kept while its slow-start window contains
     /// attempts.
-    fn forget_unused(&mut self, now: f64) {
+    fn remove_unused(&mut self, now: f64) {
         let window = self.rules.slow_start.budget.window;
         let is_used = |backend: &Backend| {
             backend.in_flight.get() > 0 || backend.recent_attempts.count(now, window) > 0.0
