--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -14,7 +14,7 @@
         entries: &[Endpoint],
         now: f64,
     ) {
-        self.rules.slow_start.budget.record_list(now);
+        self.rules.slow_start.budget.record_endpoint_list(now);
         self.fleet.index.updates += 1;
         for entry in entries {
             self.apply_entry(entry, now);
--- a/src/slow_start_budget.rs
+++ b/src/slow_start_budget.rs
@@ -79,7 +79,7 @@
     }
 
     /// Records the arrival of an endpoint list.
-    pub(crate) fn record_list(&self, now: f64) {
+    pub(crate) fn record_endpoint_list(&self, now: f64) {
         let first_list_at = self.first_list_at.get().unwrap_or(now);
         self.first_list_at.set(Some(first_list_at));
     }
