--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -103,7 +103,7 @@
         let budget = &self.budget;
         let completion_rate = budget.completion_rate(now);
         let traffic_share = TRAFFIC_FRACTION * completion_rate * to.relative_size.get();
-        let even_share = (1.0 - TRAFFIC_FRACTION) / (work_per_rpc * budget.process_total());
+        let even_share = (1.0 - TRAFFIC_FRACTION) / (work_per_rpc * budget.total_process_count());
         // In RPCs per second of work in the limit.
         let share = traffic_share + even_share;
         Allowance {
--- a/src/slow_start_budget.rs
+++ b/src/slow_start_budget.rs
@@ -74,7 +74,7 @@
     }
 
     /// Returns the total number of processes of all proxies, which share the budget.
-    pub(crate) fn process_total(&self) -> f64 {
+    pub(crate) fn total_process_count(&self) -> f64 {
         self.proxy_count * self.process_count
     }
 
@@ -170,7 +170,7 @@
         let full_limit = work_limit / self.safety;
         let completed = work_limit / self.overload_multiple;
         let left = full_limit - completed - guaranteed_work(work_limit, work_per_rpc);
-        let required = self.process_total() * work_per_rpc;
+        let required = self.total_process_count() * work_per_rpc;
         guaranteed_work(left.max(0.0), work_per_rpc) >= required
     }
 }
