--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -109,7 +109,7 @@
         Allowance {
             guaranteed_attempts: guaranteed_work(work_limit, work_per_rpc) * share,
             maximum_attempts: (work_limit * share).max(1.0),
-            maximum_in_flight: budget.concurrency(share * work_per_rpc).max(1.0),
+            maximum_in_flight: budget.max_in_flight(share * work_per_rpc).max(1.0),
         }
     }
 
--- a/src/slow_start_budget.rs
+++ b/src/slow_start_budget.rs
@@ -148,7 +148,7 @@
 
     /// Returns the maximum number of RPCs in flight that use `cores` cores, increased by the
     /// permitted overload.
-    pub(crate) fn concurrency(&self, cores: f64) -> f64 {
+    pub(crate) fn max_in_flight(&self, cores: f64) -> f64 {
         self.overload_multiple * cores
     }
 
