--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and the subsets that each backend is indexed in.
+//! Applies updates of the endpoint list, and keeps the index of the backends up to date.
 use crate::backend::Backend;
 use crate::backend_index::Subset;
 use crate::interface::{Endpoint, EndpointUpdateKind};
@@ -14,7 +14,7 @@
         entries: &[Endpoint],
         now: f64,
     ) {
-        self.rules.slow_start.budget.record_list(now);
+        self.rules.slow_start.budget.record_endpoint_list(now);
         self.fleet.index.updates += 1;
         for entry in entries {
             self.apply_entry(entry, now);
@@ -22,18 +22,19 @@
         if kind.is_snapshot() {
             self.remove_unlisted(now);
         }
-        self.forget_unused(now);
+        self.remove_unused(now);
     }
 
+    /// Applies one entry of an update.
     fn apply_entry(&mut self, entry: &Endpoint, now: f64) {
         let index = &mut self.fleet.index;
         let backend = index.get_or_insert(entry.backend);
         backend.last_update.set(index.updates);
         if backend.is_indexed_as(entry) {
-            backend.describe(entry);
+            backend.apply_entry(entry);
         } else {
             index.remove_from_subsets(&backend);
-            backend.describe(entry);
+            backend.apply_entry(entry);
             self.reindex(&backend, now);
         }
         if backend.started_at.replace(entry.started_at) != entry.started_at {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Marks backends as not ready that the last update does not name.
+    /// Marks all backends that the last update does not contain as not ready.
     fn remove_unlisted(&mut self, now: f64) {
         let index = &self.fleet.index;
         let ready = index.subset(Subset::Ready).iter();
@@ -59,9 +60,10 @@
         }
     }
 
-    /// Removes backends that are not ready and not used any more; otherwise memory would grow with
-    /// every backend there ever was. A backend is kept while its slow-start window has attempts.
-    fn forget_unused(&mut self, now: f64) {
+    /// Removes backends that are neither ready nor in use; otherwise memory would grow with every
+    /// backend that was ever listed. A backend is kept while its slow-start window contains
+    /// attempts.
+    fn remove_unused(&mut self, now: f64) {
         let window = self.rules.slow_start.budget.window;
         let is_used = |backend: &Backend| {
             backend.in_flight.get() > 0 || backend.recent_attempts.count(now, window) > 0.0
@@ -72,17 +74,17 @@
             .cloned()
             .collect();
         for backend in unused {
-            self.health_checks.tokens.finish(&backend);
+            self.health_checks.tokens.finish_check(&backend);
             self.fleet.index.remove(&backend);
         }
     }
 
-    /// Indexes a backend in the subsets that follow from its description and its health.
+    /// Updates the index of a backend after its readiness, zone, cell or health has changed.
     pub(crate) fn reindex(&mut self, backend: &Rc<Backend>, now: f64) {
         self.fleet.index.update(backend, is_available(backend, now));
     }
 
-    /// Indexes all backends anew whose ejection or saturation has ended.
+    /// Updates the index of all backends whose ejection or saturation has ended.
     pub(crate) fn reindex_expired(&mut self, now: f64) {
         while let Some(backend) = self.fleet.index.next_expired(now) {
             self.reindex(&backend, now);
