--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -22,7 +22,8 @@
         proxy.advance(0.04);
         rejected += usize::from(proxy.platform.rpcs[&rpc].answers == [FinalAnswer::Rejected]);
     }
-    // Some are still sent to random backends, as the expected wait could not be updated otherwise.
+    // Some RPCs are still sent to random backends: without their responses the estimate of the wait would
+    // never be updated.
     assert!(
         rejected > 100,
         "all attempts time out behind eight others, but only {rejected} of 400 were rejected"
@@ -56,16 +57,18 @@
     let mut proxy = proxy_of(4, conf);
     let mut served = [0, 0];
     for round in 0..1200 {
-        // Tenant 0 keeps to its quota; tenant 1 keeps retrying what was rejected.
-        let first = round % 8 == 0;
-        let rpc = proxy.accept_as(0, 0.5, Some(usize::from(!first)), !first);
-        served[usize::from(!first)] += proxy.platform.rpcs[&rpc].attempts.len();
+        // Tenant 0 stays within its quota with first requests; tenant 1 sends seven times as many client
+        // retries.
+        let is_client_retry = round % 8 != 0;
+        let tenant = usize::from(is_client_retry);
+        let rpc = proxy.accept_as(0, 0.5, Some(tenant), is_client_retry);
+        served[tenant] += proxy.platform.rpcs[&rpc].attempts.len();
         proxy.end_all_attempts(AttemptOutcome::Succeeded, Some(2.0));
         proxy.advance(0.00625);
     }
     assert!(
         served[0] > 140,
-        "{served:?} served; of 150 first requests nearly all should be"
+        "served per tenant: {served:?}; tenant 0 sent 150 first requests"
     );
 }
 
@@ -81,7 +84,8 @@
     let mut sent = 0;
     let mut accepted = 0;
     for round in 0..1440 {
-        // Tenant 0 sends five together at three quarters of its quota; tenant 1 three times its own.
+        // Tenant 0 sends bursts of five RPCs, at three quarters of its quota on average. Tenant 1 sends three
+        // times its quota.
         for tenant in [1, 0, 0, 0, 0, 0]
             .into_iter()
             .take(if round % 160 == 50 { 6 } else { 1 })
@@ -99,8 +103,8 @@
     );
 }
 
-/// Each client uses a proxy of its own, and some proxies carry far more than others. All are within their
-/// tenant's quota.
+/// Each client keeps to one proxy, so some proxies receive far more RPCs than others. The quota applies to all
+/// proxies together, and a tenant within it must not be rejected at its busiest proxy.
 #[test]
 fn a_busy_proxy_is_not_limited_to_an_even_share_of_the_quota() {
     let tenants = vec![
@@ -123,25 +127,26 @@
     }
     assert_eq!(
         rejected, 0,
-        "at 25 times its even share, both tenants alike"
+        "both tenants send 25 times the proxy's even share of their quota"
     );
 }
 
-/// A method that is slow at every backend would take the capacity of the others. Most of its RPCs are
-/// rejected at once, the others are served, and it is admitted again soon after the fault has ended.
+/// A method that is slow at every backend would occupy the capacity that other methods need. Most of its RPCs
+/// are rejected at once, those of the other method are all served, and the slow method is admitted again soon
+/// after the fault has ended.
 #[test]
 fn a_method_that_is_slow_everywhere_is_throttled_and_admitted_again() {
     let mut conf = settings(&[Idempotency::Idempotent, Idempotency::NonIdempotent]);
     conf.can_health_check = false;
     conf.max_retry_after = 1.0;
     let mut proxy = proxy_of(20, conf);
-    let mut play = |rounds: usize, is_slow: bool| {
+    let mut run_rounds = |rounds: usize, is_slow: bool| {
         let mut served = 0;
         let mut sent = 0;
         for _ in 0..rounds {
             let other = proxy.accept(0, 0.5);
             let slow = proxy.accept(1, 0.5);
-            // An RPC that is not sent is rejected now, while its client can still retry.
+            // An RPC that is not sent must be rejected at once, while its client still has time to retry.
             let record = &proxy.platform.rpcs[&slow];
             assert!(!record.attempts.is_empty() || record.answers == [FinalAnswer::Rejected]);
             sent += usize::from(!record.attempts.is_empty());
@@ -155,16 +160,16 @@
         }
         (served, sent)
     };
-    assert_eq!(play(100, false), (100, 100));
-    play(50, true);
-    let (served, sent) = play(200, true);
+    assert_eq!(run_rounds(100, false), (100, 100));
+    run_rounds(50, true);
+    let (served, sent) = run_rounds(200, true);
     assert!(
         served == 200 && (1..50).contains(&sent),
-        "{served} of the other method served, {sent} sent of 200 of the slow one"
+        "of 200 RPCs each: {served} of the other method served, {sent} of the slow method sent"
     );
-    play(300, false);
-    assert_eq!(play(100, false), (100, 100), "the fault has ended");
-    proxy.check_rules().expect("the rules");
+    run_rounds(300, false);
+    assert_eq!(run_rounds(100, false), (100, 100), "the fault has ended");
+    proxy.check_rules().expect("no rule is violated");
 }
 
 /// Of four equal tenants only the one whose RPCs are slow is throttled.
@@ -180,8 +185,8 @@
         let rpc = proxy.accept_as(0, 0.5, Some(tenant), false);
         sent[tenant] += usize::from(round >= 400 && !proxy.platform.rpcs[&rpc].attempts.is_empty());
         proxy.advance(0.01);
-        let quick = |attempt: &AttemptInFlight| attempt.rpc % 4 != 3 || round < 200;
-        for attempt in proxy.attempts_in_flight().into_iter().filter(quick) {
+        let responds = |attempt: &AttemptInFlight| attempt.rpc % 4 != 3 || round < 200;
+        for attempt in proxy.attempts_in_flight().into_iter().filter(responds) {
             proxy.end_in_flight(attempt, AttemptOutcome::Succeeded, Some(1.0));
         }
     }
@@ -191,8 +196,8 @@
     );
 }
 
-/// One response in five is lost at every backend and times out. That is no load: the four others are
-/// quick, and rejecting them would help nobody.
+/// Every backend loses one response in five, and those attempts time out. This is no sign of overload, as the
+/// other attempts are answered quickly: load shedding would only reject RPCs that can be served.
 #[test]
 fn lost_responses_do_not_count_as_load() {
     let mut conf = settings(&[Idempotency::NonIdempotent]);
@@ -204,16 +209,16 @@
         let rpc = proxy.accept(0, 2.0);
         rejected += usize::from(proxy.platform.rpcs[&rpc].attempts.is_empty());
         proxy.advance(0.02);
-        let quick = |attempt: &AttemptInFlight| attempt.rpc % 5 != 4 || round < 100;
-        for attempt in proxy.attempts_in_flight().into_iter().filter(quick) {
+        let responds = |attempt: &AttemptInFlight| attempt.rpc % 5 != 4 || round < 100;
+        for attempt in proxy.attempts_in_flight().into_iter().filter(responds) {
             proxy.end_in_flight(attempt, AttemptOutcome::Succeeded, Some(4.0));
         }
     }
     assert!(rejected < 20, "{rejected} of 1000 rejected");
 }
 
-/// Where late responses have weight, a late RPC runs on until its deadline and delays those queued behind
-/// it.
+/// Where late responses have weight, an RPC that misses its latency objective runs on until its deadline and
+/// delays the RPCs queued behind it. The fallback to a random backend then needs twice the expected time.
 #[test]
 fn fallback_requires_more_time_where_late_responses_have_weight() {
     let rejected = |late_weight_fraction: f64| {
@@ -224,11 +229,11 @@
         let rpcs = proxy.drive(300, 0.11, |_| 2.0, |_| Some(AttemptOutcome::Succeeded));
         rpcs.iter().filter(|rpc| rpc.attempts.is_empty()).count()
     };
-    assert_eq!(rejected(0.0), 0, "0.11 s fit into 0.2 s");
-    assert!(rejected(0.2) > 50, "but not twice");
+    assert_eq!(rejected(0.0), 0, "0.11 s is within the objective of 0.2 s");
+    assert!(rejected(0.2) > 50, "twice 0.11 s exceeds the objective");
 }
 
-/// A proxy with three methods that differ in their priority weight, where health checks are impossible.
+/// Returns a proxy with three methods of different priority weights and without health checks.
 fn with_three_priority_weights() -> Proxy {
     let mut conf = settings(&[
         Idempotency::Idempotent,
@@ -243,10 +248,10 @@
     proxy_of(60, conf)
 }
 
-/// Accepts an RPC of each method in each round of 0.05 s. In rounds for which `is_answered` is true the
-/// attempts succeed, in the others all are rejected. Returns how many RPCs of each method were sent in the
-/// second half.
-fn rounds(proxy: &mut Proxy, rounds: usize, is_answered: impl Fn(usize) -> bool) -> [usize; 3] {
+/// Runs rounds of 0.05 s, each with one RPC of every method. Attempts succeed in rounds for which `is_answered`
+/// returns true, and are rejected in all others. Returns how many RPCs of each method were sent in the second
+/// half of the rounds.
+fn run_rounds(proxy: &mut Proxy, rounds: usize, is_answered: impl Fn(usize) -> bool) -> [usize; 3] {
     let mut sent = [0; 3];
     for round in 0..rounds {
         for method in [round, round + 1, round + 2].map(|n| n % 3) {
@@ -268,41 +273,41 @@
     sent
 }
 
-/// Overload must not affect the highest priority weight as much as the lowest.
+/// Under overload, RPCs with a lower priority weight are shed before those with a higher one.
 #[test]
 fn load_is_shed_from_the_lowest_priority_weight_first() {
     let mut proxy = with_three_priority_weights();
     assert_eq!(
-        rounds(&mut proxy, 40, |_| true),
+        run_rounds(&mut proxy, 40, |_| true),
         [20, 20, 20],
         "no overload"
     );
-    let [low, middle, high] = rounds(&mut proxy, 800, |round| round % 7 > 0);
+    let [low, middle, high] = run_rounds(&mut proxy, 800, |round| round % 7 > 0);
     assert!(
         high > 380 && middle < high && low < middle,
         "sent of 400 each: {low}, {middle}, {high}"
     );
     assert!(
         low > 20,
-        "sent of 400 each: {low}, {middle}, {high}: none is starved"
+        "sent of 400 each: {low}, {middle}, {high}: the lowest priority weight is starved"
     );
-    proxy.check_rules().expect("the rules");
+    proxy.check_rules().expect("no rule is violated");
 }
 
-/// A proxy with few RPCs must not reject all of them, as it would never see that the fault has ended.
+/// A proxy that rejected all RPCs would get no more responses and never learn that the fault has ended.
 #[test]
 fn a_method_that_is_shed_is_sampled_and_admitted_again_after_a_fault() {
     let mut proxy = with_three_priority_weights();
-    let sampled = rounds(&mut proxy, 800, |_| false).iter().sum::<usize>();
+    let sampled = run_rounds(&mut proxy, 800, |_| false).iter().sum::<usize>();
     assert!(
         (10..240).contains(&sampled),
         "{sampled} sent of 1200 while all backends reject"
     );
-    rounds(&mut proxy, 200, |_| true);
+    run_rounds(&mut proxy, 200, |_| true);
     assert_eq!(
-        rounds(&mut proxy, 100, |_| true),
+        run_rounds(&mut proxy, 100, |_| true),
         [50, 50, 50],
         "the fault has ended"
     );
-    proxy.check_rules().expect("the rules");
+    proxy.check_rules().expect("no rule is violated");
 }
