--- a/tests/apply_settings.rs
+++ b/tests/apply_settings.rs
@@ -1,10 +1,11 @@
 //! Changes of the settings at run time: new settings apply to RPCs that arrive later, and RPCs in flight keep
-//! their state.
+//! the state they were accepted with.
 mod common;
 use birchhub::interface::*;
 use common::{FinalAnswer, Proxy, endpoint, settings};
 use quickcheck::{Gen, QuickCheck};
 
+/// Index of the idempotent method in [`conf`].
 const IDEMPOTENT: usize = 0;
 
 fn conf() -> Settings {
@@ -21,7 +22,8 @@
     Proxy::new(conf, 7, &(0..6).map(endpoint).collect::<Vec<_>>())
 }
 
-fn all_kept(conf: &Settings) -> CarriedOver {
+/// Carries the state of every method and tenant over to the same index.
+fn carry_over_all(conf: &Settings) -> CarriedOver {
     let all = |n| (0..n).map(Some).collect();
     CarriedOver {
         methods: all(conf.methods.len()),
@@ -37,7 +39,7 @@
         .apply_settings(&conf, carried_over, &mut proxy.platform);
 }
 
-/// The methods and tenants of `conf` in reverse order.
+/// Returns `conf` with its methods and tenants in reverse order, and where their state moves to.
 fn reversed(mut conf: Settings) -> (Settings, CarriedOver) {
     conf.methods.reverse();
     conf.tenants.reverse();
@@ -49,29 +51,30 @@
     (conf, carried_over)
 }
 
-/// Two equal proxies make the same attempts although the same settings are applied to one of them again and
-/// again, also in another order.
-fn reapplied_settings_change_no_attempt(moves: Vec<(u8, u8, u8)>) -> bool {
-    let mut one = fleet(conf());
-    let mut other = fleet(conf());
+/// Property: two proxies with the same inputs make the same attempts, although the settings of one of them are
+/// applied again at random times, partly with methods and tenants in reverse order. A step is its kind, a
+/// selector for that kind, and a delay in units of 2 ms.
+fn reapplied_settings_change_no_attempt(steps: Vec<(u8, u8, u8)>) -> bool {
+    let mut reference = fleet(conf());
+    let mut reconfigured = fleet(conf());
     let mut is_reversed = false;
-    for (what, which, gap) in moves {
-        let method = usize::from(which) % 2;
-        let tenant = usize::from(which / 2) % 2;
-        match what % 6 {
+    for (kind, selector, delay) in steps {
+        let method = usize::from(selector) % 2;
+        let tenant = usize::from(selector / 2) % 2;
+        match kind % 6 {
             0 | 1 => {
-                one.accept_as(method, 0.5, Some(tenant), which > 200);
-                let place = |n: usize| if is_reversed { 1 - n } else { n };
-                other.accept_as(place(method), 0.5, Some(place(tenant)), which > 200);
+                reference.accept_as(method, 0.5, Some(tenant), selector > 200);
+                let index = |n: usize| if is_reversed { 1 - n } else { n };
+                reconfigured.accept_as(index(method), 0.5, Some(index(tenant)), selector > 200);
             }
             2 => {
-                let conf = other.platform.settings.clone();
-                let carried_over = all_kept(&conf);
-                apply_settings(&mut other, conf, &carried_over);
+                let conf = reconfigured.platform.settings.clone();
+                let carried_over = carry_over_all(&conf);
+                apply_settings(&mut reconfigured, conf, &carried_over);
             }
             3 => {
-                let (conf, carried_over) = reversed(other.platform.settings.clone());
-                apply_settings(&mut other, conf, &carried_over);
+                let (conf, carried_over) = reversed(reconfigured.platform.settings.clone());
+                apply_settings(&mut reconfigured, conf, &carried_over);
                 is_reversed = !is_reversed;
             }
             4 => {
@@ -80,19 +83,19 @@
                     AttemptOutcome::Succeeded,
                     AttemptOutcome::Reset,
                     AttemptOutcome::Rejected,
-                ][usize::from(which) % 4];
-                one.end_all_attempts(outcome, Some(f64::from(which % 3)));
-                other.end_all_attempts(outcome, Some(f64::from(which % 3)));
+                ][usize::from(selector) % 4];
+                reference.end_all_attempts(outcome, Some(f64::from(selector % 3)));
+                reconfigured.end_all_attempts(outcome, Some(f64::from(selector % 3)));
             }
             _ => {
-                for proxy in [&mut one, &mut other] {
+                for proxy in [&mut reference, &mut reconfigured] {
                     proxy.complete_health_checks(AttemptOutcome::Succeeded, |b| f64::from(b % 3));
-                    proxy.advance(f64::from(gap) / 500.0);
+                    proxy.advance(f64::from(delay) / 500.0);
                 }
             }
         }
         let rpcs = |proxy: &Proxy| format!("{:?}", proxy.platform.rpcs);
-        if rpcs(&one) != rpcs(&other) || other.check_rules().is_err() {
+        if rpcs(&reference) != rpcs(&reconfigured) || reconfigured.check_rules().is_err() {
             return false;
         }
     }
@@ -107,7 +110,8 @@
     check.quickcheck(reapplied_settings_change_no_attempt as fn(_) -> bool);
 }
 
-/// An RPC keeps the idempotency with which it was accepted; the next RPC has the new one.
+/// An RPC is retried by the idempotency of its method at the time it was accepted; only later RPCs use the new
+/// value.
 #[test]
 fn an_rpc_keeps_the_idempotency_it_was_accepted_with() {
     let mut proxy = fleet(Settings {
@@ -117,19 +121,20 @@
     });
     proxy.drive(60, 0.02, |_| 1.0, |_| Some(AttemptOutcome::Succeeded));
     let earlier = proxy.accept(IDEMPOTENT, 0.5);
-    let mut other = proxy.platform.settings.clone();
-    other.methods[IDEMPOTENT].idempotency = Idempotency::NonIdempotent;
-    let carried_over = all_kept(&other);
-    apply_settings(&mut proxy, other, &carried_over);
+    let mut changed = proxy.platform.settings.clone();
+    changed.methods[IDEMPOTENT].idempotency = Idempotency::NonIdempotent;
+    let carried_over = carry_over_all(&changed);
+    apply_settings(&mut proxy, changed, &carried_over);
     let next = proxy.accept(IDEMPOTENT, 0.5);
     proxy.end_all_attempts(AttemptOutcome::Reset, None);
     let attempts = |rpc: u64| proxy.platform.rpcs[&rpc].attempts.len();
     assert_eq!((attempts(earlier), attempts(next)), (2, 1));
     assert_eq!(proxy.platform.rpcs[&next].answers, [FinalAnswer::Failed]);
-    proxy.check_rules().expect("no rule broken");
+    proxy.check_rules().expect("no rule is violated");
 }
 
-/// Attempts that a backend in slow start was sent still count after new settings.
+/// Applying settings must not reset the slow-start budget: attempts that were sent to a backend before still
+/// count.
 #[test]
 fn used_slow_start_budget_is_kept_when_settings_change() {
     let sent_before_and_after = |carried_over: Option<CarriedOver>| {
@@ -154,20 +159,20 @@
         }
         (before, proxy.attempts_in_flight().len() - before)
     };
-    let (spent, more) = sent_before_and_after(Some(CarriedOver {
+    let (before, after) = sent_before_and_after(Some(CarriedOver {
         methods: vec![Some(0)],
         tenants: vec![],
     }));
     assert!(
-        spent > 0 && more == 0,
-        "{spent} sent, then {more} more at the same time"
+        before > 0 && after == 0,
+        "{before} sent, then {after} more at the same time"
     );
-    assert_eq!(sent_before_and_after(None), (spent, more));
+    assert_eq!(sent_before_and_after(None), (before, after));
 }
 
-/// Returns how many of 100 RPCs are sent that a tenant issues in a tenth of a second; the rest of the second
-/// passes.
-fn served(proxy: &mut Proxy, tenant: usize) -> usize {
+/// Accepts 100 RPCs of a tenant within 0.1 s, lets the rest of the second pass and returns how many of them
+/// were sent.
+fn served_in_a_second(proxy: &mut Proxy, tenant: usize) -> usize {
     let sent_rpcs = |proxy: &Proxy| {
         proxy
             .platform
@@ -186,7 +191,7 @@
     sent_rpcs(proxy) - before
 }
 
-/// A changed quota applies at once, and earlier use of it counts.
+/// A changed quota applies at once, and earlier RPCs of the tenant still count towards it.
 #[test]
 fn a_changed_quota_binds_at_once() {
     let quotas = |all: &[f64]| Settings {
@@ -197,26 +202,26 @@
         can_health_check: false,
         ..settings(&[Idempotency::Idempotent])
     };
-    // The other tenant sends nothing, so its quota may be borrowed.
+    // The other tenant sends no RPCs, so this one may borrow from its quota.
     let mut proxy = fleet(quotas(&[10.0, 10.0]));
     let same = CarriedOver {
         methods: vec![Some(0)],
         tenants: vec![Some(0), Some(1)],
     };
-    served(&mut proxy, 0);
-    let usual = served(&mut proxy, 0);
+    served_in_a_second(&mut proxy, 0);
+    let usual = served_in_a_second(&mut proxy, 0);
     assert!(
         (5..40).contains(&usual),
         "{usual} of 100 a second served at a quota of 10"
     );
     apply_settings(&mut proxy, quotas(&[10.0, 10.0]), &same);
-    let again = served(&mut proxy, 0);
+    let again = served_in_a_second(&mut proxy, 0);
     assert!(
         again <= usual + 5,
         "{again} served after the same settings, {usual} before"
     );
     apply_settings(&mut proxy, quotas(&[1000.0, 10.0]), &same);
-    assert_eq!(served(&mut proxy, 0), 100);
+    assert_eq!(served_in_a_second(&mut proxy, 0), 100);
     apply_settings(
         &mut proxy,
         quotas(&[10.0, 10.0]),
@@ -225,7 +230,7 @@
             ..same
         },
     );
-    let moved = served(&mut proxy, 1);
+    let moved = served_in_a_second(&mut proxy, 1);
     assert!(
         moved < 40,
         "{moved} served at a quota of 10 again, under another index"
