--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -218,7 +218,8 @@
 }
 
 /// Where late responses have weight, an RPC that misses its latency objective runs on until its deadline and
-/// delays the RPCs queued behind it. The fallback to a random backend then needs twice the expected time.
+/// delays the RPCs queued behind it. The fallback to a random backend then requires a larger multiple of the
+/// expected wait.
 #[test]
 fn fallback_requires_more_time_where_late_responses_have_weight() {
     let rejected = |late_weight_fraction: f64| {
