--- a/tests/endpoint_choice.rs
+++ b/tests/endpoint_choice.rs
@@ -9,58 +9,59 @@
 
 #[test]
 fn a_quick_failure_does_not_look_idle() {
-    let bad = |b: u32| {
+    let outcome = |b: u32| {
         if b == 2 {
             AttemptOutcome::Failed
         } else {
             AttemptOutcome::Succeeded
         }
     };
-    let rpcs = without_health_checks(4).drive(200, 0.01, |b| f64::from(b != 2), |b| Some(bad(b)));
-    let to_bad = rpcs.iter().filter(|r| r.attempts[0].backend == 2).count();
+    let rpcs =
+        without_health_checks(4).drive(200, 0.01, |b| f64::from(b != 2), |b| Some(outcome(b)));
+    let to_failing = rpcs.iter().filter(|r| r.attempts[0].backend == 2).count();
     assert!(
-        (1..6).contains(&to_bad),
-        "{to_bad} of 200 went to the one that fails at once"
+        (1..6).contains(&to_failing),
+        "{to_failing} of 200 RPCs went to the backend that fails at once"
     );
 }
 
-/// Where health checks are expensive, random choices fill some backends while others are idle. A response
-/// shows that its backend has capacity again.
+/// Where health checks are too expensive, a random choice of the backend overloads some while others are idle.
+/// A response shows that its backend has free capacity, so the backend enters the idle queue.
 #[test]
 fn a_response_puts_its_backend_into_the_idle_queue_where_health_checks_are_expensive() {
     let mut proxy = with_expensive_health_checks(60);
-    let served_by = |proxy: &mut Proxy, outcome| {
+    let run_rpc = |proxy: &mut Proxy, outcome| {
         let rpc = proxy.accept(0, 0.5);
         proxy.advance(0.05);
         let sent = proxy.platform.rpcs[&rpc].attempts.clone();
         proxy.end_attempt(rpc, sent.len() - 1, outcome, None);
         sent.last().expect("an attempt").backend
     };
-    let first = served_by(&mut proxy, AttemptOutcome::Succeeded);
+    let first = run_rpc(&mut proxy, AttemptOutcome::Succeeded);
     for _ in 0..20 {
         assert_eq!(
-            served_by(&mut proxy, AttemptOutcome::Succeeded),
+            run_rpc(&mut proxy, AttemptOutcome::Succeeded),
             first,
-            "its place there is free again"
+            "the backend that has just responded is idle"
         );
     }
-    served_by(&mut proxy, AttemptOutcome::TimedOut);
+    run_rpc(&mut proxy, AttemptOutcome::TimedOut);
     let others = (0..5)
-        .filter(|_| served_by(&mut proxy, AttemptOutcome::TimedOut) != first)
+        .filter(|_| run_rpc(&mut proxy, AttemptOutcome::TimedOut) != first)
         .count();
     assert!(
         others >= 4,
-        "a failure takes the backend out of the idle queue, but only {others} of 5 went elsewhere"
+        "a timeout removes the backend from the idle queue, but only {others} of 5 RPCs went elsewhere"
     );
 }
 
-/// Proxies that each use all known backends in turn collide at each of them. With the quickest first, each
-/// proxy keeps to few backends.
+/// If every proxy used all backends it knows in turn, the proxies would collide at all of them. With the
+/// quickest backend first, each proxy keeps to a few.
 #[test]
 fn the_quickest_backend_is_first_in_an_idle_queue_filled_by_responses() {
     let mut proxy = with_expensive_health_checks(12);
     let time = |backend: u32| 0.02 + 0.01 * f64::from(backend);
-    // Six RPCs at once, so that six backends are known.
+    // Six concurrent RPCs, so that six backends respond and enter the idle queue.
     for _ in 0..6 {
         proxy.accept(0, 0.5);
     }
@@ -79,19 +80,19 @@
         proxy.end_attempt(rpc, 0, AttemptOutcome::Succeeded, None);
         sent.push(backend);
     }
-    let best = known.iter().min().expect("some");
+    let quickest = known.iter().min().expect("six backends");
     assert!(
-        sent[20..].iter().all(|b| b == best),
-        "{sent:?}: of {known:?} the first is the quickest"
+        sent[20..].iter().all(|b| b == quickest),
+        "{sent:?}: of {known:?} backend {quickest} is the quickest"
     );
 }
 
-/// Without health checks an entry of the idle queue must outlast the time between two RPCs of a proxy;
-/// otherwise all its attempts would go to random backends.
+/// Without health checks an entry of the idle queue must stay valid for longer than the time between two RPCs
+/// of a proxy; otherwise all its attempts would go to random backends.
 #[test]
 fn a_low_load_report_in_a_response_stays_valid_without_health_checks() {
     let mut proxy = without_health_checks(60);
-    let mut served_by = |reported_load: f64| {
+    let mut run_rpc = |reported_load: f64| {
         let rpc = proxy.accept(0, 0.5);
         proxy.advance(0.05);
         proxy.end_attempt(rpc, 0, AttemptOutcome::Succeeded, Some(reported_load));
@@ -99,29 +100,30 @@
         proxy.platform.rpcs[&rpc].attempts[0].backend
     };
     for _ in 0..3 {
-        served_by(4.0);
+        run_rpc(4.0);
     }
-    let lightly_loaded = served_by(1.0);
+    let lightly_loaded = run_rpc(1.0);
     assert_eq!(
-        served_by(9.0),
+        run_rpc(9.0),
         lightly_loaded,
-        "a second later it is still in the idle queue"
+        "the entry was invalid after one second"
     );
     assert_ne!(
-        served_by(9.0),
+        run_rpc(9.0),
         lightly_loaded,
-        "with nine RPCs it is not idle"
+        "a backend that reported nine RPCs is not idle"
     );
 }
 
-/// Half of the backends report that they are idle but are slow, the others report that they are busy but
-/// are quick. Such reports (late, stale or untrue) are ignored, and responses fill the idle queue.
+/// Half of the backends report that they are idle but respond slowly, the others report that they are busy but
+/// respond quickly. Such reports (late, stale or false) are ignored, and responses fill the idle queue instead.
 #[test]
 fn load_reports_that_contradict_response_times_are_ignored() {
     let mut proxy = without_health_checks(10);
     let reports_falsely_idle = |backend: u32| backend < 5;
-    let mut later = Vec::new();
-    // Ten RPCs arrive at once, so that some go to backends that report that they are busy; then five.
+    let mut counted = Vec::new();
+    // Rounds alternate between ten and five concurrent RPCs. Of ten, some must go to backends that report that
+    // they are busy; only the rounds of five are counted.
     for round in 0..100 {
         let rpcs: Vec<_> = (0..if round % 2 == 0 { 10 } else { 5 })
             .map(|_| proxy.accept(0, 0.5))
@@ -137,14 +139,14 @@
             };
             proxy.advance((started_at + duration - proxy.platform.now).max(0.0));
             proxy.end_in_flight(attempt, AttemptOutcome::Succeeded, Some(load));
-            later.extend((round >= 50 && round % 2 == 1).then_some(attempt.backend));
+            counted.extend((round >= 50 && round % 2 == 1).then_some(attempt.backend));
         }
         assert!(
             rpcs.iter()
                 .all(|rpc| proxy.platform.rpcs[rpc].answers == [FinalAnswer::Succeeded])
         );
     }
-    let to_slow = later
+    let to_slow = counted
         .iter()
         .filter(|backend| reports_falsely_idle(**backend))
         .count();
@@ -155,7 +157,7 @@
 }
 
 #[test]
-fn fallback_stays_in_the_own_zone_where_crossing_zones_is_expensive() {
+fn fallback_prefers_the_own_zone_where_crossing_zones_is_expensive() {
     for (cross_zone_cost, expected) in [(0.04, 270..301), (0.0, 60..150)] {
         let conf = Settings {
             cross_zone_cost,
@@ -171,16 +173,17 @@
             .count();
         assert!(
             expected.contains(&in_zone),
-            "{in_zone} of 300 stayed in the zone at a cost of {cross_zone_cost}"
+            "{in_zone} of 300 RPCs stayed in the zone at a cross-zone cost of {cross_zone_cost}"
         );
     }
 }
 
-/// A backend that rejects an attempt has no capacity until an RPC there ends. It must not be tried all the
-/// time, and one in slow start must not be overloaded by attempts that it rejects, as these end at once.
+/// A backend that rejects an attempt has no capacity until one of its RPCs ends, so it must not be tried again
+/// at once. Rejected attempts end immediately and so never count as in flight; without the pause they would
+/// overload a backend in slow start.
 #[test]
 fn a_backend_that_rejected_an_attempt_counts_as_saturated_for_a_while() {
-    let attempts = |started: Option<f64>| {
+    let attempts = |age: Option<f64>| {
         let conf = Settings {
             can_health_check: false,
             max_attempts: 5,
@@ -189,12 +192,12 @@
         let mut proxy = proxy_of(4, conf);
         proxy.drive(100, 0.05, |_| 1.0, |_| Some(AttemptOutcome::Succeeded));
         let now = proxy.platform.now;
-        // Enough RPCs are in flight to use any free capacity.
+        // Long RPCs occupy all backends, so that free capacity is used at once.
         (0..12).for_each(|_| _ = proxy.accept(0, 9.0));
         proxy.update_endpoints(
             EndpointUpdateKind::Incremental,
             &[Endpoint {
-                started_at: started.map(|age| now - age),
+                started_at: age.map(|age| now - age),
                 ..endpoint(0)
             }],
         );
@@ -220,18 +223,19 @@
     let slow_start = attempts(Some(0.5));
     assert!(
         (10..80).contains(&warm),
-        "{warm} attempts in a second at a backend with one free place every 0.05 s"
+        "{warm} attempts in a second at a warm backend that completes an RPC every 0.05 s"
     );
     assert!(
         (2..45).contains(&slow_start),
-        "{slow_start} attempts at one in slow start"
+        "{slow_start} attempts in a second at a backend in slow start"
     );
 }
 
-/// A key must not be spread over the whole fleet, as no cell would have it cached.
+/// All proxies must send a key to the same few cells; spread over the whole fleet, it would rarely be cached
+/// where it is needed.
 #[test]
 fn a_key_goes_to_the_same_cells_from_every_proxy() {
-    let mut spread = BTreeSet::new();
+    let mut all_cells = BTreeSet::new();
     for key in 0..30 {
         let mut cells = BTreeSet::new();
         for seed in 0..6 {
@@ -249,46 +253,53 @@
             (1..=3).contains(&cells.len()),
             "key {key} went to cells {cells:?}"
         );
-        spread.extend(cells);
+        all_cells.extend(cells);
     }
-    assert!(spread.len() >= 8, "of ten cells only {spread:?} have keys");
+    assert!(
+        all_cells.len() >= 8,
+        "of ten cells only {all_cells:?} receive keys"
+    );
 }
 
-/// A request whose body is still arriving is no work for its backend.
+/// An RPC whose request body is still arriving puts no load on its backend.
 #[test]
 fn a_slow_upload_does_not_make_its_backend_look_busy() {
     let mut proxy = proxy_of(2, settings(&[Idempotency::Idempotent]));
-    let long = proxy.accept_streaming();
+    let upload = proxy.accept_streaming();
     proxy
         .platform
         .rpcs
-        .get_mut(&long)
+        .get_mut(&upload)
         .expect("an accepted RPC")
         .is_streaming = true; // no timeout applies yet
     proxy.complete_health_checks(AttemptOutcome::Succeeded, |_| 0.0);
     proxy.advance(0.05);
-    let slow = proxy.platform.rpcs[&long].attempts[0].backend;
+    let uploading_backend = proxy.platform.rpcs[&upload].attempts[0].backend;
     for _ in 0..20 {
         let rpc = proxy.accept(0, 0.5);
         proxy.complete_health_checks(AttemptOutcome::Succeeded, |backend| {
-            if backend == slow { 0.0 } else { 1.0 }
+            if backend == uploading_backend {
+                0.0
+            } else {
+                1.0
+            }
         });
         proxy.advance(0.05);
         assert_eq!(
-            proxy.platform.rpcs[&rpc].attempts[0].backend, slow,
-            "it is the idle one"
+            proxy.platform.rpcs[&rpc].attempts[0].backend, uploading_backend,
+            "the backend of the upload reports that it is idle"
         );
         for attempt in proxy
             .attempts_in_flight()
             .into_iter()
-            .filter(|attempt| attempt.rpc != long)
+            .filter(|attempt| attempt.rpc != upload)
         {
             proxy.end_in_flight(attempt, AttemptOutcome::Succeeded, Some(0.0));
         }
     }
 }
 
-/// The time that a client takes to read a response does not count for the backend.
+/// The time that a client takes to read a response does not count as response time of the backend.
 #[test]
 fn a_slow_download_does_not_make_its_backend_look_slow() {
     let mut proxy = proxy_of(
@@ -315,6 +326,6 @@
     assert_eq!(
         proxy.platform.rpcs[&rpc].attempts.len(),
         1,
-        "0.02 s to its first byte fit"
+        "responses start after 0.02 s, which is within the latency objective"
     );
 }
