--- a/tests/endpoint_choice.rs
+++ b/tests/endpoint_choice.rs
@@ -223,7 +223,7 @@
     let slow_start = attempts(Some(0.5));
     assert!(
         (10..80).contains(&warm),
-        "{warm} attempts in a second at a warm backend that completes an RPC every 0.05 s"
+        "{warm} attempts in a second at a warm backend with capacity for one more RPC every 0.05 s"
     );
     assert!(
         (2..45).contains(&slow_start),
