--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -1,4 +1,4 @@
-//! When health checks are sent, and what their outcomes change.
+//! When health checks are sent, and the effect of their outcomes.
 mod common;
 use birchhub::interface::*;
 use common::{load_report, proxy_of, settings, with_key_affinity};
@@ -22,12 +22,13 @@
         Some(idle),
         &mut proxy.platform,
     );
+    // Both reports describe the same idle backend, which the first RPC makes busy.
     let first = proxy.accept(0, 0.5);
     let second = proxy.accept(0, 0.5);
     assert_eq!(proxy.platform.rpcs[&first].attempts[0].backend, 3);
     assert!(
         proxy.platform.rpcs[&second].attempts.is_empty(),
-        "the second waits for a report"
+        "the second RPC must wait for another report"
     );
 }
 
@@ -44,11 +45,11 @@
     let health_checks = proxy.platform.health_checks_sent;
     assert!(
         health_checks <= 60 * 3 + 3,
-        "{health_checks} health checks for 60 RPCs at a cost that allows 3 each"
+        "{health_checks} health checks for 60 RPCs, at a cost that allows 3 for each RPC"
     );
 }
 
-/// A health check that this proxy could not send tells nothing about the backend.
+/// A health check that this proxy failed to send says nothing about the backend.
 #[test]
 fn a_health_check_that_was_not_sent_ejects_no_backend() {
     let mut proxy = proxy_of(4, settings(&[Idempotency::Idempotent]));
@@ -62,11 +63,11 @@
     }
     assert!(
         sent[39] > sent[20] + 10,
-        "too few backends are left for health checks: {sent:?}"
+        "backends were ejected, as too few health checks are sent: {sent:?}"
     );
 }
 
-/// A backend accepts few health checks at a time: if it rejects one it is busy, not faulty.
+/// A backend accepts only a few health checks at a time: one that rejects a health check is busy, not faulty.
 #[test]
 fn a_rejected_health_check_ejects_no_backend() {
     let mut proxy = with_key_affinity(1);
@@ -80,17 +81,17 @@
     proxy.accept_with_key(1);
     assert!(
         proxy.platform.health_checks_sent > before,
-        "no backend of the key's cells is left for a health check"
+        "all backends of the key's cells are ejected"
     );
 }
 
-/// Where responses carry load reports, a health check would bring nothing newer.
+/// Where responses carry load reports that include the queue, a health check would provide nothing newer.
 #[test]
 fn no_health_check_is_sent_where_responses_report_the_queue() {
-    let sent = |reports, reports_queue| {
+    let sent = |load_report_source, reports_include_queue| {
         let conf = Settings {
-            load_report_source: reports,
-            reports_include_queue: reports_queue,
+            load_report_source,
+            reports_include_queue,
             ..settings(&[Idempotency::Idempotent])
         };
         let mut proxy = proxy_of(10, conf);
@@ -100,15 +101,15 @@
     assert_eq!(sent(LoadReportSource::Responses, true), 0);
     assert!(
         sent(LoadReportSource::Responses, false) > 10,
-        "the duration of a health check tells the queue"
+        "the duration of a health check shows the length of the queue"
     );
     assert!(
         sent(LoadReportSource::HealthChecks, true) > 10,
-        "nothing else reports load"
+        "only health checks report load"
     );
 }
 
-/// Where all backends report low load, a health check finds no better one than a random choice does.
+/// Where all backends report low load, a health check finds no better backend than a random choice does.
 #[test]
 fn few_health_checks_are_sent_where_all_backends_report_low_load() {
     let sent = |load: fn(u32) -> f64| {
@@ -122,12 +123,12 @@
     let mixed = sent(|backend| f64::from(backend % 3));
     assert!(
         all_low < 8 && mixed > 15,
-        "{all_low} health checks for 100 RPCs where all report 0, {mixed} where not"
+        "health checks for 100 RPCs: {all_low} where all backends report a load of 0, {mixed} where loads differ"
     );
 }
 
-/// A utilisation is 1 however many RPCs are queued and tells nothing; the first health check to return has
-/// waited least.
+/// The utilisation of a saturated backend is 1 however many RPCs are queued, so it can not tell two of them
+/// apart. The first health check to return has waited in the shortest queue.
 #[test]
 fn the_first_health_check_to_return_gets_the_rpc_whatever_the_utilisation() {
     let mut proxy = with_key_affinity(3);
