--- a/tests/keyed_order.rs
+++ b/tests/keyed_order.rs
@@ -33,7 +33,7 @@
     conf
 }
 
-/// Returns a proxy with eight backends that has completed RPCs to all of them.
+/// Returns a proxy with eight backends that has completed 60 RPCs.
 fn warmed_up_proxy(conf: Settings) -> Proxy {
     let mut proxy = Proxy::new(conf, 7, &(0..8).map(endpoint).collect::<Vec<_>>());
     // These RPCs provide an estimate of the service time and fill the retry budget.
