--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -3,6 +3,7 @@
 use birchhub::interface::*;
 use common::{FinalAnswer, proxy_of, settings};
 
+/// With 60 backends each of them responds rarely, but the responses of all together must fill the retry budget.
 #[test]
 fn the_retry_budget_grows_where_each_backend_responds_rarely() {
     let mut proxy = proxy_of(
@@ -12,16 +13,16 @@
             ..settings(&[Idempotency::Idempotent])
         },
     );
-    let mut failed = 0;
-    let mut retried = 0;
+    let mut failures = 0;
+    let mut retries = 0;
     for round in 0..340 {
         let rpc = proxy.accept(0, 0.5);
         proxy.advance(0.1);
-        // Every twentieth attempt fails, then all do: an outage must not cause a retry storm.
+        // Every twentieth attempt fails; from round 300 on all do, and that outage must not cause a retry storm.
         if round % 20 == 19 || round >= 300 {
-            failed += usize::from(round < 300);
+            failures += usize::from(round < 300);
             proxy.end_attempt(rpc, 0, AttemptOutcome::Failed, None);
-            retried += usize::from(proxy.platform.rpcs[&rpc].attempts.len() > 1);
+            retries += usize::from(proxy.platform.rpcs[&rpc].attempts.len() > 1);
         }
         if round < 300 {
             proxy.end_all_attempts(AttemptOutcome::Succeeded, Some(2.0));
@@ -29,21 +30,22 @@
         proxy.end_all_attempts(AttemptOutcome::Failed, None);
     }
     assert!(
-        (failed - 3..failed + 5).contains(&retried),
-        "{retried} retries for {failed} failures and an outage"
+        (failures - 3..failures + 5).contains(&retries),
+        "{retries} retries for {failures} single failures and an outage"
     );
 }
 
-/// A lost zone, or backends with full queues, fail more RPCs at once than the retry budget allows, and none
-/// of them was executed.
+/// When a zone is lost or queues are full, more attempts fail at once than the retry budget allows to retry.
+/// None of these was executed, so their retries add no load and need no budget.
 #[test]
 fn an_attempt_that_cannot_have_run_is_retried_without_retry_budget() {
     for outcome in [AttemptOutcome::ConnectFailed, AttemptOutcome::Rejected] {
-        check_retries_where_half_of_the_backends_end_attempts_with(outcome);
+        check_retries_where_half_of_the_backends_fail_with(outcome);
     }
 }
 
-fn check_retries_where_half_of_the_backends_end_attempts_with(outcome: AttemptOutcome) {
+/// Checks that nearly all RPCs succeed where every attempt at half of the backends has this outcome.
+fn check_retries_where_half_of_the_backends_fail_with(outcome: AttemptOutcome) {
     let conf = Settings {
         max_attempts: 5,
         can_health_check: false,
@@ -51,7 +53,7 @@
     };
     let mut proxy = proxy_of(60, conf);
     let mut failed_attempts = 0;
-    let mut lost_rpcs = 0;
+    let mut failed_rpcs = 0;
     for _ in 0..60 {
         let rpc = proxy.accept(0, 0.5);
         while let Some(attempt) = proxy.attempts_in_flight().pop() {
@@ -64,7 +66,7 @@
             };
             proxy.end_in_flight(attempt, outcome, Some(1.0));
         }
-        lost_rpcs += usize::from(proxy.platform.rpcs[&rpc].answers != [FinalAnswer::Succeeded]);
+        failed_rpcs += usize::from(proxy.platform.rpcs[&rpc].answers != [FinalAnswer::Succeeded]);
         proxy.advance(0.05);
     }
     assert!(
@@ -72,13 +74,13 @@
         "only {failed_attempts} attempts went to the failing half"
     );
     assert!(
-        lost_rpcs <= 3,
-        "{outcome:?}: {lost_rpcs} of 60 RPCs failed though half of the backends respond"
+        failed_rpcs <= 3,
+        "{outcome:?}: {failed_rpcs} of 60 RPCs failed although half of the backends respond"
     );
-    proxy.check_rules().expect("the rules");
+    proxy.check_rules().expect("no rule is violated");
 }
 
-/// A request that is too long to be buffered can not be sent to a second backend.
+/// A request that exceeds the retry buffer can not be sent to a second backend.
 #[test]
 fn an_rpc_that_cannot_be_sent_again_is_rejected() {
     let mut proxy = proxy_of(3, settings(&[Idempotency::NonIdempotent]));
