--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,9 +1,10 @@
-//! The decisions against the model of the rules, on generated inputs.
+//! Checks the decisions against the model of the rules, on generated inputs.
 mod common;
 use birchhub::interface::*;
 use common::{Proxy, endpoint, settings};
 use quickcheck::{Arbitrary, Gen};
 
+/// The idempotency of each method.
 const IDEMPOTENCY: [Idempotency; 5] = [
     Idempotency::Idempotent,
     Idempotency::NonIdempotent,
@@ -20,6 +21,7 @@
         window: 0.08,
     },
 ];
+/// Outcomes that attempts and health checks end with. Success is listed twice, to make it more frequent.
 const OUTCOMES: [AttemptOutcome; 9] = [
     AttemptOutcome::Succeeded,
     AttemptOutcome::Succeeded,
@@ -35,41 +37,46 @@
 /// One generated step: one of sixteen kinds of input, a selector for that kind, and a size of 16 bits.
 type Step = (u8, u8, u16);
 
+/// Number of backends that the steps choose from.
 const BACKENDS: u32 = 8;
 
-fn accept_rpc(proxy: &mut Proxy, which: usize, size: f64) {
-    // With few keys most RPCs have others of their key ahead of them; some RPCs have no key.
-    let key = Some(which as u64 / 5 % 4).filter(|key| *key > 0);
+/// Accepts an RPC; the size sets its deadline.
+fn accept_rpc(proxy: &mut Proxy, selector: usize, size: f64) {
+    // With only three keys, most RPCs queue behind others with their key; some RPCs have no key.
+    let key = Some(selector as u64 / 5 % 4).filter(|key| *key > 0);
     proxy.accept_rpc(IncomingRpc {
-        method: which % IDEMPOTENCY.len(),
+        method: selector % IDEMPOTENCY.len(),
         deadline: 0.001 + size * 0.6,
         key,
         ..IncomingRpc::default()
     });
 }
 
-fn end_an_attempt(proxy: &mut Proxy, which: usize, size: f64) {
+/// Ends an attempt in flight, if there is one; the size sets its outcome and the reported load.
+fn end_an_attempt(proxy: &mut Proxy, selector: usize, size: f64) {
     let in_flight = proxy.attempts_in_flight();
-    if let Some(attempt) = in_flight.get(which % in_flight.len().max(1)) {
+    if let Some(attempt) = in_flight.get(selector % in_flight.len().max(1)) {
         let outcome = OUTCOMES[(size * 8.99) as usize];
         let load = (size * 40.0).round() % 4.0;
         proxy.end_in_flight(*attempt, outcome, Some(load));
     }
 }
 
-fn change_an_endpoint(proxy: &mut Proxy, which: usize, size: f64) {
+/// Delivers a changed entry of the endpoint list; the size sets its readiness.
+fn change_an_endpoint(proxy: &mut Proxy, selector: usize, size: f64) {
     let readiness =
         [Readiness::Ready, Readiness::Draining, Readiness::Removed][(size * 2.99) as usize];
     let changed = Endpoint {
         readiness,
-        started_at: Some(proxy.platform.now).filter(|_| which.is_multiple_of(2)),
-        ..endpoint(which as u32 % BACKENDS)
+        started_at: Some(proxy.platform.now).filter(|_| selector.is_multiple_of(2)),
+        ..endpoint(selector as u32 % BACKENDS)
     };
     proxy.update_endpoints(EndpointUpdateKind::Incremental, &[changed]);
 }
 
-fn replace_the_list(proxy: &mut Proxy, which: usize, size: f64) {
-    let is_listed = |backend: &u32| which >> backend & 1 == 1;
+/// Delivers a complete endpoint list; the bits of the selector tell which backends it contains.
+fn replace_endpoint_list(proxy: &mut Proxy, selector: usize, size: f64) {
+    let is_listed = |backend: &u32| selector >> backend & 1 == 1;
     let listed: Vec<_> = (0..BACKENDS).filter(is_listed).map(endpoint).collect();
     let kind = if size < 0.8 {
         EndpointUpdateKind::Snapshot
@@ -79,9 +86,9 @@
     proxy.update_endpoints(kind, &listed);
 }
 
-/// The client of an RPC disconnects, or the RPC's response starts.
-fn disconnect_or_start_response(proxy: &mut Proxy, which: usize, size: f64) {
-    let rpc = (which % proxy.handles.len().max(1)) as u64;
+/// Disconnects the client of an RPC without a final answer, or starts the RPC's response.
+fn disconnect_or_start_response(proxy: &mut Proxy, selector: usize, size: f64) {
+    let rpc = (selector % proxy.handles.len().max(1)) as u64;
     let Some(record) = proxy.platform.rpcs.get_mut(&rpc) else {
         return;
     };
@@ -97,21 +104,24 @@
     }
 }
 
-fn step(proxy: &mut Proxy, (kind, which, size): Step) {
-    let which = usize::from(which);
+/// Applies a step to the proxy. The size becomes a fraction from 0 to 1.
+fn apply_step(proxy: &mut Proxy, (kind, selector, size): Step) {
+    let selector = usize::from(selector);
     let size = f64::from(size) / f64::from(u16::MAX);
     match kind % 16 {
-        0..=4 => accept_rpc(proxy, which, size),
-        5..=8 => end_an_attempt(proxy, which, size),
-        9 => proxy.complete_health_checks(OUTCOMES[which % 9], |b| f64::from(b % 3) * size.round()),
-        10 => change_an_endpoint(proxy, which, size),
-        11 => replace_the_list(proxy, which, size),
+        0..=4 => accept_rpc(proxy, selector, size),
+        5..=8 => end_an_attempt(proxy, selector, size),
+        9 => proxy
+            .complete_health_checks(OUTCOMES[selector % 9], |b| f64::from(b % 3) * size.round()),
+        10 => change_an_endpoint(proxy, selector, size),
+        11 => replace_endpoint_list(proxy, selector, size),
         12 => proxy.balancer.on_discovery_failure(&mut proxy.platform),
-        13 => disconnect_or_start_response(proxy, which, size),
+        13 => disconnect_or_start_response(proxy, selector, size),
         _ => proxy.advance(size * size * 0.4),
     }
 }
 
+/// Returns settings whose features are enabled or disabled by the seed.
 fn generated_settings(seed: u64) -> Settings {
     let mut generated = Settings {
         can_hedge: seed.is_multiple_of(3),
@@ -121,7 +131,7 @@
         key_cooldown: 0.05,
         ..settings(&IDEMPOTENCY)
     };
-    // Methods of each idempotency are ordered by key, and share the keys.
+    // Which methods are ordered by key depends on the seed, so that each idempotency is; they share the keys.
     for (n, method) in generated.methods.iter_mut().enumerate() {
         method.ordered_by_key = (seed as usize + n).is_multiple_of(3);
     }
@@ -135,7 +145,7 @@
         let steps = Vec::<Step>::arbitrary(&mut random);
         let listed: Vec<_> = (0..(seed % 7) as u32).map(endpoint).collect();
         let mut proxy = Proxy::new(generated_settings(seed), seed, &listed);
-        // Responses first, to fill the retry budget.
+        // Fill the retry budget first, so that retries are possible.
         for _ in 0..listed.len() * 25 {
             proxy.accept(0, 0.5);
             proxy.advance(0.001);
@@ -143,7 +153,7 @@
             proxy.end_all_attempts(AttemptOutcome::Succeeded, Some(0.0));
         }
         for generated in &steps {
-            step(&mut proxy, *generated);
+            apply_step(&mut proxy, *generated);
             let checked = proxy.check_rules();
             assert_eq!(checked, Ok(()), "seed {seed}: {steps:?}");
         }
