--- a/tests/slow_start/backend.rs
+++ b/tests/slow_start/backend.rs
@@ -1,29 +1,29 @@
-//! A simulated backend: a bounded queue before its cores, and the arrivals of a sliding window.
+//! A simulated backend: a queue, the number of busy cores, and the RPCs that arrived in a sliding window.
 use std::collections::VecDeque;
 
 /// State of a simulated backend.
 pub(crate) struct SimulatedBackend {
-    /// Time of its last start, if it has restarted.
+    /// Time of its last start; `None` if it has not restarted in the simulation.
     pub started_at: Option<f64>,
-    /// It accepts connections.
+    /// Whether it accepts connections.
     pub is_up: bool,
-    /// Number of attempts that it executes.
+    /// Number of attempts that are executed, each on one core.
     pub running: usize,
     /// Attempts that wait for a core.
     pub queue: VecDeque<u64>,
-    /// Arrivals in the last window of its slow start.
+    /// Arrivals during slow start, without those that have left the window.
     arrivals: VecDeque<Arrival>,
 }
 
 /// An RPC that arrived during slow start.
 struct Arrival {
     at: f64,
-    /// Its work in RPCs of mean work.
+    /// Its work as a multiple of the mean work of an RPC.
     work: f64,
 }
 
 impl SimulatedBackend {
-    /// Creates a warm backend without load.
+    /// Creates a warm backend that is idle.
     pub(crate) fn new() -> Self {
         Self {
             started_at: None,
@@ -34,12 +34,12 @@
         }
     }
 
-    /// Returns the number of attempts that it executes or has queued.
+    /// Returns the number of attempts that are executed or queued.
     pub(crate) fn in_flight(&self) -> f64 {
         (self.running + self.queue.len()) as f64
     }
 
-    /// Adds an arrival and forgets those before the window.
+    /// Adds an arrival and drops those that have left the window.
     pub(crate) fn record_arrival(&mut self, work: f64, now: f64, window: f64) {
         self.arrivals.push_back(Arrival { at: now, work });
         while self
@@ -56,7 +56,7 @@
         self.arrivals.len() as f64
     }
 
-    /// Returns the work that arrived in the window, in RPCs of mean work.
+    /// Returns the work that arrived in the window, as a multiple of the mean work of an RPC.
     pub(crate) fn arrived_work(&self) -> f64 {
         self.arrivals
             .iter()
