--- a/tests/slow_start/event.rs
+++ b/tests/slow_start/event.rs
@@ -1,23 +1,23 @@
-//! Events of the simulation, and the queue that returns them in the order of their times.
+//! Events of the simulation, and the event queue, which is ordered by time.
 use birchhub::interface::{AttemptOutcome, Readiness};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// What happens at one time.
+/// An event of the simulation.
 pub(crate) enum Event {
     /// A client sends an RPC to a proxy.
     RpcArrives(usize),
-    /// An attempt arrives at its backend.
+    /// The attempt with this number arrives at its backend.
     AttemptArrives(u64),
-    /// A backend has executed an attempt.
+    /// A backend has executed the attempt with this number.
     AttemptExecuted(u64),
     /// A proxy learns how an attempt has ended.
     AttemptEnds(AttemptEnd),
     /// A health check arrives at its backend.
     HealthCheckArrives(HealthCheck),
-    /// Some backends fail.
+    /// The scenario's fraction of the backends fails.
     BackendsFail,
-    /// The backends that failed return.
+    /// The failed backends return, in slow start.
     BackendsReturn,
     /// A proxy learns that an entry of the endpoint list has changed.
     EndpointChanges {
@@ -30,7 +30,7 @@
     },
     /// A proxy is replaced by a new process.
     ProxyRestarts(usize),
-    /// An event for one process of a proxy; it is lost if the process has ended by then.
+    /// An event for one process of a proxy; it is dropped if the process has been replaced by then.
     ForProcess {
         /// The proxy.
         proxy: usize,
@@ -45,7 +45,7 @@
 pub(crate) enum ProcessEvent {
     /// A timer is due.
     TimerFires,
-    /// The endpoint list arrives.
+    /// A complete endpoint list arrives.
     ListArrives,
     /// A health check has ended.
     HealthCheckEnds(HealthCheckEnd),
@@ -58,24 +58,24 @@
     pub backend: u32,
 }
 
-/// How a health check has ended.
+/// The outcome of a health check.
 pub(crate) struct HealthCheckEnd {
     pub backend: u32,
     pub outcome: AttemptOutcome,
-    /// Number of RPCs at the backend.
+    /// Number of RPCs in flight at the backend.
     pub in_flight: f64,
 }
 
-/// How an attempt has ended.
+/// The outcome of an attempt.
 pub(crate) struct AttemptEnd {
     pub attempt: u64,
     pub outcome: AttemptOutcome,
-    /// Number of RPCs at the backend, if it answered.
+    /// Number of RPCs in flight at the backend, if it responded.
     pub in_flight: Option<f64>,
 }
 
 impl AttemptEnd {
-    /// The end of an attempt without a response from its backend.
+    /// Returns the event for an attempt that ends without a response from its backend.
     pub(crate) fn without_response(attempt: u64, outcome: AttemptOutcome) -> Event {
         Event::AttemptEnds(Self {
             attempt,
@@ -88,14 +88,15 @@
 /// The scheduled events.
 #[derive(Default)]
 pub(crate) struct EventQueue {
-    /// The bits of the time of each event, and its number.
+    /// The time of each event as the bits of an `f64`, and its number. Bits of non-negative times sort like the
+    /// times.
     order: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
     last_number: u64,
 }
 
 impl EventQueue {
-    /// Returns a number that no event and no other call has.
+    /// Returns a number that is unique among events and calls of this function.
     pub(crate) fn take_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
@@ -106,14 +107,14 @@
         self.last_number + 1
     }
 
-    /// Schedules an event. Events of the same time keep the order in which they were scheduled.
+    /// Schedules an event. Events with the same time are returned in the order in which they were scheduled.
     pub(crate) fn schedule(&mut self, at: f64, event: Event) {
         let number = self.take_number();
         self.order.push(Reverse((at.to_bits(), number)));
         self.events.insert(number, event);
     }
 
-    /// Removes the next event, with its time.
+    /// Removes the next event and returns it with its time.
     pub(crate) fn pop(&mut self) -> Option<(f64, Event)> {
         let Reverse((at, number)) = self.order.pop()?;
         let event = self.events.remove(&number);
