--- a/tests/slow_start/extremes.rs
+++ b/tests/slow_start/extremes.rs
@@ -1,14 +1,18 @@
-//! Fleets that strain the slow-start budget most.
+//! Fleets in which backends in slow start are sent the most load for their budget.
 use crate::fleets::{SKEWED, SMALL_BUDGET};
 use crate::scenario::FleetScenario;
 
-/// A fleet with the name that its row is printed with.
+/// A fleet, and the name of its row in the printed table.
 pub(crate) struct NamedFleet {
     pub name: &'static str,
     pub fleet: FleetScenario,
 }
 
-/// Fleets that strain the budget most.
+/// Few proxies with large shares of the budget, fleets of which nearly all backends restart, overloaded fleets,
+/// and backends with a small budget.
+///
+/// A name with `back` gives the fraction of the backends that restart, the time until they return and the number
+/// of proxies. `small N` is a budget of hardly more than one RPC, and `32c` means 32 cores.
 pub(crate) const EXTREMES: [NamedFleet; 18] = [
     NamedFleet {
         name: "2 of 32 cores",
