--- a/tests/slow_start/fleet_budget.rs
+++ b/tests/slow_start/fleet_budget.rs
@@ -1,8 +1,9 @@
-//! What all proxies of a fleet together send to backends in slow start.
+//! Tests of the load that all proxies of a fleet together send to backends in slow start.
 use crate::fleets::{BASE, SMALL_BUDGET};
 use crate::scenario::FleetScenario;
 
-/// At most N + 2 root N + 2 RPCs arrive at a backend in any window, from all proxies together.
+/// In any window, all proxies together send a backend at most N + 2 sqrt(N) + 2 RPCs, where N is its slow-start
+/// budget. The load is random, as hundreds of proxies each send an RPC with a probability.
 #[test]
 fn all_proxies_together_stay_within_the_slow_start_budget() {
     let small = FleetScenario {
@@ -27,8 +28,8 @@
     }
 }
 
-/// The shares of few proxies sum to N without its variance, however traffic is spread and whichever
-/// proxy restarts; and the budget is used.
+/// With few proxies the shares sum to at most N, without a random excess, whatever the distribution of traffic
+/// and whichever proxies restart. Backends in slow start must still be used.
 #[test]
 fn shares_of_few_proxies_sum_to_no_more_than_the_budget() {
     for proxies in [1, 2, 3, 4, 7] {
