--- a/tests/slow_start/fleets.rs
+++ b/tests/slow_start/fleets.rs
@@ -1,16 +1,16 @@
-//! Fleets that several tests of slow start begin with.
+//! Fleets that several slow-start tests and sweeps use or modify.
 use crate::scenario::FleetScenario;
 
-/// A fleet of moderate size and load.
+/// 30 proxies and 20 backends at 70 % load, of which half of the backends restart.
 pub(crate) const BASE: FleetScenario = FleetScenario::DEFAULT;
-/// One proxy in twenty gets ten times the load of the others.
+/// One proxy in twenty receives ten times as many RPCs as each of the others.
 pub(crate) const SKEWED: FleetScenario = FleetScenario {
     skewed: true,
     ..BASE
 };
-/// Clients ask for more than all backends can do.
+/// Clients send more RPCs than all backends together can execute.
 pub(crate) const OVERLOADED: FleetScenario = FleetScenario { load: 1.3, ..BASE };
-/// Little capacity at the start, and a long window.
+/// An overloaded fleet whose backends start with little capacity and average their load over a long window.
 pub(crate) const LONG_WINDOW: FleetScenario = FleetScenario {
     initial_fraction: 0.12,
     window: 3.0,
@@ -27,7 +27,7 @@
     ..RESTARTED
 };
 
-/// Backends that may be sent hardly more than one RPC in a window.
+/// Backends with a slow-start budget of hardly more than one RPC in a window.
 pub(crate) const SMALL_BUDGET: FleetScenario = FleetScenario {
     backends: 20,
     cores: 1,
