--- a/tests/slow_start/main.rs
+++ b/tests/slow_start/main.rs
@@ -1,5 +1,5 @@
-//! Slow start over a whole fleet (rule 4): what all proxies together send to a backend that has just
-//! started, measured at the backend.
+//! Tests of slow start over a whole fleet: all proxies together must not send a backend that has just started
+//! more than its slow-start budget (rule 4 of `policy::rules`). The load is measured at the backend.
 #[path = "../common/mod.rs"]
 mod common;
 
