--- a/tests/slow_start/measurement.rs
+++ b/tests/slow_start/measurement.rs
@@ -1,21 +1,22 @@
 //! Measurement of the load that all proxies together send to backends in slow start.
 use crate::scenario::FleetScenario;
 
-/// The load of the backends in slow start. N is the number of RPCs of mean work that the settings allow
-/// a backend in a window.
+/// The load of the backends in slow start, compared with their budget: N is the number of RPCs of mean work that
+/// the settings allow a backend in a window.
 #[derive(Debug)]
 pub(crate) struct SlowStartMeasurement {
-    /// Most RPCs in a window beyond N, as a multiple of the root of N.
+    /// Largest number of RPCs in a window, minus N, as a multiple of sqrt(N).
     pub excess_rpcs: f64,
-    /// Most RPCs in a window beyond N + 2 root N + 2.
+    /// Largest number of RPCs in a window, minus N + 2 sqrt(N) + 2; positive if the limit was exceeded.
     pub rpcs_over_limit: f64,
-    /// Most work in a window beyond N, in RPCs of mean work, as a multiple of the root of N.
+    /// Largest work in a window in RPCs of mean work, minus N, as a multiple of sqrt(N).
     pub excess_work: f64,
-    /// Most RPCs in a window, as a fraction of N.
+    /// Largest number of RPCs in a window, as a fraction of N.
     pub used_fraction: f64,
-    /// RPCs sent in all.
+    /// Number of RPCs that arrived at backends in slow start.
     pub sent: usize,
-    /// Fraction of the RPCs answered in time that arrived meanwhile.
+    /// Of the RPCs that clients sent during slow start, the fraction that was answered within the latency
+    /// objective.
     pub served_fraction: f64,
 }
 
@@ -33,7 +34,8 @@
 }
 
 impl SlowStartMeasurement {
-    /// Adds a window with this many RPCs, and their work in RPCs of mean work, against a budget of N.
+    /// Records an arrival and the window that ends with it: the number of its RPCs, their work in RPCs of mean
+    /// work, and the budget N.
     pub(crate) fn add_window(&mut self, rpcs: f64, work: f64, n: f64) {
         self.sent += 1;
         self.used_fraction = self.used_fraction.max(rpcs / n);
@@ -42,7 +44,8 @@
         self.excess_work = self.excess_work.max((work - n) / n.sqrt());
     }
 
-    /// Returns the worst of the seeds from 0 on, with the mean of what was sent and served.
+    /// Runs the fleet with the seeds from 0 on. Returns the largest excess and use of the budget of all runs, and
+    /// the means of what was sent and served.
     pub(crate) fn worst_of(fleet: FleetScenario, seeds: u64) -> Self {
         let mut worst = Self::default();
         for measured in (0..seeds).map(|seed| fleet.run(seed)) {
