--- a/tests/slow_start/proxy.rs
+++ b/tests/slow_start/proxy.rs
@@ -1,28 +1,28 @@
-//! A simulated proxy: its balancer, its open RPCs, and the effects that its balancer asks for.
+//! A simulated proxy: its balancer, its open RPCs, and the actions that its balancer requests.
 use birchhub::balancer::{Balancer, RpcHandle};
 use birchhub::interface::Platform;
 use std::collections::HashMap;
 
-/// An attempt that a balancer asked for.
+/// An attempt that a balancer requested.
 pub(crate) struct RequestedAttempt {
     pub rpc: u64,
     pub backend: u32,
     pub timeout: f64,
 }
 
-/// What a balancer asked for in one call.
+/// A platform that collects the actions that a balancer requests in one call.
 #[derive(Default)]
-pub(crate) struct Effects {
+pub(crate) struct RequestedActions {
     pub now: f64,
     pub attempts: Vec<RequestedAttempt>,
     pub health_checks: Vec<u32>,
-    /// Delay of the last timer in seconds.
+    /// Delay of the timer that was scheduled last, in seconds.
     pub timer: Option<f64>,
-    /// RPCs that got their final answer without a response.
+    /// RPCs that were rejected or have failed.
     pub finished: Vec<u64>,
 }
 
-impl Platform for Effects {
+impl Platform for RequestedActions {
     fn now(&self) -> f64 {
         self.now
     }
@@ -54,14 +54,14 @@
     pub handle: RpcHandle,
     /// Number of attempts so far.
     pub attempts: usize,
-    /// End of its latency objective.
+    /// Time until which a response meets the latency objective.
     pub objective_at: f64,
 }
 
 /// State of a simulated proxy.
 pub(crate) struct SimulatedProxy {
     pub balancer: Balancer,
-    /// Number of its process, which grows with each restart.
+    /// Number of its current process, which increases with each restart.
     pub process: u32,
     pub rpcs: HashMap<u64, OpenRpc>,
 }
--- a/tests/slow_start/restarts.rs
+++ b/tests/slow_start/restarts.rs
@@ -28,8 +28,8 @@
     }
 
     fn update_endpoints(&mut self, proxy: usize, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
-        self.call(proxy, |proxy, effects| {
-            proxy.balancer.update_endpoints(kind, endpoints, effects);
+        self.call(proxy, |proxy, actions| {
+            proxy.balancer.update_endpoints(kind, endpoints, actions);
         });
     }
 
@@ -113,7 +113,7 @@
     pub(crate) fn process_event(&mut self, proxy: usize, event: ProcessEvent) {
         match event {
             ProcessEvent::TimerFires => {
-                self.call(proxy, |proxy, effects| proxy.balancer.on_timer(effects));
+                self.call(proxy, |proxy, actions| proxy.balancer.on_timer(actions));
             }
             ProcessEvent::ListArrives => {
                 let listed = self.endpoints();
@@ -126,9 +126,9 @@
     fn health_check_ends(&mut self, proxy: usize, end: &HealthCheckEnd) {
         let succeeded = end.outcome == AttemptOutcome::Succeeded;
         let report = succeeded.then(|| load_report(end.in_flight));
-        self.call(proxy, |proxy, effects| {
+        self.call(proxy, |proxy, actions| {
             let balancer = &mut proxy.balancer;
-            balancer.on_health_check(end.backend, end.outcome, report, effects);
+            balancer.on_health_check(end.backend, end.outcome, report, actions);
         });
     }
 }
--- a/tests/slow_start/rpcs.rs
+++ b/tests/slow_start/rpcs.rs
@@ -43,9 +43,9 @@
             deadline: now + DEADLINE_SECONDS,
             ..IncomingRpc::default()
         };
-        self.call(proxy, |proxy, effects| {
+        self.call(proxy, |proxy, actions| {
             let open = OpenRpc {
-                handle: proxy.balancer.accept(&incoming, effects),
+                handle: proxy.balancer.accept(&incoming, actions),
                 attempts: 0,
                 objective_at: now + LATENCY_OBJECTIVE_SECONDS,
             };
@@ -176,9 +176,9 @@
         let responses_report = self.fleet.reports == LoadReportSource::Responses;
         let in_flight = end.in_flight.filter(|_| responses_report);
         let report = in_flight.map(load_report);
-        self.call(proxy, |proxy, effects| {
+        self.call(proxy, |proxy, actions| {
             let handle = &proxy.rpcs[&rpc].handle;
-            handle.on_attempt_ended(number, outcome, succeeded, report, effects);
+            handle.on_attempt_ended(number, outcome, succeeded, report, actions);
         });
         if succeeded {
             self.proxies[proxy].rpcs.remove(&rpc);
--- a/tests/slow_start/simulation.rs
+++ b/tests/slow_start/simulation.rs
@@ -3,7 +3,7 @@
 use crate::backend::SimulatedBackend;
 use crate::event::{Event, EventQueue, HealthCheck, ProcessEvent};
 use crate::measurement::SlowStartMeasurement;
-use crate::proxy::{Effects, SimulatedProxy};
+use crate::proxy::{RequestedActions, SimulatedProxy};
 use crate::rpcs::Attempt;
 use crate::scenario::{FleetScenario, SLOW_START_SECONDS};
 use birchhub::balancer::Balancer;
@@ -98,18 +98,18 @@
     pub(crate) fn call(
         &mut self,
         proxy: usize,
-        act: impl FnOnce(&mut SimulatedProxy, &mut Effects),
+        act: impl FnOnce(&mut SimulatedProxy, &mut RequestedActions),
     ) {
-        let mut effects = Effects {
+        let mut actions = RequestedActions {
             now: self.now,
-            ..Effects::default()
+            ..RequestedActions::default()
         };
-        act(&mut self.proxies[proxy], &mut effects);
-        for attempt in effects.attempts {
+        act(&mut self.proxies[proxy], &mut actions);
+        for attempt in actions.attempts {
             self.start_attempt(proxy, &attempt);
         }
         let process = self.proxies[proxy].process;
-        for backend in effects.health_checks {
+        for backend in actions.health_checks {
             let event = Event::HealthCheckArrives(HealthCheck {
                 proxy,
                 process,
@@ -117,11 +117,11 @@
             });
             self.schedule(NETWORK_DELAY_SECONDS, event);
         }
-        if let Some(delay) = effects.timer {
+        if let Some(delay) = actions.timer {
             let delay = delay + TIMER_DELAY_SECONDS;
             self.schedule_for(proxy, delay, ProcessEvent::TimerFires);
         }
-        for rpc in effects.finished {
+        for rpc in actions.finished {
             self.proxies[proxy].rpcs.remove(&rpc);
         }
     }
