--- a/tests/slow_start/proxy_group.rs
+++ b/tests/slow_start/proxy_group.rs
@@ -1,4 +1,4 @@
-//! A group of proxies and a restarted backend that always looks idle: what they send it together.
+//! Tests of the load that several proxies together send to a restarted backend that always looks idle.
 use crate::common::{Proxy, endpoint, settings};
 use birchhub::balancer::Balancer;
 use birchhub::interface::*;
@@ -9,12 +9,13 @@
 const RESTARTED_BACKEND: u32 = 7;
 /// Number of rounds, of 0.01 s each.
 const ROUNDS: u64 = 600;
-/// Round in which the backend restarts.
-const BACKEND_RESTARTS: u64 = 100;
-/// Round in which the proxies restart.
-const PROXIES_RESTART: u64 = 106;
+/// Number of the round in which the backend restarts.
+const BACKEND_RESTART_ROUND: u64 = 100;
+/// Number of the round in which the proxies restart.
+const PROXY_RESTART_ROUND: u64 = 106;
 
-/// The backend in slow start always looks idle, the warm ones never: the worst case for the idle queue.
+/// Returns the number of RPCs that a backend reports. The backend in slow start always looks idle and the warm
+/// ones never do, so that the idle queue offers it for every RPC: the worst case.
 fn reported_load(backend: u32) -> f64 {
     if backend == RESTARTED_BACKEND {
         0.0
@@ -23,6 +24,7 @@
     }
 }
 
+/// Returns the endpoint list's entry for the restarted backend.
 fn restarted_endpoint(started_at: Option<f64>) -> Endpoint {
     Endpoint {
         started_at,
@@ -30,8 +32,8 @@
     }
 }
 
-/// Replaces the proxy by a new process with a cached list; the attempts of the old process are reset.
-fn restart(proxy: &mut Proxy, seed: u64) {
+/// Replaces the proxy by a new process with a cached endpoint list, and resets the attempts of the old process.
+fn restart_proxy(proxy: &mut Proxy, seed: u64) {
     let started_at = proxy.platform.endpoints[&RESTARTED_BACKEND].started_at;
     proxy.balancer = Balancer::new(&proxy.platform.settings, seed);
     proxy.platform.timers.clear();
@@ -50,8 +52,8 @@
     proxy.update_endpoints(EndpointUpdateKind::StaleSnapshot, &cached);
 }
 
-/// Plays a hundredth of a second of one proxy, with two RPCs if it is busy.
-fn round(proxy: &mut Proxy, is_busy: bool) {
+/// Runs one round of a proxy, which accepts two RPCs if it is busy.
+fn run_round(proxy: &mut Proxy, is_busy: bool) {
     proxy.complete_health_checks(AttemptOutcome::Succeeded, reported_load);
     for _ in 0..if is_busy { 2 } else { 0 } {
         proxy.accept(0, 0.5);
@@ -69,26 +71,30 @@
     proxy.advance(0.006);
 }
 
-/// Returns the times at which the proxies of a fleet sent RPCs to a backend that restarts among warm ones.
-fn sent_to_restarted_backend(proxies: u64, seed: u64, restarts: bool) -> Vec<f64> {
+/// Runs all rounds, and returns the times at which the proxies sent attempts to the restarted backend.
+fn times_of_attempts_at_restarted_backend(
+    proxies: u64,
+    seed: u64,
+    proxies_restart: bool,
+) -> Vec<f64> {
     let conf = Settings {
         proxy_count: proxies as usize,
         ..settings(&[Idempotency::Idempotent])
     };
     let listed: Vec<_> = (0..3).map(endpoint).collect();
-    let make = |n| Proxy::new(conf.clone(), seed * 100 + n, &listed);
-    let mut fleet: Vec<_> = (0..proxies).map(make).collect();
-    for number in 0..ROUNDS {
+    let create = |n| Proxy::new(conf.clone(), seed * 100 + n, &listed);
+    let mut fleet: Vec<_> = (0..proxies).map(create).collect();
+    for round in 0..ROUNDS {
         for (n, proxy) in (0..).zip(&mut fleet) {
-            if number == BACKEND_RESTARTS {
+            if round == BACKEND_RESTART_ROUND {
                 let started = restarted_endpoint(Some(proxy.platform.now));
                 proxy.update_endpoints(EndpointUpdateKind::Incremental, &[started]);
             }
-            if restarts && number == PROXIES_RESTART {
-                restart(proxy, seed * 100 + 50 + n);
+            if proxies_restart && round == PROXY_RESTART_ROUND {
+                restart_proxy(proxy, seed * 100 + 50 + n);
             }
-            // With hundreds of proxies each sees few RPCs, at different times.
-            round(proxy, (number + n).is_multiple_of(busy_every(proxies)));
+            // With hundreds of proxies, each accepts few RPCs, in different rounds than the others.
+            run_round(proxy, (round + n).is_multiple_of(busy_interval(proxies)));
         }
     }
     let rpcs = fleet.iter().flat_map(|proxy| proxy.platform.rpcs.values());
@@ -98,42 +104,46 @@
         .collect()
 }
 
-/// Returns the number of rounds of which a proxy is busy in one.
-fn busy_every(proxies: u64) -> u64 {
+/// Returns the number of rounds from one in which a proxy is busy to the next.
+fn busy_interval(proxies: u64) -> u64 {
     (proxies / 4).max(1)
 }
 
 /// Returns the largest fraction of the slow-start budget that all proxies together use in any second.
-fn peak_of_slow_start_budget(proxies: u64, seed: u64, restarts: bool) -> f64 {
-    let sent = sent_to_restarted_backend(proxies, seed, restarts);
-    // The throughput of a warm backend in cores: at least one, or its fraction of all responses.
-    let warm = (proxies as f64 * 200.0 / busy_every(proxies) as f64 / 4.0 * WORK_SECONDS).max(1.0);
-    let start = 1.0;
-    let used = |at: f64| {
-        let warmth = (0.3 + 0.7 * (at - start) / 8.0).min(1.0);
+fn peak_budget_use(proxies: u64, seed: u64, proxies_restart: bool) -> f64 {
+    let sent = times_of_attempts_at_restarted_backend(proxies, seed, proxies_restart);
+    // Number of cores that a warm backend keeps busy with its quarter of all RPCs, or one core if that is more.
+    let warm_cores =
+        (proxies as f64 * 200.0 / busy_interval(proxies) as f64 / 4.0 * WORK_SECONDS).max(1.0);
+    let started_at = 1.0;
+    let used_fraction = |at: f64| {
+        let warm_fraction = (0.3 + 0.7 * (at - started_at) / 8.0).min(1.0);
         let within = sent.iter().filter(|s| **s >= at && **s < at + 1.0).count() as f64;
-        within * WORK_SECONDS / (3.0 * warmth * warm)
+        within * WORK_SECONDS / (3.0 * warm_fraction * warm_cores)
     };
     assert!(
         sent.len() > 4,
-        "{proxies} proxies, restarted {restarts}: only {} RPCs reached the backend in slow start",
+        "{proxies} proxies, restarted {proxies_restart}: only {} RPCs reached the backend in slow start",
         sent.len()
     );
-    sent.iter().map(|at| used(*at)).fold(0.0, f64::max)
+    sent.iter().map(|at| used_fraction(*at)).fold(0.0, f64::max)
 }
 
+/// The peak must not be more than a tenth higher where all proxies restart: their new processes do not know what
+/// the old ones sent.
 #[test]
 fn proxies_together_stay_within_the_budget_of_a_backend_that_looks_idle() {
     for (proxies, seed) in [(1, 1), (2, 2), (4, 3), (6, 4), (240, 5)] {
-        let peak = peak_of_slow_start_budget(proxies, seed, false);
-        let restarted = peak_of_slow_start_budget(proxies, seed, true);
+        let peak = peak_budget_use(proxies, seed, false);
+        let peak_with_restarts = peak_budget_use(proxies, seed, true);
         assert!(
             peak <= 1.0,
-            "{proxies} proxies used {peak} of the slow-start budget"
+            "{proxies} proxies used {peak} times the slow-start budget"
         );
         assert!(
-            restarted <= peak * 1.1,
-            "{proxies} restarted proxies used {restarted}, not {peak}"
+            peak_with_restarts <= peak * 1.1,
+            "{proxies} proxies used {peak_with_restarts} times the slow-start budget after a restart, and {peak} \
+             without one"
         );
     }
 }
