--- a/tests/slow_start/restarts.rs
+++ b/tests/slow_start/restarts.rs
@@ -1,4 +1,5 @@
-//! Restarts of backends and proxies in the simulation, and what proxies learn of the backends.
+//! Restarts of backends and proxies in the simulation, and the endpoint list and health checks from which
+//! proxies learn the state of backends.
 use crate::common::{endpoint, load_report};
 use crate::event::{AttemptEnd, Event, HealthCheck, HealthCheckEnd, ProcessEvent};
 use crate::simulation::{NETWORK_DELAY_SECONDS, Simulation};
@@ -6,12 +7,13 @@
 use birchhub::interface::*;
 use rand::Rng;
 
-/// Longest time until a proxy learns of a change of the endpoint list, in seconds.
+/// Longest delay until a proxy receives a change of the endpoint list, in seconds.
 const MAX_WATCH_DELAY_SECONDS: f64 = 0.1;
-/// Time until a restarted proxy has the endpoint list, in seconds.
+/// Time from the restart of a proxy until it receives the endpoint list, in seconds.
 const FIRST_LIST_DELAY_SECONDS: f64 = 0.02;
 
 impl Simulation {
+    /// Returns the endpoint list's entry for a backend.
     fn endpoint(&self, backend: u32, readiness: Readiness) -> Endpoint {
         Endpoint {
             readiness,
@@ -20,6 +22,7 @@
         }
     }
 
+    /// Returns the complete endpoint list, which has only backends that are up.
     fn endpoints(&self) -> Vec<Endpoint> {
         (0..self.fleet.backends)
             .filter(|backend| self.backends[*backend as usize].is_up)
@@ -33,14 +36,15 @@
         });
     }
 
-    /// Tells a proxy that an entry of the endpoint list has changed.
+    /// Delivers a changed entry of the endpoint list to a proxy.
     pub(crate) fn endpoint_changes(&mut self, proxy: usize, backend: u32, readiness: Readiness) {
         let changed = self.endpoint(backend, readiness);
         self.update_endpoints(proxy, EndpointUpdateKind::Incremental, &[changed]);
     }
 
-    /// Makes the affected backends fail, or return in slow start.
-    pub(crate) fn backends_change(&mut self, is_up: bool) {
+    /// Makes the scenario's fraction of the backends fail, or return in slow start. Queued attempts are reset, and
+    /// each proxy learns of each change after a random delay.
+    pub(crate) fn set_backends_up(&mut self, is_up: bool) {
         let affected = f64::from(self.fleet.backends) * self.fleet.restarted_backends;
         let readiness = if is_up {
             Readiness::Ready
@@ -69,7 +73,7 @@
         }
     }
 
-    /// Answers a health check.
+    /// Handles a health check at its backend, and sends the response.
     pub(crate) fn health_check_arrives(&mut self, health_check: HealthCheck) {
         let HealthCheck {
             proxy,
@@ -95,7 +99,8 @@
         self.schedule(NETWORK_DELAY_SECONDS, event);
     }
 
-    /// Replaces a proxy by a new process, which knows nothing of the RPCs before.
+    /// Replaces a proxy by a new process without any state of the old one, except for a cached endpoint list where
+    /// the scenario has one.
     pub(crate) fn proxy_restarts(&mut self, proxy: usize) {
         let balancer = Balancer::new(&self.settings, self.random.random());
         let state = &mut self.proxies[proxy];
@@ -109,7 +114,7 @@
         self.schedule_for(proxy, FIRST_LIST_DELAY_SECONDS, ProcessEvent::ListArrives);
     }
 
-    /// Handles an event for the present process of a proxy.
+    /// Handles an event for the current process of a proxy.
     pub(crate) fn process_event(&mut self, proxy: usize, event: ProcessEvent) {
         match event {
             ProcessEvent::TimerFires => {
--- a/tests/slow_start/simulation.rs
+++ b/tests/slow_start/simulation.rs
@@ -133,8 +133,8 @@
             Event::AttemptExecuted(attempt) => self.attempt_executed(attempt),
             Event::AttemptEnds(end) => self.attempt_ends(end),
             Event::HealthCheckArrives(health_check) => self.health_check_arrives(health_check),
-            Event::BackendsFail => self.backends_change(false),
-            Event::BackendsReturn => self.backends_change(true),
+            Event::BackendsFail => self.set_backends_up(false),
+            Event::BackendsReturn => self.set_backends_up(true),
             Event::EndpointChanges {
                 proxy,
                 backend,
