--- a/tests/slow_start/rpcs.rs
+++ b/tests/slow_start/rpcs.rs
@@ -1,4 +1,4 @@
-//! The way of RPCs and their attempts through the simulation.
+//! RPCs and their attempts in the simulation, from the arrival at a proxy to the final answer.
 use crate::common::load_report;
 use crate::event::{AttemptEnd, Event};
 use crate::proxy::{OpenRpc, RequestedAttempt};
@@ -6,13 +6,13 @@
 use crate::simulation::{NETWORK_DELAY_SECONDS, RETURN_SECONDS, Simulation};
 use birchhub::interface::*;
 
-/// Most RPCs in the queue of a backend.
+/// Largest number of RPCs in the queue of a backend; further ones are rejected.
 const QUEUE_CAPACITY: usize = 40;
-/// Time that clients give an RPC, in seconds.
+/// Deadline that clients set for an RPC, in seconds after its arrival.
 const DEADLINE_SECONDS: f64 = 0.5;
 /// Time within which a response counts as served, in seconds.
 const LATENCY_OBJECTIVE_SECONDS: f64 = 0.2;
-/// First id of an RPC, above the numbers of all events.
+/// Lowest id of an RPC. It is above the numbers of all events, from which the ids are drawn.
 const FIRST_RPC_ID: u64 = 1_000_000_000;
 
 /// An attempt of a proxy at a backend.
@@ -20,10 +20,11 @@
     proxy: usize,
     process: u32,
     rpc: u64,
-    /// Its number among the RPC's attempts.
+    /// Index among the RPC's attempts.
     number: usize,
     backend: u32,
-    /// Start time of the backend at which it arrived.
+    /// Start time that the backend had when the attempt arrived; a different one now means that the backend has
+    /// restarted since.
     backend_started_at: Option<f64>,
     has_ended: bool,
 }
@@ -53,7 +54,7 @@
         });
     }
 
-    /// Sends an attempt, and schedules its timeout.
+    /// Starts an attempt: schedules its arrival at the backend, and its timeout.
     pub(crate) fn start_attempt(&mut self, proxy: usize, requested: &RequestedAttempt) {
         let process = self.proxies[proxy].process;
         let Some(open) = self.proxies[proxy].rpcs.get_mut(&requested.rpc) else {
@@ -76,7 +77,7 @@
         self.schedule(requested.timeout, timed_out);
     }
 
-    /// Queues an attempt at its backend, or rejects it.
+    /// Handles an attempt at its backend, which queues it, rejects it or is down.
     pub(crate) fn attempt_arrives(&mut self, attempt: u64) {
         let backend = self.attempts[&attempt].backend;
         if !self.backend(backend).is_up {
@@ -84,7 +85,7 @@
             return self.schedule(NETWORK_DELAY_SECONDS, failed);
         }
         let work = self.exponential(1.0) * self.fleet.work;
-        self.measure(backend, work);
+        self.measure_arrival(backend, work);
         let started_at = self.backend(backend).started_at;
         let record = self.attempts.get_mut(&attempt).expect("an attempt");
         record.backend_started_at = started_at;
@@ -96,8 +97,8 @@
         self.execute_queued(backend);
     }
 
-    /// Measures an RPC that arrives at a backend in slow start.
-    fn measure(&mut self, backend: u32, work: f64) {
+    /// Adds an RPC to the measurement if its backend is in slow start. Rejected RPCs count as well.
+    fn measure_arrival(&mut self, backend: u32, work: f64) {
         let now = self.now;
         let window = self.fleet.window;
         let work_in_rpcs = work / self.fleet.work;
@@ -115,7 +116,8 @@
         self.measured.add_window(rpcs, work, budget);
     }
 
-    /// Starts to execute queued attempts on free cores.
+    /// Starts to execute queued attempts as long as cores are free. Attempts that have ended for their proxy are
+    /// skipped.
     fn execute_queued(&mut self, backend: u32) {
         let now = self.now;
         let cores = self.fleet.cores;
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Sends the response to an attempt, unless its backend has failed since.
+    /// Sends the response to an attempt, unless its backend has failed or restarted since it arrived.
     pub(crate) fn attempt_executed(&mut self, attempt: u64) {
         let record = &self.attempts[&attempt];
         let backend = record.backend;
@@ -154,7 +156,8 @@
         self.execute_queued(backend);
     }
 
-    /// Tells a proxy how an attempt has ended, the first time that it ends.
+    /// Reports the outcome of an attempt to its proxy. Only the first outcome counts: an attempt has a response
+    /// and a timeout scheduled at the same time.
     pub(crate) fn attempt_ends(&mut self, end: AttemptEnd) {
         let record = self.attempts.get_mut(&end.attempt).expect("an attempt");
         if std::mem::replace(&mut record.has_ended, true) {
