--- a/tests/slow_start/scenario.rs
+++ b/tests/slow_start/scenario.rs
@@ -1,10 +1,10 @@
-//! Scenarios of the simulation: the size and load of a fleet, and which backends and proxies restart.
+//! Scenarios of the simulation: the size and load of a fleet, and the fractions of it that restart.
 use crate::common::settings;
 use crate::measurement::SlowStartMeasurement;
 use crate::simulation::Simulation;
 use birchhub::interface::*;
 
-/// Time that a backend takes to warm up, in seconds.
+/// Duration of the slow start of a backend, in seconds.
 pub(crate) const SLOW_START_SECONDS: f64 = 5.0;
 
 /// A fleet in which some backends fail and return in slow start at the same time.
@@ -16,29 +16,29 @@
     pub backends: u32,
     /// Cores of each backend.
     pub cores: usize,
-    /// Mean work of an RPC in seconds.
+    /// Mean work of an RPC, in seconds of a core of a warm backend.
     pub work: f64,
     /// Load as a fraction of the capacity of all backends.
     pub load: f64,
-    /// One proxy in twenty gets ten times the load of the others.
+    /// Whether one proxy in twenty receives ten times as many RPCs as each of the others.
     pub skewed: bool,
     /// Fraction of the backends that fail and return.
     pub restarted_backends: f64,
-    /// Time between their failure and their return in seconds.
+    /// Time from the failure of these backends to their return, in seconds.
     pub downtime: f64,
     /// What carries load reports.
     pub reports: LoadReportSource,
-    /// Proxies may send health checks.
+    /// Whether proxies may send health checks.
     pub health_checks: bool,
     /// Fraction of the proxies that restart during the slow start.
     pub restarted_proxies: f64,
-    /// Restarted proxies have a cached endpoint list.
+    /// Whether restarted proxies have a cached endpoint list.
     pub cached_list: bool,
     /// Fraction of its capacity that a backend has when it starts.
     pub initial_fraction: f64,
-    /// Multiple of its capacity above which a warming backend fails.
+    /// Multiple of its present capacity above which a warming backend fails.
     pub overload_multiple: f64,
-    /// Time over which its load counts, in seconds.
+    /// Time over which the load of a warming backend is averaged, in seconds.
     pub window: f64,
 }
 
@@ -62,7 +62,8 @@
         window: 1.0,
     };
 
-    /// Returns the fleet with load reports in health checks or in responses.
+    /// Returns the fleet with health checks that carry load reports, or without health checks and with load
+    /// reports in responses.
     pub(crate) const fn with_health_checks(self, health_checks: bool) -> Self {
         let reports = if health_checks {
             LoadReportSource::HealthChecks
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Returns the fleet with skewed load.
+    /// Returns the fleet with [`skewed`](Self::skewed) traffic.
     pub(crate) const fn with_skewed_traffic(self) -> Self {
         Self {
             skewed: true,
@@ -84,11 +85,12 @@
         }
     }
 
-    /// Simulates the fleet.
+    /// Simulates the fleet with this seed.
     pub(crate) fn run(self, seed: u64) -> SlowStartMeasurement {
         Simulation::new(self, seed).run()
     }
 
+    /// Returns the settings of the proxies.
     pub(crate) fn settings(&self) -> Settings {
         Settings {
             proxy_count: self.proxies,
