--- a/tests/slow_start/simulation.rs
+++ b/tests/slow_start/simulation.rs
@@ -1,5 +1,5 @@
-//! Simulation of a fleet of proxies and backends, some of which fail and return in slow start. What all
-//! proxies together send to these is measured at the backends.
+//! Discrete-event simulation of a fleet of proxies and backends. Some backends fail and return in slow start; the
+//! load that all proxies together send them is measured at these backends.
 use crate::backend::SimulatedBackend;
 use crate::event::{Event, EventQueue, HealthCheck, ProcessEvent};
 use crate::measurement::SlowStartMeasurement;
@@ -12,13 +12,13 @@
 use rand_pcg::Pcg64;
 use std::collections::{HashMap, HashSet};
 
-/// Time from one machine to another, in seconds.
+/// Network delay from one machine to another, in seconds.
 pub(crate) const NETWORK_DELAY_SECONDS: f64 = 0.0005;
 /// Time from the start until the backends that failed return, in seconds.
 pub(crate) const RETURN_SECONDS: f64 = 6.0;
-/// Lateness of a timer in seconds.
+/// Time by which timers fire late, in seconds.
 const TIMER_DELAY_SECONDS: f64 = 1e-6;
-/// Time for which the simulation goes on after the slow start, in seconds.
+/// Time that is simulated after the slow start, in seconds.
 const SETTLE_SECONDS: f64 = 0.3;
 
 /// State of the simulation.
@@ -33,15 +33,15 @@
     pub attempts: HashMap<u64, Attempt>,
     /// RPCs per second at each proxy.
     pub rates: Vec<f64>,
-    /// RPCs that arrived during the slow start.
+    /// Ids of the RPCs that clients sent during the slow start.
     pub counted: HashSet<u64>,
-    /// Number of these that were answered in time.
+    /// Number of the counted RPCs that were answered within the latency objective.
     pub served: usize,
     pub measured: SlowStartMeasurement,
 }
 
 impl Simulation {
-    /// Creates a fleet without load.
+    /// Creates the fleet. No event is scheduled yet.
     pub(crate) fn new(fleet: FleetScenario, seed: u64) -> Self {
         let settings = fleet.settings();
         let mut random = Pcg64::seed_from_u64(seed);
@@ -73,7 +73,7 @@
         self.events.schedule(self.now + delay, event);
     }
 
-    /// Schedules an event for the present process of a proxy.
+    /// Schedules an event for the current process of a proxy.
     pub(crate) fn schedule_for(&mut self, proxy: usize, delay: f64, event: ProcessEvent) {
         let process = self.proxies[proxy].process;
         let event = Event::ForProcess {
@@ -84,7 +84,7 @@
         self.schedule(delay, event);
     }
 
-    /// Draws a number with an exponential distribution.
+    /// Draws a number from the exponential distribution with this mean.
     pub(crate) fn exponential(&mut self, mean: f64) -> f64 {
         -(1.0 - self.random.random::<f64>()).ln() * mean
     }
@@ -94,17 +94,17 @@
         &mut self.backends[backend as usize]
     }
 
-    /// Calls a proxy's balancer, and carries out what it asks for.
+    /// Calls a proxy's balancer, and performs the actions that it requests.
     pub(crate) fn call(
         &mut self,
         proxy: usize,
-        act: impl FnOnce(&mut SimulatedProxy, &mut RequestedActions),
+        call: impl FnOnce(&mut SimulatedProxy, &mut RequestedActions),
     ) {
         let mut actions = RequestedActions {
             now: self.now,
             ..RequestedActions::default()
         };
-        act(&mut self.proxies[proxy], &mut actions);
+        call(&mut self.proxies[proxy], &mut actions);
         for attempt in actions.attempts {
             self.start_attempt(proxy, &attempt);
         }
@@ -153,6 +153,7 @@
         }
     }
 
+    /// Schedules the first RPC of each proxy, and all restarts.
     fn schedule_scenario(&mut self) {
         for proxy in 0..self.fleet.proxies {
             self.schedule_for(proxy, 0.0, ProcessEvent::ListArrives);
