--- a/tests/slow_start/single_proxy.rs
+++ b/tests/slow_start/single_proxy.rs
@@ -1,10 +1,11 @@
-//! How one proxy uses its share of the slow-start budget.
+//! Tests of how a single proxy uses its share of the slow-start budget.
 use crate::common::{FinalAnswer, Proxy, endpoint, settings};
 use birchhub::balancer::Balancer;
 use birchhub::interface::*;
 use std::collections::BTreeSet;
 
-/// A process that starts knows nothing of what was sent before, with or without a cached list.
+/// A new process does not know what its predecessor sent, with or without a cached endpoint list. It must assume
+/// that the budget of the current window is used up, and send its first RPC after that window.
 #[test]
 fn new_process_assumes_that_its_predecessor_used_the_budget() {
     for kind in [
@@ -18,33 +19,34 @@
         };
         let mut proxy = Proxy::new(conf, 7, &[]);
         proxy.advance(1.0);
-        let started = proxy.platform.now - 0.5;
+        let started_at = proxy.platform.now - 0.5;
         proxy.balancer = Balancer::new(&proxy.platform.settings, 8);
         proxy.update_endpoints(
             kind,
             &[Endpoint {
-                started_at: Some(started),
+                started_at: Some(started_at),
                 ..endpoint(0)
             }],
         );
-        let from = proxy.platform.now;
-        let mut first = None;
-        while first.is_none() && proxy.platform.now < from + 4.0 {
+        let begin = proxy.platform.now;
+        let mut first_sent_after = None;
+        while first_sent_after.is_none() && proxy.platform.now < begin + 4.0 {
             proxy.accept(0, 0.5);
-            first = proxy
+            first_sent_after = proxy
                 .attempts_in_flight()
                 .first()
-                .map(|_| proxy.platform.now - from);
+                .map(|_| proxy.platform.now - begin);
             proxy.advance(0.01);
         }
         assert!(
-            first.is_some_and(|after| (1.0..2.0).contains(&after)),
-            "{kind:?}: the first RPC was sent after {first:?}"
+            first_sent_after.is_some_and(|after| (1.0..2.0).contains(&after)),
+            "{kind:?}: the first RPC was sent after {first_sent_after:?} s, with a window of 1 s"
         );
     }
 }
 
-/// After most of a fleet was removed, its responses do not count as completed by the backends that stay.
+/// Responses of backends that were removed must not count as completed by the remaining ones: the estimated
+/// throughput of a backend, and with it the slow-start budget, would be too high.
 #[test]
 fn completions_before_a_removal_do_not_raise_the_share_of_the_remaining_backends() {
     let conf = Settings {
@@ -81,7 +83,8 @@
         ],
     );
     drive(&mut proxy, 20);
-    // Each of the thirty backends completed 13 RPCs per second, two thirds of what a core does.
+    // The budget of a backend of one core: each of the thirty backends completed 13 RPCs per second, which is two
+    // thirds of the 20 that a core can.
     let n: f64 = 3.0 * (0.3 + 0.7 / 8.0) / 0.05;
     let sent = proxy
         .platform
@@ -92,17 +95,17 @@
         .count();
     assert!(
         sent > 2 && sent as f64 <= n + 2.0 * n.sqrt() + 2.0,
-        "{sent} in the first window, of {n:.0}"
+        "{sent} RPCs sent in the first window, with a budget of {n:.0}"
     );
 }
 
-/// One attempt from each of few proxies fits at any time beside what the backend completes; otherwise it
-/// would stay idle until it is warm. Hundreds of proxies would overload it.
+/// Where proxies are few, each may have one attempt in flight at a backend in slow start, as otherwise the backend
+/// would stay idle until it is warm. One attempt from each of hundreds of proxies would overload it.
 #[test]
 fn few_proxies_use_a_backend_in_slow_start_one_rpc_at_a_time() {
-    let served = |balancers: usize| {
+    let served = |proxies: usize| {
         let conf = Settings {
-            proxy_count: balancers,
+            proxy_count: proxies,
             ..settings(&[Idempotency::Idempotent])
         };
         let mut proxy = Proxy::new(conf, 7, &[endpoint(0)]);
@@ -134,10 +137,14 @@
         }
         served
     };
-    assert!(served(2) > 50, "{} of 60", served(2));
+    assert!(
+        served(2) > 50,
+        "{} of 60 RPCs served by one of 2 proxies",
+        served(2)
+    );
     assert!(
         served(200) < 10,
-        "{} of 60: hundreds would overload it",
+        "{} of 60 RPCs served by one of 200 proxies, which together overload the backend",
         served(200)
     );
 }
