--- a/tests/slow_start/sweep.rs
+++ b/tests/slow_start/sweep.rs
@@ -1,10 +1,11 @@
-//! Sweeps over fleets that print what backends in slow start are sent; run by hand.
+//! Sweeps over fleets that print the load of backends in slow start. They take long and check nothing, so they
+//! are ignored by default and run by hand.
 use crate::extremes::{EXTREMES, NamedFleet};
 use crate::fleets::*;
 use crate::measurement::SlowStartMeasurement;
 use crate::scenario::FleetScenario;
 
-/// Seeds that each fleet is run with.
+/// Number of seeds that each fleet is run with, unless the environment variable `SEEDS` is set.
 const DEFAULT_SEEDS: u64 = 3;
 
 /// Size of a simulated fleet.
@@ -14,6 +15,7 @@
     cores: usize,
 }
 
+/// The sizes that the sweep runs.
 const FLEET_SIZES: [FleetSize; 6] = [
     FleetSize::new(4, 8, 1),
     FleetSize::new(4, 8, 4),
@@ -52,18 +54,19 @@
     RESTARTED_WITHOUT_LIST.with_health_checks(true),
 ];
 
-/// Returns the value of an environment variable, if it is set.
+/// Returns the parsed value of an environment variable; `None` if it is unset or malformed.
 fn from_environment<T: std::str::FromStr>(name: &str) -> Option<T> {
     std::env::var(name).ok()?.parse().ok()
 }
 
 /// Prints the load of each fleet size under each condition, for docs/acceptance.md:
-/// `cargo test --release --test slow_start -- --ignored --nocapture`.
+/// `cargo test --release --test slow_start -- --ignored --nocapture`. With the environment variable `PROXIES` it
+/// runs only the sizes with that number of proxies.
 #[test]
-#[ignore = "minutes: the figures of docs/acceptance.md"]
+#[ignore = "takes minutes, prints the figures of docs/acceptance.md"]
 fn sweep() {
     let seeds = from_environment("SEEDS").unwrap_or(DEFAULT_SEEDS);
-    let only: Option<usize> = from_environment("PROXIES");
+    let only_proxies: Option<usize> = from_environment("PROXIES");
     println!(
         "proxies load skew checks restart mult*from win cores | excess/rootN over(2r+2) work used sent served"
     );
@@ -73,7 +76,7 @@
             backends,
             cores,
         } = size;
-        if only.is_some_and(|only| only != proxies) {
+        if only_proxies.is_some_and(|only| only != proxies) {
             continue;
         }
         for condition in CONDITIONS {
@@ -94,13 +97,14 @@
                 fleet.overload_multiple,
                 fleet.initial_fraction,
                 fleet.window,
-                formatted(&worst)
+                format_columns(&worst)
             );
         }
     }
 }
 
-fn formatted(worst: &SlowStartMeasurement) -> String {
+/// Formats a measurement as the columns right of the bar.
+fn format_columns(worst: &SlowStartMeasurement) -> String {
     format!(
         "{:6.2} {:7.1} {:6.2} {:5.2} {:7} {:.3}",
         worst.excess_rpcs,
@@ -112,14 +116,15 @@
     )
 }
 
+/// Prints the load of the fleets in [`EXTREMES`], for docs/acceptance.md.
 #[test]
-#[ignore = "a minute: the figures of docs/acceptance.md"]
+#[ignore = "takes a minute, prints the figures of docs/acceptance.md"]
 fn extremes() {
     for NamedFleet { name, fleet } in EXTREMES {
         for health_checks in [false, true] {
             let fleet = fleet.with_health_checks(health_checks);
             let worst = SlowStartMeasurement::worst_of(fleet, DEFAULT_SEEDS);
-            println!("{name:30} {health_checks:5} | {}", formatted(&worst));
+            println!("{name:30} {health_checks:5} | {}", format_columns(&worst));
         }
     }
 }
