--- a/tests/slow_start/sweep.rs
+++ b/tests/slow_start/sweep.rs
@@ -5,7 +5,7 @@
 use crate::measurement::SlowStartMeasurement;
 use crate::scenario::FleetScenario;
 
-/// Number of seeds that each fleet is run with, unless the environment variable `SEEDS` is set.
+/// Number of seeds that each fleet is run with. The environment variable `SEEDS` replaces it in [`sweep`].
 const DEFAULT_SEEDS: u64 = 3;
 
 /// Size of a simulated fleet.
