--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -1,7 +1,7 @@
-//! Settings and endpoints that the tests and benchmarks of the decisions start from.
+//! Default settings and endpoints, which the tests and benchmarks of the decisions modify.
 use birchhub::interface::*;
 
-/// Returns a method with this idempotency.
+/// Returns the default settings of a method with this idempotency.
 pub(crate) fn method_settings(idempotency: Idempotency) -> MethodSettings {
     MethodSettings {
         idempotency,
@@ -13,7 +13,7 @@
     }
 }
 
-/// Returns settings with a method of each idempotency, where health checks report loads.
+/// Returns settings with one method for each of these idempotencies, where load reports come from health checks.
 pub(crate) fn settings(idempotency: &[Idempotency]) -> Settings {
     Settings {
         proxy_count: 1,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Returns a ready endpoint. Two cells and three zones alternate.
+/// Returns a ready endpoint. Its number decides to which of two cells and three zones it belongs.
 pub(crate) fn endpoint(backend: u32) -> Endpoint {
     Endpoint {
         backend,
