--- a/tests/common/fleets.rs
+++ b/tests/common/fleets.rs
@@ -1,9 +1,9 @@
-//! Proxies with fleets of backends that several tests start from.
+//! Proxies with a number of backends, for tests of the decisions.
 use super::fixtures::{endpoint, settings};
 use super::proxy::Proxy;
 use birchhub::interface::*;
 
-/// Returns a proxy with this many backends, numbered from 0.
+/// Returns a proxy with these settings and this many backends, numbered from 0.
 pub(crate) fn proxy_of(backends: u32, conf: Settings) -> Proxy {
     let listed: Vec<_> = (0..backends).map(endpoint).collect();
     Proxy::new(conf, 7, &listed)
@@ -16,7 +16,7 @@
     proxy_of(backends, conf)
 }
 
-/// Returns a proxy that can not send health checks.
+/// Returns a proxy without health checks.
 pub(crate) fn without_health_checks(backends: u32) -> Proxy {
     proxy_of(
         backends,
@@ -27,7 +27,7 @@
     )
 }
 
-/// Returns a proxy whose health checks cost more than they are worth.
+/// Returns a proxy whose health checks cost more than their load reports gain.
 pub(crate) fn with_expensive_health_checks(backends: u32) -> Proxy {
     let conf = Settings {
         load_report_source: LoadReportSource::HealthChecks,
@@ -37,8 +37,8 @@
     proxy_of(backends, conf)
 }
 
-/// Returns a proxy with key affinity and ten cells of four backends each, where only the duration of health
-/// checks tells loads.
+/// Returns a proxy with key affinity and ten cells of four backends each, where load can be estimated only from
+/// the duration of health checks.
 pub(crate) fn with_key_affinity(seed: u64) -> Proxy {
     let conf = Settings {
         key_affinity: true,
