--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,8 @@
-//! Helpers of the tests of the decisions and of the running daemon.
+//! Helpers for the tests of the decisions and of the running daemon.
 //!
 //! `fixtures`, `fleets`, `rule_model` and `proxy` run the decisions in simulated time and check them against a
-//! model of the rules; `sockets` has the surroundings of a birchhubd process on loopback sockets.
+//! model of the rules; `sockets` runs a birchhubd process with emulated clients, backends and a discovery
+//! service on loopback sockets.
 #![allow(
     dead_code,
     unused_imports,
