--- a/tests/common/proxy.rs
+++ b/tests/common/proxy.rs
@@ -1,19 +1,19 @@
-//! A balancer on the platform that checks the rules, driven through simulated time.
+//! A balancer on the platform that checks the rules, run in simulated time.
 use super::rule_model::{CheckedPlatform, FinalAnswer, RpcRecord};
 use birchhub::balancer::{Balancer, RpcHandle};
 use birchhub::interface::*;
 use std::collections::BTreeMap;
 
-/// Time from an RPC until `drive` has answered its health checks, in seconds.
+/// Time after each RPC during which [`Proxy::drive`] completes health checks, in seconds.
 const HEALTH_CHECK_SECONDS: f64 = 0.02;
-/// Number of times that `drive` answers health checks meanwhile.
+/// Number of times that [`Proxy::drive`] completes health checks in that time.
 const HEALTH_CHECK_ROUNDS: usize = 5;
 
 /// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptInFlight {
     pub rpc: u64,
-    /// Its number among the RPC's attempts.
+    /// Index among the RPC's attempts.
     pub number: usize,
     pub backend: u32,
 }
@@ -26,13 +26,13 @@
     }
 }
 
-/// Something that is due at a time.
+/// A timer or a timeout, and the time at which it is due.
 struct Due<T> {
     at: f64,
-    what: T,
+    event: T,
 }
 
-/// One balancer and its platform.
+/// A balancer and its platform.
 pub(crate) struct Proxy {
     pub platform: CheckedPlatform,
     pub balancer: Balancer,
@@ -41,6 +41,7 @@
 }
 
 impl Proxy {
+    /// Creates a proxy that has a stale list of these endpoints, as a new process with a cached list has.
     pub(crate) fn new(settings: Settings, seed: u64, endpoints: &[Endpoint]) -> Self {
         let balancer = Balancer::new(&settings, seed);
         let platform = CheckedPlatform {
@@ -57,13 +58,14 @@
         proxy
     }
 
+    /// Delivers an update of the endpoint list, to the model as well.
     pub(crate) fn update_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
         self.record_draining(kind, endpoints);
         self.balancer
             .update_endpoints(kind, endpoints, &mut self.platform);
     }
 
-    /// Records for the model which backends may get no new RPCs from now on.
+    /// Records for the model since when each backend is draining, removed or no longer listed.
     fn record_draining(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
         let now = self.platform.now;
         let draining_since = &mut self.platform.draining_since;
@@ -83,10 +85,12 @@
         }
     }
 
+    /// Accepts an RPC with a deadline in `time_left` seconds, and returns its id.
     pub(crate) fn accept(&mut self, method: usize, time_left: f64) -> u64 {
         self.accept_as(method, time_left, None, false)
     }
 
+    /// Accepts an RPC of a tenant, which may be a client's retry.
     pub(crate) fn accept_as(
         &mut self,
         method: usize,
@@ -103,6 +107,7 @@
         })
     }
 
+    /// Accepts an RPC with this key.
     pub(crate) fn accept_with_key(&mut self, key: u64) -> u64 {
         self.accept_rpc(IncomingRpc {
             deadline: 0.5,
@@ -111,7 +116,7 @@
         })
     }
 
-    /// Accepts an RPC whose body is still arriving.
+    /// Accepts an RPC whose request body is still arriving.
     pub(crate) fn accept_streaming(&mut self) -> u64 {
         self.accept_rpc(IncomingRpc {
             deadline: 0.5,
@@ -120,7 +125,7 @@
         })
     }
 
-    /// Accepts an RPC. Its id is assigned here, and its deadline is relative to now.
+    /// Accepts an RPC and returns its id, which is assigned here. The deadline of `incoming` is relative to now.
     pub(crate) fn accept_rpc(&mut self, incoming: IncomingRpc) -> u64 {
         let id = self.next_rpc;
         self.next_rpc += 1;
@@ -146,11 +151,13 @@
         id
     }
 
+    /// Disconnects the client of an RPC.
     pub(crate) fn disconnect_client(&mut self, rpc: u64) {
         self.platform.rpc_mut(rpc).client_disconnected = true;
         self.handles[&rpc].on_client_disconnected(&mut self.platform);
     }
 
+    /// Returns all attempts in flight, in the order of their RPCs.
     pub(crate) fn attempts_in_flight(&self) -> Vec<AttemptInFlight> {
         let in_flight = |(id, rpc): (&u64, &RpcRecord)| {
             let attempts = rpc.attempts.iter().enumerate();
@@ -176,7 +183,8 @@
         self.end_attempt(attempt.rpc, attempt.number, outcome, in_flight);
     }
 
-    /// Ends an attempt by its RPC and its number.
+    /// Ends the attempt with this index among the attempts of an RPC. A success ends the RPC, and so does any
+    /// outcome once its response is streaming.
     pub(crate) fn end_attempt(
         &mut self,
         rpc: u64,
@@ -199,16 +207,17 @@
         handle.on_attempt_ended(attempt, outcome, ends_rpc, report, &mut self.platform);
     }
 
-    /// Accepts an RPC every `gap` seconds and returns all of them. Health checks report the load of their
-    /// backend. Attempts end after `gap` with the outcome of their backend, or time out without one.
+    /// Runs rounds of `interval` seconds, each of which accepts one RPC, and returns all RPCs. Health checks and
+    /// responses report the load that `in_flight` gives for a backend. At the end of a round, attempts end with
+    /// the outcome that `outcome` gives for their backend; those without an outcome time out later.
     pub(crate) fn drive(
         &mut self,
         rounds: usize,
-        gap: f64,
+        interval: f64,
         in_flight: impl Fn(u32) -> f64,
         outcome: impl Fn(u32) -> Option<AttemptOutcome>,
     ) -> Vec<RpcRecord> {
-        let health_check_time = gap.min(HEALTH_CHECK_SECONDS);
+        let health_check_time = interval.min(HEALTH_CHECK_SECONDS);
         let mut rpcs = Vec::new();
         for _ in 0..rounds {
             rpcs.push(self.accept(0, 0.5));
@@ -216,7 +225,7 @@
                 self.advance(health_check_time / HEALTH_CHECK_ROUNDS as f64);
                 self.complete_health_checks(AttemptOutcome::Succeeded, &in_flight);
             }
-            self.advance(gap - health_check_time);
+            self.advance(interval - health_check_time);
             for attempt in self.attempts_in_flight() {
                 let backend = attempt.backend;
                 if let Some(outcome) = outcome(backend) {
@@ -229,12 +238,15 @@
             .collect()
     }
 
+    /// Ends all attempts in flight; `in_flight` is the load that their backends report.
     pub(crate) fn end_all_attempts(&mut self, outcome: AttemptOutcome, in_flight: Option<f64>) {
         for attempt in self.attempts_in_flight() {
             self.end_in_flight(attempt, outcome, in_flight);
         }
     }
 
+    /// Completes all pending health checks. Those that succeed report the load that `in_flight` gives for their
+    /// backend.
     pub(crate) fn complete_health_checks(
         &mut self,
         outcome: AttemptOutcome,
@@ -248,14 +260,14 @@
         }
     }
 
-    /// Returns the attempt that times out first. Streamed responses have no timeout.
+    /// Returns the attempt that times out first. An attempt has no timeout while its RPC is streaming.
     fn next_timeout(&self) -> Option<Due<AttemptInFlight>> {
         let mut next: Option<Due<AttemptInFlight>> = None;
         for attempt in self.attempts_in_flight() {
             let record = &self.platform.rpcs[&attempt.rpc];
             let at = record.attempts[attempt.number].timeout_at;
             if !record.is_streaming && next.as_ref().is_none_or(|next| at < next.at) {
-                next = Some(Due { at, what: attempt });
+                next = Some(Due { at, event: attempt });
             }
         }
         next
@@ -268,14 +280,15 @@
             if next.as_ref().is_none_or(|next| *at < next.at) {
                 next = Some(Due {
                     at: *at,
-                    what: index,
+                    event: index,
                 });
             }
         }
         next
     }
 
-    /// Advances the time; timers fire and attempts time out when they are due.
+    /// Advances the time. Timers fire and attempts time out when they are due; a timeout precedes a timer that is
+    /// due at the same time.
     pub(crate) fn advance(&mut self, seconds: f64) {
         let end = self.platform.now + seconds;
         loop {
@@ -284,11 +297,11 @@
             match (timeout, timer) {
                 (Some(timeout), timer) if timer.as_ref().is_none_or(|t| timeout.at <= t.at) => {
                     self.platform.now = self.platform.now.max(timeout.at);
-                    self.end_in_flight(timeout.what, AttemptOutcome::TimedOut, None);
+                    self.end_in_flight(timeout.event, AttemptOutcome::TimedOut, None);
                 }
                 (_, Some(timer)) => {
                     self.platform.now = self.platform.now.max(timer.at);
-                    self.platform.timers.swap_remove(timer.what);
+                    self.platform.timers.swap_remove(timer.event);
                     self.balancer.on_timer(&mut self.platform);
                 }
                 (_, None) => break,
@@ -297,7 +310,7 @@
         self.platform.now = end;
     }
 
-    /// Checks that no rule was broken so far.
+    /// Checks that no rule has been violated so far.
     pub(crate) fn check_rules(&self) -> Result<(), String> {
         self.platform.check_rules()
     }
