--- a/tests/common/rule_model.rs
+++ b/tests/common/rule_model.rs
@@ -1,14 +1,14 @@
-//! Model of the four rules: a platform in simulated time that checks every action of the decisions. It is
-//! slow and simple, and shares no code with them.
+//! Model of the four rules of `policy::rules`: a platform in simulated time that checks every action of the
+//! decisions. It is simple rather than fast, and shares no code with the decisions.
 use birchhub::interface::*;
 use std::collections::BTreeMap;
 
-/// Time after the deadline by which an RPC must have its final answer, in seconds.
+/// Time after its deadline within which an RPC must get its final answer, in seconds.
 const ANSWER_GRACE_SECONDS: f64 = 0.005;
-/// Shortest delay of a timer in seconds.
+/// Shortest delay of a timer, in seconds.
 const MIN_TIMER_SECONDS: f64 = 0.001;
 
-/// One attempt of an RPC, as the platform saw it.
+/// An attempt of an RPC, as seen by the platform.
 #[derive(Clone, Debug)]
 pub(crate) struct AttemptRecord {
     pub backend: u32,
@@ -23,7 +23,7 @@
         self.outcome.is_none()
     }
 
-    /// Returns whether the backend may have executed it, as far as the proxy knows.
+    /// Returns whether the backend may have executed the attempt, as far as the proxy can know.
     fn may_have_run(&self) -> bool {
         !matches!(
             self.outcome,
@@ -43,11 +43,11 @@
     Failed,
 }
 
-/// What the model knows of one RPC.
+/// The state of one RPC in the model.
 #[derive(Clone, Debug)]
 pub(crate) struct RpcRecord {
     pub idempotency: Idempotency,
-    /// The key that it is ordered by, and its number among all accepted RPCs.
+    /// The key and the position among all accepted RPCs, if the RPC is ordered by key.
     pub key_sequence: Option<(u64, u64)>,
     pub deadline: f64,
     pub attempts: Vec<AttemptRecord>,
@@ -69,7 +69,7 @@
         in_flight.count()
     }
 
-    /// Returns whether a rejection would be true: a retry is harmless.
+    /// Returns whether the RPC may be rejected. A rejection tells the client that a retry is harmless.
     pub(crate) fn may_be_rejected(&self) -> bool {
         let was_not_executed = !self.attempts.iter().any(AttemptRecord::may_have_run);
         was_not_executed
@@ -84,14 +84,14 @@
     }
 }
 
-/// The platform that checks the rules and collects their violations.
+/// A platform that checks every action against the rules and collects violations.
 #[derive(Default)]
 pub(crate) struct CheckedPlatform {
     pub now: f64,
     pub settings: Settings,
     pub rpcs: BTreeMap<u64, RpcRecord>,
     pub endpoints: BTreeMap<u32, Endpoint>,
-    /// When the decisions were notified that a backend is draining or removed.
+    /// Time at which the decisions learned that a backend is draining, removed or no longer listed.
     pub draining_since: BTreeMap<u32, f64>,
     pub timers: Vec<f64>,
     pub pending_health_checks: Vec<u32>,
@@ -103,25 +103,27 @@
 
 impl CheckedPlatform {
     pub(crate) fn rpc_mut(&mut self, rpc: u64) -> &mut RpcRecord {
-        self.rpcs.get_mut(&rpc).expect("an RPC that was accepted")
+        self.rpcs.get_mut(&rpc).expect("an accepted RPC")
     }
 
-    /// Checks that all earlier RPCs with its key have ended, and that the cooldown of the key is over.
+    /// Checks that all earlier RPCs with the same key have ended, and that the key's cooldown is over.
     fn check_key_order(&self, rpc: &RpcRecord) -> Result<(), &'static str> {
-        let Some((key, number)) = rpc.key_sequence else {
+        let Some((key, position)) = rpc.key_sequence else {
             return Ok(());
         };
-        let is_earlier =
-            |r: &&RpcRecord| r.key_sequence.is_some_and(|(k, n)| k == key && n < number);
+        let is_earlier = |r: &&RpcRecord| {
+            r.key_sequence
+                .is_some_and(|(k, p)| k == key && p < position)
+        };
         for earlier in self.rpcs.values().filter(is_earlier) {
             if !earlier.is_finished() {
-                return Err("sent before an earlier RPC with its key has ended");
+                return Err("sent before an earlier RPC with the same key has ended");
             }
             for attempt in &earlier.attempts {
                 match attempt.outcome {
                     None => {
                         return Err(
-                            "sent while an attempt of an earlier RPC with its key is in flight",
+                            "sent while an attempt of an earlier RPC with the same key is in flight",
                         );
                     }
                     Some(
@@ -138,7 +140,7 @@
         Ok(())
     }
 
-    /// Returns the number of the group of backends that drops duplicates together with this one.
+    /// Returns the id of the group of backends that drops duplicates together with this one.
     fn deduplication_group(&self, backend: u32, scope: DeduplicationScope) -> u64 {
         match scope {
             DeduplicationScope::All => 0,
@@ -186,7 +188,7 @@
         }
         let draining_since = self.draining_since.get(&backend);
         if draining_since.is_some_and(|at| self.now > at + self.settings.drain_grace) {
-            return Err("sent to a draining backend");
+            return Err("sent to a backend that is draining or removed");
         }
         if !self.endpoints.contains_key(&backend) {
             return Err("sent to a backend that was never listed");
@@ -194,18 +196,19 @@
         Ok(())
     }
 
-    /// Records a final answer, and whether it breaks a rule.
+    /// Records a final answer, and a violation if a rule forbids it.
     fn record_answer(&mut self, rpc: u64, answer: FinalAnswer) {
         let now = self.now;
         let record = self.rpc_mut(rpc);
         let violation = if record.is_finished() {
-            Some(format!("{answer:?} for {rpc} after its end"))
+            Some(format!("{answer:?} for RPC {rpc} after its end"))
         } else if (answer == FinalAnswer::Rejected) != record.may_be_rejected() {
+            let permission = if record.may_be_rejected() { "" } else { "not " };
             Some(format!(
-                "{answer:?} where the model says otherwise: {record:?}"
+                "{answer:?} for RPC {rpc}, which may {permission}be rejected: {record:?}"
             ))
         } else if now > record.deadline + ANSWER_GRACE_SECONDS {
-            Some(format!("{answer:?} for {rpc} too late"))
+            Some(format!("{answer:?} for RPC {rpc} after its deadline"))
         } else {
             None
         };
@@ -213,12 +216,14 @@
         self.violations.extend(violation);
     }
 
-    /// Returns the first violation, or an RPC whose answer is overdue.
+    /// Returns an error for an RPC whose final answer is overdue, or for the first violation.
     pub(crate) fn check_rules(&self) -> Result<(), String> {
         for (id, rpc) in &self.rpcs {
             let is_overdue = !rpc.is_finished() && self.now > rpc.deadline + ANSWER_GRACE_SECONDS;
             if is_overdue && !rpc.is_streaming {
-                return Err(format!("{id} got no answer: {rpc:?}"));
+                return Err(format!(
+                    "RPC {id} got no final answer before its deadline: {rpc:?}"
+                ));
             }
         }
         self.violations
@@ -234,7 +239,7 @@
     fn start_attempt(&mut self, rpc: u64, backend: u32, timeout: f64) {
         if let Err(rule) = self.check_attempt(&self.rpcs[&rpc], backend) {
             self.violations.push(format!(
-                "{rule}: {rpc} to {backend} at {}: {:?}",
+                "{rule}: RPC {rpc} to backend {backend} at {} s: {:?}",
                 self.now, self.rpcs[&rpc]
             ));
         }
@@ -250,8 +255,9 @@
     }
     fn cancel_attempt(&mut self, rpc: u64, attempt: usize) {
         if !self.rpcs[&rpc].attempts[attempt].is_in_flight() || !self.settings.can_cancel {
-            self.violations
-                .push(format!("cancelled {rpc} {attempt}, which is not in flight"));
+            self.violations.push(format!(
+                "cancelled attempt {attempt} of RPC {rpc}, which is not in flight or can not be cancelled"
+            ));
         }
     }
     fn reject(&mut self, rpc: u64, retry_after: f64) {
