--- a/crates/daemon/tests/attempts/incomplete_responses.rs
+++ b/crates/daemon/tests/attempts/incomplete_responses.rs
@@ -1,11 +1,12 @@
-//! Responses of backends that are endless or incomplete.
+//! Responses of backends that never end, or that stop before they are complete.
 use crate::PROGRAM;
 use crate::common::sockets::{
     BackendAction, Daemon, EVENT_TIMEOUT, Log, Message, backend, rpc, without_health_checks,
 };
 use std::io::Read;
 
-/// The client can tell that it is truncated.
+/// The proxy ends the response without its last chunk, so that the client can tell that it is truncated. The
+/// response exceeds the body limit of 32 MiB; the proxy must not hold all of it in memory.
 #[test]
 fn an_endless_response_is_truncated() {
     let log = Log::new(vec![]);
@@ -21,29 +22,30 @@
     );
     let mut client = daemon.client();
     client.send(&rpc("GET", "/read", "id", ""));
-    let mut all = Vec::new();
+    let mut received = Vec::new();
     client
         .stream()
         .set_read_timeout(Some(EVENT_TIMEOUT))
         .expect("a timeout");
-    let ended = client.stream().read_to_end(&mut all);
+    let read_result = client.stream().read_to_end(&mut received);
     assert!(
-        ended.is_ok() && !all.ends_with(b"\r\n0\r\n\r\n"),
-        "looks complete: {ended:?}"
+        read_result.is_ok() && !received.ends_with(b"\r\n0\r\n\r\n"),
+        "the response looks complete: {read_result:?}"
     );
     assert!(
-        ((16 << 20)..(33 << 20)).contains(&all.len()),
+        ((16 << 20)..(33 << 20)).contains(&received.len()),
         "{} bytes",
-        all.len()
+        received.len()
     );
     assert!(daemon.memory() < 64 << 20);
 }
 
-/// Responses that stop at each stage: their RPCs fail in time.
+/// The connection stays open after a response has stopped within its status line, head or body: the RPC fails at its
+/// deadline.
 #[test]
 fn incomplete_responses_fail_the_attempt_in_time() {
     let log = Log::new(vec![]);
-    let parts = [
+    let incomplete_responses = [
         "HTTP/1.1 200",
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
@@ -51,26 +53,29 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf",
         "HTTP/1.1 200 OK\r\n\r\nhalf",
     ];
-    let at = backend("b1", &log, move |m| {
-        let number: usize = m.header("request-id")[1..].parse().expect("a number");
+    let address = backend("b1", &log, move |request| {
+        let number: usize = request.header("request-id")[1..].parse().expect("a number");
         BackendAction::RespondLater {
-            first: parts[number].into(),
+            first: incomplete_responses[number].into(),
             log: Log::new(vec![]),
             event: "never".into(),
             rest: vec![],
         }
     });
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
-    let mut clients: Vec<_> = parts.iter().map(|_| daemon.client()).collect();
-    for (n, client) in clients.iter_mut().enumerate() {
-        client.send(&rpc("POST", "/book", &format!("n{n}"), "").replace("3000", "300"));
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", address)], without_health_checks);
+    let mut clients: Vec<_> = incomplete_responses
+        .iter()
+        .map(|_| daemon.client())
+        .collect();
+    for (number, client) in clients.iter_mut().enumerate() {
+        client.send(&rpc("POST", "/book", &format!("n{number}"), "").replace("3000", "300"));
     }
-    for (n, client) in clients.iter_mut().enumerate() {
+    for (number, client) in clients.iter_mut().enumerate() {
         assert_eq!(
-            client.response().map(|answer| answer.status()),
+            client.response().map(|response| response.status()),
             Some(502),
             "{}",
-            parts[n]
+            incomplete_responses[number]
         );
     }
 }
