--- a/crates/daemon/tests/client_disconnects/connecting.rs
+++ b/crates/daemon/tests/client_disconnects/connecting.rs
@@ -2,14 +2,14 @@
 use crate::common::sockets::{
     EVENT_TIMEOUT, Log, SlowAccept, echo, endpoint_entry, eventually, rpc,
 };
-use crate::harness::{assert_serves, await_descriptors, proxy_before_a_slow_backend};
+use crate::harness::{assert_serves, await_descriptors, start_proxy_before_slow_backend};
 use serde_json::Value;
 
 /// Checks that an RPC is not forwarded whose client disconnects during the connect.
 fn assert_not_forwarded_after_connect(change: impl Fn(&mut Value), message: &str) {
     let log = Log::new(vec![]);
     let slow = SlowAccept::start();
-    let daemon = proxy_before_a_slow_backend(&slow, change);
+    let daemon = start_proxy_before_slow_backend(&slow, change);
     let before = daemon.descriptors();
     let mut client = daemon.client();
     client.send(&message.replace("3000", "60000"));
--- a/crates/daemon/tests/client_disconnects/harness.rs
+++ b/crates/daemon/tests/client_disconnects/harness.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// A pause after a disconnect, longer than the 0.1 s in which an attempt may still start.
-pub(crate) const AFTER_DISCONNECT_SLACK: Duration = Duration::from_millis(150);
+pub(crate) const PAUSE_AFTER_DISCONNECT: Duration = Duration::from_millis(150);
 pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
 /// Configures the method `book` to keep the order of RPCs of a key.
@@ -28,7 +28,7 @@
 }
 
 /// Starts a backend whose response to the RPC `first` waits for the gate, and a proxy that keeps the order of keys.
-pub(crate) fn proxy_before_a_gated_backend(log: &Log) -> (Daemon, Shared<bool>) {
+pub(crate) fn start_proxy_before_gated_backend(log: &Log) -> (Daemon, Shared<bool>) {
     let gate = Shared::new(false);
     let open = gate.clone();
     let at = backend("b1", log, move |m| match m.header("request-id") {
@@ -75,21 +75,23 @@
             }
             Disconnect::Reset => {
                 resets.insert((
-                    proc_format(stream.local_addr()),
-                    proc_format(stream.peer_addr()),
+                    proc_net_address(stream.local_addr()),
+                    proc_net_address(stream.peer_addr()),
                 ));
                 client.reset_on_drop();
             }
         }
     }
-    while !resets.is_empty() && open_connections().any(|connection| resets.contains(&connection)) {
+    while !resets.is_empty()
+        && established_connections().any(|connection| resets.contains(&connection))
+    {
         sleep(Duration::from_millis(10));
     }
     readable
 }
 
 /// Returns an address in the format of `/proc/net/tcp`.
-pub(crate) fn proc_format(at: std::io::Result<SocketAddr>) -> String {
+pub(crate) fn proc_net_address(at: std::io::Result<SocketAddr>) -> String {
     match at.expect("an address") {
         SocketAddr::V4(at) => format!(
             "{:08X}:{:04X}",
@@ -101,7 +103,7 @@
 }
 
 /// Returns both addresses of each established connection of the machine.
-pub(crate) fn open_connections() -> impl Iterator<Item = (String, String)> {
+pub(crate) fn established_connections() -> impl Iterator<Item = (String, String)> {
     let all = std::fs::read_to_string("/proc/net/tcp").expect("connections");
     let open = |line: &str| {
         let mut words = line.split_whitespace().skip(1).map(str::to_owned);
@@ -141,7 +143,7 @@
 }
 
 /// Starts a proxy whose connects do not time out within a test.
-pub(crate) fn proxy_before_a_slow_backend(
+pub(crate) fn start_proxy_before_slow_backend(
     slow: &SlowAccept,
     change: impl Fn(&mut Value),
 ) -> Daemon {
@@ -154,13 +156,13 @@
 }
 
 /// Disconnects the clients of a suspended proxy, and resumes it later than an attempt may start for them.
-pub(crate) fn disconnect_and_continue(
+pub(crate) fn disconnect_and_resume(
     daemon: &Daemon,
     clients: Vec<Client>,
     how: &Disconnect,
 ) -> Vec<Client> {
     let readable = disconnect(clients, how);
-    sleep(AFTER_DISCONNECT_SLACK);
+    sleep(PAUSE_AFTER_DISCONNECT);
     daemon.signal("CONT");
     readable
 }
--- a/crates/daemon/tests/client_disconnects/key_queue.rs
+++ b/crates/daemon/tests/client_disconnects/key_queue.rs
@@ -1,14 +1,14 @@
 //! Disconnects while an RPC waits in the queue of its key.
 use crate::common::sockets::{Log, rpc};
 use crate::harness::{
-    Disconnect, accepted_client, await_descriptors, disconnect, disconnect_and_continue, keyed_rpc,
-    proxy_before_a_gated_backend, send_first_keyed_rpc, send_from_new_clients,
+    Disconnect, accepted_client, await_descriptors, disconnect, disconnect_and_resume, keyed_rpc,
+    send_first_keyed_rpc, send_from_new_clients, start_proxy_before_gated_backend,
 };
 
 /// Checks that queued RPCs are not forwarded whose clients disconnect, each after it has sent these further bytes.
 fn assert_not_forwarded_from_the_queue(further_bytes: &str, how: &Disconnect, clients: usize) {
     let log = Log::new(vec![]);
-    let (daemon, gate) = proxy_before_a_gated_backend(&log);
+    let (daemon, gate) = start_proxy_before_gated_backend(&log);
     let mut first = send_first_keyed_rpc(&daemon, &log);
     let mut last = accepted_client(&daemon);
     let before = daemon.descriptors();
@@ -84,7 +84,7 @@
 #[test]
 fn pipelined_rpcs_are_served_in_order() {
     let log = Log::new(vec![]);
-    let (daemon, gate) = proxy_before_a_gated_backend(&log);
+    let (daemon, gate) = start_proxy_before_gated_backend(&log);
     let body = "x".repeat(500);
     let all: String = (0..100)
         .map(|n| rpc("POST", "/log", &format!("n{n}"), &format!("{n}{body}")))
@@ -102,14 +102,14 @@
 /// Checks that RPCs are not forwarded whose turn comes while the proxy is suspended, and whose clients disconnect then.
 fn assert_not_forwarded_at_their_turn(how: &Disconnect, clients: usize) {
     let log = Log::new(vec![]);
-    let (daemon, gate) = proxy_before_a_gated_backend(&log);
+    let (daemon, gate) = start_proxy_before_gated_backend(&log);
     let mut first = send_first_keyed_rpc(&daemon, &log);
     let gone = send_from_new_clients(&daemon, clients, |n| keyed_rpc(&format!("gone{n}")));
     let mut last = accepted_client(&daemon);
     daemon.signal("STOP");
     gate.change(|open| *open = true);
     log.await_event("b1 done with first");
-    let readable = disconnect_and_continue(&daemon, gone, how);
+    let readable = disconnect_and_resume(&daemon, gone, how);
     assert_eq!(first.response().expect("an answer").status(), 200);
     assert_eq!(
         last.call(&keyed_rpc("last")).expect("an answer").status(),
--- a/crates/daemon/tests/client_disconnects/retries.rs
+++ b/crates/daemon/tests/client_disconnects/retries.rs
@@ -4,7 +4,7 @@
     eventually, gated_backend, reply, rpc, without_health_checks,
 };
 use crate::harness::{
-    Disconnect, PROGRAM, accepted_client, await_descriptors, disconnect_and_continue,
+    Disconnect, PROGRAM, accepted_client, await_descriptors, disconnect_and_resume,
 };
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
     daemon.signal("STOP");
     gate.change(|open| *open = true);
     (0..clients).for_each(|n| log.await_event(&format!("b1 done with gone{n}")));
-    let readable = disconnect_and_continue(&daemon, gone, how);
+    let readable = disconnect_and_resume(&daemon, gone, how);
     let next = daemon
         .client()
         .call(&rpc("POST", "/book", "next", ""))
--- a/crates/daemon/tests/client_disconnects/suspended_proxy.rs
+++ b/crates/daemon/tests/client_disconnects/suspended_proxy.rs
@@ -4,8 +4,8 @@
     rpc, without_health_checks,
 };
 use crate::harness::{
-    AFTER_DISCONNECT_SLACK, Disconnect, PROGRAM, accepted_client, assert_serves, await_descriptors,
-    disconnect_and_continue, proxy_before_a_slow_backend, send_from_new_clients,
+    Disconnect, PAUSE_AFTER_DISCONNECT, PROGRAM, accepted_client, assert_serves, await_descriptors,
+    disconnect_and_resume, send_from_new_clients, start_proxy_before_slow_backend,
 };
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::thread::{sleep, spawn};
@@ -19,14 +19,14 @@
 ) {
     let log = Log::new(vec![]);
     let slow = SlowAccept::start();
-    let daemon = proxy_before_a_slow_backend(&slow, |_| {});
+    let daemon = start_proxy_before_slow_backend(&slow, |_| {});
     let gone = send_from_new_clients(&daemon, clients, |n| message(n).replace("3000", "60000"));
     eventually(EVENT_TIMEOUT, "not all connects were started", || {
         slow.pending_connects() == clients
     });
     daemon.signal("STOP");
     let peers = slow.accept(clients);
-    let readable = disconnect_and_continue(&daemon, gone, how);
+    let readable = disconnect_and_resume(&daemon, gone, how);
     let heard = |mut peer: &socket2::Socket| {
         peer.set_read_timeout(Some(EVENT_TIMEOUT))
             .expect("a timeout");
@@ -95,7 +95,7 @@
 #[test]
 fn an_rpc_of_a_connected_client_is_forwarded_after_a_suspension() {
     let slow = SlowAccept::start();
-    let daemon = proxy_before_a_slow_backend(&slow, |_| {});
+    let daemon = start_proxy_before_slow_backend(&slow, |_| {});
     let body: String = (0..25_000).map(|n| format!("{n:8}")).collect();
     let message = rpc("POST", "/book", "stays", &body).replacen("3000", "60000", 1);
     let (half, rest) = message.split_at(100_000);
@@ -109,7 +109,7 @@
     let mut sender = client.stream();
     let rest = rest.to_owned();
     let sent = spawn(move || sender.write_all(rest.as_bytes()).is_ok());
-    sleep(AFTER_DISCONNECT_SLACK);
+    sleep(PAUSE_AFTER_DISCONNECT);
     daemon.signal("CONT");
     peer.set_read_timeout(Some(EVENT_TIMEOUT))
         .expect("a timeout");
@@ -136,7 +136,7 @@
     for (n, client) in gone.iter_mut().enumerate() {
         client.send(&message(n)[message(n).len() - 3..]);
     }
-    let readable = disconnect_and_continue(&daemon, gone, how);
+    let readable = disconnect_and_resume(&daemon, gone, how);
     await_descriptors(
         &daemon,
         before,
