--- a/crates/daemon/tests/discovery/applied_updates.rs
+++ b/crates/daemon/tests/discovery/applied_updates.rs
@@ -3,7 +3,9 @@
     BackendAction, Daemon, EVENT_TIMEOUT, Log, echo, endpoint_entry, eventually, rpc,
     without_health_checks,
 };
-use crate::harness::{PROGRAM, assert_rpcs_go_to_b2, scripted, switch_discovery, update};
+use crate::harness::{
+    PROGRAM, assert_rpcs_go_to_b2, start_scripted_discovery, switch_discovery, update,
+};
 
 /// RPCs that are received together with an update: their attempts are withdrawn unless they were sent.
 #[test]
@@ -62,7 +64,7 @@
     bad["endpoint"] = "nowhere".into();
     let first = [endpoint_entry("s-1", old, "Ready")];
     let then = [bad, endpoint_entry("s-2", new, "Ready")];
-    let at = scripted(&log, move |number, _| match number {
+    let at = start_scripted_discovery(&log, move |number, _| match number {
         0 => update(1, true, &first),
         1 => update(2, false, &then),
         _ => BackendAction::Hang,
@@ -79,7 +81,7 @@
     let (old, new) = (echo("b1", &log), echo("b2", &log));
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], without_health_checks);
     let stale = endpoint_entry("s-1", old, "Ready");
-    let first = scripted(&log, move |number, _| {
+    let first = start_scripted_discovery(&log, move |number, _| {
         match (number, update(7, true, std::slice::from_ref(&stale))) {
             (0, complete) => complete,
             // The rest arrives after the first call to the new service.
@@ -98,7 +100,7 @@
     switch_discovery(&daemon, first, |_| {});
     log.await_event("list got GET /registry/instances?from=7&hold_ms=3500 HTTP/1.1 ");
     let here = endpoint_entry("s-2", new, "Ready");
-    let second = scripted(&log, move |number, _| match number {
+    let second = start_scripted_discovery(&log, move |number, _| match number {
         0 => update(1, true, std::slice::from_ref(&here)),
         _ => BackendAction::Hang,
     });
--- a/crates/daemon/tests/discovery/failed_polls.rs
+++ b/crates/daemon/tests/discovery/failed_polls.rs
@@ -4,7 +4,8 @@
     rpc, without_health_checks,
 };
 use crate::harness::{
-    PROGRAM, assert_rpcs_go_to_b2, requests_snapshot, scripted, switch_discovery, update,
+    PROGRAM, assert_rpcs_go_to_b2, requests_snapshot, start_scripted_discovery, switch_discovery,
+    update,
 };
 use std::thread::sleep;
 use std::time::Duration;
@@ -19,7 +20,7 @@
         endpoint_entry("s-1", old, "Ready"),
         endpoint_entry("s-2", new, "Ready"),
     );
-    let at = scripted(&log, move |_, call| match call.start_line.as_str() {
+    let at = start_scripted_discovery(&log, move |_, call| match call.start_line.as_str() {
         first if first.contains("from=9&") => update(3, true, std::slice::from_ref(&gone)),
         _ if requests_snapshot(call) => update(9, true, std::slice::from_ref(&here)),
         _ => BackendAction::Hang,
@@ -53,7 +54,7 @@
             endpoint_entry("s-2", new, "Ready"),
         ]
     };
-    let at = scripted(&log, move |number, call| match number {
+    let at = start_scripted_discovery(&log, move |number, call| match number {
         0 => update(1, true, &lines("Ready")),
         1 => match update(2, false, &lines("Terminating")) {
             BackendAction::Respond(bytes) => break_response(bytes),
@@ -93,7 +94,7 @@
     let at = echo("b1", &log);
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
     let here = endpoint_entry("s-1", at, "Ready");
-    let list = scripted(&log, move |number, _| match number {
+    let list = start_scripted_discovery(&log, move |number, _| match number {
         0 | 2 => update(1, true, std::slice::from_ref(&here)),
         _ => BackendAction::Hang,
     });
@@ -113,7 +114,7 @@
     let log = Log::new(vec![]);
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], without_health_checks);
     let moved = endpoint_entry("s-1", echo("b2", &log), "Ready");
-    let list = scripted(&log, move |number, _| match number {
+    let list = start_scripted_discovery(&log, move |number, _| match number {
         0 => update(1, true, &[]),
         // The first poll after the watch. Two more are overdue, and the backoff runs, when the service responds.
         2 => {
--- a/crates/daemon/tests/discovery/harness.rs
+++ b/crates/daemon/tests/discovery/harness.rs
@@ -19,7 +19,7 @@
 }
 
 /// Starts a discovery service that responds to each call by its number. It logs `list got FIRST-LINE `.
-pub(crate) fn scripted(
+pub(crate) fn start_scripted_discovery(
     log: &Log,
     answer: impl Fn(usize, &Message) -> BackendAction + Send + Sync + 'static,
 ) -> SocketAddr {
--- a/crates/daemon/tests/discovery/local_agent.rs
+++ b/crates/daemon/tests/discovery/local_agent.rs
@@ -3,7 +3,7 @@
     BackendAction, Daemon, EVENT_TIMEOUT, Log, Shared, echo, endpoint_entry, rpc,
     without_health_checks,
 };
-use crate::harness::{PROGRAM, assert_rpcs_go_to_b2, scripted, update};
+use crate::harness::{PROGRAM, assert_rpcs_go_to_b2, start_scripted_discovery, update};
 use serde_json::Value;
 use std::thread::sleep;
 use std::time::Duration;
@@ -35,7 +35,7 @@
 fn a_new_process_does_not_wait_for_a_silent_agent() {
     let log = Log::new(vec![]);
     let at = echo("b1", &log);
-    let silent = scripted(&log, |_, _| BackendAction::Hang);
+    let silent = start_scripted_discovery(&log, |_, _| BackendAction::Hang);
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], |config| {
         with_agent(config);
         config["discovery"] = silent.to_string().into();
@@ -87,7 +87,7 @@
         endpoint_entry("s-1", old, "Terminating"),
         endpoint_entry("s-2", new, "Ready"),
     ];
-    let list = scripted(&log, move |_, call| {
+    let list = start_scripted_discovery(&log, move |_, call| {
         // Longer than the timeouts of the first polls.
         sleep(Duration::from_millis(
             if call.start_line.contains("hold_ms=2000") {
@@ -120,7 +120,7 @@
     let here = endpoint_entry("s-1", old, "Ready");
     let hung = Shared::new(0);
     let counted = hung.clone();
-    let list = scripted(&log, move |_, call| match call.start_line.as_str() {
+    let list = start_scripted_discovery(&log, move |_, call| match call.start_line.as_str() {
         first if first.contains("from=0&hold_ms=0 ") && counted.change(|n| *n) > 0 => {
             update(2, true, &drained)
         }
--- a/crates/daemon/tests/discovery/update_limit.rs
+++ b/crates/daemon/tests/discovery/update_limit.rs
@@ -4,7 +4,7 @@
     without_health_checks,
 };
 use crate::harness::{
-    PROGRAM, UPDATE_LIMIT, assert_rpcs_go_to_b2, scripted, switch_discovery, update,
+    PROGRAM, UPDATE_LIMIT, assert_rpcs_go_to_b2, start_scripted_discovery, switch_discovery, update,
 };
 use serde_json::Value;
 use std::time::{Duration, Instant};
@@ -43,7 +43,7 @@
         endpoint_entry("s-1", old, "Terminating"),
         endpoint_entry("s-2", new, "Ready"),
     ];
-    let at = scripted(&log, move |number, _| {
+    let at = start_scripted_discovery(&log, move |number, _| {
         noted.change(|times| times.push(Instant::now()));
         match number
             .checked_sub(first_fault)
