--- a/crates/daemon/tests/client_disconnects/harness.rs
+++ b/crates/daemon/tests/client_disconnects/harness.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect, and proxies whose RPCs wait.
+//! Helpers that disconnect clients in different ways, and that start proxies whose RPCs have to wait.
 use crate::common::sockets::{
     BackendAction, Client, Daemon, EVENT_TIMEOUT, HEALTH, Log, Shared, SlowAccept, backend,
     eventually, reply, rpc, without_health_checks,
@@ -9,7 +9,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// A pause after a disconnect, longer than the 0.1 s in which an attempt may still start.
+/// Longer than the 0.1 s after a disconnect in which an attempt may still start.
 pub(crate) const PAUSE_AFTER_DISCONNECT: Duration = Duration::from_millis(150);
 pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
@@ -20,37 +20,40 @@
     without_health_checks(config);
 }
 
-/// Returns an RPC of the key that all tests use.
+/// Returns an RPC with the entity key that all tests use.
 pub(crate) fn keyed_rpc(id: &str) -> String {
     rpc("POST", "/book", id, "")
         .replace("Tenant", "Request-Info: entity=k:7\r\nTenant")
         .replace("3000", "20000")
 }
 
-/// Starts a backend whose response to the RPC `first` waits for the gate, and a proxy that keeps the order of keys.
+/// Starts a backend that holds its response to the RPC `first` until the gate is open, and a proxy that forwards the
+/// RPCs of a key one after the other.
 pub(crate) fn start_proxy_before_gated_backend(log: &Log) -> (Daemon, Shared<bool>) {
     let gate = Shared::new(false);
     let open = gate.clone();
-    let at = backend("b1", log, move |m| match m.header("request-id") {
-        "first" => {
-            open.wait(EVENT_TIMEOUT, |open| *open);
-            // Logged as done as soon as the response is sent.
-            BackendAction::RespondLater {
-                first: reply("200 OK", ""),
-                log: Log::new(vec![String::new()]),
-                event: String::new(),
-                rest: b"\r\n".to_vec(),
+    let address = backend("b1", log, move |request| {
+        match request.header("request-id") {
+            "first" => {
+                open.wait(EVENT_TIMEOUT, |open| *open);
+                // The backend logs the RPC as done as soon as it has sent the response.
+                BackendAction::RespondLater {
+                    first: reply("200 OK", ""),
+                    log: Log::new(vec![String::new()]),
+                    event: String::new(),
+                    rest: b"\r\n".to_vec(),
+                }
             }
+            _ => BackendAction::Respond(reply("200 OK", "")),
         }
-        _ => BackendAction::Respond(reply("200 OK", "")),
     });
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], with_ordered_keys);
-    // Also shows that RPCs are short, so that those in the queue are not rejected.
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", address)], with_ordered_keys);
+    // These RPCs also show the proxy that RPCs are short: it does not reject those that it queues later.
     daemon.fill_retry_budget();
     (daemon, gate)
 }
 
-/// State of an established connection in `/proc/net/tcp`.
+/// Code of an established connection in `/proc/net/tcp`.
 const PROC_ESTABLISHED: &str = "01";
 
 /// How a client disconnects.
@@ -60,21 +63,22 @@
     Reset,
 }
 
-/// Disconnects all clients. Returns those that can still read.
+/// Disconnects all clients. Returns those whose connections are still open for reading.
 pub(crate) fn disconnect(clients: Vec<Client>, how: &Disconnect) -> Vec<Client> {
     let mut readable = Vec::new();
-    let mut resets = HashSet::new();
+    let mut reset_connections = HashSet::new();
     for client in clients {
         let stream = client.stream();
         match how {
-            // A process that another test starts may hold a copy of the socket for a moment, which would delay a close.
-            Disconnect::Close => stream.shutdown(Shutdown::Both).expect("ended"),
+            // A process that another test starts may briefly inherit the socket, which would delay the effect of a
+            // close.
+            Disconnect::Close => stream.shutdown(Shutdown::Both).expect("a shutdown"),
             Disconnect::HalfClose => {
-                stream.shutdown(Shutdown::Write).expect("half closed");
+                stream.shutdown(Shutdown::Write).expect("a half-close");
                 readable.push(client);
             }
             Disconnect::Reset => {
-                resets.insert((
+                reset_connections.insert((
                     proc_net_address(stream.local_addr()),
                     proc_net_address(stream.peer_addr()),
                 ));
@@ -82,8 +86,8 @@
             }
         }
     }
-    while !resets.is_empty()
-        && established_connections().any(|connection| resets.contains(&connection))
+    while !reset_connections.is_empty()
+        && established_connections().any(|connection| reset_connections.contains(&connection))
     {
         sleep(Duration::from_millis(10));
     }
@@ -91,27 +95,30 @@
 }
 
 /// Returns an address in the format of `/proc/net/tcp`.
-pub(crate) fn proc_net_address(at: std::io::Result<SocketAddr>) -> String {
-    match at.expect("an address") {
-        SocketAddr::V4(at) => format!(
+pub(crate) fn proc_net_address(address: std::io::Result<SocketAddr>) -> String {
+    match address.expect("an address") {
+        SocketAddr::V4(address) => format!(
             "{:08X}:{:04X}",
-            u32::from_ne_bytes(at.ip().octets()),
-            at.port()
+            u32::from_ne_bytes(address.ip().octets()),
+            address.port()
         ),
-        SocketAddr::V6(at) => panic!("unexpected IPv6 address: {at}"),
+        SocketAddr::V6(address) => panic!("unexpected IPv6 address: {address}"),
     }
 }
 
 /// Returns both addresses of each established connection of the machine.
 pub(crate) fn established_connections() -> impl Iterator<Item = (String, String)> {
-    let all = std::fs::read_to_string("/proc/net/tcp").expect("connections");
-    let open = |line: &str| {
+    let all = std::fs::read_to_string("/proc/net/tcp").expect("the TCP connections");
+    let established_addresses = |line: &str| {
         let mut words = line.split_whitespace().skip(1).map(str::to_owned);
         let local = words.next()?;
         let remote = words.next()?;
         (words.next()? == PROC_ESTABLISHED).then_some((local, remote))
     };
-    all.lines().filter_map(open).collect::<Vec<_>>().into_iter()
+    all.lines()
+        .filter_map(established_addresses)
+        .collect::<Vec<_>>()
+        .into_iter()
 }
 
 /// Opens this many clients, each of which sends its message.
@@ -127,14 +134,14 @@
     opened
 }
 
-/// Returns a client that is accepted, as are all that were opened before it.
+/// Returns a client whose connection the proxy has accepted, and with it all that were opened before.
 pub(crate) fn accepted_client(daemon: &Daemon) -> Client {
     let mut client = daemon.client();
     assert_eq!(client.call(HEALTH).unwrap().status(), 200);
     client
 }
 
-/// Sends the first RPC of the key, which the backend holds.
+/// Sends the first RPC of the key, to which the backend of [`start_proxy_before_gated_backend`] holds its response.
 pub(crate) fn send_first_keyed_rpc(daemon: &Daemon, log: &Log) -> Client {
     let mut first = daemon.client();
     first.send(&keyed_rpc("first"));
@@ -142,20 +149,20 @@
     first
 }
 
-/// Starts a proxy whose connects do not time out within a test.
+/// Starts a proxy whose only backend accepts connections late, and whose connects do not time out within a test.
 pub(crate) fn start_proxy_before_slow_backend(
-    slow: &SlowAccept,
-    change: impl Fn(&mut Value),
+    slow_accept: &SlowAccept,
+    configure: impl Fn(&mut Value),
 ) -> Daemon {
-    Daemon::start_with(PROGRAM, &[("s-1", slow.address)], |config| {
+    Daemon::start_with(PROGRAM, &[("s-1", slow_accept.address)], |config| {
         config["settings"]["methods"][1]["latency-target-ns"] = 60e9.into();
         config["settings"]["ceilings"]["connect-timeout-ns"] = 60e9.into();
         without_health_checks(config);
-        change(config);
+        configure(config);
     })
 }
 
-/// Disconnects the clients of a suspended proxy, and resumes it later than an attempt may start for them.
+/// Disconnects the clients of a suspended proxy, and resumes it so late that it may no longer start attempts for them.
 pub(crate) fn disconnect_and_resume(
     daemon: &Daemon,
     clients: Vec<Client>,
@@ -167,13 +174,15 @@
     readable
 }
 
-/// Waits until the proxy has at most this many descriptors open.
-pub(crate) fn await_descriptors(daemon: &Daemon, most: usize, complaint: &str) {
-    eventually(EVENT_TIMEOUT, complaint, || daemon.descriptors() <= most);
+/// Waits until the proxy has at most `limit` descriptors open.
+pub(crate) fn await_descriptors(daemon: &Daemon, limit: usize, failure_message: &str) {
+    eventually(EVENT_TIMEOUT, failure_message, || {
+        daemon.descriptors() <= limit
+    });
 }
 
-/// Checks that an RPC of a connected client succeeds.
+/// Checks that the next RPC of this client succeeds.
 pub(crate) fn assert_serves(client: &mut Client) {
-    let answer = client.call(&rpc("POST", "/book", "next", ""));
-    assert_eq!(answer.unwrap().status(), 200);
+    let response = client.call(&rpc("POST", "/book", "next", ""));
+    assert_eq!(response.unwrap().status(), 200);
 }
