--- a/crates/daemon/tests/client_disconnects/connecting.rs
+++ b/crates/daemon/tests/client_disconnects/connecting.rs
@@ -1,30 +1,30 @@
-//! Disconnects while an RPC waits for a connection to its backend.
+//! Clients that disconnect while their RPC waits for a connection to the backend.
 use crate::common::sockets::{
     EVENT_TIMEOUT, Log, SlowAccept, echo, endpoint_entry, eventually, rpc,
 };
 use crate::harness::{assert_serves, await_descriptors, start_proxy_before_slow_backend};
 use serde_json::Value;
 
-/// Checks that an RPC is not forwarded whose client disconnects during the connect.
-fn assert_not_forwarded_after_connect(change: impl Fn(&mut Value), message: &str) {
+/// Checks that an RPC is not forwarded if its client disconnects during the connect to the backend.
+fn assert_not_forwarded_after_connect(configure: impl Fn(&mut Value), message: &str) {
     let log = Log::new(vec![]);
-    let slow = SlowAccept::start();
-    let daemon = start_proxy_before_slow_backend(&slow, change);
+    let slow_accept = SlowAccept::start();
+    let daemon = start_proxy_before_slow_backend(&slow_accept, configure);
     let before = daemon.descriptors();
     let mut client = daemon.client();
     client.send(&message.replace("3000", "60000"));
     eventually(EVENT_TIMEOUT, "no connect was started", || {
-        slow.pending_connects() == 1
+        slow_accept.pending_connects() == 1
     });
     drop(client);
-    let complaint = "the connection of the client or of its attempt is still open";
-    await_descriptors(&daemon, before, complaint);
+    let failure_message = "the connection of the client or of the attempt is still open";
+    await_descriptors(&daemon, before, failure_message);
     daemon.discovery.publish_and_wait(&[
-        endpoint_entry("s-1", slow.address, "Terminating"),
+        endpoint_entry("s-1", slow_accept.address, "Terminating"),
         endpoint_entry("s-2", echo("b2", &log), "Ready"),
     ]);
     assert_eq!(
-        slow.count_senders(),
+        slow_accept.count_senders(),
         0,
         "forwarded for a client that has disconnected"
     );
