--- a/crates/daemon/tests/client_disconnects/key_queue.rs
+++ b/crates/daemon/tests/client_disconnects/key_queue.rs
@@ -1,25 +1,25 @@
-//! Disconnects while an RPC waits in the queue of its key.
+//! Clients that disconnect while their RPC waits in the queue of its key.
 use crate::common::sockets::{Log, rpc};
 use crate::harness::{
     Disconnect, accepted_client, await_descriptors, disconnect, disconnect_and_resume, keyed_rpc,
     send_first_keyed_rpc, send_from_new_clients, start_proxy_before_gated_backend,
 };
 
-/// Checks that queued RPCs are not forwarded whose clients disconnect, each after it has sent these further bytes.
+/// Checks that queued RPCs are not forwarded if their clients disconnect, each after it has sent these further bytes.
 fn assert_not_forwarded_from_the_queue(further_bytes: &str, how: &Disconnect, clients: usize) {
     let log = Log::new(vec![]);
     let (daemon, gate) = start_proxy_before_gated_backend(&log);
     let mut first = send_first_keyed_rpc(&daemon, &log);
     let mut last = accepted_client(&daemon);
     let before = daemon.descriptors();
-    let mut gone: Vec<_> = (0..clients).map(|_| daemon.client()).collect();
+    let mut disconnecting: Vec<_> = (0..clients).map(|_| daemon.client()).collect();
     drop(accepted_client(&daemon));
-    // A suspended proxy receives the RPC, the further bytes and the disconnect together.
+    // The suspended proxy receives the RPC, the further bytes and the disconnect together once it resumes.
     daemon.signal("STOP");
-    for (n, client) in gone.iter_mut().enumerate() {
+    for (n, client) in disconnecting.iter_mut().enumerate() {
         client.send(&(keyed_rpc(&format!("gone{n}")) + further_bytes));
     }
-    let _readable = disconnect(gone, how);
+    let _readable = disconnect(disconnecting, how);
     daemon.signal("CONT");
     await_descriptors(
         &daemon,
@@ -28,8 +28,8 @@
     );
     last.send(&keyed_rpc("last"));
     gate.change(|open| *open = true);
-    assert_eq!(first.response().expect("an answer").status(), 200);
-    assert_eq!(last.response().expect("an answer").status(), 200);
+    assert_eq!(first.response().expect("a response").status(), 200);
+    assert_eq!(last.response().expect("a response").status(), 200);
     assert_eq!(
         log.count(" gone"),
         0,
@@ -42,7 +42,7 @@
     assert_not_forwarded_from_the_queue("", &Disconnect::Close, 1);
 }
 
-/// A further byte hides the disconnect from a proxy that reads one message at a time.
+/// Further bytes hide the disconnect from a proxy that reads one message at a time.
 #[test]
 fn a_queued_rpc_is_not_forwarded_after_a_close_behind_further_bytes() {
     assert_not_forwarded_from_the_queue("\r\n", &Disconnect::Close, 1);
@@ -60,19 +60,19 @@
 
 #[test]
 fn pipelined_rpcs_are_not_forwarded_after_a_close() {
-    let more: String = (0..20)
+    let pipelined: String = (0..20)
         .map(|n| keyed_rpc(&format!("gone-more{n}")))
         .collect();
-    assert_not_forwarded_from_the_queue(&more, &Disconnect::Close, 1);
+    assert_not_forwarded_from_the_queue(&pipelined, &Disconnect::Close, 1);
 }
 
-/// The pipelined RPCs exceed the read-ahead buffer.
+/// The pipelined RPCs do not fit into the read-ahead buffer.
 #[test]
 fn many_pipelined_rpcs_are_not_forwarded_after_a_close() {
-    let more: String = (0..400)
+    let pipelined: String = (0..400)
         .map(|n| keyed_rpc(&format!("gone-more{n}")))
         .collect();
-    assert_not_forwarded_from_the_queue(&more, &Disconnect::Close, 1);
+    assert_not_forwarded_from_the_queue(&pipelined, &Disconnect::Close, 1);
 }
 
 #[test]
@@ -80,7 +80,7 @@
     assert_not_forwarded_from_the_queue("\r\n", &Disconnect::Close, 300);
 }
 
-/// The client stays connected.
+/// Counterpart of the tests above: the client stays connected, and all its RPCs are forwarded.
 #[test]
 fn pipelined_rpcs_are_served_in_order() {
     let log = Log::new(vec![]);
@@ -92,27 +92,28 @@
     let mut client = send_first_keyed_rpc(&daemon, &log);
     client.send(&all);
     gate.change(|open| *open = true);
-    let answers = (0..101)
+    let served = (0..101)
         .filter_map(|_| client.response())
-        .filter(|answer| answer.status() == 200)
+        .filter(|response| response.status() == 200)
         .count();
-    assert_eq!((answers, log.count(" /log ")), (101, 100));
+    assert_eq!((served, log.count(" /log ")), (101, 100));
 }
 
-/// Checks that RPCs are not forwarded whose turn comes while the proxy is suspended, and whose clients disconnect then.
+/// Checks that queued RPCs are not forwarded if their turn comes, and their clients disconnect, while the proxy is
+/// suspended.
 fn assert_not_forwarded_at_their_turn(how: &Disconnect, clients: usize) {
     let log = Log::new(vec![]);
     let (daemon, gate) = start_proxy_before_gated_backend(&log);
     let mut first = send_first_keyed_rpc(&daemon, &log);
-    let gone = send_from_new_clients(&daemon, clients, |n| keyed_rpc(&format!("gone{n}")));
+    let disconnecting = send_from_new_clients(&daemon, clients, |n| keyed_rpc(&format!("gone{n}")));
     let mut last = accepted_client(&daemon);
     daemon.signal("STOP");
     gate.change(|open| *open = true);
     log.await_event("b1 done with first");
-    let readable = disconnect_and_resume(&daemon, gone, how);
-    assert_eq!(first.response().expect("an answer").status(), 200);
+    let readable = disconnect_and_resume(&daemon, disconnecting, how);
+    assert_eq!(first.response().expect("a response").status(), 200);
     assert_eq!(
-        last.call(&keyed_rpc("last")).expect("an answer").status(),
+        last.call(&keyed_rpc("last")).expect("a response").status(),
         200
     );
     assert_eq!(
--- a/crates/daemon/tests/client_disconnects/main.rs
+++ b/crates/daemon/tests/client_disconnects/main.rs
@@ -1,4 +1,5 @@
-//! RPCs whose client disconnects while they wait are not forwarded: each kind of wait, and each way to disconnect.
+//! RPCs are not forwarded if their client disconnects while they wait. The tests combine each kind of wait with each
+//! way to disconnect.
 #[path = "../../../../tests/common/mod.rs"]
 mod common;
 mod connecting;
