--- a/crates/daemon/tests/client_disconnects/retries.rs
+++ b/crates/daemon/tests/client_disconnects/retries.rs
@@ -1,4 +1,4 @@
-//! Disconnects between two attempts, and attempts that outlast their client.
+//! Clients that disconnect between two attempts, and attempts that outlast the connection of their client.
 use crate::common::sockets::{
     BackendAction, Client, Daemon, EVENT_TIMEOUT, Log, Shared, backend, echo, endpoint_entry,
     eventually, gated_backend, reply, rpc, without_health_checks,
@@ -9,59 +9,59 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Starts a backend that rejects RPCs whose id begins with `gone`, once the gate is open.
+/// Starts a backend that rejects RPCs whose id begins with `gone`, once the gate is open, and serves all others.
 fn rejecting_backend(log: &Log) -> (SocketAddr, Shared<bool>) {
     let gate = Shared::new(false);
     let open = gate.clone();
-    let seen = log.clone();
-    let at = backend("b1", log, move |m| {
-        if !m.header("request-id").starts_with("gone") {
+    let awaited_log = log.clone();
+    let address = backend("b1", log, move |request| {
+        if !request.header("request-id").starts_with("gone") {
             return BackendAction::Respond(reply("200 OK", ""));
         }
         open.wait(EVENT_TIMEOUT, |open| *open);
         BackendAction::RespondLater {
             first: reply("503 Busy\r\nNot-Started: 1", ""),
-            log: seen.clone(),
+            log: awaited_log.clone(),
             event: "".into(),
             rest: b"\r\n".to_vec(),
         }
     });
-    (at, gate)
+    (address, gate)
 }
 
-/// Checks that RPCs are not retried whose first attempt is rejected while the proxy is suspended, and whose clients
-/// disconnect then.
+/// Checks that RPCs are not retried if the backend rejects their first attempt, and their clients disconnect, while the
+/// proxy is suspended.
 fn assert_not_retried(how: &Disconnect, clients: usize) {
     let log = Log::new(vec![]);
-    let (at, gate) = rejecting_backend(&log);
+    let (address, gate) = rejecting_backend(&log);
     let daemon = Daemon::start_with(
         PROGRAM,
-        &[("s-1", at), ("s-2", echo("b2", &log))],
+        &[("s-1", address), ("s-2", echo("b2", &log))],
         without_health_checks,
     );
     daemon.fill_retry_budget();
     daemon
         .discovery
-        .publish_and_wait(&[endpoint_entry("s-1", at, "Ready")]);
-    let mut gone: Vec<_> = (0..clients).map(|_| daemon.client()).collect();
-    for (n, client) in gone.iter_mut().enumerate() {
+        .publish_and_wait(&[endpoint_entry("s-1", address, "Ready")]);
+    let mut disconnecting: Vec<_> = (0..clients).map(|_| daemon.client()).collect();
+    for (n, client) in disconnecting.iter_mut().enumerate() {
         client.send(&rpc("POST", "/book", &format!("gone{n}"), ""));
         log.await_event(&format!("b1 got POST /book HTTP/1.1 gone{n}"));
     }
     daemon.discovery.publish_and_wait(&[
-        endpoint_entry("s-1", at, "Ready"),
+        endpoint_entry("s-1", address, "Ready"),
         endpoint_entry("s-2", echo("b2", &log), "Ready"),
     ]);
     daemon.signal("STOP");
     gate.change(|open| *open = true);
     (0..clients).for_each(|n| log.await_event(&format!("b1 done with gone{n}")));
-    let readable = disconnect_and_resume(&daemon, gone, how);
+    let readable = disconnect_and_resume(&daemon, disconnecting, how);
     let next = daemon
         .client()
         .call(&rpc("POST", "/book", "next", ""))
-        .map(|answer| answer.status());
+        .map(|response| response.status());
     assert!(matches!(next, Some(200 | 503)), "{next:?}");
-    // Each is logged when it is received and when it is done.
+    // The backend logs each attempt twice: when it is received and when it is done.
     assert_eq!(
         log.count(" gone"),
         2 * clients,
@@ -77,16 +77,17 @@
     assert_not_retried(&Disconnect::Reset, 1);
 }
 
-/// A second RPC with the `Request-Id` is rejected while an attempt of the first is in flight.
+/// The client disconnects, but its attempt is not cancelled: until it ends, a further RPC with its `Request-Id` is
+/// rejected.
 #[test]
 fn a_request_id_is_reserved_until_its_attempts_have_ended() {
     let log = Log::new(vec![]);
-    let (at, gate) = gated_backend("b1", &log, "");
+    let (address, gate) = gated_backend("b1", &log, "");
     let without_cancellation = |config: &mut Value| {
         config["settings"]["ceilings"]["cancel"] = false.into();
         without_health_checks(config);
     };
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_cancellation);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", address)], without_cancellation);
     let mut other = accepted_client(&daemon);
     let before = daemon.descriptors();
     let mut client = daemon.client();
@@ -101,12 +102,12 @@
     let send_again = |other: &mut Client| {
         other
             .call(&rpc("POST", "/book", "same", ""))
-            .map(|a| a.status())
+            .map(|response| response.status())
     };
     assert_eq!(send_again(&mut other), Some(409));
     assert_eq!(log.count("same"), 1);
     gate.change(|open| *open = true);
-    eventually(EVENT_TIMEOUT, "the id is still reserved", || {
+    eventually(EVENT_TIMEOUT, "the request id is still reserved", || {
         send_again(&mut daemon.client()) == Some(200)
     });
 }
