--- a/crates/daemon/tests/crowd.rs
+++ b/crates/daemon/tests/crowd.rs
@@ -1,4 +1,4 @@
-//! Thousands of client connections with tight limits of sockets and memory, over loopback sockets.
+//! Up to thousands of client connections at a proxy with tight limits on sockets and memory.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
@@ -15,7 +15,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 /// Time from the recovery of the discovery service within which its endpoint list must be applied.
 const UPDATE_TIMEOUT: Duration = Duration::from_secs(6);
-/// A limit of sockets that leaves ten for clients.
+/// A limit on sockets that leaves ten for clients.
 const SOCKETS_FOR_TEN_CLIENTS: u64 = 74;
 
 /// Starts the program with one backend and these limits.
@@ -27,7 +27,7 @@
     })
 }
 
-/// Whether the proxy has not closed the connection.
+/// Returns whether the proxy has not closed the connection.
 fn is_open(client: &Client) -> bool {
     let stream = client.stream();
     stream.set_nonblocking(true).expect("a socket");
@@ -39,27 +39,27 @@
 }
 
 /// Opens a connection, and checks that an RPC on it is served.
-fn served_client(daemon: &Daemon, id: &str) -> Client {
+fn open_served_client(daemon: &Daemon, id: &str) -> Client {
     let mut client = daemon.client();
     assert_eq!(
         client
             .call(&rpc("POST", "/book", id, ""))
-            .map(|answer| answer.status()),
+            .map(|response| response.status()),
         Some(200),
         "{id}"
     );
     client
 }
 
-/// Thousands of connections are silent or have sent a part of a request: an RPC on a new one is served promptly, the
-/// limits are never exceeded, and SIGTERM ends the process.
+/// Thousands of connections are silent or have sent a part of a request. RPCs on new connections must be served
+/// promptly, the limits must hold all the time, and SIGTERM must end the process.
 #[test]
 fn thousands_of_idle_connections_delay_no_rpc_and_exceed_no_limit() {
     let log = Log::new(vec![]);
     let mut daemon = start_with_limits(192, 24, &log);
     let half_body =
         rpc("POST", "/book", "half", "body").replace("Content-Length: 4", "Content-Length: 9");
-    let mut crowd = VecDeque::new();
+    let mut idle_clients = VecDeque::new();
     let mut descriptors = 0;
     let mut memory = 0;
     let mut slowest = Duration::ZERO;
@@ -70,13 +70,13 @@
             1 => drop(client.send("POST /book HTTP/1.1\r\nRequest-")),
             _ => drop(client.send(&half_body.replace("half", &format!("half{n}")))),
         }
-        crowd.push_back(client);
-        if crowd.len() > 400 {
-            crowd.pop_front();
+        idle_clients.push_back(client);
+        if idle_clients.len() > 400 {
+            idle_clients.pop_front();
         }
         if n % 20 == 0 {
             let started = Instant::now();
-            served_client(&daemon, &format!("n{n}"));
+            open_served_client(&daemon, &format!("n{n}"));
             slowest = slowest.max(started.elapsed());
             descriptors = descriptors.max(daemon.descriptors());
             memory = memory.max(daemon.memory());
@@ -93,7 +93,7 @@
     assert!(signalled_at.elapsed() < Duration::from_secs(5));
 }
 
-/// Starts the program with one backend and this limit of sockets.
+/// Starts the program with one backend and this limit on sockets.
 fn start_with_sockets(program: &str, backend: SocketAddr, sockets: u64) -> Daemon {
     Daemon::start_with(program, &[("s-1", backend)], |config| {
         without_health_checks(config);
@@ -101,7 +101,7 @@
     })
 }
 
-/// The state of idle clients' connections.
+/// The state of the connections of idle clients.
 #[derive(Clone, Copy, Debug)]
 enum Idle {
     /// They have received a response.
@@ -114,11 +114,11 @@
 
 const IDLE_STATES: [Idle; 3] = [Idle::BetweenRequests, Idle::IncompleteHead, Idle::Silent];
 
-/// Opens this number of idle connections, as far as the proxy accepts them.
-fn crowd(daemon: &Daemon, idle: Idle, clients: usize, name: &str) -> Vec<Client> {
-    let mut all: Vec<_> = (0..clients).map(|_| daemon.client()).collect();
-    for (n, client) in all.iter_mut().enumerate() {
-        // Failures are ignored: the connection may have been evicted meanwhile.
+/// Opens this number of idle connections. The proxy may evict some of them.
+fn open_idle_clients(daemon: &Daemon, idle: Idle, count: usize, name: &str) -> Vec<Client> {
+    let mut clients: Vec<_> = (0..count).map(|_| daemon.client()).collect();
+    for (n, client) in clients.iter_mut().enumerate() {
+        // The result is ignored: the connection may have been evicted meanwhile.
         match idle {
             Idle::BetweenRequests => {
                 drop(client.call(&rpc("POST", "/book", &format!("{name}{n}"), "")))
@@ -127,49 +127,53 @@
             Idle::Silent => {}
         }
     }
-    all
+    clients
 }
 
 /// Idle clients exhaust the descriptors before and during an outage of the discovery service. After its recovery, the
-/// proxy applies its endpoint list in time and reaches the new backends; clients with an RPC are served all the time.
-fn check_with_exhausted_descriptors(allowed: u64, sockets: u64, idle: Idle) {
+/// proxy must apply the endpoint list in time and reach the new backend. Clients with an RPC must be served all the
+/// time.
+fn check_with_exhausted_descriptors(descriptor_limit: u64, sockets: u64, idle: Idle) {
     let log = Log::new(vec![]);
-    let program = with_descriptor_limit(PROGRAM, allowed);
-    let at = echo("b1", &log);
-    let daemon = start_with_sockets(&program, at, sockets);
-    served_client(&daemon, "begins");
-    let clients = allowed as usize * 6 / 5;
-    let mut all = crowd(&daemon, idle, clients, "before");
-    served_client(&daemon, "before-it");
+    let program = with_descriptor_limit(PROGRAM, descriptor_limit);
+    let address = echo("b1", &log);
+    let daemon = start_with_sockets(&program, address, sockets);
+    open_served_client(&daemon, "begins");
+    let client_count = descriptor_limit as usize * 6 / 5;
+    let mut idle_clients = open_idle_clients(&daemon, idle, client_count, "before");
+    open_served_client(&daemon, "before-it");
     daemon.discovery.respond_with(None);
-    all.extend(crowd(&daemon, idle, clients, "while"));
-    served_client(&daemon, "meanwhile");
+    idle_clients.extend(open_idle_clients(&daemon, idle, client_count, "while"));
+    open_served_client(&daemon, "meanwhile");
     let recovered_at = Instant::now();
     daemon
         .discovery
         .publish_and_wait(&[endpoint_entry("s-2", echo("b2", &log), "Ready")]);
-    let took = recovered_at.elapsed();
+    let delay = recovered_at.elapsed();
     let mut client = daemon.client();
     assert_eq!(
         client
             .call(&rpc("POST", "/book", "after", ""))
-            .map(|a| a.text())
+            .map(|response| response.text())
             .as_deref(),
         Some("b2:")
     );
     assert!(
-        took < UPDATE_TIMEOUT,
-        "{idle:?}: the list was applied after {took:?}"
+        delay < UPDATE_TIMEOUT,
+        "{idle:?}: the list was applied after {delay:?}"
     );
     let open = daemon.descriptors();
-    let limit = allowed.min(sockets) as usize;
+    let limit = descriptor_limit.min(sockets) as usize;
     assert!(open <= limit, "{idle:?}: {open} descriptors");
-    let refused = daemon
+    let accept_failures = daemon
         .logged()
         .matches("accepting connections failed, retrying")
         .count();
-    assert!(refused <= 1, "{idle:?}: {refused} log lines of one cause");
-    drop(all);
+    assert!(
+        accept_failures <= 1,
+        "{idle:?}: {accept_failures} log lines about one cause"
+    );
+    drop(idle_clients);
     std::fs::remove_file(program).expect("the program");
 }
 
@@ -187,7 +191,7 @@
     }
 }
 
-/// The system permits fewer descriptors than the configuration.
+/// The operating system permits fewer descriptors than the configuration.
 #[test]
 fn idle_clients_exhaust_fewer_descriptors_than_configured() {
     for idle in IDLE_STATES {
@@ -195,12 +199,13 @@
     }
 }
 
-/// A process that starts without an endpoint list and without the discovery service is ready in time after its recovery.
+/// The process starts during an outage of the discovery service and without a cached endpoint list. It must be ready in
+/// time after the recovery of the service.
 #[test]
 fn process_starts_in_time_with_many_idle_clients() {
     let log = Log::new(vec![]);
-    let at = echo("b1", &log);
-    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], |config| {
+    let address = echo("b1", &log);
+    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", address)], |config| {
         without_health_checks(config);
         config["limits"]["sockets"] = 256.into();
         config["known"] = Value::Null;
@@ -213,107 +218,116 @@
         .expect("the end of birchhubd");
     daemon.start_again(PROGRAM);
     daemon.await_ready(503);
-    let crowds =
-        [Idle::Silent, Idle::IncompleteHead].map(|idle| crowd(&daemon, idle, 300, "first"));
+    let idle_clients = [Idle::Silent, Idle::IncompleteHead]
+        .map(|idle| open_idle_clients(&daemon, idle, 300, "first"));
     let recovered_at = Instant::now();
     daemon
         .discovery
-        .publish(&[endpoint_entry("s-1", at, "Ready")]);
+        .publish(&[endpoint_entry("s-1", address, "Ready")]);
     daemon.await_ready(200);
     assert!(
         recovered_at.elapsed() < UPDATE_TIMEOUT,
         "ready after {:?}",
         recovered_at.elapsed()
     );
-    served_client(&daemon, "after");
-    drop(crowds);
+    open_served_client(&daemon, "after");
+    drop(idle_clients);
 }
 
-/// New connections arrive before, during and after an outage of the discovery service.
+/// New connections arrive at a high rate before, during and after an outage of the discovery service.
 #[test]
 fn flood_of_connections_does_not_delay_the_endpoint_list() {
     let log = Log::new(vec![]);
     let program = with_descriptor_limit(PROGRAM, 256);
     let daemon = start_with_sockets(&program, echo("b1", &log), 256);
-    let is_over = Shared::new(false);
-    let at = daemon.address;
-    let ended = is_over.clone();
+    let must_stop = Shared::new(false);
+    let address = daemon.address;
+    let flood_must_stop = must_stop.clone();
     let flood = spawn(move || {
-        let mut all = VecDeque::new();
+        let mut open_clients = VecDeque::new();
         let mut opened = 0;
-        // One to two thousand connections a second.
-        while !ended.wait(Duration::from_micros(500), |ended| *ended) {
-            all.extend(Client::open(at));
+        // One to two thousand connections per second.
+        while !flood_must_stop.wait(Duration::from_micros(500), |must_stop| *must_stop) {
+            open_clients.extend(Client::open(address));
             opened += 1;
-            if all.len() > 400 {
-                all.pop_front();
+            if open_clients.len() > 400 {
+                open_clients.pop_front();
             }
         }
         opened
     });
-    (0..20).for_each(|n| drop(served_client(&daemon, &format!("before{n}"))));
+    (0..20).for_each(|n| drop(open_served_client(&daemon, &format!("before{n}"))));
     daemon.discovery.respond_with(None);
-    (0..20).for_each(|n| drop(served_client(&daemon, &format!("while{n}"))));
+    (0..20).for_each(|n| drop(open_served_client(&daemon, &format!("while{n}"))));
     let recovered_at = Instant::now();
     daemon
         .discovery
         .publish_and_wait(&[endpoint_entry("s-2", echo("b2", &log), "Ready")]);
-    let took = recovered_at.elapsed();
-    (0..20).for_each(|n| drop(served_client(&daemon, &format!("after{n}"))));
-    is_over.change(|is_over| *is_over = true);
-    let opened = flood.join().expect("a flood");
+    let delay = recovered_at.elapsed();
+    (0..20).for_each(|n| drop(open_served_client(&daemon, &format!("after{n}"))));
+    must_stop.change(|must_stop| *must_stop = true);
+    let opened = flood.join().expect("a flood thread that did not panic");
     assert!(
-        took < UPDATE_TIMEOUT && opened > 256,
-        "{opened} connections, the list was applied after {took:?}"
+        delay < UPDATE_TIMEOUT && opened > 256,
+        "{opened} connections, the list was applied after {delay:?}"
     );
     assert!(log.count("b2 got POST /book HTTP/1.1 after") > 0);
     std::fs::remove_file(program).expect("the program");
 }
 
-/// Many more connections than the socket budget permits arrive at once: clients with an RPC are served among idle ones.
+/// Many more connections than the socket budget permits arrive at once. Those with an RPC must not be evicted for the
+/// idle ones among them.
 #[test]
 fn burst_of_idle_connections_evicts_no_client_with_an_rpc() {
     let log = Log::new(vec![]);
     let daemon = start_with_limits(256, 1024, &log);
-    served_client(&daemon, "before");
+    open_served_client(&daemon, "before");
     daemon.signal("STOP");
     let mut silent = Vec::new();
-    let mut busy = Vec::new();
+    let mut clients_with_rpc = Vec::new();
     for n in 0..20 {
         silent.extend((0..30).map(|_| daemon.client()));
         let mut client = daemon.client();
         client.send(&rpc("POST", "/book", &format!("work{n}"), "").replace("3000", "20000"));
-        busy.push(client);
+        clients_with_rpc.push(client);
     }
     daemon.signal("CONT");
-    let answers = busy
+    let served = clients_with_rpc
         .iter_mut()
         .filter_map(Client::response)
-        .filter(|answer| answer.status() == 200)
+        .filter(|response| response.status() == 200)
         .count();
-    assert_eq!(answers, busy.len());
+    assert_eq!(served, clients_with_rpc.len());
 }
 
-/// RPCs on all idle connections arrive together with as many new clients that need the sockets. No RPC is lost, whichever
-/// arrives first.
+/// RPCs on all idle connections arrive together with as many new clients, for which the proxy has to evict connections.
+/// Every RPC must get a response, whichever arrive first.
 #[test]
 fn rpcs_that_race_with_the_eviction_of_their_connections_get_a_response() {
     for rpcs_first in [true, false] {
         let log = Log::new(vec![]);
         let daemon = start_with_limits(SOCKETS_FOR_TEN_CLIENTS, 1024, &log);
         let mut idle: Vec<_> = (0..10)
-            .map(|n| served_client(&daemon, &format!("idle{n}")))
+            .map(|n| open_served_client(&daemon, &format!("idle{n}")))
             .collect();
         let send = |name: &str, n: usize, client: &mut Client| {
             client.send(&rpc("POST", "/book", &format!("{name}{n}"), "").replace("3000", "20000"))
         };
-        let newcomers = || (0..10).map(|_| daemon.client()).collect::<Vec<_>>();
+        let open_new_clients = || (0..10).map(|_| daemon.client()).collect::<Vec<_>>();
         daemon.signal("STOP");
-        let early = if rpcs_first { vec![] } else { newcomers() };
+        let opened_before_rpcs = if rpcs_first {
+            vec![]
+        } else {
+            open_new_clients()
+        };
         idle.iter_mut()
             .enumerate()
             .for_each(|(n, client)| assert!(send("again", n, client)));
-        let mut new = if rpcs_first { newcomers() } else { early };
+        let mut new = if rpcs_first {
+            open_new_clients()
+        } else {
+            opened_before_rpcs
+        };
         new.iter_mut()
             .enumerate()
             .for_each(|(n, client)| assert!(send("new", n, client)));
@@ -321,7 +335,7 @@
         let statuses = |clients: &mut [Client]| {
             clients
                 .iter_mut()
-                .map(|client| client.response().map(|a| a.status()))
+                .map(|client| client.response().map(|response| response.status()))
                 .collect::<Vec<_>>()
         };
         let all = [statuses(&mut idle), statuses(&mut new)];
@@ -334,20 +348,20 @@
     }
 }
 
-/// New connections don't evict each other while others have been idle for longer.
+/// New connections must not evict each other while other connections have been idle for longer.
 #[test]
 fn new_connections_evict_idle_ones_and_not_each_other() {
     for idle in [Idle::BetweenRequests, Idle::IncompleteHead] {
         let log = Log::new(vec![]);
         let daemon = start_with_limits(SOCKETS_FOR_TEN_CLIENTS, 1024, &log);
-        let _crowd = crowd(&daemon, idle, 10, "crowd");
-        served_client(&daemon, "before");
+        let _idle_clients = open_idle_clients(&daemon, idle, 10, "idle");
+        open_served_client(&daemon, "before");
         let mut new: Vec<_> = (0..5).map(|_| daemon.client()).collect();
-        served_client(&daemon, "after-those");
+        open_served_client(&daemon, "after-those");
         for (n, client) in new.iter_mut().enumerate() {
-            let answer = client.call(&rpc("POST", "/book", &format!("new{n}"), ""));
+            let response = client.call(&rpc("POST", "/book", &format!("new{n}"), ""));
             assert_eq!(
-                answer.map(|answer| answer.status()),
+                response.map(|response| response.status()),
                 Some(200),
                 "{idle:?}: new connection {n}"
             );
@@ -355,13 +369,13 @@
     }
 }
 
-/// Silent connections are evicted first, then those between requests, then those with a part of a head.
+/// Silent connections are evicted first, then those between requests, and last those with a part of a head.
 #[test]
 fn connections_are_evicted_in_order() {
     let log = Log::new(vec![]);
     let daemon = start_with_limits(SOCKETS_FOR_TEN_CLIENTS, 1024, &log);
     let between: Vec<_> = (0..3)
-        .map(|n| served_client(&daemon, &format!("between{n}")))
+        .map(|n| open_served_client(&daemon, &format!("between{n}")))
         .collect();
     let silent: Vec<_> = (0..4).map(|_| daemon.client()).collect();
     // Longer than the grace period of new connections.
@@ -372,7 +386,7 @@
         .for_each(|client| assert!(client.send("POST /book HTTP/1.1\r\nRequest-")));
     let open = |clients: &[Client]| clients.iter().filter(|client| is_open(client)).count();
     let mut served: Vec<_> = (0..4)
-        .map(|n| served_client(&daemon, &format!("first{n}")))
+        .map(|n| open_served_client(&daemon, &format!("first{n}")))
         .collect();
     eventually(
         EVENT_TIMEOUT,
@@ -380,7 +394,7 @@
         || open(&silent) == 0,
     );
     assert_eq!((open(&between), open(&incomplete)), (3, 3));
-    served.extend((0..3).map(|n| served_client(&daemon, &format!("second{n}"))));
+    served.extend((0..3).map(|n| open_served_client(&daemon, &format!("second{n}"))));
     eventually(
         EVENT_TIMEOUT,
         "the connections between requests were not evicted",
