--- a/crates/daemon/tests/discovery/main.rs
+++ b/crates/daemon/tests/discovery/main.rs
@@ -1,5 +1,5 @@
-//! The discovery client: failed polls, the time until an update applies, an address change, and a local agent. Scripted
-//! discovery services force the races, and their logs show the polls that they received.
+//! The discovery client: failed polls, the time until an update applies, a change of the service's address, and a local
+//! agent. Scripted discovery services force the races, and their logs show the polls that they have received.
 mod applied_updates;
 #[path = "../../../../tests/common/mod.rs"]
 mod common;
