--- a/crates/daemon/tests/discovery/failed_polls.rs
+++ b/crates/daemon/tests/discovery/failed_polls.rs
@@ -1,4 +1,4 @@
-//! Polls that time out, or whose response is truncated, malformed or outdated.
+//! Polls that time out, and polls whose response is truncated, malformed or outdated.
 use crate::common::sockets::{
     BackendAction, Daemon, EVENT_TIMEOUT, Log, SlowAccept, echo, endpoint_entry, eventually, reply,
     rpc, without_health_checks,
@@ -10,22 +10,24 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// The snapshot that is requested after an older list applies.
+/// The proxy ignores the older list and requests a snapshot, which applies.
 #[test]
 fn an_older_list_does_not_replace_a_newer_one() {
     let log = Log::new(vec![]);
-    let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], without_health_checks);
-    let (gone, here) = (
-        endpoint_entry("s-1", old, "Ready"),
-        endpoint_entry("s-2", new, "Ready"),
+    let (old_address, new_address) = (echo("b1", &log), echo("b2", &log));
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old_address)], without_health_checks);
+    let (old_entry, new_entry) = (
+        endpoint_entry("s-1", old_address, "Ready"),
+        endpoint_entry("s-2", new_address, "Ready"),
     );
-    let at = start_scripted_discovery(&log, move |_, call| match call.start_line.as_str() {
-        first if first.contains("from=9&") => update(3, true, std::slice::from_ref(&gone)),
-        _ if requests_snapshot(call) => update(9, true, std::slice::from_ref(&here)),
+    let address = start_scripted_discovery(&log, move |_, call| match call.start_line.as_str() {
+        start_line if start_line.contains("from=9&") => {
+            update(3, true, std::slice::from_ref(&old_entry))
+        }
+        _ if requests_snapshot(call) => update(9, true, std::slice::from_ref(&new_entry)),
         _ => BackendAction::Hang,
     });
-    switch_discovery(&daemon, at, |_| {});
+    switch_discovery(&daemon, address, |_| {});
     let snapshot_calls = |events: &Vec<String>| {
         events
             .iter()
@@ -41,31 +43,31 @@
     assert_rpcs_go_to_b2(&daemon);
 }
 
-/// The update in a faulty response must apply in time: the next poll follows at once, and is not held.
+/// Checks that the poll after a faulty response follows at once and is not held, so that the update applies in time.
 fn assert_is_retried_at_once(
     break_response: impl Fn(Vec<u8>) -> BackendAction + Send + Sync + 'static,
 ) {
     let log = Log::new(vec![]);
-    let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], without_health_checks);
-    let lines = move |state: &str| {
+    let (old_address, new_address) = (echo("b1", &log), echo("b2", &log));
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old_address)], without_health_checks);
+    let entries = move |state: &str| {
         [
-            endpoint_entry("s-1", old, state),
-            endpoint_entry("s-2", new, "Ready"),
+            endpoint_entry("s-1", old_address, state),
+            endpoint_entry("s-2", new_address, "Ready"),
         ]
     };
-    let at = start_scripted_discovery(&log, move |number, call| match number {
-        0 => update(1, true, &lines("Ready")),
-        1 => match update(2, false, &lines("Terminating")) {
+    let address = start_scripted_discovery(&log, move |number, call| match number {
+        0 => update(1, true, &entries("Ready")),
+        1 => match update(2, false, &entries("Terminating")) {
             BackendAction::Respond(bytes) => break_response(bytes),
             other => other,
         },
         _ if call.start_line.contains("from=1&hold_ms=0 ") => {
-            update(2, false, &lines("Terminating"))
+            update(2, false, &entries("Terminating"))
         }
         _ => BackendAction::Hang,
     });
-    switch_discovery(&daemon, at, |_| {});
+    switch_discovery(&daemon, address, |_| {});
     log.await_event("list got GET /registry/instances?from=2&hold_ms=3500 HTTP/1.1 ");
     assert_rpcs_go_to_b2(&daemon);
 }
@@ -87,18 +89,18 @@
     });
 }
 
-/// The poll after a timeout uses another connection, and the next one is held again.
+/// The poll after a timeout uses another connection. The next poll is held again.
 #[test]
 fn the_poll_after_a_timeout_is_not_held() {
     let log = Log::new(vec![]);
-    let at = echo("b1", &log);
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
-    let here = endpoint_entry("s-1", at, "Ready");
-    let list = start_scripted_discovery(&log, move |number, _| match number {
-        0 | 2 => update(1, true, std::slice::from_ref(&here)),
+    let address = echo("b1", &log);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", address)], without_health_checks);
+    let new_entry = endpoint_entry("s-1", address, "Ready");
+    let discovery_address = start_scripted_discovery(&log, move |number, _| match number {
+        0 | 2 => update(1, true, std::slice::from_ref(&new_entry)),
         _ => BackendAction::Hang,
     });
-    switch_discovery(&daemon, list, |_| {});
+    switch_discovery(&daemon, discovery_address, |_| {});
     log.await_event("list got GET /registry/instances?from=1&hold_ms=3500 HTTP/1.1 ");
     log.await_event("list closed ");
     log.await_event("list got GET /registry/instances?from=1&hold_ms=0 HTTP/1.1 ");
@@ -107,23 +109,24 @@
     assert!(log.wait(EVENT_TIMEOUT, two_are_held), "{:?}", log.all());
 }
 
-/// A poll that timed out stays in flight at an overloaded service. Its response applies even after later polls have timed
-/// out too, and the next watch continues from it.
+/// A poll that has timed out may still be in flight at an overloaded service. Its response applies even after later
+/// polls have timed out too, and the next watch continues from its version.
 #[test]
 fn the_late_response_to_an_overdue_poll_is_applied() {
     let log = Log::new(vec![]);
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], without_health_checks);
-    let moved = endpoint_entry("s-1", echo("b2", &log), "Ready");
-    let list = start_scripted_discovery(&log, move |number, _| match number {
+    let moved_entry = endpoint_entry("s-1", echo("b2", &log), "Ready");
+    let discovery_address = start_scripted_discovery(&log, move |number, _| match number {
         0 => update(1, true, &[]),
-        // The first poll after the watch. Two more are overdue, and the backoff runs, when the service responds.
+        // The first poll after the watch. When the service responds, two more polls have timed out and the backoff
+        // runs.
         2 => {
             sleep(Duration::from_millis(2100));
-            update(2, true, std::slice::from_ref(&moved))
+            update(2, true, std::slice::from_ref(&moved_entry))
         }
         _ => BackendAction::Hang,
     });
-    switch_discovery(&daemon, list, |_| {});
+    switch_discovery(&daemon, discovery_address, |_| {});
     eventually(EVENT_TIMEOUT, "the late response was dropped", || {
         sleep(Duration::from_millis(5));
         daemon.logged().contains("list version 2:")
@@ -132,17 +135,17 @@
     log.await_event("list got GET /registry/instances?from=2&hold_ms=3500 HTTP/1.1 ");
 }
 
-/// A connect has a shorter timeout than the poll that it is for.
+/// The timeout of a connect is shorter than that of the poll that needs it.
 #[test]
 fn a_connect_times_out_before_its_poll() {
     let log = Log::new(vec![]);
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], without_health_checks);
-    let slow = SlowAccept::start();
-    switch_discovery(&daemon, slow.address, |_| {});
-    // Three connects of 0.75 s; with the timeouts of the polls it would be 6 s.
+    let slow_accept = SlowAccept::start();
+    switch_discovery(&daemon, slow_accept.address, |_| {});
+    // Three connects time out after 0.75 s each. With the timeouts of the polls it would take 6 s.
     eventually(
         Duration::from_secs(4),
-        "the poll lasted until its own timeout",
+        "the connect did not time out before its poll",
         || {
             sleep(Duration::from_millis(20));
             daemon
