--- a/crates/daemon/tests/discovery/local_agent.rs
+++ b/crates/daemon/tests/discovery/local_agent.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists that are pushed to a local agent, which the proxy watches all the time.
+//! Endpoint lists that are pushed to a local agent, at which the proxy always has a watch open.
 use crate::common::sockets::{
     BackendAction, Daemon, EVENT_TIMEOUT, Log, Shared, echo, endpoint_entry, rpc,
     without_health_checks,
@@ -14,31 +14,31 @@
     without_health_checks(config);
 }
 
-/// It takes precedence over the cached list of the configuration.
+/// The list of the agent takes precedence over the cached list in the configuration.
 #[test]
 fn a_new_process_starts_with_the_list_of_the_agent() {
     let log = Log::new(vec![]);
-    let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], with_agent);
+    let (old_address, new_address) = (echo("b1", &log), echo("b2", &log));
+    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", old_address)], with_agent);
     daemon.discovery.publish_and_wait(&[
-        endpoint_entry("s-1", old, "Terminating"),
-        endpoint_entry("s-2", new, "Ready"),
+        endpoint_entry("s-1", old_address, "Terminating"),
+        endpoint_entry("s-2", new_address, "Ready"),
     ]);
-    // The cached list is still that of the first start.
+    // The cached list in the configuration is still that of the first start.
     daemon.restart(PROGRAM);
     assert_rpcs_go_to_b2(&daemon);
     assert_eq!(log.count("b1 got"), 0);
 }
 
-/// It starts with the cached list.
+/// The process starts with the cached list.
 #[test]
 fn a_new_process_does_not_wait_for_a_silent_agent() {
     let log = Log::new(vec![]);
-    let at = echo("b1", &log);
-    let silent = start_scripted_discovery(&log, |_, _| BackendAction::Hang);
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], |config| {
+    let address = echo("b1", &log);
+    let silent_agent = start_scripted_discovery(&log, |_, _| BackendAction::Hang);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", address)], |config| {
         with_agent(config);
-        config["discovery"] = silent.to_string().into();
+        config["discovery"] = silent_agent.to_string().into();
     });
     assert_eq!(
         daemon.client().text_of(&rpc("POST", "/book", "id", "")),
@@ -46,16 +46,16 @@
     );
 }
 
-/// An agent that is down is polled at intervals shorter than any drain grace.
+/// An agent that is down is polled at intervals that are shorter than any drain grace.
 #[test]
 fn the_list_of_a_recovered_agent_applies_at_once() {
     let log = Log::new(vec![]);
-    let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], with_agent);
+    let (old_address, new_address) = (echo("b1", &log), echo("b2", &log));
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old_address)], with_agent);
     daemon.discovery.respond_with(None);
     let calls = |daemon: &Daemon| daemon.discovery.calls.change(|calls| *calls);
     let before = calls(&daemon);
-    // With the backoff for a central service, these polls would take more than a minute.
+    // With the backoff for a central discovery service, these polls would take more than a minute.
     assert!(
         daemon
             .discovery
@@ -65,8 +65,8 @@
         calls(&daemon) - before
     );
     daemon.discovery.publish_and_wait(&[
-        endpoint_entry("s-1", old, "Terminating"),
-        endpoint_entry("s-2", new, "Ready"),
+        endpoint_entry("s-1", old_address, "Terminating"),
+        endpoint_entry("s-2", new_address, "Ready"),
     ]);
     assert_eq!(
         daemon.client().text_of(&rpc("POST", "/book", "id", "")),
@@ -76,31 +76,31 @@
         .logged()
         .matches("discovery poll failed, keeping")
         .count();
-    assert!(warnings <= 3, "{warnings} log lines of one outage");
+    assert!(warnings <= 3, "{warnings} log lines about one outage");
 }
 
 #[test]
 fn the_response_of_a_slow_agent_is_awaited() {
     let log = Log::new(vec![]);
-    let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let lines = [
-        endpoint_entry("s-1", old, "Terminating"),
-        endpoint_entry("s-2", new, "Ready"),
+    let (old_address, new_address) = (echo("b1", &log), echo("b2", &log));
+    let entries = [
+        endpoint_entry("s-1", old_address, "Terminating"),
+        endpoint_entry("s-2", new_address, "Ready"),
     ];
-    let list = start_scripted_discovery(&log, move |_, call| {
-        // Longer than the timeouts of the first polls.
+    let discovery_address = start_scripted_discovery(&log, move |_, call| {
         sleep(Duration::from_millis(
             if call.start_line.contains("hold_ms=2000") {
                 3000
             } else {
+                // Longer than the timeouts of the first polls.
                 450
             },
         ));
-        update(2, true, &lines)
+        update(2, true, &entries)
     });
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], |config| {
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old_address)], |config| {
         with_agent(config);
-        config["discovery"] = list.to_string().into();
+        config["discovery"] = discovery_address.to_string().into();
     });
     log.await_event("list got GET /registry/instances?from=2&hold_ms=2000 HTTP/1.1 ");
     assert_eq!(
@@ -112,33 +112,37 @@
 #[test]
 fn a_watch_of_a_pushed_list_is_repeated_after_a_timeout() {
     let log = Log::new(vec![]);
-    let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let drained = [
-        endpoint_entry("s-1", old, "Terminating"),
-        endpoint_entry("s-2", new, "Ready"),
+    let (old_address, new_address) = (echo("b1", &log), echo("b2", &log));
+    let drained_entries = [
+        endpoint_entry("s-1", old_address, "Terminating"),
+        endpoint_entry("s-2", new_address, "Ready"),
     ];
-    let here = endpoint_entry("s-1", old, "Ready");
-    let hung = Shared::new(0);
-    let counted = hung.clone();
-    let list = start_scripted_discovery(&log, move |_, call| match call.start_line.as_str() {
-        first if first.contains("from=0&hold_ms=0 ") && counted.change(|n| *n) > 0 => {
-            update(2, true, &drained)
-        }
-        first if first.contains("from=0&hold_ms=0 ") => {
-            update(0, false, std::slice::from_ref(&here))
-        }
-        first if first.contains("from=0&") => {
-            counted.change(|n| *n += 1);
-            BackendAction::Hang
-        }
-        _ => BackendAction::Hang,
-    });
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old)], |config| {
+    let current_entry = endpoint_entry("s-1", old_address, "Ready");
+    let hanging_watches = Shared::new(0);
+    let hanging_watch_counter = hanging_watches.clone();
+    let discovery_address =
+        start_scripted_discovery(&log, move |_, call| match call.start_line.as_str() {
+            start_line
+                if start_line.contains("from=0&hold_ms=0 ")
+                    && hanging_watch_counter.change(|n| *n) > 0 =>
+            {
+                update(2, true, &drained_entries)
+            }
+            start_line if start_line.contains("from=0&hold_ms=0 ") => {
+                update(0, false, std::slice::from_ref(&current_entry))
+            }
+            start_line if start_line.contains("from=0&") => {
+                hanging_watch_counter.change(|n| *n += 1);
+                BackendAction::Hang
+            }
+            _ => BackendAction::Hang,
+        });
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", old_address)], |config| {
         with_agent(config);
-        config["discovery"] = list.to_string().into();
+        config["discovery"] = discovery_address.to_string().into();
     });
     log.await_event("list got GET /registry/instances?from=2&hold_ms=2000 HTTP/1.1 ");
-    assert_eq!(hung.change(|n| *n), 1);
+    assert_eq!(hanging_watches.change(|n| *n), 1);
     assert_eq!(
         daemon.client().text_of(&rpc("POST", "/book", "id", "")),
         "b2:"
