--- a/crates/daemon/tests/ending.rs
+++ b/crates/daemon/tests/ending.rs
@@ -1,6 +1,7 @@
-//! Graceful shutdown, standby and eviction that coincide with RPCs.
+//! Graceful shutdowns, standbys and evictions that coincide with RPCs.
 //!
-//! The tests stop the process for a while: it then finds bytes, connections and expired deadlines all at once.
+//! The tests suspend the process for a while. When it resumes, it meets received bytes, new connections and expired
+//! deadlines all at once.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
@@ -14,12 +15,13 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
-/// Number of clients, each of which meets the coincidence.
+/// Number of clients whose RPCs coincide with the event of a test.
 const CLIENTS: usize = 16;
-/// Variable with the address to which the reader of the test of interrupted reads connects.
-const READER: &str = "BIRCHHUB_TEST_READER";
+/// Environment variable with the address to which the reader process of
+/// [`test_client_sees_a_close_after_interrupted_reads`] connects.
+const READER_ADDRESS_VARIABLE: &str = "BIRCHHUB_TEST_READER";
 
-/// Opens connections, on each of which a response was received.
+/// Opens idle connections, each of which has received a response.
 fn idle_clients(daemon: &Daemon) -> Vec<Client> {
     let open = |_| {
         let mut client = daemon.client();
@@ -29,29 +31,30 @@
     (0..CLIENTS).map(open).collect()
 }
 
-/// Returns the status of the response on each connection.
-fn statuses(clients: &mut [Client]) -> Vec<Option<u16>> {
+/// Returns the status of the next response on each connection, or `None` without a response.
+fn response_statuses(clients: &mut [Client]) -> Vec<Option<u16>> {
     clients
         .iter_mut()
-        .map(|client| client.response().map(|answer| answer.status()))
+        .map(|client| client.response().map(|response| response.status()))
         .collect()
 }
 
-/// Signals interrupt the reader of a connection, which is a process of its own, before the connection is closed.
+/// Tests [`Client::is_closed`], on which other tests rely: signals that interrupt its read before the close must not
+/// make it fail. The reader is a separate process, which the signals stop and continue.
 #[test]
 fn test_client_sees_a_close_after_interrupted_reads() {
-    if let Ok(at) = std::env::var(READER) {
-        let mut client = Client::open(at.parse().expect("an address")).expect("a connection");
+    if let Ok(address) = std::env::var(READER_ADDRESS_VARIABLE) {
+        let mut client = Client::open(address.parse().expect("an address")).expect("a connection");
         return assert!(client.is_closed());
     }
     let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
-    let at = listener.local_addr().expect("an address").to_string();
+    let address = listener.local_addr().expect("an address").to_string();
     let mut reader = Command::new(std::env::current_exe().expect("this program"))
         .args([
             "--exact",
             "test_client_sees_a_close_after_interrupted_reads",
         ])
-        .env(READER, at)
+        .env(READER_ADDRESS_VARIABLE, address)
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn()
@@ -66,7 +69,8 @@
     assert!(reader.wait().expect("its end").success());
 }
 
-/// The deadline of idle connections expires during a graceful shutdown while complete RPCs on them are unread.
+/// During a graceful shutdown the deadline of idle connections expires while the proxy has not yet read the RPCs on
+/// them.
 #[test]
 fn rpc_on_an_idle_connection_is_answered_after_the_idle_deadline() {
     let log = Log::new(vec![]);
@@ -81,12 +85,12 @@
     }
     sleep(Duration::from_millis(700)); // past the idle deadline, half a second after SIGTERM
     daemon.signal("CONT");
-    assert_eq!(statuses(&mut clients), vec![Some(200); CLIENTS]);
+    assert_eq!(response_statuses(&mut clients), vec![Some(200); CLIENTS]);
     assert!(clients.iter_mut().all(Client::is_closed));
     assert!(daemon.await_exit().success());
 }
 
-/// The deadline of idle connections expires during a standby while complete RPCs on them are unread.
+/// During a standby the deadline of idle connections expires while the proxy has not yet read the RPCs on them.
 #[test]
 fn rpc_on_an_idle_connection_is_answered_on_standby() {
     let log = Log::new(vec![]);
@@ -96,27 +100,28 @@
         without_health_checks(config);
     });
     let mut clients = idle_clients(&daemon);
-    let mut operator = Client::open(management).expect("a connection");
-    let call = "POST /standby HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(operator.call(call).unwrap().status(), 200);
+    let mut admin_client = Client::open(management).expect("a connection");
+    let standby_call = "POST /standby HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
+    assert_eq!(admin_client.call(standby_call).unwrap().status(), 200);
     daemon.signal("STOP");
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&rpc("POST", "/book", &format!("n{n}"), ""));
     }
     sleep(Duration::from_millis(1200));
     daemon.signal("CONT");
-    assert_eq!(statuses(&mut clients), vec![Some(200); CLIENTS]);
+    assert_eq!(response_statuses(&mut clients), vec![Some(200); CLIENTS]);
 }
 
-/// New connections need sockets in the same turn of the event loop in which RPCs arrive on idle connections.
+/// RPCs arrive on idle connections in the same iteration of the event loop as new connections, which need their
+/// sockets.
 #[test]
 fn rpc_that_was_read_from_an_evicted_connection_is_answered() {
     let log = Log::new(vec![]);
-    let few = |config: &mut Value| {
+    let with_few_sockets = |config: &mut Value| {
         config["limits"]["sockets"] = 74.into(); // room for ten clients
         without_health_checks(config);
     };
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], few);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], with_few_sockets);
     let mut clients: Vec<_> = idle_clients(&daemon).drain(CLIENTS - 10..).collect();
     assert_eq!(
         clients
@@ -134,21 +139,22 @@
         client.send(&rpc("GET", "/read", &format!("new{n}"), ""));
     }
     daemon.signal("CONT");
-    // A client whose connection was closed with its RPC unread may send it again. An RPC that was read must be answered.
+    // If the proxy closes a connection without reading its RPC, the client may safely retry. An RPC that the proxy has
+    // read must get a response.
     let was_read = |n: usize| log.count(&format!(" n{n}")) > 0;
-    let answers = statuses(&mut clients);
-    let lost: Vec<_> = (0..answers.len())
-        .filter(|n| was_read(*n) && answers[*n] != Some(200))
+    let statuses = response_statuses(&mut clients);
+    let lost: Vec<_> = (0..statuses.len())
+        .filter(|n| was_read(*n) && statuses[*n] != Some(200))
         .collect();
-    assert_eq!(lost, Vec::<usize>::new(), "{answers:?}");
+    assert_eq!(lost, Vec::<usize>::new(), "{statuses:?}");
     assert!(
-        statuses(&mut new_clients)
+        response_statuses(&mut new_clients)
             .iter()
-            .all(|answer| matches!(answer, Some(200 | 503)))
+            .all(|status| matches!(status, Some(200 | 503)))
     );
 }
 
-/// Connections are in the listen backlog when the accept deadline of a graceful shutdown expires.
+/// Connections wait in the listen backlog when the accept deadline of a graceful shutdown expires.
 #[test]
 fn connections_in_the_backlog_are_served_after_the_accept_deadline() {
     let log = Log::new(vec![]);
@@ -163,20 +169,20 @@
     }
     sleep(Duration::from_millis(700));
     daemon.signal("CONT");
-    assert_eq!(statuses(&mut clients), vec![Some(200); CLIENTS]);
+    assert_eq!(response_statuses(&mut clients), vec![Some(200); CLIENTS]);
     assert!(daemon.await_exit().success());
 }
 
-/// A message that is incomplete at SIGTERM is served once it is complete, if the response deadline allows.
+/// A request that is incomplete at SIGTERM is served once it is complete, if the response deadline permits.
 #[test]
-fn message_that_is_incomplete_at_sigterm_is_served() {
+fn request_that_is_incomplete_at_sigterm_is_served() {
     let log = Log::new(vec![]);
     let mut daemon =
         Daemon::start_with(PROGRAM, &[("s-1", echo("b1", &log))], without_health_checks);
     let mut clients = idle_clients(&daemon);
     let message = |n: usize| rpc("POST", "/book", &format!("n{n}"), "body");
-    // Half of a head, or half of a body.
-    let part = |n: usize| {
+    // A part of the head, or the head and half of the body.
+    let sent_length = |n: usize| {
         if n.is_multiple_of(2) {
             30
         } else {
@@ -184,79 +190,87 @@
         }
     };
     for (n, client) in clients.iter_mut().enumerate() {
-        client.send(&message(n)[..part(n)]);
+        client.send(&message(n)[..sent_length(n)]);
     }
     daemon.signal("TERM");
     daemon.await_ready(503);
     sleep(Duration::from_millis(800)); // past the idle deadline, half a second after SIGTERM
     for (n, client) in clients.iter_mut().enumerate() {
-        client.send(&message(n)[part(n)..]);
+        client.send(&message(n)[sent_length(n)..]);
     }
-    assert_eq!(statuses(&mut clients), vec![Some(200); CLIENTS]);
+    assert_eq!(response_statuses(&mut clients), vec![Some(200); CLIENTS]);
     assert!(daemon.await_exit().success());
 }
 
 /// Starts a backend that never responds.
-fn backend_that_never_answers(log: &Log) -> SocketAddr {
+fn hanging_backend(log: &Log) -> SocketAddr {
     backend("b1", log, |_| BackendAction::Hang)
 }
 
-/// All RPCs are answered, and the process exits, before SIGKILL, which follows 0.7 s after the longest deadline or after
-/// 3 s, if the deadline is longer.
-fn assert_answered_before_the_kill(hard_limit: Value, kill: Duration) {
+/// Checks that all RPCs get a response, and that the process exits, before SIGKILL. SIGKILL follows 0.7 s after the
+/// longest deadline, counted from SIGTERM, and at most 3.7 s after SIGTERM.
+fn assert_responses_before_sigkill(longest_deadline: Value, kill_delay: Duration) {
     let log = Log::new(vec![]);
-    let mut daemon = Daemon::start_with(
-        PROGRAM,
-        &[("s-1", backend_that_never_answers(&log))],
-        |config| {
-            without_health_checks(config);
-            for method in config["settings"]["methods"]
-                .as_array_mut()
-                .expect("methods")
-            {
-                method["hard-limit-ns"] = hard_limit.clone();
-                method["latency-target-ns"] = 60e9.into();
-            }
-        },
-    );
-    let long = |id: &str| rpc("POST", "/book", id, "").replace("3000", "60000");
+    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", hanging_backend(&log))], |config| {
+        without_health_checks(config);
+        for method in config["settings"]["methods"]
+            .as_array_mut()
+            .expect("methods")
+        {
+            method["hard-limit-ns"] = longest_deadline.clone();
+            method["latency-target-ns"] = 60e9.into();
+        }
+    });
+    let long_rpc = |id: &str| rpc("POST", "/book", id, "").replace("3000", "60000");
     let mut before = daemon.client();
     let mut after = daemon.client();
-    let mut half = daemon.client();
-    before.send(&long("before"));
+    let mut incomplete = daemon.client();
+    before.send(&long_rpc("before"));
     log.await_event("b1 got POST /book HTTP/1.1 before");
-    half.send(&long("half")[..50]);
+    incomplete.send(&long_rpc("half")[..50]);
     assert_eq!(after.call(HEALTH).unwrap().status(), 200);
-    let term = Instant::now();
+    let terminated_at = Instant::now();
     daemon.signal("TERM");
     daemon.await_ready(503);
-    after.send(&long("after"));
-    let answers = (
-        before.response().map(|a| a.status()),
-        after.response().map(|a| a.status()),
+    after.send(&long_rpc("after"));
+    let statuses = (
+        before.response().map(|response| response.status()),
+        after.response().map(|response| response.status()),
     );
-    assert_eq!(answers, (Some(502), Some(502)), "both may have run");
-    assert!(term.elapsed() < kill, "answered after {:?}", term.elapsed());
-    assert!(half.is_closed());
+    assert_eq!(
+        statuses,
+        (Some(502), Some(502)),
+        "both may have been executed"
+    );
+    assert!(
+        terminated_at.elapsed() < kill_delay,
+        "responses after {:?}",
+        terminated_at.elapsed()
+    );
+    assert!(incomplete.is_closed());
     assert!(daemon.await_exit().success());
-    assert!(term.elapsed() < kill, "ended after {:?}", term.elapsed());
+    assert!(
+        terminated_at.elapsed() < kill_delay,
+        "exit after {:?}",
+        terminated_at.elapsed()
+    );
 }
 
 #[test]
-fn a_long_deadline_does_not_outlast_the_kill() {
-    assert_answered_before_the_kill(10e9.into(), Duration::from_millis(3700));
+fn a_long_deadline_does_not_delay_the_exit_past_sigkill() {
+    assert_responses_before_sigkill(10e9.into(), Duration::from_millis(3700));
 }
 
 #[test]
-fn rpcs_with_a_longer_timeout_than_the_longest_deadline_are_answered_before_the_kill() {
-    assert_answered_before_the_kill(500e6.into(), Duration::from_millis(1200));
+fn rpcs_with_a_longer_timeout_than_the_longest_deadline_are_answered_before_sigkill() {
+    assert_responses_before_sigkill(500e6.into(), Duration::from_millis(1200));
 }
 
 #[test]
 fn missing_deadline_does_not_end_rpcs_at_sigterm() {
     let log = Log::new(vec![]);
-    let (at, gate) = gated_backend("b1", &log, "");
-    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], |config| {
+    let (address, gate) = gated_backend("b1", &log, "");
+    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", address)], |config| {
         without_health_checks(config);
         for method in config["settings"]["methods"]
             .as_array_mut()
@@ -265,19 +279,23 @@
             method["hard-limit-ns"] = Value::Null;
         }
     });
-    let mut held = daemon.client();
-    held.send(&rpc("POST", "/book", "held", ""));
+    let mut held_client = daemon.client();
+    held_client.send(&rpc("POST", "/book", "held", ""));
     log.await_event("b1 got POST /book HTTP/1.1 held");
     daemon.signal("TERM");
-    // Idle connections are closed half a second after SIGTERM: an early response deadline has expired by then.
+    // Idle connections are closed half a second after SIGTERM. A response deadline that is too early has expired by
+    // then.
     assert!(daemon.client().is_closed());
     sleep(Duration::from_millis(200));
     gate.change(|open| *open = true);
-    assert_eq!(held.response().map(|answer| answer.status()), Some(200));
+    assert_eq!(
+        held_client.response().map(|response| response.status()),
+        Some(200)
+    );
     assert!(daemon.await_exit().success());
 }
 
-/// Repeated SIGTERM, and SIGHUP before and after it, cause one graceful shutdown.
+/// Repeated SIGTERM, with SIGHUP before, between and after them, causes one graceful shutdown.
 #[test]
 fn repeated_signals_cause_one_graceful_shutdown() {
     let log = Log::new(vec![]);
@@ -292,7 +310,7 @@
         client.send(&rpc("POST", "/book", &format!("n{n}"), ""));
     }
     daemon.signal("CONT");
-    assert_eq!(statuses(&mut clients), vec![Some(200); CLIENTS]);
+    assert_eq!(response_statuses(&mut clients), vec![Some(200); CLIENTS]);
     daemon.signal("TERM");
     assert!(daemon.await_exit().success());
     let ended = daemon
@@ -305,17 +323,17 @@
     });
 }
 
-/// Every connection carries an RPC at SIGTERM, and the backend does not respond to a quarter of them.
+/// Every connection carries an RPC at SIGTERM. The backend does not respond to a quarter of them.
 #[test]
 fn rpcs_on_all_connections_are_answered_during_a_graceful_shutdown() {
     let log = Log::new(vec![]);
-    let at = backend("b1", &log, |m| {
-        match m.header("request-id").ends_with('0') {
+    let address = backend("b1", &log, |request| {
+        match request.header("request-id").ends_with('0') {
             true => BackendAction::Hang,
             false => BackendAction::Respond(reply("200 OK", "")),
         }
     });
-    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
+    let mut daemon = Daemon::start_with(PROGRAM, &[("s-1", address)], without_health_checks);
     let mut clients = idle_clients(&daemon);
     daemon.signal("STOP");
     for (n, client) in clients.iter_mut().enumerate() {
@@ -325,15 +343,15 @@
     }
     daemon.signal("TERM");
     daemon.signal("CONT");
-    let answers = statuses(&mut clients);
-    let hung = answers
+    let statuses = response_statuses(&mut clients);
+    let timed_out = statuses
         .iter()
-        .filter(|answer| **answer == Some(502))
+        .filter(|status| **status == Some(502))
         .count();
     assert_eq!(
-        (answers.iter().flatten().count(), hung),
+        (statuses.iter().flatten().count(), timed_out),
         (CLIENTS, CLIENTS / 4),
-        "{answers:?}"
+        "{statuses:?}"
     );
     assert!(daemon.await_exit().success());
 }
