--- a/crates/daemon/tests/endpoint_changes.rs
+++ b/crates/daemon/tests/endpoint_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, outages of discovery, and the connections to backends.
+//! Changes of the endpoint list, outages of discovery, and connections to backends.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
@@ -11,41 +11,45 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// Prevents that an RPC is sent after the drain grace because its connect was slow.
+/// An RPC whose connect is slow must not be sent to its backend after the drain grace.
 #[test]
 fn a_drain_withdraws_an_attempt_that_waits_for_its_connection() {
     let log = Log::new(vec![]);
-    let good = echo("b1", &log);
-    let slow = SlowAccept::start();
+    let draining_address = echo("b1", &log);
+    let slow_accept = SlowAccept::start();
     let without_connect_timeouts = |config: &mut Value| {
         config["settings"]["methods"][1]["latency-target-ns"] = 60e9.into();
         config["settings"]["ceilings"]["connect-timeout-ns"] = 60e9.into();
         without_health_checks(config);
     };
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", good)], without_connect_timeouts);
+    let daemon = Daemon::start_with(
+        PROGRAM,
+        &[("s-1", draining_address)],
+        without_connect_timeouts,
+    );
     daemon.fill_retry_budget();
     daemon.discovery.publish_and_wait(&[
-        endpoint_entry("s-1", good, "Terminating"),
-        endpoint_entry("s-2", slow.address, "Ready"),
+        endpoint_entry("s-1", draining_address, "Terminating"),
+        endpoint_entry("s-2", slow_accept.address, "Ready"),
     ]);
     let mut client = daemon.client();
     client.send(&rpc("POST", "/book", "waits", "").replace("3000", "60000"));
-    // By then the attempt has started.
+    // Long enough for the attempt to start.
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(log.count("waits"), 0, "sent to the draining backend");
     daemon.discovery.publish(&[
-        endpoint_entry("s-1", good, "Ready"),
-        endpoint_entry("s-2", slow.address, "Terminating"),
+        endpoint_entry("s-1", draining_address, "Ready"),
+        endpoint_entry("s-2", slow_accept.address, "Terminating"),
     ]);
     assert_eq!(client.response().unwrap().text(), "b1:");
 }
 
-/// Neither a connection in use nor an idle one leads to the former address.
+/// The proxy reuses neither the connection that was in use during the change nor an idle one to the former address.
 #[test]
 fn a_backend_with_a_new_address_gets_no_rpcs_at_the_former_one() {
     let log = Log::new(vec![]);
-    let (old, gate) = gated_backend("b1", &log, "old");
-    let daemon = Daemon::start(PROGRAM, &[("s-1", old)]);
+    let (old_address, gate) = gated_backend("b1", &log, "old");
+    let daemon = Daemon::start(PROGRAM, &[("s-1", old_address)]);
     let mut client = daemon.client();
     client.send(&rpc("POST", "/book", "before", ""));
     log.await_event("b1 got POST /book HTTP/1.1 before");
@@ -61,17 +65,17 @@
     assert_eq!(client.text_of(&rpc("POST", "/book", "idle", "")), "b3:");
 }
 
-/// They would otherwise fail the next RPC.
+/// A closed connection in the pool would fail the next RPC.
 #[test]
 fn idle_connections_that_a_backend_closes_are_released() {
     let log = Log::new(vec![]);
-    let at = backend("b1", &log, |_| {
+    let address = backend("b1", &log, |_| {
         BackendAction::RespondAndClose(reply("200 OK", "last"))
     });
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", address)], without_health_checks);
     daemon
         .discovery
-        .publish_and_wait(&[endpoint_entry("s-1", at, "Ready")]);
+        .publish_and_wait(&[endpoint_entry("s-1", address, "Ready")]);
     let mut client = daemon.client();
     assert_eq!(client.status_of(HEALTH), 200);
     let before = daemon.descriptors();
@@ -89,21 +93,22 @@
     }
 }
 
-/// A network path that drops idle connections sooner than the settings say costs one RPC only.
+/// A network path may drop idle connections sooner than the configured idle timeout. This must fail only one RPC.
 #[test]
 fn the_idle_timeout_is_reduced_after_the_loss_of_a_connection() {
     let log = Log::new(vec![]);
-    let last = Shared::new(Instant::now());
-    let at = backend("b1", &log, move |m| {
-        let idle = last.change(|last| std::mem::replace(last, Instant::now()).elapsed());
-        let lost = m.messages_before > 0 && idle > Duration::from_millis(150);
+    let last_used = Shared::new(Instant::now());
+    let address = backend("b1", &log, move |request| {
+        let idle_time =
+            last_used.change(|last_used| std::mem::replace(last_used, Instant::now()).elapsed());
+        let lost = request.messages_before > 0 && idle_time > Duration::from_millis(150);
         if lost {
             BackendAction::RespondAndClose(vec![])
         } else {
             BackendAction::Respond(reply("200 OK", ""))
         }
     });
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", address)], without_health_checks);
     let mut client = daemon.client();
     let mut lost = 0;
     for n in 0..6 {
@@ -116,19 +121,20 @@
 #[test]
 fn memory_does_not_grow_with_removed_backends() {
     let log = Log::new(vec![]);
-    let at = echo("b1", &log);
-    let daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
-    let replace = |rounds: std::ops::Range<usize>| {
+    let address = echo("b1", &log);
+    let daemon = Daemon::start(PROGRAM, &[("s-1", address)]);
+    let replace_backends = |rounds: std::ops::Range<usize>| {
         for round in rounds {
-            let lines = (0..2000).map(|n| endpoint_entry(&format!("s-{round}-{n}"), at, "Ready"));
+            let entries =
+                (0..2000).map(|n| endpoint_entry(&format!("s-{round}-{n}"), address, "Ready"));
             daemon
                 .discovery
-                .publish_and_wait(&lines.collect::<Vec<_>>());
+                .publish_and_wait(&entries.collect::<Vec<_>>());
         }
         daemon.memory()
     };
-    let before = replace(0..8);
-    let after = replace(8..58);
+    let before = replace_backends(0..8);
+    let after = replace_backends(8..58);
     assert!(
         after < before + (25 << 20),
         "{} MB more for 100,000 removed backends",
@@ -144,15 +150,15 @@
 fn a_watch_that_times_out_is_repeated_at_once() {
     let log = Log::new(vec![]);
     let mut daemon = Daemon::start(PROGRAM, &[("s-1", echo("b1", &log))]);
-    let next = DiscoveryService::without_response_to(0);
-    next.publish(&[endpoint_entry("s-2", echo("b2", &log), "Ready")]);
-    daemon.reload(&config(daemon.address, next.address, &[]).to_string());
-    daemon.discovery = next;
+    let next_service = DiscoveryService::without_response_to(0);
+    next_service.publish(&[endpoint_entry("s-2", echo("b2", &log), "Ready")]);
+    daemon.reload(&config(daemon.address, next_service.address, &[]).to_string());
+    daemon.discovery = next_service;
     let mut client = daemon.client();
     let mut is_applied = || client.text_of(&rpc("GET", "/read", "id", "")) == "b2:";
     eventually(
         Duration::from_secs(5),
-        "the list is not applied after one lost poll",
+        "the list was not applied after one lost poll",
         &mut is_applied,
     );
 }
@@ -160,58 +166,70 @@
 #[test]
 fn the_last_list_is_kept_during_an_outage_of_discovery() {
     let log = Log::new(vec![]);
-    let (old, new) = (echo("b1", &log), echo("b2", &log));
-    let daemon = Daemon::start(PROGRAM, &[("s-1", old)]);
+    let (old_address, new_address) = (echo("b1", &log), echo("b2", &log));
+    let daemon = Daemon::start(PROGRAM, &[("s-1", old_address)]);
     let mut client = daemon.client();
-    let mut send = |n: &str| client.text_of(&rpc("GET", "/read", n, ""));
-    assert_eq!(send("up"), "b1:");
+    let mut send_rpc = |n: &str| client.text_of(&rpc("GET", "/read", n, ""));
+    assert_eq!(send_rpc("up"), "b1:");
     daemon.discovery.respond_with(None);
-    assert_eq!(send("down"), "b1:");
+    assert_eq!(send_rpc("down"), "b1:");
     daemon.discovery.respond_with(Some("{\"rev\": nonsense"));
-    assert_eq!(send("garbage"), "b1:");
-    let odd = [
+    assert_eq!(send_rpc("garbage"), "b1:");
+    let invalid_entries = [
         json!({"uid": "s-9", "state": "Dreaming"}),
         json!({"state": "Ready"}),
     ];
-    daemon
-        .discovery
-        .publish(&[&odd[..], &[endpoint_entry("s-2", new, "Ready")]].concat());
+    daemon.discovery.publish(
+        &[
+            &invalid_entries[..],
+            &[endpoint_entry("s-2", new_address, "Ready")],
+        ]
+        .concat(),
+    );
     eventually(
         EVENT_TIMEOUT,
         "the list of the recovered service was never applied",
-        || send("back") == "b2:",
+        || send_rpc("back") == "b2:",
     );
 }
 
-/// Prevents a busy loop.
+/// Guards against a busy loop of polls.
 #[test]
 fn polls_of_a_service_that_responds_at_once_are_spaced() {
     let log = Log::new(vec![]);
-    let at = echo("b1", &log);
-    let daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
-    let begun = Instant::now();
-    let same = json!({"rev": 0, "all": true, "targets": [endpoint_entry("s-1", at, "Ready")]});
-    daemon.discovery.respond_with(Some(&same.to_string()));
+    let address = echo("b1", &log);
+    let daemon = Daemon::start(PROGRAM, &[("s-1", address)]);
+    let started = Instant::now();
+    let unchanged_list =
+        json!({"rev": 0, "all": true, "targets": [endpoint_entry("s-1", address, "Ready")]});
+    daemon
+        .discovery
+        .respond_with(Some(&unchanged_list.to_string()));
     std::thread::sleep(Duration::from_millis(300));
     let calls = daemon.discovery.calls.change(|calls| *calls) as u128;
     assert!(
-        calls <= 4 + begun.elapsed().as_millis() / 20,
+        calls <= 4 + started.elapsed().as_millis() / 20,
         "{calls} calls"
     );
 }
 
-/// It does not prevent the start.
+/// A malformed cached list must not prevent the start.
 #[test]
 fn a_malformed_cached_list_is_replaced_by_discovery() {
     let log = Log::new(vec![]);
-    for known in [json!("odd"), json!({"rev": "x"}), json!(null)] {
+    for cached_list in [json!("odd"), json!({"rev": "x"}), json!(null)] {
         let backend = [("s-1", echo("b1", &log))];
-        let daemon =
-            Daemon::start_with(PROGRAM, &backend, |config| config["known"] = known.clone());
-        let answer = daemon
+        let daemon = Daemon::start_with(PROGRAM, &backend, |config| {
+            config["known"] = cached_list.clone()
+        });
+        let response = daemon
             .client()
             .call(&rpc("GET", "/read", "id1", ""))
-            .expect("an answer");
-        assert_eq!(answer.status(), 200, "started with known {known}");
+            .expect("a response");
+        assert_eq!(
+            response.status(),
+            200,
+            "started with the cached list {cached_list}"
+        );
     }
 }
