--- a/crates/daemon/tests/forwarding.rs
+++ b/crates/daemon/tests/forwarding.rs
@@ -1,4 +1,5 @@
-//! Forwarding of RPCs over loopback sockets: what reaches a backend, what is retried, and the outcomes of backends' faults.
+//! Forwarding of RPCs over loopback sockets: what reaches a backend, what is retried, and how faults of backends affect
+//! the response.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
@@ -10,13 +11,13 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// A method of the usual configuration.
+/// A method of the default test configuration.
 struct Method {
     name: &'static str,
     verb: &'static str,
 }
 
-/// A method of each idempotency: idempotent, non-idempotent, with an idempotency key.
+/// One method of each kind: idempotent, non-idempotent, and with an idempotency key.
 const METHODS: [Method; 3] = [
     Method {
         name: "read",
@@ -39,15 +40,15 @@
     let mut client = daemon.client();
     for (n, Method { name, verb }) in METHODS.iter().enumerate() {
         let body = if *verb == "POST" { "x\0y" } else { "" };
-        let answer = client.call(&rpc(
+        let response = client.call(&rpc(
             verb,
             &format!("/{name}/7?a=%20b"),
             &format!("id{n}"),
             body,
         ));
-        let answer = answer.expect("an answer");
+        let response = response.expect("a response");
         assert_eq!(
-            (answer.status(), answer.text()),
+            (response.status(), response.text()),
             (200, format!("b1:{body}"))
         );
         log.await_event(&format!("b1 got {verb} /{name}/7?a=%20b HTTP/1.1 id{n}"));
@@ -58,15 +59,15 @@
 fn idempotency_key_and_timeout_are_forwarded() {
     let log = Log::new(vec![]);
     let headers = log.clone();
-    let at = backend("b1", &log, move |m| {
+    let address = backend("b1", &log, move |request| {
         headers.record(format!(
             "{} {}",
-            m.header("idempotency-key"),
-            m.header("request-timeout-ms").len()
+            request.header("idempotency-key"),
+            request.header("request-timeout-ms").len()
         ));
         BackendAction::Respond(reply("200 OK", ""))
     });
-    let daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
+    let daemon = Daemon::start(PROGRAM, &[("s-1", address)]);
     assert_eq!(
         daemon.client().status_of(&rpc("POST", "/log", "id", "b")),
         200
@@ -74,17 +75,18 @@
     log.await_event("k1 4");
 }
 
-/// Rule 2: an attempt that may have run is retried only if the method is idempotent.
+/// Rule 2: an attempt that a backend may have executed is retried only if the method is idempotent or has an
+/// idempotency key.
 #[test]
 fn reset_attempt_is_retried_only_if_the_method_is_idempotent() {
     let log = Log::new(vec![]);
-    let first = Shared::new(true);
-    let resetting = |name| {
-        let first = first.clone();
-        backend(name, &log, move |m| {
-            let is_reset =
-                m.header("request-id").starts_with("cut") && first.change(std::mem::take);
-            if is_reset {
+    let close_next = Shared::new(true);
+    let closing_backend = |name| {
+        let close_next = close_next.clone();
+        backend(name, &log, move |request| {
+            let must_close = request.header("request-id").starts_with("cut")
+                && close_next.change(std::mem::take);
+            if must_close {
                 BackendAction::RespondAndClose(vec![])
             } else {
                 BackendAction::Respond(reply("200 OK", name))
@@ -93,14 +95,17 @@
     };
     let daemon = Daemon::start(
         PROGRAM,
-        &[("s-1", resetting("b1")), ("s-2", resetting("b2"))],
+        &[
+            ("s-1", closing_backend("b1")),
+            ("s-2", closing_backend("b2")),
+        ],
     );
     daemon.fill_retry_budget();
     let mut client = daemon.client();
     for (Method { name, verb }, (status, attempts)) in
         METHODS.iter().zip([(200, 2), (502, 1), (200, 2)])
     {
-        first.change(|f| *f = true);
+        close_next.change(|close_next| *close_next = true);
         let id = format!("cut-{name}");
         assert_eq!(
             client.status_of(&rpc(verb, &format!("/{name}"), &id, "")),
@@ -112,20 +117,28 @@
     }
 }
 
-/// An attempt without a connection never ran, so that even a non-idempotent RPC is retried.
+/// No backend can have executed an attempt without a connection, so even a non-idempotent RPC is retried.
 #[test]
 fn attempt_without_a_connection_is_retried_at_another_backend() {
     let log = Log::new(vec![]);
-    let good = echo("b1", &log);
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", good)], without_health_checks);
+    let reachable_address = echo("b1", &log);
+    let daemon = Daemon::start_with(
+        PROGRAM,
+        &[("s-1", reachable_address)],
+        without_health_checks,
+    );
     daemon.fill_retry_budget();
-    let dead = [
+    let unreachable_entries = [
         endpoint_entry("s-2", unused_address(), "Ready"),
         endpoint_entry("s-3", unused_address(), "Ready"),
     ];
-    daemon
-        .discovery
-        .publish_and_wait(&[&dead[..], &[endpoint_entry("s-1", good, "Ready")]].concat());
+    daemon.discovery.publish_and_wait(
+        &[
+            &unreachable_entries[..],
+            &[endpoint_entry("s-1", reachable_address, "Ready")],
+        ]
+        .concat(),
+    );
     let mut client = daemon.client();
     for n in 0..20 {
         assert_eq!(
@@ -139,7 +152,7 @@
 #[test]
 fn malformed_response_fails_the_attempt() {
     let log = Log::new(vec![]);
-    let at = backend("b1", &log, |m| match m.header("request-id") {
+    let address = backend("b1", &log, |request| match request.header("request-id") {
         "garbage" => BackendAction::Respond(b"what?\r\n\r\n".to_vec()),
         "half" => BackendAction::RespondAndClose(
             b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec(),
@@ -148,10 +161,11 @@
         "refuses" => BackendAction::Respond(reply("503 No", "")),
         _ => BackendAction::Respond(reply("200 OK", &"x".repeat(64 << 10))),
     });
-    let daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
+    let daemon = Daemon::start(PROGRAM, &[("s-1", address)]);
     let mut client = daemon.client();
     for id in ["garbage", "half", "error", "refuses"] {
-        // A backend's 503 is not forwarded, and the proxy must not reject what may have run.
+        // The proxy must not forward the 503 of the backend, nor respond with one itself: the backend may have executed
+        // the RPC, and 503 tells the client that none has.
         assert_eq!(client.status_of(&rpc("POST", "/book", id, "")), 502, "{id}");
     }
     assert_eq!(
@@ -167,12 +181,14 @@
 #[test]
 fn rpc_that_no_backend_started_is_rejected() {
     let log = Log::new(vec![]);
-    let full = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
+    let full_response = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
     let daemon = Daemon::start(
         PROGRAM,
         &[(
             "s-1",
-            backend("b1", &log, |_| BackendAction::Respond(full.to_vec())),
+            backend("b1", &log, |_| {
+                BackendAction::Respond(full_response.to_vec())
+            }),
         )],
     );
     assert_eq!(
@@ -181,7 +197,8 @@
     );
 }
 
-/// An attempt that times out closes its connection, and the client gets a response before its deadline.
+/// An attempt that times out closes its connection to the backend, and the client gets a response before its
+/// deadline.
 #[test]
 fn timed_out_attempt_closes_its_socket() {
     let log = Log::new(vec![]);
@@ -193,19 +210,23 @@
     let message = rpc("POST", "/book", "slow", "").replace("3000", "400");
     assert_eq!(client.status_of(&message), 502);
     log.await_event("b1 closed slow");
-    assert_eq!(client.status_of(HEALTH), 200, "the client stays");
+    assert_eq!(
+        client.status_of(HEALTH),
+        200,
+        "the connection of the client must stay open"
+    );
 }
 
 #[test]
 fn disconnect_of_the_client_cancels_the_attempt() {
     let log = Log::new(vec![]);
-    // The attempt would not time out within the test.
-    let long =
+    // With this latency target the attempt does not time out within the test.
+    let with_long_latency_target =
         |config: &mut Value| config["settings"]["methods"][0]["latency-target-ns"] = 60e9.into();
     let daemon = Daemon::start_with(
         PROGRAM,
         &[("s-1", backend("b1", &log, |_| BackendAction::Hang))],
-        long,
+        with_long_latency_target,
     );
     let mut client = daemon.client();
     client.send(&rpc("GET", "/read", "gone", "").replace("3000", "60000"));
@@ -214,39 +235,40 @@
     log.await_event("b1 closed gone");
 }
 
-/// Bytes that a backend sends after a response are not the response to the next RPC, even if they arrive a moment later.
+/// The proxy must not take bytes that a backend sends after a response for the response to the next RPC, not even if
+/// they arrive a moment later.
 #[test]
 fn bytes_after_a_response_are_not_the_next_response() {
     let log = Log::new(vec![]);
-    let copy = |m: &Message| reply("200 OK", &m.text());
-    let at = backend("b1", &log, move |m| {
-        BackendAction::Respond([copy(m), copy(m)].concat())
+    let echo_body = |request: &Message| reply("200 OK", &request.text());
+    let address = backend("b1", &log, move |request| {
+        BackendAction::Respond([echo_body(request), echo_body(request)].concat())
     });
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], without_health_checks);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", address)], without_health_checks);
     let mut client = daemon.client();
     for n in 0..20 {
-        let answer = client
-            .call(&rpc("POST", "/book", &format!("n{n}"), &format!("body{n}")))
-            .unwrap();
-        assert_eq!((answer.status(), answer.text()), (200, format!("body{n}")));
+        let body = format!("body{n}");
+        let response = client.call(&rpc("POST", "/book", &format!("n{n}"), &body));
+        let response = response.map(|response| (response.status(), response.text()));
+        assert_eq!(response, Some((200, body)));
     }
     let awaited_log = log.clone();
-    let late = backend("b2", &log, move |m| {
-        match m.header("request-id").strip_prefix("first") {
+    let delayed_address = backend("b2", &log, move |request| {
+        match request.header("request-id").strip_prefix("first") {
             Some(n) => BackendAction::RespondLater {
-                first: copy(m),
+                first: echo_body(request),
                 log: awaited_log.clone(),
                 event: format!("second{n}"),
-                rest: copy(m),
+                rest: echo_body(request),
             },
-            None => BackendAction::Respond(copy(m)),
+            None => BackendAction::Respond(echo_body(request)),
         }
     });
     daemon
         .discovery
-        .publish_and_wait(&[endpoint_entry("s-2", late, "Ready")]);
+        .publish_and_wait(&[endpoint_entry("s-2", delayed_address, "Ready")]);
     let mut rounds = 0..;
-    // On a slow machine the extra bytes may arrive after the connection is in use again.
+    // On a slow machine the extra bytes may arrive when the connection is in use again, so one clean round suffices.
     eventually(
         EVENT_TIMEOUT,
         "extra bytes were taken for the response to the next RPC",
@@ -256,7 +278,7 @@
                 let text = format!("{name}{n}");
                 client
                     .call(&rpc("POST", "/book", &text, &text))
-                    .is_some_and(|a| a.text() == text)
+                    .is_some_and(|response| response.text() == text)
             });
             first && second
         },
@@ -271,27 +293,30 @@
         PROGRAM,
         &[("s-1", echo("b1", &log)), ("s-2", echo("b2", &log))],
     );
-    let at = daemon.address;
-    let run = move |c: usize| {
-        let mut client = Client::open(at).expect("a connection");
+    let address = daemon.address;
+    let send_rpcs = move |client_number: usize| {
+        let mut client = Client::open(address).expect("a connection");
         for n in 0..50 {
-            let body = format!("{c}-{n}");
-            let answer = client
+            let body = format!("{client_number}-{n}");
+            let response = client
                 .call(&rpc("POST", "/log", &format!("id{body}"), &body))
-                .expect("an answer");
+                .expect("a response");
             assert!(
-                answer.status() != 200 || answer.text().ends_with(&format!(":{body}")),
+                response.status() != 200 || response.text().ends_with(&format!(":{body}")),
                 "{}",
-                answer.text()
+                response.text()
             );
         }
     };
-    let all: Vec<_> = (0..8).map(|c| std::thread::spawn(move || run(c))).collect();
-    all.into_iter()
-        .for_each(|thread| thread.join().expect("a client without a failure"));
+    let threads: Vec<_> = (0..8)
+        .map(|client_number| std::thread::spawn(move || send_rpcs(client_number)))
+        .collect();
+    threads
+        .into_iter()
+        .for_each(|thread| thread.join().expect("a client thread that did not panic"));
 }
 
-/// Prevents the entity key of an RPC from being ignored, which would leave no backend with a warm cache for it.
+/// Guards against a proxy that ignores the entity key of an RPC, so that no backend has a warm cache for the key.
 #[test]
 fn rpcs_with_a_key_go_to_few_backends() {
     let log = Log::new(vec![]);
@@ -305,16 +330,16 @@
     let daemon = Daemon::start_with(PROGRAM, &backends, |config| {
         config["settings"]["extra"] = json!({"warm-keys": true});
     });
-    let in_its_cell = |(n, (uid, at)): (usize, &(&str, SocketAddr))| {
-        let mut line = endpoint_entry(uid, *at, "Ready");
-        line["pod_group"] = n.into();
-        line
+    let entry_in_own_pod_group = |(n, (uid, address)): (usize, &(&str, SocketAddr))| {
+        let mut entry = endpoint_entry(uid, *address, "Ready");
+        entry["pod_group"] = n.into();
+        entry
     };
     daemon.discovery.publish_and_wait(
         &backends
             .iter()
             .enumerate()
-            .map(in_its_cell)
+            .map(entry_in_own_pod_group)
             .collect::<Vec<_>>(),
     );
     let mut client = daemon.client();
