--- a/crates/backend-model/src/work.rs
+++ b/crates/backend-model/src/work.rs
@@ -27,7 +27,7 @@
 }
 
 /// Returns a random number generator for this seed and id. Generators of neighbouring ids are independent.
-pub fn generator(seed: u64, id: u64) -> Pcg64Mcg {
+pub fn seeded_rng(seed: u64, id: u64) -> Pcg64Mcg {
     // SplitMix64's finaliser (Steele, Lea, Flood 2014): ids in sequence would otherwise start alike.
     let mut z = seed ^ id.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -38,15 +38,15 @@
 impl WorkDistribution {
     /// Returns the work of the RPC with this id, in seconds of a standard core.
     pub fn sample(&self, seed: u64, id: u64) -> f64 {
-        let mut generator = generator(seed, id);
+        let mut rng = seeded_rng(seed, id);
         let factor = match self.spread {
             Spread::Constant => 1.0,
-            Spread::Exponential => Exp1.sample(&mut generator),
+            Spread::Exponential => Exp1.sample(&mut rng),
             Spread::HeavyTail => {
                 // cv² = exp(σ²) − 1 = 4; the mean is 1 with µ = −σ²/2.
                 let variance = 5f64.ln();
                 LogNormal::new(-variance / 2.0, variance.sqrt())
-                    .map_or(1.0, |distribution| distribution.sample(&mut generator))
+                    .map_or(1.0, |distribution| distribution.sample(&mut rng))
             }
         };
         self.mean * factor
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -127,7 +127,7 @@
     /// Whether a client's request is in the fraction `share` that a purpose selects. Depends on the seed, the purpose and
     /// the request alone.
     pub fn is_selected(&self, purpose: u64, request_id: u64, share: f64) -> bool {
-        share > 0.0 && work::generator(self.seed ^ purpose, request_id).random::<f64>() < share
+        share > 0.0 && work::seeded_rng(self.seed ^ purpose, request_id).random::<f64>() < share
     }
 }
 
--- a/crates/rehearsal/src/plan/arrivals.rs
+++ b/crates/rehearsal/src/plan/arrivals.rs
@@ -1,6 +1,6 @@
 //! The arrivals of RPCs: a Poisson process with a varying rate, and the properties of each RPC.
 use crate::scenario::{Phase, Scenario, Tenant};
-use birchhub_backend_model::{WorkDistribution, work::generator};
+use birchhub_backend_model::{WorkDistribution, work::seeded_rng};
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 use serde::Serialize;
@@ -48,7 +48,7 @@
     let Ok(gap) = Exp::new(scenario.traffic.rate_per_second * highest_factor) else {
         return Vec::new();
     };
-    let mut time_random = generator(seed, TIME_STREAM);
+    let mut time_random = seeded_rng(seed, TIME_STREAM);
     let mut properties = ArrivalGenerator::new(scenario, seed);
     let mut arrivals = Vec::new();
     let mut due = 0.0;
@@ -102,9 +102,9 @@
                 .map(|tenant| tenant.traffic_weight)
                 .collect(),
             quotas: tenants.map(TokenBucket::full).collect(),
-            method_random: generator(seed, METHOD_STREAM),
-            zone_random: generator(seed, ZONE_STREAM),
-            cancellation_random: generator(seed, CANCELLATION_STREAM),
+            method_random: seeded_rng(seed, METHOD_STREAM),
+            zone_random: seeded_rng(seed, ZONE_STREAM),
+            cancellation_random: seeded_rng(seed, CANCELLATION_STREAM),
         }
     }
 }
--- a/crates/rehearsal/src/plan/fault_actions.rs
+++ b/crates/rehearsal/src/plan/fault_actions.rs
@@ -5,7 +5,7 @@
 use super::{backend_faults, discovery_faults, proxy_faults, select};
 use crate::scenario::{FaultKind, InvalidValue, Scenario};
 use birchhub_audit::header;
-use birchhub_backend_model::work::generator;
+use birchhub_backend_model::work::seeded_rng;
 
 /// The actions of all faults, in the order of the faults, and the faults as the ledger describes them.
 #[derive(Default)]
@@ -27,7 +27,7 @@
     let mut affected = select::AffectedBackends::new();
     let mut planned = PlannedFaults::default();
     for (index, fault) in scenario.faults.iter().enumerate() {
-        let mut random = generator(seed, stream(&fault.name));
+        let mut random = seeded_rng(seed, stream(&fault.name));
         let backends = match &fault.backends {
             Some(selector) => {
                 select::backends(selector, scenario, &initial, &affected, &mut random)
--- a/crates/rehearsal/src/proxies/start.rs
+++ b/crates/rehearsal/src/proxies/start.rs
@@ -5,7 +5,7 @@
 use crate::plan::proxy_name;
 use crate::settings;
 use birchhub_audit::Event;
-use birchhub_backend_model::work::generator;
+use birchhub_backend_model::work::seeded_rng;
 use birchhub_emulator::wire::{MessageKind, Peer};
 use rand::Rng;
 use serde_json::json;
@@ -57,7 +57,7 @@
         // Each start has another seed, as on the platform, but all are derived from the rehearsal's.
         let start_ms = (self.event_log.clock.now().max(0.0) * 1e3) as u64;
         let stream = u64::from(proxy) << 48 | start_ms;
-        let seed: u64 = generator(self.options.seed, stream).random();
+        let seed: u64 = seeded_rng(self.options.seed, stream).random();
         let known = scenario
             .discovery
             .known_at_start
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -7,7 +7,7 @@
 use birchhub::interface::AttemptOutcome;
 use birchhub_audit::event::ProxyEnd;
 use birchhub_audit::{EndpointState, Event};
-use birchhub_backend_model::work::generator;
+use birchhub_backend_model::work::seeded_rng;
 use birchhub_rehearsal::plan::{Action, BackendFault};
 use rand::Rng;
 
@@ -197,7 +197,7 @@
         let hits = |fault: &&InjectedFault| {
             let share = affected_share(&fault.kind);
             let seed = self.plan.seed ^ fault.number;
-            share > 0.0 && generator(seed, request_id).random::<f64>() < share
+            share > 0.0 && seeded_rng(seed, request_id).random::<f64>() < share
         };
         let fault = self.machines[node as usize].faults.iter().find(hits);
         fault.map(|fault| fault.kind.clone())
--- a/crates/simulation/src/world/proxies.rs
+++ b/crates/simulation/src/world/proxies.rs
@@ -7,7 +7,7 @@
 use birchhub::interface::EndpointUpdateKind;
 use birchhub_audit::event::ProxyEnd;
 use birchhub_audit::{Event, RequestOutcome};
-use birchhub_backend_model::work::generator;
+use birchhub_backend_model::work::seeded_rng;
 use rand::Rng;
 
 /// Time in seconds after SIGTERM for which connections are still accepted.
@@ -59,7 +59,7 @@
     fn process_seed(&self, proxy: u16) -> u64 {
         let start = (self.now * MILLISECONDS_PER_SECOND) as u64;
         let stream = u64::from(proxy) << PROXY_SEED_SHIFT | start;
-        generator(self.plan.seed, stream).random()
+        seeded_rng(self.plan.seed, stream).random()
     }
 
     fn first_list(&mut self, proxy: u16) -> Vec<(u32, ListEntry)> {
--- a/crates/soak/src/generate.rs
+++ b/crates/soak/src/generate.rs
@@ -1,6 +1,6 @@
 //! Generates a plan from a seed.
 use crate::plan::{Fault, FaultKind, SoakPlan};
-use birchhub_backend_model::work::generator;
+use birchhub_backend_model::work::seeded_rng;
 use birchhub_emulator::relay::Disturbance;
 use rand::Rng;
 use rand::seq::IndexedRandom;
@@ -59,7 +59,7 @@
 impl SoakPlan {
     /// Generates the plan of a seed for a number of proxies, with requests for `seconds` seconds.
     pub fn generate(seed: u64, seconds: f64, proxies: usize) -> Self {
-        let mut rng = generator(seed, STREAM);
+        let mut rng = seeded_rng(seed, STREAM);
         let backends = (proxies as f64 * BACKENDS_PER_PROXY) as usize;
         let backends = backends.max(MIN_BACKENDS);
         let count = (seconds / SECONDS_PER_FAULT).ceil() as usize;
--- a/crates/soak/src/scenario.rs
+++ b/crates/soak/src/scenario.rs
@@ -1,7 +1,7 @@
 //! Converts a plan to the rehearsal that runs it.
 use crate::error::SoakError;
 use crate::plan::{Fault, FaultKind, SoakPlan};
-use birchhub_backend_model::work::generator;
+use birchhub_backend_model::work::seeded_rng;
 use birchhub_emulator::relay::Window;
 use birchhub_rehearsal::duration::ScenarioDuration;
 use birchhub_rehearsal::hooks::Hooks;
@@ -123,7 +123,7 @@
 pub(crate) fn targets(plan: &SoakPlan, fault: &Fault, count: usize, all: usize) -> Vec<usize> {
     let fold = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     let stream = fault.name.bytes().fold(STREAM, fold);
-    let mut rng = generator(plan.seed, stream);
+    let mut rng = seeded_rng(plan.seed, stream);
     sample(&mut rng, all, count.min(all)).into_vec()
 }
 
@@ -177,7 +177,7 @@
             _ => {}
         }
     }
-    let mut rng = generator(plan.seed, STREAM);
+    let mut rng = seeded_rng(plan.seed, STREAM);
     for (proxy, faults) in shim_faults.into_iter().enumerate() {
         // Drawn for each proxy: its seed does not depend on the faults of the others.
         let seed: u32 = rng.random();
--- a/crates/soak/src/stalled_clients.rs
+++ b/crates/soak/src/stalled_clients.rs
@@ -1,7 +1,7 @@
 //! Clients that stall within a request or send nothing: a proxy must end each with an error or a close.
 use crate::plan::{Fault, FaultKind, SoakPlan};
 use crate::scenario::targets;
-use birchhub_backend_model::work::generator;
+use birchhub_backend_model::work::seeded_rng;
 use birchhub_emulator::Clock;
 use rand::Rng;
 use serde::Serialize;
@@ -147,7 +147,7 @@
 
     /// Selects the proxy of each client and what it sends.
     fn clients(&self, plan: &SoakPlan, fault: &Fault, proxies: usize) -> Vec<StalledClient> {
-        let mut rng = generator(plan.seed, STREAM ^ fault.start_seconds.to_bits());
+        let mut rng = seeded_rng(plan.seed, STREAM ^ fault.start_seconds.to_bits());
         let crowded_proxy = targets(plan, fault, 1, proxies)[0];
         let requests = partial_requests();
         let client = |_| {
