--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -1,7 +1,7 @@
-//! Events of a rehearsal, as the ledger stores them.
+//! Events that a ledger records during a rehearsal.
 //!
-//! The stored words of variants and fields are those of the first ledgers; `#[serde(rename)]` maps them to the names
-//! used here, and `Display` writes the stored words for the timeline and the report.
+//! `#[serde(rename)]` keeps the names that variants and fields had in the first ledgers. `Display` writes the same names
+//! in the timeline and in the report.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -10,34 +10,34 @@
 pub enum RequestOutcome {
     /// Success.
     Ok,
-    /// Rejected by the proxy, with the Retry-After in seconds if it sent one.
+    /// The proxy rejected the request; holds the Retry-After in seconds if the response had one.
     #[serde(rename = "PushedBack")]
     Rejected(Option<f32>),
-    /// Any other status.
+    /// The proxy responded with any other status.
     Aborted(u16),
-    /// The connection ended without an answer.
+    /// The connection closed before a response arrived.
     Lost,
-    /// No connection was established, or it was refused: the proxy never had the request.
+    /// The connection failed or was refused, so the proxy never received the request.
     Unreachable,
-    /// No answer arrived within the client's timeout.
+    /// No response arrived within the client's timeout.
     #[serde(rename = "Silence")]
     TimedOut,
     /// The client closed the connection before its timeout.
     #[serde(rename = "HungUp")]
     Cancelled,
-    /// The answer was malformed, or further bytes followed it.
+    /// The response was malformed or followed by unexpected bytes.
     #[serde(rename = "Garbled")]
     Malformed,
 }
 
 impl RequestOutcome {
-    /// Whether it is a final answer of the proxy.
+    /// Whether the client received a well-formed response.
     pub fn is_final_response(self) -> bool {
         matches!(self, Self::Ok | Self::Rejected(_) | Self::Aborted(_))
     }
 }
 
-/// Writes the stored word.
+/// Writes the name that the ledger stores.
 impl fmt::Display for RequestOutcome {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -60,28 +60,28 @@
     Ready,
     /// It finishes its work and accepts no new work.
     Draining,
-    /// It is no longer in the list.
+    /// It was removed from the list.
     Gone,
 }
 
-/// What a backend did with an attempt that it received.
+/// How a backend handled an attempt that it received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Admission {
     /// It queued or executed the attempt.
     #[serde(rename = "Held")]
     Admitted,
-    /// It told the proxy that the attempt did not run: full queue, draining, or too many connections.
+    /// It told the proxy that the attempt did not run: it was draining, or its queue or connections were full.
     #[serde(rename = "TurnedAway")]
     Rejected,
-    /// It never answered: as far as the proxy knows, the attempt may have run.
+    /// It sent no response: as far as the proxy can tell, the attempt may have run.
     #[serde(rename = "Swallowed")]
     Dropped,
-    /// It answered with an error and did not run the attempt.
+    /// It responded with an error and did not run the attempt.
     #[serde(rename = "Error")]
     Failed,
 }
 
-/// Writes the stored word.
+/// Writes the name that the ledger stores.
 impl fmt::Display for Admission {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
@@ -96,16 +96,16 @@
 /// How an attempt at a backend ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptEnd {
-    /// The backend wrote its answer.
+    /// The backend sent its response.
     Replied,
     /// The proxy closed the connection first.
     #[serde(rename = "Withdrawn")]
     Cancelled,
-    /// The backend's side failed: a reset, a malformed answer, or a crash.
+    /// The backend reset the connection, sent a malformed response, or crashed.
     Broken,
 }
 
-/// Writes the stored word.
+/// Writes the name that the ledger stores.
 impl fmt::Display for AttemptEnd {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
@@ -116,7 +116,7 @@
     }
 }
 
-/// How a proxy's process ended.
+/// How a proxy process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProxyEnd {
     /// The scenario killed it.
@@ -127,14 +127,14 @@
     Forced,
     /// It exited without a signal.
     Crashed,
-    /// The rehearsal ended.
+    /// It was still running when the rehearsal ended.
     Over,
 }
 
-/// An attempt as its backend received it.
+/// An attempt that a backend received.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReceivedAttempt {
-    /// The backend's process.
+    /// The incarnation of the backend that received it.
     #[serde(rename = "life")]
     pub incarnation: u32,
     /// The attempt.
@@ -143,37 +143,37 @@
     /// The client request that it serves.
     #[serde(rename = "attempt")]
     pub request_id: u64,
-    /// The proxy that made it.
+    /// The proxy that sent it.
     pub proxy: u16,
     /// When its first byte arrived, in seconds.
     #[serde(rename = "begun")]
     pub first_byte_at: f64,
-    /// Its work, in seconds of a standard core.
+    /// CPU time that it needs, in seconds of a standard core.
     pub work: f32,
-    /// Recent work for the cold backend as a share of the work at which it collapses; 0 for a warm one.
+    /// Work that a cold backend received recently, as a share of the work at which it collapses; 0 for a warm backend.
     #[serde(rename = "pushed")]
     pub overload: f32,
-    /// What the backend did with it.
+    /// How the backend handled it.
     #[serde(rename = "taken")]
     pub admission: Admission,
 }
 
 /// An event of a rehearsal.
 ///
-/// - `request_id` identifies one request of a client for an RPC: its first one or a retry.
-/// - `attempt_id` identifies an attempt of a proxy at a backend.
-/// - `incarnation` identifies one run of a backend's process.
-/// - `method`, `tenant`, `proxy` and `backend` are indices in the ledger's header.
+/// - `request_id` identifies a request that a client sent for an RPC: the first one or a retry.
+/// - `attempt_id` identifies an attempt that a proxy made at a backend.
+/// - `incarnation` identifies one run of a backend process.
+/// - `method`, `tenant`, `proxy` and `backend` are indices into the ledger's header.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// An RPC was due, whether or not it could be sent.
+    /// An RPC was scheduled to be sent, whether or not a request could be sent.
     #[serde(rename = "Asked")]
     Arrival {
         /// The RPC.
         rpc: u32,
         /// Its method.
         method: u8,
-        /// The tenant that it belongs to.
+        /// Its tenant.
         tenant: u8,
         /// Whether it is within its tenant's quota.
         #[serde(rename = "within")]
@@ -185,15 +185,15 @@
         /// The request.
         #[serde(rename = "attempt")]
         request_id: u64,
-        /// The RPC that it is for.
+        /// The RPC that it belongs to.
         rpc: u32,
         /// The proxy that it was sent to.
         proxy: u16,
-        /// How long the client waits for the answer, in seconds.
+        /// How long the client waits for the response, in seconds.
         #[serde(rename = "patience")]
         client_timeout: f32,
     },
-    /// A client request has an outcome.
+    /// A client request ended.
     #[serde(rename = "Answered")]
     RequestEnded {
         /// The request.
@@ -203,7 +203,7 @@
         #[serde(rename = "answer")]
         outcome: RequestOutcome,
     },
-    /// A backend's process started.
+    /// A backend process started.
     #[serde(rename = "Born")]
     BackendStarted {
         /// The process.
@@ -212,27 +212,27 @@
         /// The backend that it belongs to.
         #[serde(rename = "node")]
         backend: u32,
-        /// Whether it starts without its full capacity.
+        /// Whether it starts cold, below its full capacity.
         cold: bool,
         /// Its full capacity, in standard cores.
         #[serde(rename = "able")]
         warm_capacity: f32,
     },
-    /// A backend's process accepts no new work from now on.
+    /// A backend process stopped accepting new work.
     #[serde(rename = "Drained")]
     BackendDraining {
         /// The process.
         #[serde(rename = "life")]
         incarnation: u32,
     },
-    /// A backend's process ended.
+    /// A backend process ended.
     #[serde(rename = "Died")]
     BackendEnded {
         /// The process.
         #[serde(rename = "life")]
         incarnation: u32,
     },
-    /// A cold backend's process collapsed under overload.
+    /// A cold backend process collapsed under overload.
     #[serde(rename = "Fell")]
     BackendCollapsed {
         /// The process.
@@ -242,14 +242,14 @@
     /// A backend received a complete attempt.
     #[serde(rename = "Got")]
     AttemptReceived(ReceivedAttempt),
-    /// A backend began to execute an attempt: its effect counts from now on.
+    /// A backend began to execute an attempt, which has its effect from now on.
     #[serde(rename = "Started")]
     ExecutionStarted {
         /// The attempt.
         #[serde(rename = "job")]
         attempt_id: u64,
     },
-    /// A backend dropped an attempt as a duplicate: it answers as if it had run, without an effect.
+    /// A backend dropped an attempt as a duplicate: it responds as if the attempt had run, without any effect.
     #[serde(rename = "Repeated")]
     DuplicateDropped {
         /// The attempt.
@@ -272,19 +272,19 @@
         /// How it ended.
         how: AttemptEnd,
     },
-    /// The discovery service learnt of a change of an endpoint.
+    /// The state of an endpoint changed at the discovery service.
     #[serde(rename = "Changed")]
     EndpointChanged {
         /// The backend.
         #[serde(rename = "node")]
         backend: u32,
-        /// Its process.
+        /// Its incarnation.
         #[serde(rename = "life")]
         incarnation: u32,
         /// Its new state.
         state: EndpointState,
     },
-    /// The discovery service sent the state of an endpoint to a proxy, or the proxy started with it.
+    /// A proxy received the state of an endpoint from the discovery service, or had it when it started.
     #[serde(rename = "Told")]
     ProxyNotified {
         /// The proxy.
@@ -292,23 +292,23 @@
         /// The backend.
         #[serde(rename = "node")]
         backend: u32,
-        /// The backend's process.
+        /// Its incarnation.
         #[serde(rename = "life")]
         incarnation: u32,
-        /// The backend's state.
+        /// Its state.
         state: EndpointState,
     },
-    /// A proxy's process started.
+    /// A proxy process started.
     ProxyStarted {
         /// The proxy.
         proxy: u16,
     },
-    /// A proxy answered that it is ready.
+    /// A proxy reported that it is ready.
     ProxyReady {
         /// The proxy.
         proxy: u16,
     },
-    /// A proxy's process ended.
+    /// A proxy process ended.
     ProxyEnded {
         /// The proxy.
         proxy: u16,
@@ -320,22 +320,22 @@
     Fault {
         /// Index of the fault in the ledger's header.
         number: u16,
-        /// Whether it begins.
+        /// True when it began, false when it ended.
         begins: bool,
     },
-    /// The emulated clients sent an RPC later than it was due.
+    /// An emulated client sent an RPC later than scheduled.
     #[serde(rename = "KitLate")]
     ClientLate {
-        /// By how much, in seconds.
+        /// The delay, in seconds.
         by: f32,
     },
-    /// An emulated backend did something later than it was due.
+    /// An emulated backend acted later than scheduled.
     #[serde(rename = "StageLate")]
     EmulatorLate {
-        /// By how much, in seconds.
+        /// The delay, in seconds.
         by: f32,
     },
-    /// A proxy forwarded to a backend how long it waits for an attempt.
+    /// A backend received the timeout that a proxy forwarded with an attempt.
     #[serde(rename = "TimeTold")]
     TimeoutForwarded {
         /// The attempt.
@@ -346,11 +346,11 @@
     },
 }
 
-/// An event and its time.
+/// An event with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When it happened, in seconds since the rehearsal began.
+    /// When the event happened, in seconds since the rehearsal began.
     pub at: f64,
-    /// What happened.
+    /// The event.
     pub event: Event,
 }
