--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -206,7 +206,7 @@
     /// A backend process started.
     #[serde(rename = "Born")]
     BackendStarted {
-        /// The process.
+        /// The incarnation.
         #[serde(rename = "life")]
         incarnation: u32,
         /// The backend that it belongs to.
@@ -221,21 +221,21 @@
     /// A backend process stopped accepting new work.
     #[serde(rename = "Drained")]
     BackendDraining {
-        /// The process.
+        /// The incarnation.
         #[serde(rename = "life")]
         incarnation: u32,
     },
     /// A backend process ended.
     #[serde(rename = "Died")]
     BackendEnded {
-        /// The process.
+        /// The incarnation.
         #[serde(rename = "life")]
         incarnation: u32,
     },
     /// A cold backend process collapsed under overload.
     #[serde(rename = "Fell")]
     BackendCollapsed {
-        /// The process.
+        /// The incarnation.
         #[serde(rename = "life")]
         incarnation: u32,
     },
--- a/crates/audit/src/header.rs
+++ b/crates/audit/src/header.rs
@@ -1,13 +1,13 @@
-//! The header of a ledger: the deployment, the methods, the planned faults, and the figures that the audit judges by.
+//! The header of a ledger: the deployment, the methods, the planned faults, and the parameters of the audit.
 use serde::{Deserialize, Serialize};
 
-/// Shown in place of a name that the header does not have.
+/// Shown for an index that the header does not contain.
 const UNKNOWN_NAME: &str = "?";
 
-/// Shown in place of the tenant of an RPC without one.
+/// Shown for an RPC without a tenant.
 const NO_TENANT: &str = "-";
 
-/// Which backends drop duplicates of each other's RPCs.
+/// Set of backends that drop duplicates of each other's RPCs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DeduplicationScope {
@@ -20,8 +20,7 @@
 }
 
 impl DeduplicationScope {
-    /// Returns the id of the deduplication group that a backend in this zone and rack belongs to. Ids of groups of
-    /// different scopes differ.
+    /// Returns the id of the deduplication group of a backend in this zone and rack. The ids are unique across scopes.
     pub fn group_id(self, zone: u32, rack: u32) -> u64 {
         match self {
             Self::All => 0,
@@ -31,26 +30,26 @@
     }
 }
 
-/// Whether the RPCs of a method may run again.
+/// Whether an RPC of a method may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Idempotency {
-    /// Any number of times.
+    /// Repeated executions are harmless.
     Idempotent,
-    /// Never.
+    /// Repeated executions are not allowed.
     NonIdempotent,
-    /// Only where backends drop duplicates.
+    /// Repeated attempts are harmless where backends drop duplicates.
     Deduplicated {
         /// The backends that drop duplicates of each other's RPCs.
         #[serde(rename = "group")]
         scope: DeduplicationScope,
-        /// For how long they drop duplicates, in seconds from the first attempt that may have run.
+        /// How long they drop duplicates, in seconds from the first attempt that may have run.
         window: f64,
     },
 }
 
 impl Idempotency {
-    /// Whether a retry by the client is harmless at any backend, so that an RPC may be rejected after it may have run.
+    /// Whether a client may safely retry at any backend. Only then may a proxy reject an RPC that may have run.
     pub fn retry_is_harmless(self) -> bool {
         matches!(
             self,
@@ -68,39 +67,40 @@
 pub struct Method {
     /// Name of the method.
     pub name: String,
-    /// Whether its RPCs may run again.
+    /// Whether its RPCs may be executed more than once.
     #[serde(rename = "kind")]
     pub idempotency: Idempotency,
-    /// Latency objective, in seconds: an answer within it has the full utility.
+    /// Latency objective, in seconds: a response within it has the full utility.
     #[serde(rename = "target")]
     pub latency_target: f64,
-    /// Time after which an answer has no utility, in seconds.
+    /// Latency above which a response has no utility, in seconds.
     pub deadline: f64,
-    /// Utility of an answer within the latency objective.
+    /// Utility of a response within the latency objective.
     pub utility: f64,
-    /// Share of the utility of an answer after the latency objective and before the deadline.
+    /// Share of the utility that a response between the latency objective and the deadline has.
     pub late_utility: f64,
 }
 
 /// Limits and tolerances with which the audit checks the rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RuleParameters {
-    /// For how long new work may still reach a backend after its proxy learnt that it drains or is gone, in seconds.
+    /// How long new work may still reach a backend after the proxy was notified that it drains or is gone, in seconds.
     pub drain_grace: f64,
-    /// Tolerance of each time limit for delays of sockets and of the rehearsal itself, in seconds.
+    /// Tolerance added to each time limit for delays of sockets and of the rehearsal itself, in seconds.
     pub slack: f64,
-    /// Window over which the work sent to a cold backend is summed, in seconds.
+    /// Sliding window over which the work sent to a cold backend is summed, in seconds.
     #[serde(rename = "fall_window")]
     pub overload_window: f64,
-    /// Largest number of attempts for one client request.
+    /// Maximum number of attempts for one client request.
     #[serde(rename = "most_picks")]
     pub max_attempts: usize,
-    /// Whether a proxy may make an attempt while an earlier one is open.
+    /// Whether a proxy may start an attempt while an earlier one is in flight.
     #[serde(rename = "second_copies")]
     pub hedging_allowed: bool,
-    /// Share of the utility of an RPC beyond its tenant's quota.
+    /// Share of its utility that an RPC beyond its tenant's quota has.
     pub over_quota_utility: f64,
-    /// Largest 99th percentile of the rehearsal's own lateness with which time limits can be judged, in seconds.
+    /// Largest 99th percentile of the rehearsal's own scheduling delay at which time limits can still be checked, in
+    /// seconds.
     #[serde(rename = "kit_late")]
     pub max_lateness: f64,
 }
@@ -123,9 +123,9 @@
     pub name: String,
     /// Kind of the fault in the scenario.
     pub kind: String,
-    /// When it begins, in seconds.
+    /// When it begins, in seconds since the rehearsal began.
     pub from: f64,
-    /// When it ends, in seconds.
+    /// When it ends, in seconds since the rehearsal began.
     pub until: f64,
     /// Indices of the affected backends.
     #[serde(rename = "nodes")]
@@ -134,7 +134,8 @@
     pub proxies: Vec<u16>,
 }
 
-/// Service that a scenario expects, as shares between 0 and 1; `None` is not judged.
+/// Minimum quality of service that a scenario requires, as shares of the requested utility between 0 and 1. `None` is
+/// not checked.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct ServiceTargets {
@@ -142,13 +143,13 @@
     pub service: Option<f64>,
     /// In the worst window of 10 s.
     pub worst_10s: Option<f64>,
-    /// Of the method with the lowest share.
+    /// For the method with the lowest share.
     pub worst_method: Option<f64>,
-    /// Of the tenant with the lowest share.
+    /// For the tenant with the lowest share.
     pub worst_tenant: Option<f64>,
 }
 
-/// The header of a ledger. Events refer to methods, tenants, proxies, backends and faults by their index in it.
+/// The header of a ledger. Events refer to its methods, tenants, proxies, backends and faults by index.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
     /// Name of the scenario.
@@ -163,7 +164,7 @@
     pub duration: f64,
     /// Limits and tolerances with which the audit checks the rules.
     pub rules: RuleParameters,
-    /// Service that the scenario expects.
+    /// Quality of service that the scenario requires.
     #[serde(rename = "bars")]
     pub targets: ServiceTargets,
     /// Methods of the service.
@@ -181,7 +182,7 @@
 }
 
 impl Header {
-    /// Whether duplicates of an RPC that one backend received are dropped at the other; both are given by index.
+    /// Whether two backends, given by index, drop duplicates of each other's RPCs.
     pub fn shares_deduplication(&self, scope: DeduplicationScope, one: u32, other: u32) -> bool {
         let backend = |index: u32| self.backends.get(index as usize);
         match (scope, backend(one), backend(other)) {
@@ -192,31 +193,31 @@
         }
     }
 
-    /// Returns the name of a proxy, or `?`.
+    /// Returns the name of a proxy, or `?` if the index is unknown.
     pub fn proxy_name(&self, proxy: u16) -> &str {
         let name = self.proxies.get(proxy as usize);
         name.map_or(UNKNOWN_NAME, String::as_str)
     }
 
-    /// Returns the name of a backend, or `?`.
+    /// Returns the name of a backend, or `?` if the index is unknown.
     pub fn backend_name(&self, backend: u32) -> &str {
         let backend = self.backends.get(backend as usize);
         backend.map_or(UNKNOWN_NAME, |backend| &backend.name)
     }
 
-    /// Returns the name of a method, or `?`.
+    /// Returns the name of a method, or `?` if the index is unknown.
     pub fn method_name(&self, method: u8) -> &str {
         let method = self.methods.get(method as usize);
         method.map_or(UNKNOWN_NAME, |method| &method.name)
     }
 
-    /// Returns the name of a tenant, or `-`.
+    /// Returns the name of a tenant, or `-` if the index is unknown.
     pub fn tenant_name(&self, tenant: u8) -> &str {
         let name = self.tenants.get(tenant as usize);
         name.map_or(NO_TENANT, String::as_str)
     }
 
-    /// Returns the name of a fault, or `?`.
+    /// Returns the name of a fault, or `?` if the index is unknown.
     pub fn fault_name(&self, fault: u16) -> &str {
         let fault = self.faults.get(fault as usize);
         fault.map_or(UNKNOWN_NAME, |fault| &fault.name)
