--- a/crates/audit/src/ledger.rs
+++ b/crates/audit/src/ledger.rs
@@ -1,53 +1,55 @@
-//! The ledger file: a first line that names the format, the header as one line of JSON, and then the entries as
-//! length-prefixed postcard records. A file whose writer was stopped can be read up to its last complete record.
+//! Reads and writes ledger files.
+//!
+//! A file consists of a line with the format and its version, the header as one line of JSON, and the entries as
+//! length-prefixed postcard records. A file whose writer was interrupted can be read up to its last complete record.
 use crate::event::Entry;
 use crate::header::Header;
 use std::io::{self, BufRead, Read, Write};
 
-/// First line of every ledger; the number grows when older readers can't read a new form.
+/// First line of every ledger. The version is incremented when older readers cannot read a new format.
 const MAGIC: &str = "birchhub-ledger 1";
 
-/// Largest length of a record, in bytes; a larger one is damage.
+/// Maximum length of a record, in bytes. A longer length prefix means that the file is corrupt.
 const MAX_RECORD_BYTES: usize = 4096;
 
-/// Length of the prefix of a record, in bytes: a little-endian `u16`.
+/// Size of the length prefix of a record, in bytes: a little-endian `u16`.
 const LENGTH_PREFIX_BYTES: usize = size_of::<u16>();
 
-/// Why a ledger can't be read or written.
+/// Error while a ledger is read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum LedgerError {
-    /// The file is not a ledger, or one of another version.
+    /// The file is not a ledger, or has another version of the format.
     #[error("not a ledger of this version: the first line is not \"{MAGIC}\"")]
     Magic,
-    /// The header can't be parsed or written.
-    #[error("the header, line 2: {0}")]
+    /// The header could not be parsed or serialized.
+    #[error("header in line 2: {0}")]
     Header(#[from] serde_json::Error),
-    /// A record is damaged.
-    #[error("record {number} at byte {byte}: {damage}")]
+    /// A record is corrupt.
+    #[error("record {index} at byte {offset}: {error}")]
     Record {
         /// Index of the record.
-        number: usize,
-        /// Position of its length prefix, in bytes from the end of the header.
-        byte: usize,
-        /// What is wrong with it.
-        damage: RecordDamage,
+        index: usize,
+        /// Offset of its length prefix, in bytes from the end of the header.
+        offset: usize,
+        /// Why it is invalid.
+        error: RecordError,
     },
-    /// The file can't be read or written.
+    /// An I/O operation failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// How a record is damaged.
+/// Why a record is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RecordDamage {
-    /// Its length prefix exceeds the length of any record.
-    #[error("longer than any record")]
+pub enum RecordError {
+    /// Its length prefix exceeds the maximum length of a record.
+    #[error("length prefix exceeds {MAX_RECORD_BYTES} bytes")]
     TooLong,
-    /// Its bytes are not those of an entry.
-    #[error("not an entry that this version can decode")]
+    /// Its bytes cannot be decoded as an entry.
+    #[error("bytes cannot be decoded as an entry of this version")]
     Undecodable,
-    /// Its time is infinite or not a number.
-    #[error("the time is not finite")]
+    /// The time of the entry is infinite or not a number.
+    #[error("time of the entry is not finite")]
     TimeNotFinite,
 }
 
@@ -57,7 +59,7 @@
 }
 
 impl<W: Write> Writer<W> {
-    /// Writes the header.
+    /// Creates a writer and writes the header.
     pub fn new(mut output: W, header: &Header) -> Result<Self, LedgerError> {
         writeln!(output, "{MAGIC}")?;
         serde_json::to_writer(&mut output, header)?;
@@ -81,24 +83,24 @@
     }
 }
 
-/// A ledger that was read back.
+/// A ledger that was read from a file.
 #[derive(Debug)]
 pub struct Ledger {
     /// The header.
     pub header: Header,
-    /// The entries, in the order of time.
+    /// The entries, in chronological order.
     pub entries: Vec<Entry>,
-    /// Whether the last record is incomplete because the writer was stopped.
+    /// Whether the last record is incomplete because the writer was interrupted.
     pub truncated: bool,
 }
 
-/// Reads a ledger. A damaged record is an error, an incomplete one at the end is not.
+/// Reads a ledger. A corrupt record is an error; an incomplete one at the end is skipped.
 pub fn read(mut input: impl BufRead) -> Result<Ledger, LedgerError> {
     let header = read_header(&mut input)?;
     let mut bytes = Vec::new();
     input.read_to_end(&mut bytes)?;
     let (mut entries, truncated) = decode_records(&bytes)?;
-    // Several threads write: the order in the file is not quite that of time.
+    // Several threads write entries, so the order in the file is only roughly chronological.
     entries.sort_by(|a, b| a.at.total_cmp(&b.at));
     Ok(Ledger {
         header,
@@ -122,15 +124,15 @@
     Ok(serde_json::from_str(&line)?)
 }
 
-/// Decodes the records; the flag tells whether the last one is incomplete.
+/// Decodes the records, and returns whether the last one is incomplete.
 fn decode_records(bytes: &[u8]) -> Result<(Vec<Entry>, bool), LedgerError> {
     let mut entries = Vec::new();
     let mut position = 0;
     while position < bytes.len() {
-        let damaged = |damage| LedgerError::Record {
-            number: entries.len(),
-            byte: position,
-            damage,
+        let invalid = |error| LedgerError::Record {
+            index: entries.len(),
+            offset: position,
+            error,
         };
         let body = position + LENGTH_PREFIX_BYTES;
         let Some(prefix) = bytes.get(position..body) else {
@@ -138,22 +140,22 @@
         };
         let length = u16::from_le_bytes([prefix[0], prefix[1]]) as usize;
         if length > MAX_RECORD_BYTES {
-            return Err(damaged(RecordDamage::TooLong));
+            return Err(invalid(RecordError::TooLong));
         }
         let Some(record) = bytes.get(body..body + length) else {
             return Ok((entries, true));
         };
-        let entry = decode_entry(record).map_err(damaged)?;
+        let entry = decode_entry(record).map_err(invalid)?;
         entries.push(entry);
         position = body + length;
     }
     Ok((entries, false))
 }
 
-fn decode_entry(record: &[u8]) -> Result<Entry, RecordDamage> {
-    let entry: Entry = postcard::from_bytes(record).map_err(|_| RecordDamage::Undecodable)?;
+fn decode_entry(record: &[u8]) -> Result<Entry, RecordError> {
+    let entry: Entry = postcard::from_bytes(record).map_err(|_| RecordError::Undecodable)?;
     if !entry.at.is_finite() {
-        return Err(RecordDamage::TimeNotFinite);
+        return Err(RecordError::TimeNotFinite);
     }
     Ok(entry)
 }
--- a/crates/audit/tests/audit/ledger_file.rs
+++ b/crates/audit/tests/audit/ledger_file.rs
@@ -46,7 +46,10 @@
     let error = ledger::read(damaged.as_slice())
         .expect_err("damage")
         .to_string();
-    assert!(error.starts_with("record 0 at byte 0: longer"), "{error}");
+    assert!(
+        error.starts_with("record 0 at byte 0: length prefix exceeds"),
+        "{error}"
+    );
     assert!(matches!(
         ledger::read(&b"{}"[..]),
         Err(ledger::LedgerError::Magic)
