--- a/crates/audit/src/audit/mod.rs
+++ b/crates/audit/src/audit/mod.rs
@@ -151,8 +151,8 @@
             counts,
             service: self.totals.finish(),
             latest_after_notification: self.draining.latest_after_notification,
-            client_lateness: LatenessSummary::of(&mut self.client_lateness),
-            emulator_lateness: LatenessSummary::of(&mut self.emulator_lateness),
+            client_lateness: LatenessSummary::from_samples(&mut self.client_lateness),
+            emulator_lateness: LatenessSummary::from_samples(&mut self.emulator_lateness),
         }
     }
 }
