--- a/crates/audit/src/audit/mod.rs
+++ b/crates/audit/src/audit/mod.rs
@@ -12,7 +12,7 @@
 use crate::event::{Admission, AttemptEnd, Entry, Event, RequestOutcome};
 use crate::findings::{Counts, Findings, LatenessSummary};
 use crate::header::Header;
-use crate::service::Totals;
+use crate::service::ServiceAccumulator;
 use draining::Draining;
 use no_duplicate_effect::NoDuplicateEffect;
 use one_answer::OneAnswer;
@@ -29,7 +29,7 @@
     slow_start: SlowStart,
     violations: Violations,
     counts: Counts,
-    totals: Totals<'a>,
+    service: ServiceAccumulator<'a>,
     /// Lateness of the clients, in seconds.
     client_lateness: Vec<f64>,
     /// Lateness of the emulated backends, in seconds.
@@ -47,7 +47,7 @@
             slow_start: SlowStart::default(),
             violations: Violations::default(),
             counts: Counts::default(),
-            totals: Totals::new(header),
+            service: ServiceAccumulator::new(header),
             client_lateness: Vec::new(),
             emulator_lateness: Vec::new(),
         }
@@ -74,7 +74,7 @@
         self.slow_start.observe(entry, tracker, violations);
     }
 
-    /// Updates the counts and the service totals.
+    /// Updates the counts and the quality of service.
     fn count(&mut self, entry: &Entry) {
         let counts = &mut self.counts;
         match entry.event {
@@ -87,7 +87,7 @@
                 counts.rpcs += 1;
                 let method = method as usize;
                 let tenant = tenant as usize;
-                self.totals
+                self.service
                     .record_arrival(entry.at, rpc, method, tenant, within_quota);
             }
             Event::RequestSent { .. } => counts.client_requests += 1,
@@ -122,7 +122,7 @@
         match outcome {
             RequestOutcome::Ok => {
                 self.counts.ok += 1;
-                self.totals.record_success(at, request.rpc);
+                self.service.record_success(at, request.rpc);
             }
             RequestOutcome::Rejected(_) => self.counts.rejected += 1,
             RequestOutcome::Aborted(_) => self.counts.aborted += 1,
@@ -149,7 +149,7 @@
             cold_starts: self.slow_start.cold_starts(&self.tracker),
             violations: self.violations.into_sorted(),
             counts,
-            service: self.totals.finish(),
+            service: self.service.finish(),
             latest_after_notification: self.draining.latest_after_notification,
             client_lateness: LatenessSummary::from_samples(&mut self.client_lateness),
             emulator_lateness: LatenessSummary::from_samples(&mut self.emulator_lateness),
--- a/crates/audit/src/findings.rs
+++ b/crates/audit/src/findings.rs
@@ -1,5 +1,5 @@
 //! Results of an audit: violations of the rules, counts of events, and summaries for the report.
-use crate::service::{Service, quantile};
+use crate::service::{ServiceQuality, quantile};
 use serde::Serialize;
 
 /// A rule that the audit checks. The discriminant is the rule's number in the report.
@@ -110,7 +110,7 @@
     /// Counts of events.
     pub counts: Counts,
     /// Quality of service.
-    pub service: Service,
+    pub service: ServiceQuality,
     /// Cold starts, in chronological order.
     #[serde(rename = "cold")]
     pub cold_starts: Vec<ColdStart>,
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -19,4 +19,4 @@
 pub use event::{EndpointState, Entry, Event, RequestOutcome};
 pub use findings::{Findings, Rule, Violation};
 pub use header::{DeduplicationScope, Header, Idempotency, Method, RuleParameters};
-pub use service::Service;
+pub use service::ServiceQuality;
--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -1,35 +1,35 @@
 //! Quality of service of a rehearsal: the share of the requested utility that was obtained, and latencies.
 //!
-//! An RPC counts from the time at which it was due. Retries of a client belong to its first request.
+//! Latency is measured from the time at which an RPC was due and includes the client's retries.
 use crate::header::{Header, Method};
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// Length in seconds of the window that [`Service::worst_10s`] reports.
+/// Length of the window that [`ServiceQuality::worst_10s`] reports, in seconds.
 const WORST_WINDOW_SECONDS: usize = 10;
 
 /// Quality of service of a rehearsal. Shares are between 0 and 1.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Service {
+pub struct ServiceQuality {
     /// Share of the requested utility that was obtained over the whole rehearsal.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// The lowest share over any window of 10 s.
+    /// Lowest share over any window of 10 s.
     pub worst_10s: f64,
     /// Start of the worst window, in seconds since the rehearsal began.
     #[serde(rename = "worst_from")]
     pub worst_10s_from: f64,
-    /// Share of each method, in the order of the ledger's header.
+    /// Share for each method, in the order of the ledger's header.
     pub methods: Vec<NamedShare>,
-    /// Share of each tenant within its quota, in the order of the ledger's header.
+    /// Share for each tenant, of its RPCs within quota, in the order of the ledger's header.
     pub tenants: Vec<NamedShare>,
-    /// Utility by the second in which RPCs were due.
+    /// Utility of the RPCs that were due in each second.
     pub seconds: Vec<Utility>,
-    /// Times from due to answered of successful RPCs.
+    /// Latency of successful RPCs.
     pub latency: LatencySummary,
 }
 
-impl Service {
+impl ServiceQuality {
     /// Returns the lowest share of any method; `None` if no RPC was requested.
     pub fn worst_method(&self) -> Option<f64> {
         lowest_share(&self.methods)
@@ -48,7 +48,7 @@
         .min_by(f64::total_cmp)
 }
 
-/// Share of the requested utility that one method or tenant obtained; written as `[name, share]`.
+/// Share of the requested utility that one method or tenant obtained; serialized as `[name, share]`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(String, Option<f64>)")]
 pub struct NamedShare {
@@ -64,13 +64,13 @@
     }
 }
 
-/// Utility that RPCs requested and obtained; written as `[requested, obtained]`.
+/// Requested and obtained utility; serialized as `[requested, obtained]`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct Utility {
     /// Utility of all RPCs that were due.
     pub requested: f64,
-    /// Utility of the successful answers.
+    /// Utility of the successful responses.
     pub obtained: f64,
 }
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// Latencies in seconds; written as `[median, 99th percentile, 99.9th percentile]`.
+/// Percentiles of latencies, in seconds; serialized as `[median, 99th percentile, 99.9th percentile]`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 #[serde(into = "[f64; 3]")]
 pub struct LatencySummary {
@@ -107,8 +107,8 @@
 }
 
 impl LatencySummary {
-    /// Summarises the samples, which it sorts.
-    fn of(samples: &mut [f64]) -> Self {
+    /// Summarizes the samples, which it sorts. All values are 0 if there are no samples.
+    fn from_samples(samples: &mut [f64]) -> Self {
         samples.sort_by(f64::total_cmp);
         Self {
             median: quantile(samples, 0.5),
@@ -128,14 +128,14 @@
     }
 }
 
-/// Returns the quantile by nearest rank of sorted samples; 0 if there are none.
+/// Returns a quantile of sorted samples by the nearest-rank method; 0 if there are no samples.
 pub(crate) fn quantile(sorted: &[f64], fraction: f64) -> f64 {
     let rank = (fraction * sorted.len() as f64).ceil() as usize;
     sorted.get(rank.max(1) - 1).copied().unwrap_or(0.0)
 }
 
-/// An RPC that has no successful answer yet.
-struct OpenRpc {
+/// An RPC without a successful response so far.
+struct PendingRpc {
     due: f64,
     method: usize,
     tenant: usize,
@@ -143,10 +143,10 @@
     within_quota: bool,
 }
 
-/// Running totals of the requested and the obtained utility.
-pub(crate) struct Totals<'a> {
+/// Accumulates the requested and the obtained utility, and latencies.
+pub(crate) struct ServiceAccumulator<'a> {
     header: &'a Header,
-    open: HashMap<u32, OpenRpc>,
+    pending: HashMap<u32, PendingRpc>,
     overall: Utility,
     methods: Vec<Utility>,
     tenants: Vec<Utility>,
@@ -154,11 +154,11 @@
     latencies: Vec<f64>,
 }
 
-impl<'a> Totals<'a> {
+impl<'a> ServiceAccumulator<'a> {
     pub(crate) fn new(header: &'a Header) -> Self {
         Self {
             header,
-            open: HashMap::new(),
+            pending: HashMap::new(),
             overall: Utility::default(),
             methods: vec![Utility::default(); header.methods.len()],
             tenants: vec![Utility::default(); header.tenants.len()],
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Adds to each total that the RPC belongs to. A tenant's total counts only RPCs within its quota.
-    fn add(&mut self, rpc: &OpenRpc, added: Utility) {
+    /// Adds utility to each total that the RPC counts towards. Only RPCs within quota count towards their tenant.
+    fn add(&mut self, rpc: &PendingRpc, added: Utility) {
         let second = rpc.due.max(0.0) as usize;
         if self.seconds.len() <= second {
             self.seconds.resize(second + 1, Utility::default());
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Counts an RPC that is due at `due`, in seconds.
+    /// Records an RPC that is due at `due`, in seconds.
     pub(crate) fn record_arrival(
         &mut self,
         due: f64,
@@ -204,7 +204,7 @@
         } else {
             full * self.header.rules.over_quota_utility
         };
-        let open = OpenRpc {
+        let pending = PendingRpc {
             due,
             method,
             tenant,
@@ -215,28 +215,28 @@
             requested: utility,
             obtained: 0.0,
         };
-        self.add(&open, added);
-        self.open.insert(rpc, open);
+        self.add(&pending, added);
+        self.pending.insert(rpc, pending);
     }
 
-    /// Counts a successful answer; only the first one of an RPC counts.
+    /// Records a successful response at `at`, in seconds. Only the first one for an RPC counts.
     pub(crate) fn record_success(&mut self, at: f64, rpc: u32) {
-        let Some(open) = self.open.remove(&rpc) else {
+        let Some(pending) = self.pending.remove(&rpc) else {
             return;
         };
-        let Some(method) = self.header.methods.get(open.method) else {
+        let Some(method) = self.header.methods.get(pending.method) else {
             return;
         };
-        let latency = at - open.due;
+        let latency = at - pending.due;
         self.latencies.push(latency);
         let added = Utility {
             requested: 0.0,
-            obtained: open.utility * utility_share(method, latency),
+            obtained: pending.utility * utility_share(method, latency),
         };
-        self.add(&open, added);
+        self.add(&pending, added);
     }
 
-    /// Returns the lowest share over any window and the second at which that window begins.
+    /// Returns the lowest share over any window, and the start of that window in seconds.
     fn worst_window(&self) -> (f64, f64) {
         let length = WORST_WINDOW_SECONDS.min(self.seconds.len()).max(1);
         let windows = self.seconds.windows(length).enumerate();
@@ -251,22 +251,23 @@
             .unwrap_or((0.0, 0.0))
     }
 
-    pub(crate) fn finish(mut self) -> Service {
+    /// Returns the quality of service over everything recorded.
+    pub(crate) fn finish(mut self) -> ServiceQuality {
         let (worst_10s, worst_10s_from) = self.worst_window();
         let method_names = self.header.methods.iter().map(|method| &method.name);
-        Service {
+        ServiceQuality {
             overall: self.overall.share().unwrap_or(0.0),
             worst_10s,
             worst_10s_from,
             methods: named_shares(method_names, &self.methods),
             tenants: named_shares(self.header.tenants.iter(), &self.tenants),
-            latency: LatencySummary::of(&mut self.latencies),
+            latency: LatencySummary::from_samples(&mut self.latencies),
             seconds: self.seconds,
         }
     }
 }
 
-/// Returns the share of a method's utility that an answer after `latency` seconds obtains.
+/// Returns the share of a method's utility that a response after `latency` seconds has.
 fn utility_share(method: &Method, latency: f64) -> f64 {
     if latency <= method.latency_target {
         1.0
