--- a/crates/audit/src/timeline.rs
+++ b/crates/audit/src/timeline.rs
@@ -1,9 +1,9 @@
-//! The timeline of a rehearsal or of one RPC: one line of text for each entry of the ledger.
+//! Formats the entries of a ledger as text, one line for each entry.
 use crate::event::{Entry, Event, ReceivedAttempt};
 use crate::header::Header;
 use std::collections::HashMap;
 
-/// Writes entries as text, and tells to which RPC an event belongs.
+/// Formats entries as text, and maps events to the RPCs that they belong to.
 pub struct Timeline<'a> {
     header: &'a Header,
     /// RPC of each client request.
@@ -15,7 +15,7 @@
 }
 
 impl<'a> Timeline<'a> {
-    /// Indexes the entries of a ledger.
+    /// Builds the index of ids from the entries of a ledger.
     pub fn new(header: &'a Header, entries: &[Entry]) -> Self {
         let mut timeline = Self {
             header,
@@ -24,12 +24,12 @@
             backends: HashMap::new(),
         };
         for entry in entries {
-            timeline.index(&entry.event);
+            timeline.add_to_index(&entry.event);
         }
         timeline
     }
 
-    fn index(&mut self, event: &Event) {
+    fn add_to_index(&mut self, event: &Event) {
         match *event {
             Event::RequestSent {
                 request_id, rpc, ..
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns the RPC that an event belongs to, if it belongs to one.
+    /// Returns the RPC that an event belongs to; `None` if it belongs to no RPC or the RPC is unknown.
     pub fn rpc(&self, event: &Event) -> Option<u32> {
         match event {
             Event::Arrival { rpc, .. } | Event::RequestSent { rpc, .. } => Some(*rpc),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns the line of an entry: its time in seconds, and what happened.
+    /// Formats an entry as its time in seconds and a description of the event.
     pub fn line(&self, entry: &Entry) -> String {
         let event = &entry.event;
         let text = self
@@ -83,13 +83,14 @@
         format!("{:10.4}  {text}", entry.at)
     }
 
-    fn incarnation(&self, incarnation: u32) -> String {
+    /// Returns the name of a backend and the number of its incarnation.
+    fn incarnation_label(&self, incarnation: u32) -> String {
         let backend = self.backends.get(&incarnation);
         let name = backend.map_or("?", |backend| self.header.backend_name(*backend));
         format!("{name} (life {incarnation})")
     }
 
-    /// Describes an event of a client.
+    /// Describes an event of a client; `None` for any other event.
     fn request_text(&self, event: &Event) -> Option<String> {
         Some(match event {
             Event::Arrival {
@@ -128,10 +129,10 @@
         })
     }
 
-    /// Describes an event of an attempt.
+    /// Describes an event of an attempt; `None` for any other event.
     fn attempt_text(&self, event: &Event) -> Option<String> {
         Some(match event {
-            Event::AttemptReceived(received) => self.received_text(received),
+            Event::AttemptReceived(received) => self.received_attempt_text(received),
             Event::ExecutionStarted { attempt_id } => format!("pick {attempt_id} runs"),
             Event::DuplicateDropped { attempt_id } => {
                 format!("pick {attempt_id} dropped as a repeat")
@@ -146,12 +147,12 @@
         })
     }
 
-    fn received_text(&self, received: &ReceivedAttempt) -> String {
+    fn received_attempt_text(&self, received: &ReceivedAttempt) -> String {
         format!(
             "try {:016x} pick {} at {} from {}, first byte at {:.4}, work {:.1} ms, pushed {:.0}%: {}",
             received.request_id,
             received.attempt_id,
-            self.incarnation(received.incarnation),
+            self.incarnation_label(received.incarnation),
             self.header.proxy_name(received.proxy),
             received.first_byte_at,
             received.work * 1e3,
@@ -160,7 +161,7 @@
         )
     }
 
-    /// Describes an event of a backend's process.
+    /// Describes an event of a backend process; `None` for any other event.
     fn backend_text(&self, event: &Event) -> Option<String> {
         Some(match event {
             Event::BackendStarted {
@@ -170,23 +171,23 @@
                 ..
             } => {
                 let start = if *cold { "cold" } else { "warm" };
-                let incarnation = self.incarnation(*incarnation);
+                let incarnation = self.incarnation_label(*incarnation);
                 format!("{incarnation} starts {start}, able {warm_capacity:.2}")
             }
             Event::BackendDraining { incarnation } => {
-                format!("{} drains", self.incarnation(*incarnation))
+                format!("{} drains", self.incarnation_label(*incarnation))
             }
             Event::BackendEnded { incarnation } => {
-                format!("{} ends", self.incarnation(*incarnation))
+                format!("{} ends", self.incarnation_label(*incarnation))
             }
             Event::BackendCollapsed { incarnation } => {
-                format!("{} is pushed over", self.incarnation(*incarnation))
+                format!("{} is pushed over", self.incarnation_label(*incarnation))
             }
             _ => return None,
         })
     }
 
-    /// Describes a change of an endpoint, or a proxy's notification of one.
+    /// Describes a change of an endpoint or a notification of it; `None` for any other event.
     fn endpoint_text(&self, event: &Event) -> Option<String> {
         Some(match event {
             Event::EndpointChanged {
@@ -211,7 +212,7 @@
         })
     }
 
-    /// Describes an event of a proxy's process.
+    /// Describes an event of a proxy process; `None` for any other event.
     fn proxy_text(&self, event: &Event) -> Option<String> {
         Some(match event {
             Event::ProxyStarted { proxy } => format!("{} started", self.header.proxy_name(*proxy)),
@@ -223,7 +224,7 @@
         })
     }
 
-    /// Describes an event of the rehearsal itself.
+    /// Describes an event of the rehearsal itself; `None` for any other event.
     fn rehearsal_text(&self, event: &Event) -> Option<String> {
         Some(match event {
             Event::Fault { number, begins } => {
