--- a/crates/audit/src/audit/mod.rs
+++ b/crates/audit/src/audit/mod.rs
@@ -1,7 +1,7 @@
-//! The audit: folds the entries of a ledger, in the order of time, into the findings of the four rules.
+//! Checks the four rules over the entries of a ledger, in chronological order.
 //!
-//! The `tracker` keeps the state that several rules need. Each rule has a module with a fold of its own, which sees
-//! each event after the tracker has recorded it.
+//! The `tracker` keeps the state that several rules need. Each rule has a module of its own, whose `observe` gets each
+//! event after the tracker has recorded it.
 mod draining;
 mod no_duplicate_effect;
 mod one_answer;
@@ -20,7 +20,8 @@
 use tracker::Tracker;
 use violations::Violations;
 
-/// An audit in progress: [`feed`](Self::feed) it the entries in the order of time, then [`finish`](Self::finish) it.
+/// An audit in progress: [`feed`](Self::feed) takes the entries in chronological order, [`finish`](Self::finish) returns
+/// the findings.
 pub struct Audit<'a> {
     tracker: Tracker<'a>,
     one_answer: OneAnswer,
@@ -30,14 +31,14 @@
     violations: Violations,
     counts: Counts,
     service: ServiceAccumulator<'a>,
-    /// Lateness of the clients, in seconds.
+    /// Scheduling delays of the emulated clients, in seconds.
     client_lateness: Vec<f64>,
-    /// Lateness of the emulated backends, in seconds.
+    /// Scheduling delays of the emulated backends, in seconds.
     emulator_lateness: Vec<f64>,
 }
 
 impl<'a> Audit<'a> {
-    /// Returns an audit that has seen no entry.
+    /// Creates an audit without entries.
     pub fn new(header: &'a Header) -> Self {
         Self {
             tracker: Tracker::new(header),
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Audits a complete ledger, whose entries are in the order of time.
+    /// Audits a complete ledger, whose entries are in chronological order.
     pub fn of(header: &'a Header, entries: &[Entry]) -> Findings {
         let mut audit = Self::new(header);
         for entry in entries {
@@ -62,7 +63,7 @@
         audit.finish()
     }
 
-    /// Adds an entry, which must not be earlier than the last one.
+    /// Processes an entry, which must not be earlier than the previous one.
     pub fn feed(&mut self, entry: &Entry) {
         self.tracker.record(entry);
         self.count(entry);
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Counts the first answer of a request.
+    /// Counts the first outcome of a request; further ones are violations of rule 1.
     fn count_outcome(&mut self, at: f64, request_id: u64, outcome: RequestOutcome) {
         let Some(request) = self.tracker.requests.get(&request_id) else {
             return;
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Checks what needs the complete ledger, and returns the findings.
+    /// Runs the checks that need the complete ledger, and returns the findings.
     pub fn finish(mut self) -> Findings {
         let tracker = &self.tracker;
         let violations = &mut self.violations;
