--- a/crates/audit/src/audit/slow_start.rs
+++ b/crates/audit/src/audit/slow_start.rs
@@ -82,7 +82,7 @@
         load.recent.push_back(ReceivedWork {
             at,
             work: f64::from(received.work),
-            informed: tracker.knows_incarnation(received.proxy, known.backend, incarnation),
+            informed: tracker.is_notified_of(received.proxy, known.backend, incarnation),
         });
         let oldest = at - tracker.header.rules.overload_window;
         while load.recent.front().is_some_and(|first| first.at < oldest) {
--- a/crates/audit/src/audit/tracker.rs
+++ b/crates/audit/src/audit/tracker.rs
@@ -1,4 +1,5 @@
-//! Shared state of the rules: RPCs, client requests and their attempts, backends, and what proxies know of them.
+//! State that the rules share: RPCs, client requests with their attempts, backends, and the notifications that proxies
+//! received about them.
 use crate::event::{Admission, EndpointState, Entry, Event, ReceivedAttempt, RequestOutcome};
 use crate::header::{Header, Idempotency};
 use std::collections::{BTreeMap, HashMap};
@@ -9,69 +10,69 @@
     pub(super) attempt_id: u64,
     /// The incarnation of the backend that received it.
     pub(super) incarnation: u32,
-    /// When the backend read its first byte, in seconds.
+    /// When its first byte arrived at the backend, in seconds.
     pub(super) first_byte_at: f64,
     pub(super) admission: Admission,
-    /// When it ended, in seconds; a rejected attempt ends when it is received.
+    /// When it ended, in seconds. A rejected attempt ends when its first byte arrives.
     pub(super) ended_at: Option<f64>,
     /// The timeout that the proxy forwarded to the backend, in seconds.
     pub(super) forwarded_timeout: Option<f64>,
 }
 
 impl Attempt {
-    /// Whether the backend may have executed the RPC.
+    /// Whether the backend may have executed the attempt.
     pub(super) fn may_have_run(&self) -> bool {
         self.admission != Admission::Rejected
     }
 }
 
-/// One request of a client for an RPC: its first one or a retry.
+/// A request that a client sent for an RPC: the first one or a retry.
 #[derive(Debug)]
 pub(super) struct ClientRequest {
     pub(super) rpc: u32,
     pub(super) proxy: u16,
-    /// When the client sent the last byte, in seconds.
+    /// When the client sent its last byte, in seconds.
     pub(super) sent_at: f64,
-    /// How long the client waits for the answer, in seconds.
+    /// How long the client waits for the response, in seconds.
     client_timeout: f64,
-    /// When the first answer arrived, in seconds, and the answer.
+    /// The first outcome, with its time in seconds.
     pub(super) outcome: Option<(f64, RequestOutcome)>,
-    /// Number of answers received.
+    /// Number of outcomes recorded; more than one is a violation of rule 1.
     pub(super) outcome_count: usize,
-    /// Attempts of the proxy, in the order in which backends received them.
+    /// Attempts that the proxy made, in the order in which backends received them.
     pub(super) attempts: Vec<Attempt>,
 }
 
 impl ClientRequest {
-    /// Returns the time until which the client waits, in seconds.
+    /// Returns the time at which the client stops waiting, in seconds.
     pub(super) fn deadline(&self) -> f64 {
         self.sent_at + self.client_timeout
     }
 }
 
-/// One run of a backend's process.
+/// One run of a backend process.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Incarnation {
     /// Index of the backend in the ledger's header.
     pub(super) backend: u32,
     /// When the process started, in seconds.
     pub(super) started_at: f64,
-    /// Whether it started without its full capacity.
+    /// Whether it started cold, below its full capacity.
     pub(super) cold: bool,
 }
 
-/// What a proxy knows of a backend.
+/// The last notification that a proxy received about a backend.
 #[derive(Clone, Copy, Debug)]
 struct Notification {
     incarnation: u32,
-    /// Since when the proxy knows that the incarnation accepts no new work, in seconds.
+    /// When the proxy was first notified that the incarnation accepts no new work, in seconds.
     no_new_work_since: Option<f64>,
 }
 
-/// The state that the events of a ledger describe, up to the last one recorded.
+/// State after the events recorded so far.
 pub(super) struct Tracker<'a> {
     pub(super) header: &'a Header,
-    /// Time of the latest event, in seconds.
+    /// Time of the last event, in seconds.
     pub(super) now: f64,
     /// Client requests by id.
     pub(super) requests: BTreeMap<u64, ClientRequest>,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Returns whether the RPC may run again; `None` if the RPC or its method is unknown.
+    /// Returns whether an RPC may be executed more than once; `None` if the RPC or its method is unknown.
     pub(super) fn idempotency(&self, rpc: u32) -> Option<Idempotency> {
         let method = self.methods.get(&rpc)?;
         self.header
@@ -106,7 +107,7 @@
             .map(|method| method.idempotency)
     }
 
-    /// Returns the client request that an attempt serves.
+    /// Returns the client request that an attempt belongs to.
     pub(super) fn request_of_attempt(&self, attempt_id: u64) -> Option<&ClientRequest> {
         self.requests.get(self.request_ids.get(&attempt_id)?)
     }
@@ -115,15 +116,15 @@
     pub(super) fn backend_of(&self, incarnation: u32) -> u32 {
         self.incarnations
             .get(&incarnation)
-            .map_or(u32::MAX, |known| known.backend)
+            .map_or(u32::MAX, |incarnation| incarnation.backend)
     }
 
-    /// Whether the proxy was notified of this incarnation of the backend, and of no other one since.
-    pub(super) fn knows_incarnation(&self, proxy: u16, backend: u32, incarnation: u32) -> bool {
+    /// Whether the last notification of the proxy about the backend was about this incarnation.
+    pub(super) fn is_notified_of(&self, proxy: u16, backend: u32, incarnation: u32) -> bool {
         self.notification(proxy, backend, incarnation).is_some()
     }
 
-    /// Returns since when the proxy knows that this incarnation accepts no new work, in seconds.
+    /// Returns when the proxy was first notified that this incarnation accepts no new work, in seconds.
     pub(super) fn no_new_work_since(
         &self,
         proxy: u16,
@@ -134,7 +135,7 @@
             .no_new_work_since
     }
 
-    /// Returns what the proxy knows of this incarnation. A notification of an earlier one does not count.
+    /// Returns the last notification of the proxy about the backend, if it was about this incarnation.
     fn notification(&self, proxy: u16, backend: u32, incarnation: u32) -> Option<Notification> {
         self.notifications
             .get(&(proxy, backend))
@@ -142,7 +143,7 @@
             .copied()
     }
 
-    /// Applies an event.
+    /// Updates the state with an event.
     pub(super) fn record(&mut self, entry: &Entry) {
         let at = entry.at;
         self.now = self.now.max(at);
@@ -181,7 +182,7 @@
                 state,
             } => self.record_notification(at, proxy, backend, incarnation, state),
             Event::ProxyStarted { proxy } => {
-                // A new process knows only what it is notified of from now on.
+                // A restarted proxy has lost its earlier notifications.
                 self.notifications
                     .retain(|(notified, _), _| *notified != proxy);
             }
@@ -197,7 +198,7 @@
         proxy: u16,
         client_timeout: f32,
     ) {
-        // The record of the first attempt may precede that of the request.
+        // The first attempt may be recorded before the request.
         let attempts = self
             .requests
             .remove(&request_id)
