--- a/crates/audit/src/audit/violations.rs
+++ b/crates/audit/src/audit/violations.rs
@@ -1,14 +1,14 @@
-//! Collects the violations of an audit, at most one for each rule and subject.
+//! Collects violations, at most one for each rule and subject.
 use crate::findings::{Rule, Violation};
 use std::collections::BTreeMap;
 
-/// The violations found so far, by rule and subject.
+/// Violations found so far, by rule and subject.
 #[derive(Debug, Default)]
 pub(super) struct Violations(BTreeMap<(Rule, String), Violation>);
 
 impl Violations {
-    /// Adds a violation. Of several with the same rule and subject the first one is kept, but one that does not
-    /// depend on timing replaces one that does.
+    /// Adds a violation unless there is one with the same rule and subject. A violation that does not depend on timing
+    /// replaces one that does.
     pub(super) fn add(&mut self, violation: Violation) {
         let key = (violation.rule, violation.subject.clone());
         let kept = self.0.entry(key).or_insert_with(|| violation.clone());
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Returns the violations by time; those of one time by rule and subject.
+    /// Returns the violations sorted by time, and those at the same time by rule and subject.
     pub(super) fn into_sorted(self) -> Vec<Violation> {
         let mut violations: Vec<_> = self.0.into_values().collect();
         violations.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -25,7 +25,7 @@
     }
 }
 
-/// Returns the subject of violations that concern an RPC.
+/// Returns the subject of a violation that concerns an RPC.
 pub(super) fn rpc_subject(rpc: u32) -> String {
     format!("rpc {rpc}")
 }
