--- a/crates/audit/src/audit/one_answer.rs
+++ b/crates/audit/src/audit/one_answer.rs
@@ -1,23 +1,23 @@
-//! Rule 1: each RPC that a running proxy accepted gets one final answer before its deadline, and no attempt is made
-//! after that.
+//! Rule 1: each RPC that a running proxy accepted gets exactly one response before its deadline, and no attempt is made
+//! after the response or the deadline.
 use super::tracker::{Attempt, ClientRequest, Tracker};
 use super::violations::{Violations, rpc_subject};
 use crate::event::{Entry, Event, ProxyEnd, RequestOutcome};
 use crate::findings::{Rule, Violation};
 use std::collections::HashMap;
 
-/// Time that a proxy has to stop making attempts after its client disconnected, in seconds.
+/// Time after a client disconnects during which its proxy may still start attempts, in seconds.
 const DISCONNECT_GRACE_SECONDS: f64 = 0.1;
 
-/// Amount by which the timeout forwarded to a backend may exceed the time left to the client, in seconds.
+/// Amount by which the timeout forwarded to a backend may exceed the time left until the deadline, in seconds.
 const FORWARDED_TIMEOUT_TOLERANCE_SECONDS: f64 = 0.15;
 
 /// State of rule 1.
 #[derive(Debug, Default)]
 pub(super) struct OneAnswer {
-    /// When and how the processes of each proxy ended.
+    /// Time and reason of each process end, by proxy.
     process_ends: HashMap<u16, Vec<(f64, ProxyEnd)>>,
-    /// Requests that got no answer because their proxy was killed.
+    /// Requests that got no response because their proxy was killed.
     pub(super) lost_with_proxy: usize,
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Checks the attempts of all requests, and the requests without an answer.
+    /// Checks the attempts of all requests, and the requests without a response.
     pub(super) fn finish(&mut self, tracker: &Tracker<'_>, violations: &mut Violations) {
         for (request_id, request) in &tracker.requests {
             if tracker.idempotency(request.rpc).is_none() {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Checks a request that got no answer although its time is over.
+    /// Checks that a request whose deadline has passed got a response.
     fn check_unanswered(
         &mut self,
         request: &ClientRequest,
@@ -82,7 +82,7 @@
         let unanswered = match outcome {
             Some(RequestOutcome::Lost | RequestOutcome::TimedOut) => true,
             Some(_) => false,
-            // A request that is open when the ledger ends needs an answer only if its deadline has passed.
+            // A request in flight when the ledger ends needs a response only if its deadline has passed.
             None => tracker.now > request.deadline() + slack,
         };
         if !unanswered {
@@ -91,12 +91,12 @@
         let until = request
             .outcome
             .map_or(tracker.now.min(request.deadline()), |(at, _)| at);
-        // A client retries what a killed proxy had accepted.
-        if self.was_killed(request, until, slack) {
+        // A killed proxy cannot respond to what it had accepted: its clients retry.
+        if self.proxy_was_killed(request, until, slack) {
             self.lost_with_proxy += 1;
             return;
         }
-        let how = match outcome {
+        let failure = match outcome {
             Some(RequestOutcome::Lost) => "its connection ended without an answer",
             _ => "no answer by its deadline",
         };
@@ -105,13 +105,13 @@
             rule: Rule::OneAnswer,
             at: until,
             subject: rpc_subject(request.rpc),
-            description: format!("{how}; {proxy} had taken it"),
+            description: format!("{failure}; {proxy} had taken it"),
             timing_dependent: outcome != Some(RequestOutcome::Lost),
         });
     }
 
-    /// Whether the proxy's process was killed between the request and `until`, in seconds.
-    fn was_killed(&self, request: &ClientRequest, until: f64, slack: f64) -> bool {
+    /// Whether the proxy process was killed between the request and `until`, in seconds.
+    fn proxy_was_killed(&self, request: &ClientRequest, until: f64, slack: f64) -> bool {
         let ends = self.process_ends.get(&request.proxy);
         ends.into_iter().flatten().any(|(at, how)| {
             matches!(how, ProxyEnd::Killed | ProxyEnd::Forced | ProxyEnd::Over)
@@ -121,7 +121,7 @@
     }
 }
 
-/// Checks that an answer is the first one of its request, is well-formed, and arrived before the deadline.
+/// Checks that an outcome is the first one of its request, and that a response is well-formed and before the deadline.
 fn check_outcome(
     at: f64,
     outcome: RequestOutcome,
@@ -154,7 +154,7 @@
     }
 }
 
-/// Reports an attempt for a request that no client sent.
+/// Reports an attempt for a request that no client has sent.
 fn check_unknown_request(request_id: u64, request: &ClientRequest, violations: &mut Violations) {
     if let Some(attempt) = request.attempts.first() {
         violations.add(Violation {
@@ -167,7 +167,7 @@
     }
 }
 
-/// Checks that an attempt began while its client waited, and that it forwarded the time left.
+/// Checks that an attempt began while its client waited, and that it forwarded no more than the time left.
 fn check_attempt(
     attempt: &Attempt,
     request: &ClientRequest,
@@ -175,11 +175,11 @@
     violations: &mut Violations,
 ) {
     let slack = tracker.header.rules.slack;
-    let begun = attempt.first_byte_at;
+    let started_at = attempt.first_byte_at;
     let mut report = |description: String| {
         violations.add(Violation {
             rule: Rule::OneAnswer,
-            at: begun,
+            at: started_at,
             subject: rpc_subject(request.rpc),
             description,
             timing_dependent: true,
@@ -187,26 +187,26 @@
     };
     let follows_final_response = request
         .outcome
-        .is_some_and(|(at, outcome)| outcome.is_final_response() && begun > at + slack);
+        .is_some_and(|(at, outcome)| outcome.is_final_response() && started_at > at + slack);
     if follows_final_response {
         report("sent on after its final answer".to_owned());
-    } else if begun > request.deadline() + slack {
+    } else if started_at > request.deadline() + slack {
         report("sent on after its deadline".to_owned());
     }
     let follows_disconnect = request.outcome.is_some_and(|(at, outcome)| {
-        outcome == RequestOutcome::Cancelled && begun > at + DISCONNECT_GRACE_SECONDS + slack
+        outcome == RequestOutcome::Cancelled && started_at > at + DISCONNECT_GRACE_SECONDS + slack
     });
     if follows_disconnect {
         report("sent on after its client had hung up".to_owned());
     }
-    let left = request.deadline() - begun;
-    let allowed = left + FORWARDED_TIMEOUT_TOLERANCE_SECONDS + slack;
+    let time_left = request.deadline() - started_at;
+    let allowed = time_left + FORWARDED_TIMEOUT_TOLERANCE_SECONDS + slack;
     if let Some(timeout) = attempt
         .forwarded_timeout
         .filter(|timeout| *timeout > allowed)
     {
         report(format!(
-            "told its node {timeout:.3} s where {left:.3} s are left"
+            "told its node {timeout:.3} s where {time_left:.3} s are left"
         ));
     }
 }
