--- a/crates/audit/src/audit/no_duplicate_effect.rs
+++ b/crates/audit/src/audit/no_duplicate_effect.rs
@@ -1,5 +1,6 @@
-//! Rule 2: no effect happens twice. A non-idempotent RPC gets no further attempt once it may have run, a deduplicated
-//! one only within its scope and window; an RPC is rejected after it may have run only where a retry is harmless.
+//! Rule 2: no RPC has its effect twice. Once a non-idempotent RPC may have run, it gets no further attempt; a
+//! deduplicated RPC gets further attempts only within its scope and window. An RPC that may have run is rejected only if
+//! a retry is harmless.
 use super::tracker::{Attempt, ClientRequest, Tracker};
 use super::violations::{Violations, rpc_subject};
 use crate::event::{Entry, Event, RequestOutcome};
@@ -10,11 +11,11 @@
 /// State of rule 2.
 #[derive(Debug, Default)]
 pub(super) struct NoDuplicateEffect {
-    /// Executions of each RPC.
+    /// Number of executions of each RPC.
     executions: HashMap<u32, usize>,
-    /// Executions beyond the first one of an RPC whose method allows them.
+    /// Repeated executions of RPCs whose method allows them.
     pub(super) repeated_executions: usize,
-    /// Executions beyond the first one of an RPC whose method forbids them.
+    /// Repeated executions of RPCs whose method forbids them.
     pub(super) double_executions: usize,
 }
 
@@ -32,14 +33,15 @@
             }
             Event::ExecutionStarted { attempt_id } => {
                 if let Some(request) = tracker.request_of_attempt(attempt_id) {
-                    self.count_execution(entry.at, request.rpc, tracker, violations);
+                    self.record_execution(entry.at, request.rpc, tracker, violations);
                 }
             }
             _ => {}
         }
     }
 
-    fn count_execution(
+    /// Counts an execution, and reports a repeated one that the method forbids.
+    fn record_execution(
         &mut self,
         at: f64,
         rpc: u32,
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Checks the attempts and the rejection of each request.
+    /// Checks the attempts of each request, and its rejection if it was rejected.
     pub(super) fn finish(tracker: &Tracker<'_>, violations: &mut Violations) {
         for request in tracker.requests.values() {
             let Some(idempotency) = tracker.idempotency(request.rpc) else {
@@ -85,7 +87,7 @@
     }
 }
 
-/// A request whose attempts are checked.
+/// Checks the attempts and the outcome of one request.
 struct RequestCheck<'t> {
     request: &'t ClientRequest,
     idempotency: Idempotency,
@@ -99,7 +101,7 @@
             let earlier = &self.request.attempts[..index];
             self.check_hedging(earlier, attempt, violations);
             for first in earlier.iter().filter(|attempt| attempt.may_have_run()) {
-                self.check_repetition(first, attempt, violations);
+                self.check_retry(first, attempt, violations);
             }
         }
         self.check_rejection(violations);
@@ -129,32 +131,32 @@
         }
     }
 
-    /// Checks that no attempt began while an earlier one was open, unless hedging is allowed.
+    /// Checks that no attempt began while an earlier one was in flight, unless hedging is allowed.
     fn check_hedging(&self, earlier: &[Attempt], attempt: &Attempt, violations: &mut Violations) {
         let rules = &self.tracker.header.rules;
-        let begun = attempt.first_byte_at;
+        let started_at = attempt.first_byte_at;
         let overlaps = |earlier: &Attempt| {
             earlier.may_have_run()
                 && earlier
                     .ended_at
-                    .is_none_or(|ended_at| ended_at > begun + rules.slack)
+                    .is_none_or(|ended_at| ended_at > started_at + rules.slack)
         };
         if !rules.hedging_allowed && earlier.iter().any(overlaps) {
             let description = "a second copy while one was out".to_owned();
-            self.report(begun, description, true, violations);
+            self.report(started_at, description, true, violations);
         }
     }
 
-    /// Checks that the RPC may be attempted again after `first`, which may have run.
-    fn check_repetition(&self, first: &Attempt, attempt: &Attempt, violations: &mut Violations) {
+    /// Checks that the RPC may get another attempt after `first`, which may have run.
+    fn check_retry(&self, first: &Attempt, attempt: &Attempt, violations: &mut Violations) {
         let header = self.tracker.header;
-        let one = self.tracker.backend_of(first.incarnation);
-        let other = self.tracker.backend_of(attempt.incarnation);
-        let (fault, timing_dependent) = match self.idempotency {
+        let first_backend = self.tracker.backend_of(first.incarnation);
+        let backend = self.tracker.backend_of(attempt.incarnation);
+        let (reason, timing_dependent) = match self.idempotency {
             Idempotency::Idempotent => return,
             Idempotency::NonIdempotent => ("sent again after it may have run", false),
             Idempotency::Deduplicated { scope, .. }
-                if !header.shares_deduplication(scope, one, other) =>
+                if !header.shares_deduplication(scope, first_backend, backend) =>
             {
                 ("sent again outside the group that drops repeats", false)
             }
@@ -166,10 +168,10 @@
             Idempotency::Deduplicated { .. } => return,
         };
         let description = format!(
-            "{fault}: {} at {:.3}, {} at {:.3}",
-            header.backend_name(one),
+            "{reason}: {} at {:.3}, {} at {:.3}",
+            header.backend_name(first_backend),
             first.first_byte_at,
-            header.backend_name(other),
+            header.backend_name(backend),
             attempt.first_byte_at
         );
         self.report(
