--- a/crates/audit/src/audit/draining.rs
+++ b/crates/audit/src/audit/draining.rs
@@ -1,4 +1,5 @@
-//! Rule 3: a draining or removed backend gets no new work later than the grace period after its proxy was notified.
+//! Rule 3: a draining or removed backend gets no new work from a proxy once the grace period after the proxy's
+//! notification has passed.
 use super::tracker::Tracker;
 use super::violations::{Violations, rpc_subject};
 use crate::event::{Entry, Event, ReceivedAttempt};
@@ -7,7 +8,7 @@
 /// State of rule 3.
 #[derive(Debug, Default)]
 pub(super) struct Draining {
-    /// Longest time from a notification to new work for that backend, in seconds.
+    /// Longest time between a notification and new work for that backend, in seconds.
     pub(super) latest_after_notification: f64,
 }
 
@@ -28,24 +29,24 @@
             first_byte_at,
             ..
         } = received;
-        let Some(known) = tracker.incarnations.get(&incarnation) else {
+        let Some(state) = tracker.incarnations.get(&incarnation) else {
             return;
         };
-        let Some(since) = tracker.no_new_work_since(proxy, known.backend, incarnation) else {
+        let Some(notified_at) = tracker.no_new_work_since(proxy, state.backend, incarnation) else {
             return;
         };
-        let late = first_byte_at - since;
-        self.latest_after_notification = self.latest_after_notification.max(late);
+        let delay = first_byte_at - notified_at;
+        self.latest_after_notification = self.latest_after_notification.max(delay);
         let rules = &tracker.header.rules;
-        if late > rules.drain_grace + rules.slack {
+        if delay > rules.drain_grace + rules.slack {
             let rpc = tracker
                 .requests
                 .get(&received.request_id)
                 .map_or(u32::MAX, |request| request.rpc);
             let description = format!(
                 "sent to {} {:.0} ms after {} was told that it takes nothing new",
-                tracker.header.backend_name(known.backend),
-                late * 1e3,
+                tracker.header.backend_name(state.backend),
+                delay * 1e3,
                 tracker.header.proxy_name(proxy)
             );
             violations.add(Violation {
