--- a/crates/audit/src/audit/slow_start.rs
+++ b/crates/audit/src/audit/slow_start.rs
@@ -1,12 +1,12 @@
-//! Rule 4: proxies that know of a backend's cold start do not overload it, all together, until it collapses.
+//! Rule 4: proxies that were notified of the cold start of a backend do not together overload it until it collapses.
 use super::tracker::{Incarnation, Tracker};
 use super::violations::Violations;
 use crate::event::{Entry, Event, ReceivedAttempt};
 use crate::findings::{ColdStart, Rule, Violation};
 use std::collections::{HashMap, VecDeque};
 
-/// Share of the recent work from which informed proxies are responsible for a collapse. Below it, the work of proxies that
-/// were not notified of the start in time may have caused it.
+/// Smallest share of the recent work with which informed proxies are responsible for a collapse. Below it, proxies that
+/// were not notified of the start in time may have caused the collapse.
 const RESPONSIBLE_SHARE: f64 = 2.0 / 3.0;
 
 /// Work that a cold backend received.
@@ -16,24 +16,25 @@
     at: f64,
     /// In seconds of a standard core.
     work: f64,
-    /// Whether the proxy knew of the backend's start.
+    /// Whether its proxy had been notified of the cold start.
     informed: bool,
 }
 
-/// Load of one run of a backend's process.
+/// Load of one incarnation of a backend.
 #[derive(Debug, Default)]
 struct Load {
-    /// Largest overload reported; 1 is a collapse.
+    /// Peak overload; the backend collapses at 1.
     peak_overload: f64,
     /// Work received within the overload window.
     recent: VecDeque<ReceivedWork>,
 }
 
 impl Load {
-    fn work(&self, counts: impl Fn(&&ReceivedWork) -> bool) -> f64 {
+    /// Returns the sum of the recent work that matches a filter, in seconds of a standard core.
+    fn recent_work(&self, filter: impl Fn(&&ReceivedWork) -> bool) -> f64 {
         self.recent
             .iter()
-            .filter(counts)
+            .filter(filter)
             .map(|received| received.work)
             .sum()
     }
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Adds work for a cold backend, and drops what is older than the window.
+    /// Records work for a cold backend, and removes work older than the overload window.
     fn record_work(&mut self, at: f64, received: ReceivedAttempt, tracker: &Tracker<'_>) {
         let incarnation = received.incarnation;
         let known = tracker.incarnations.get(&incarnation);
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Reports a collapse if at least [`RESPONSIBLE_SHARE`] of the recent work came from proxies that knew of the start.
+    /// Reports a collapse if at least [`RESPONSIBLE_SHARE`] of the recent work came from informed proxies.
     fn check_collapse(
         &mut self,
         at: f64,
@@ -101,8 +102,8 @@
     ) {
         let load = self.loads.entry(incarnation).or_default();
         load.peak_overload = load.peak_overload.max(1.0);
-        let all = load.work(|_| true);
-        let informed = load.work(|received| received.informed);
+        let all = load.recent_work(|_| true);
+        let informed = load.recent_work(|received| received.informed);
         if informed < RESPONSIBLE_SHARE * all {
             self.collapsed_uninformed += 1;
             return;
@@ -120,7 +121,7 @@
         });
     }
 
-    /// Returns the cold starts by time, and by name within one time.
+    /// Returns the cold starts sorted by time, and those at the same time by backend name.
     pub(super) fn cold_starts(&self, tracker: &Tracker<'_>) -> Vec<ColdStart> {
         let cold = tracker.incarnations.iter().filter(|(_, known)| known.cold);
         let mut cold_starts: Vec<_> = cold
