--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,11 +1,11 @@
-//! The ledger of a rehearsal, and the audit of the four rules over it.
+//! The event ledger of a rehearsal, and the audit that checks four rules over it.
 //!
-//! - [`event`] and [`header`]: what can happen, and in which deployment.
-//! - [`ledger`]: the file that stores both.
-//! - [`audit`]: checks the rules; [`findings`] holds its results and [`service`] the quality of service.
-//! - [`timeline`]: the entries as text.
+//! - [`event`] and [`header`]: the events, and the deployment that they refer to.
+//! - [`ledger`]: reads and writes the file that stores both.
+//! - [`audit`]: checks the rules. [`findings`] holds its results, [`service`] computes the quality of service.
+//! - [`timeline`]: formats entries as text.
 //!
-//! Nothing here depends on where the events come from: emulated backends on sockets or a simulation.
+//! The crate uses neither sockets nor a clock, so it serves emulated backends on sockets as well as simulations.
 
 pub mod audit;
 pub mod event;
