--- a/crates/audit/tests/audit/builder.rs
+++ b/crates/audit/tests/audit/builder.rs
@@ -1,4 +1,4 @@
-//! Ledgers written by hand, event by event.
+//! Builds ledgers event by event, and audits them.
 use birchhub_audit::event::{Admission, AttemptEnd, ProxyEnd, ReceivedAttempt};
 use birchhub_audit::header::{Backend, ServiceTargets};
 use birchhub_audit::{
@@ -57,12 +57,12 @@
     }
 }
 
-/// A ledger under construction.
+/// Builds a ledger.
 #[derive(Default)]
 pub(crate) struct LedgerBuilder(pub(crate) Vec<Entry>);
 
 impl LedgerBuilder {
-    /// Three backends, each with a process of the same number that started warm.
+    /// Creates a ledger with three warm backends, each with an incarnation of the same number.
     pub(crate) fn new() -> Self {
         let mut builder = Self::default();
         for incarnation in 0..3 {
@@ -84,7 +84,7 @@
         self
     }
 
-    /// An RPC that is due, within its tenant's quota.
+    /// Adds the arrival of an RPC within its tenant's quota.
     pub(crate) fn arrival(&mut self, at: f64, rpc: u32, method: u8) -> &mut Self {
         self.at(
             at,
@@ -97,13 +97,13 @@
         )
     }
 
-    /// An RPC and its first request, with the same number.
+    /// Adds the arrival of an RPC and its first request, which has the same number.
     pub(crate) fn request(&mut self, at: f64, rpc: u32, method: u8) -> &mut Self {
         self.arrival(at, rpc, method);
         self.retry(at, u64::from(rpc), rpc)
     }
 
-    /// Another request for an RPC.
+    /// Adds a further request for an RPC.
     pub(crate) fn retry(&mut self, at: f64, request_id: u64, rpc: u32) -> &mut Self {
         self.at(
             at,
@@ -116,7 +116,7 @@
         )
     }
 
-    /// An attempt of proxy 0 at a backend's process.
+    /// Adds an attempt of proxy 0 at an incarnation of a backend.
     pub(crate) fn attempt(
         &mut self,
         at: f64,
@@ -140,8 +140,8 @@
         )
     }
 
-    /// An execution of 50 ms.
-    pub(crate) fn executes(&mut self, at: f64, attempt_id: u64) -> &mut Self {
+    /// Adds an execution of 50 ms.
+    pub(crate) fn execution(&mut self, at: f64, attempt_id: u64) -> &mut Self {
         self.at(at, Event::ExecutionStarted { attempt_id })
             .at(at + 0.05, Event::ExecutionFinished { attempt_id })
     }
@@ -150,7 +150,7 @@
         self.at(at, Event::AttemptEnded { attempt_id, how })
     }
 
-    pub(crate) fn answered(
+    pub(crate) fn request_ends(
         &mut self,
         at: f64,
         request_id: u64,
@@ -165,18 +165,18 @@
         )
     }
 
-    /// An RPC that succeeds.
+    /// Adds an RPC that succeeds.
     pub(crate) fn succeeds(&mut self, at: f64, rpc: u32, method: u8) -> &mut Self {
         let request_id = u64::from(rpc);
         let attempt_id = request_id + 1000;
         self.request(at, rpc, method)
             .attempt(at + 0.001, request_id, attempt_id, 0, Admission::Admitted)
-            .executes(at + 0.001, attempt_id);
+            .execution(at + 0.001, attempt_id);
         self.attempt_ends(at + 0.06, attempt_id, AttemptEnd::Replied)
-            .answered(at + 0.061, request_id, RequestOutcome::Ok)
+            .request_ends(at + 0.061, request_id, RequestOutcome::Ok)
     }
 
-    /// Audits the ledger, whose proxies end after 40 s.
+    /// Audits the ledger, in which proxy 0 ends after 40 s.
     pub(crate) fn audit(&mut self) -> Findings {
         self.at(
             40.0,
@@ -189,16 +189,16 @@
         Audit::of(&header(), &self.0)
     }
 
-    /// Asserts that the audit finds one violation, with this rule and subject.
-    pub(crate) fn assert_violation(&mut self, rule: Rule, subject: &str, what: &str) {
-        let found = self.audit().violations;
-        assert_eq!(found.len(), 1, "{found:?}");
+    /// Asserts that the audit finds exactly one violation, with this rule and subject and `text` in its description.
+    pub(crate) fn assert_violation(&mut self, rule: Rule, subject: &str, text: &str) {
+        let violations = self.audit().violations;
+        assert_eq!(violations.len(), 1, "{violations:?}");
         assert_eq!(
-            (found[0].rule, found[0].subject.as_str()),
+            (violations[0].rule, violations[0].subject.as_str()),
             (rule, subject),
-            "{found:?}"
+            "{violations:?}"
         );
-        assert!(found[0].description.contains(what), "{found:?}");
+        assert!(violations[0].description.contains(text), "{violations:?}");
     }
 
     /// Asserts that the audit finds no violation.
--- a/crates/audit/tests/audit/no_duplicate_effect.rs
+++ b/crates/audit/tests/audit/no_duplicate_effect.rs
@@ -13,7 +13,7 @@
     builder
         .attempt(second, 7, 101, incarnation, Admission::Admitted)
         .attempt_ends(second + 0.01, 101, AttemptEnd::Replied);
-    builder.answered(second + 0.02, 7, RequestOutcome::Ok);
+    builder.request_ends(second + 0.02, 7, RequestOutcome::Ok);
     builder
 }
 
@@ -57,7 +57,7 @@
         builder
             .attempt(second, 7, 101, 1, Admission::Admitted)
             .attempt_ends(second + 0.01, 101, AttemptEnd::Replied);
-        builder.answered(second + 0.02, 7, RequestOutcome::Ok);
+        builder.request_ends(second + 0.02, 7, RequestOutcome::Ok);
         builder
     };
     retried_at(2.0).assert_no_violations();
@@ -70,18 +70,16 @@
     builder
         .request(1.0, 7, BOOK)
         .attempt(1.001, 7, 100, 0, Admission::Admitted)
-        .executes(1.01, 100);
-    builder.attempt_ends(1.1, 100, AttemptEnd::Broken).answered(
-        1.1,
-        7,
-        RequestOutcome::Unreachable,
-    );
+        .execution(1.01, 100);
+    builder
+        .attempt_ends(1.1, 100, AttemptEnd::Broken)
+        .request_ends(1.1, 7, RequestOutcome::Unreachable);
     builder
         .retry(1.2, 70, 7)
         .attempt(1.201, 70, 101, 2, Admission::Admitted)
-        .executes(1.21, 101)
+        .execution(1.21, 101)
         .attempt_ends(1.3, 101, AttemptEnd::Replied);
-    builder.answered(1.31, 70, RequestOutcome::Ok);
+    builder.request_ends(1.31, 70, RequestOutcome::Ok);
     builder.assert_violation(Rule::NoDuplicateEffect, "rpc 7", "ran 2 times");
 }
 
@@ -95,7 +93,7 @@
     hedged
         .attempt_ends(1.2, 100, AttemptEnd::Cancelled)
         .attempt_ends(1.2, 101, AttemptEnd::Replied)
-        .answered(1.2, 7, RequestOutcome::Ok);
+        .request_ends(1.2, 7, RequestOutcome::Ok);
     hedged.assert_violation(Rule::NoDuplicateEffect, "rpc 7", "second copy");
     let mut too_many = LedgerBuilder::new();
     too_many.request(1.0, 7, BOOK);
@@ -103,7 +101,7 @@
         too_many.attempt(1.01 + 0.01 * n as f64, 7, 100 + n, 0, Admission::Rejected);
     }
     too_many
-        .answered(1.1, 7, RequestOutcome::Rejected(None))
+        .request_ends(1.1, 7, RequestOutcome::Rejected(None))
         .assert_violation(Rule::NoDuplicateEffect, "rpc 7", "4 picks, 3 are allowed");
 }
 
@@ -120,7 +118,7 @@
             .request(1.0, 7, method)
             .attempt(1.01, 7, 100, 0, admission)
             .attempt_ends(1.2, 100, AttemptEnd::Cancelled);
-        builder.answered(1.2, 7, RequestOutcome::Rejected(Some(0.1)));
+        builder.request_ends(1.2, 7, RequestOutcome::Rejected(Some(0.1)));
         match harmful {
             true => {
                 builder.assert_violation(Rule::NoDuplicateEffect, "rpc 7", "pushed back although")
--- a/crates/audit/tests/audit/one_answer.rs
+++ b/crates/audit/tests/audit/one_answer.rs
@@ -7,11 +7,11 @@
 fn a_late_answer_is_found() {
     LedgerBuilder::new()
         .request(1.0, 7, READ)
-        .answered(1.54, 7, RequestOutcome::Aborted(502))
+        .request_ends(1.54, 7, RequestOutcome::Aborted(502))
         .assert_no_violations();
     let mut late = LedgerBuilder::new();
     late.request(1.0, 7, READ)
-        .answered(1.56, 7, RequestOutcome::Aborted(502));
+        .request_ends(1.56, 7, RequestOutcome::Aborted(502));
     late.assert_violation(Rule::OneAnswer, "rpc 7", "60 ms after its deadline");
 }
 
@@ -21,9 +21,9 @@
         let mut builder = LedgerBuilder::new();
         builder
             .request(1.0, 7, READ)
-            .answered(1.1, 7, RequestOutcome::Cancelled)
+            .request_ends(1.1, 7, RequestOutcome::Cancelled)
             .attempt(first_byte_at, 7, 70, 0, Admission::Admitted)
-            .executes(first_byte_at, 70)
+            .execution(first_byte_at, 70)
             .attempt_ends(first_byte_at + 0.06, 70, AttemptEnd::Cancelled);
         builder
     };
@@ -52,7 +52,7 @@
 fn a_missing_answer_is_found_unless_its_proxy_was_killed() {
     LedgerBuilder::new()
         .request(1.0, 7, READ)
-        .answered(1.6, 7, RequestOutcome::TimedOut)
+        .request_ends(1.6, 7, RequestOutcome::TimedOut)
         .assert_violation(Rule::OneAnswer, "rpc 7", "no answer");
     LedgerBuilder::new().request(1.0, 7, READ).assert_violation(
         Rule::OneAnswer,
@@ -61,13 +61,13 @@
     );
     LedgerBuilder::new()
         .request(1.0, 7, BOOK)
-        .answered(1.2, 7, RequestOutcome::Lost)
+        .request_ends(1.2, 7, RequestOutcome::Lost)
         .assert_violation(Rule::OneAnswer, "rpc 7", "ended without");
     for (how, excused) in [(ProxyEnd::Killed, true), (ProxyEnd::Stopped, false)] {
         let mut builder = LedgerBuilder::new();
         builder
             .request(1.0, 7, BOOK)
-            .answered(1.2, 7, RequestOutcome::Lost)
+            .request_ends(1.2, 7, RequestOutcome::Lost)
             .at(1.2, Event::ProxyEnded { proxy: 0, how });
         match excused {
             true => assert_eq!(builder.assert_no_violations().counts.lost_with_proxy, 1),
@@ -76,11 +76,11 @@
     }
     LedgerBuilder::new()
         .request(1.0, 7, READ)
-        .answered(1.2, 7, RequestOutcome::Cancelled)
+        .request_ends(1.2, 7, RequestOutcome::Cancelled)
         .assert_no_violations();
     LedgerBuilder::new()
         .request(1.0, 7, READ)
-        .answered(1.2, 7, RequestOutcome::Unreachable)
+        .request_ends(1.2, 7, RequestOutcome::Unreachable)
         .assert_no_violations();
 }
 
@@ -99,12 +99,12 @@
     let mut twice = LedgerBuilder::new();
     twice
         .succeeds(1.0, 7, READ)
-        .answered(1.07, 7, RequestOutcome::Aborted(502))
+        .request_ends(1.07, 7, RequestOutcome::Aborted(502))
         .assert_violation(Rule::OneAnswer, "rpc 7", "twice");
     let mut malformed = LedgerBuilder::new();
     malformed
         .request(1.0, 7, READ)
-        .answered(1.1, 7, RequestOutcome::Malformed)
+        .request_ends(1.1, 7, RequestOutcome::Malformed)
         .assert_violation(Rule::OneAnswer, "rpc 7", "behind");
 }
 
@@ -117,7 +117,7 @@
         .assert_violation(Rule::OneAnswer, "rpc 7", "after its final");
     let mut late = LedgerBuilder::new();
     late.request(1.0, 7, READ)
-        .answered(1.3, 7, RequestOutcome::Cancelled)
+        .request_ends(1.3, 7, RequestOutcome::Cancelled)
         .attempt(1.6, 7, 9, 0, Admission::Admitted);
     late.assert_violation(Rule::OneAnswer, "rpc 7", "after its deadline");
     let mut unknown_request = LedgerBuilder::new();
--- a/crates/audit/tests/audit/service.rs
+++ b/crates/audit/tests/audit/service.rs
@@ -33,17 +33,17 @@
     // In time, counted from its first request.
     builder
         .request(12.0, 100, BOOK)
-        .answered(12.05, 100, RequestOutcome::Rejected(None));
+        .request_ends(12.05, 100, RequestOutcome::Rejected(None));
     builder
         .retry(12.1, 101, 100)
-        .answered(12.19, 101, RequestOutcome::Ok);
+        .request_ends(12.19, 101, RequestOutcome::Ok);
     // Late: a quarter of its utility.
     builder
         .request(13.0, 200, BOOK)
-        .answered(13.05, 200, RequestOutcome::Rejected(None));
+        .request_ends(13.05, 200, RequestOutcome::Rejected(None));
     builder
         .retry(13.2, 201, 200)
-        .answered(13.3, 201, RequestOutcome::Ok);
+        .request_ends(13.3, 201, RequestOutcome::Ok);
     // Over quota: a tenth of its utility of 2, which is not obtained.
     builder.at(
         14.0,
--- a/crates/audit/tests/audit/slow_start.rs
+++ b/crates/audit/tests/audit/slow_start.rs
@@ -28,7 +28,7 @@
         .arrival(at, rpc, READ)
         .at(at, sent)
         .at(at, received)
-        .answered(1.5, request_id, RequestOutcome::Aborted(502));
+        .request_ends(1.5, request_id, RequestOutcome::Aborted(502));
 }
 
 /// A backend in slow start that collapses under three RPCs, of which so many came from a proxy that was notified of it.
