--- a/crates/audit/tests/audit/draining.rs
+++ b/crates/audit/tests/audit/draining.rs
@@ -1,9 +1,9 @@
-//! Rule 3: no new work for a draining backend.
+//! Rule 3: no new work for a draining or removed backend.
 use crate::builder::{LedgerBuilder, READ};
 use birchhub_audit::{EndpointState, Event, Rule};
 
 #[test]
-fn an_attempt_at_a_draining_backend_is_found_once_its_proxy_was_notified() {
+fn attempts_at_a_draining_backend_after_the_grace_period_are_violations() {
     let notified = |state, incarnation, proxy| Event::ProxyNotified {
         proxy,
         backend: 0,
@@ -12,7 +12,7 @@
     };
     for state in [EndpointState::Draining, EndpointState::Gone] {
         let mut builder = LedgerBuilder::new();
-        // A notification without a change: the grace runs from the first one.
+        // A repeated notification does not extend the grace period.
         builder
             .at(1.0, notified(state, 0, 0))
             .at(2.0, notified(state, 0, 0))
@@ -26,7 +26,8 @@
             "sent to n0 1101 ms after p0",
         );
     }
-    // Another proxy was notified; or this one, of an earlier incarnation; or it has restarted since.
+    // No violation: the notification went to another proxy, concerned another incarnation, was revoked, or preceded a
+    // restart of the proxy.
     LedgerBuilder::new()
         .at(1.0, notified(EndpointState::Gone, 0, 1))
         .succeeds(3.0, 7, READ)
--- a/crates/audit/tests/audit/ledger_file.rs
+++ b/crates/audit/tests/audit/ledger_file.rs
@@ -1,16 +1,16 @@
-//! The ledger file read back, and the timeline of one RPC.
+//! Ledger files, and the timeline of one RPC.
 use crate::builder::{BOOK, LOG, LedgerBuilder, header};
 use birchhub_audit::timeline::Timeline;
 use birchhub_audit::{Entry, ledger};
 
-/// Two RPCs in the order of writing, which is not that of time.
+/// Returns two RPCs that were written out of chronological order.
 fn two_rpcs() -> LedgerBuilder {
     let mut builder = LedgerBuilder::new();
     builder.succeeds(2.0, 7, BOOK).succeeds(1.0, 8, LOG);
     builder
 }
 
-fn written(entries: &[Entry]) -> Vec<u8> {
+fn ledger_bytes(entries: &[Entry]) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut writer = ledger::Writer::new(&mut bytes, &header()).expect("a header");
     for entry in entries {
@@ -19,17 +19,17 @@
     bytes
 }
 
-/// Position of the first record: behind the second line.
-fn first_record(bytes: &[u8]) -> usize {
+/// Returns the offset of the first record, after the two lines of the header.
+fn first_record_offset(bytes: &[u8]) -> usize {
     let mut line_ends = bytes.iter().enumerate().filter(|(_, byte)| **byte == b'\n');
     let (header_end, _) = line_ends.nth(1).expect("a header");
     header_end + 1
 }
 
 #[test]
-fn a_truncated_ledger_is_read_and_damage_is_located() {
+fn a_truncated_ledger_is_read_and_a_corrupt_record_is_located() {
     let mut builder = two_rpcs();
-    let bytes = written(&builder.0);
+    let bytes = ledger_bytes(&builder.0);
     let read = ledger::read(bytes.as_slice()).expect("a ledger");
     builder.0.sort_by(|a, b| a.at.total_cmp(&b.at));
     assert_eq!(
@@ -41,10 +41,10 @@
         (truncated.entries.len(), truncated.truncated),
         (builder.0.len() - 1, true)
     );
-    let mut damaged = bytes.clone();
-    damaged[first_record(&bytes) + 1] = 0xff;
-    let error = ledger::read(damaged.as_slice())
-        .expect_err("damage")
+    let mut corrupt = bytes.clone();
+    corrupt[first_record_offset(&bytes) + 1] = 0xff;
+    let error = ledger::read(corrupt.as_slice())
+        .expect_err("a corrupt record")
         .to_string();
     assert!(
         error.starts_with("record 0 at byte 0: length prefix exceeds"),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_timeline_of_one_rpc_is_in_order() {
+fn the_timeline_of_an_rpc_is_chronological() {
     let mut builder = two_rpcs();
     builder.0.sort_by(|a, b| a.at.total_cmp(&b.at));
     let header = header();
--- a/crates/audit/tests/audit/main.rs
+++ b/crates/audit/tests/audit/main.rs
@@ -1,5 +1,5 @@
-//! Ledgers written by hand for each kind of violation: each is found exactly once, with its RPC or backend named, and
-//! the same ledger without it has no findings.
+//! Audits of hand-written ledgers. Each kind of violation is reported exactly once, with its RPC or backend, and the same
+//! ledger without the violation has no findings.
 mod builder;
 mod draining;
 mod ledger_file;
--- a/crates/audit/tests/audit/no_duplicate_effect.rs
+++ b/crates/audit/tests/audit/no_duplicate_effect.rs
@@ -1,10 +1,11 @@
-//! Rule 2: no effect happens twice.
+//! Rule 2: no RPC has its effect twice.
 use crate::builder::{BOOK, LOG, LedgerBuilder, READ};
 use birchhub_audit::event::{Admission, AttemptEnd};
 use birchhub_audit::{Event, RequestOutcome, Rule};
 
-/// Two attempts for one RPC, the first admitted in this way, the second at this time and incarnation; then success.
-fn attempted_twice(method: u8, first: Admission, second: f64, incarnation: u32) -> LedgerBuilder {
+/// Returns a ledger with an RPC that succeeds after two attempts: `first` is how the backend handled the first one,
+/// `second` and `incarnation` are the time and the place of the second one.
+fn two_attempts(method: u8, first: Admission, second: f64, incarnation: u32) -> LedgerBuilder {
     let mut builder = LedgerBuilder::new();
     builder
         .request(1.0, 7, method)
@@ -19,18 +20,18 @@
 
 #[test]
 fn a_retry_that_may_run_twice_is_found() {
-    attempted_twice(READ, Admission::Admitted, 1.1, 2).assert_no_violations();
-    attempted_twice(BOOK, Admission::Rejected, 1.1, 2).assert_no_violations();
+    two_attempts(READ, Admission::Admitted, 1.1, 2).assert_no_violations();
+    two_attempts(BOOK, Admission::Rejected, 1.1, 2).assert_no_violations();
     for first in [Admission::Admitted, Admission::Dropped, Admission::Failed] {
-        attempted_twice(BOOK, first, 1.1, 0).assert_violation(
+        two_attempts(BOOK, first, 1.1, 0).assert_violation(
             Rule::NoDuplicateEffect,
             "rpc 7",
             "may have run: n0 at 1.001, n0 at 1.100",
         );
     }
-    attempted_twice(LOG, Admission::Admitted, 1.1, 1).assert_no_violations();
-    attempted_twice(LOG, Admission::Rejected, 1.1, 2).assert_no_violations();
-    attempted_twice(LOG, Admission::Admitted, 1.1, 2).assert_violation(
+    two_attempts(LOG, Admission::Admitted, 1.1, 1).assert_no_violations();
+    two_attempts(LOG, Admission::Rejected, 1.1, 2).assert_no_violations();
+    two_attempts(LOG, Admission::Admitted, 1.1, 2).assert_violation(
         Rule::NoDuplicateEffect,
         "rpc 7",
         "outside the group",
--- a/crates/audit/tests/audit/one_answer.rs
+++ b/crates/audit/tests/audit/one_answer.rs
@@ -1,10 +1,10 @@
-//! Rule 1: one final answer before the deadline, and no attempt after it.
+//! Rule 1: exactly one response before the deadline, and no attempt after the response or the deadline.
 use crate::builder::{BOOK, LedgerBuilder, READ};
 use birchhub_audit::event::{Admission, AttemptEnd, ProxyEnd};
 use birchhub_audit::{Event, RequestOutcome, Rule};
 
 #[test]
-fn a_late_answer_is_found() {
+fn a_late_response_is_found() {
     LedgerBuilder::new()
         .request(1.0, 7, READ)
         .request_ends(1.54, 7, RequestOutcome::Aborted(502))
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_missing_answer_is_found_unless_its_proxy_was_killed() {
+fn a_missing_response_is_found_unless_its_proxy_was_killed() {
     LedgerBuilder::new()
         .request(1.0, 7, READ)
         .request_ends(1.6, 7, RequestOutcome::TimedOut)
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_crash_a_second_answer_and_a_malformed_answer_are_found() {
+fn a_crash_a_second_response_and_a_malformed_response_are_found() {
     let mut crash = LedgerBuilder::new();
     crash
         .at(
--- a/crates/audit/tests/audit/service.rs
+++ b/crates/audit/tests/audit/service.rs
@@ -23,28 +23,29 @@
     );
 }
 
-/// Retries count as the first request, late answers and RPCs over quota count in part, and the worst shares are found.
+/// Latency includes retries, late responses and RPCs over quota have part of their utility, and the worst shares are
+/// reported.
 #[test]
 fn service_counts_from_the_time_at_which_an_rpc_was_due() {
     let mut builder = LedgerBuilder::new();
     for rpc in 0..30 {
         builder.succeeds(f64::from(rpc), rpc, READ);
     }
-    // In time, counted from its first request.
+    // Within the latency objective of 0.2 s, measured from the first request.
     builder
         .request(12.0, 100, BOOK)
         .request_ends(12.05, 100, RequestOutcome::Rejected(None));
     builder
         .retry(12.1, 101, 100)
         .request_ends(12.19, 101, RequestOutcome::Ok);
-    // Late: a quarter of its utility.
+    // After the latency objective: a quarter of the utility.
     builder
         .request(13.0, 200, BOOK)
         .request_ends(13.05, 200, RequestOutcome::Rejected(None));
     builder
         .retry(13.2, 201, 200)
         .request_ends(13.3, 201, RequestOutcome::Ok);
-    // Over quota: a tenth of its utility of 2, which is not obtained.
+    // Over quota and without a response: a tenth of the utility of 2 is requested and not obtained.
     builder.at(
         14.0,
         Event::Arrival {
@@ -56,7 +57,7 @@
     );
     let service = builder.assert_no_violations().service;
     assert!((service.overall - (60.0 + 2.0 + 0.5) / (60.0 + 2.0 + 2.0 + 0.2)).abs() < 1e-9);
-    // The worst ten seconds begin at 13: the late RPC and the unanswered one, and ten reads.
+    // The worst window begins at 13 s: ten reads, the late RPC, and the one without a response.
     assert!(
         (service.worst_10s - (20.0 + 0.5) / (20.0 + 2.2)).abs() < 1e-9,
         "{service:?}"
--- a/crates/audit/tests/audit/slow_start.rs
+++ b/crates/audit/tests/audit/slow_start.rs
@@ -5,7 +5,7 @@
 
 const INCARNATION: u32 = 9;
 
-/// A request with one attempt at the backend in slow start; `overload` is the one that the backend has then.
+/// Adds a request with one attempt at the backend in slow start, which brings its overload to `overload`.
 fn attempt_in_slow_start(ledger: &mut LedgerBuilder, at: f64, rpc: u32, proxy: u16, overload: f32) {
     let request_id = u64::from(rpc);
     let sent = Event::RequestSent {
@@ -31,7 +31,8 @@
         .request_ends(1.5, request_id, RequestOutcome::Aborted(502));
 }
 
-/// A backend in slow start that collapses under three RPCs, of which so many came from a proxy that was notified of it.
+/// Returns a ledger in which a backend in slow start collapses under three RPCs, the first `from_notified_proxy` of which
+/// came from a proxy that was notified of its start.
 fn overloaded_in_slow_start(from_notified_proxy: u32) -> LedgerBuilder {
     let mut ledger = LedgerBuilder::new();
     let started = Event::BackendStarted {
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn the_overload_of_a_backend_in_slow_start_is_found_if_its_proxies_were_notified() {
+fn a_collapse_in_slow_start_is_a_violation_if_notified_proxies_caused_it() {
     for (from_notified_proxy, is_violation) in [(3, true), (2, true), (1, false)] {
         let mut ledger = overloaded_in_slow_start(from_notified_proxy);
         if is_violation {
