--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -1,5 +1,5 @@
-//! The stored form of a ledger. `fixtures/ledger-1` and `fixtures/records.jsonl` were written by the code of
-//! 2026-12-02; ledgers of that time can be read, and new ones have the same bytes.
+//! Compatibility of the ledger format. `fixtures/ledger-1` and `fixtures/records.jsonl` were written by the version of
+//! 2026-12-02. Its ledgers stay readable, and new ones are identical byte for byte.
 use birchhub_audit::event::{Admission, AttemptEnd, ProxyEnd, ReceivedAttempt};
 use birchhub_audit::header::{Backend, Fault, ServiceTargets};
 use birchhub_audit::timeline::Timeline;
@@ -15,8 +15,8 @@
 const MAGIC: &str = "birchhub-ledger 1";
 const EVENT_KINDS: u8 = 21;
 const OUTCOME_KINDS: u8 = 8;
-/// Number of the kind of record that holds an outcome.
-const REQUEST_ANSWERED: u8 = 2;
+/// Index of the event variant that holds an outcome.
+const REQUEST_ENDED: u8 = 2;
 
 fn method(name: &str, idempotency: Idempotency) -> Method {
     Method {
@@ -170,7 +170,7 @@
     events
 }
 
-/// Each kind of record with each of its variants, a quarter of a second apart.
+/// Returns every event variant with every value of its enums, a quarter of a second apart.
 fn entries() -> Vec<Entry> {
     let mut events = vec![
         Event::Arrival {
@@ -212,7 +212,7 @@
     events.into_iter().enumerate().map(timed).collect()
 }
 
-/// A ledger with the fixture's header and one record of these bytes after its time.
+/// Reads a ledger with the fixture's header and one record, whose event has these bytes.
 fn with_record(event: &[u8]) -> Result<ledger::Ledger, ledger::LedgerError> {
     let mut file = format!("{MAGIC}\n{}\n", serde_json::to_string(&header()).unwrap()).into_bytes();
     let record = [&1.0_f64.to_le_bytes(), event].concat();
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_stored_ledger_is_read_with_its_meaning() {
+fn a_stored_ledger_is_decoded_correctly() {
     let stored = ledger::read(LEDGER).expect("a ledger");
     assert!(!stored.truncated, "the fixture is complete");
     assert_eq!(stored.header, header());
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_ledger_is_written_byte_for_byte_as_before() {
+fn a_new_ledger_is_identical_to_the_stored_one() {
     let mut written = Vec::new();
     let mut writer = ledger::Writer::new(&mut written, &header()).expect("a header");
     for entry in entries() {
@@ -241,7 +241,7 @@
     assert_eq!(written, LEDGER);
 }
 
-/// The file holds no names of fields; what prints a record by serde does.
+/// The ledger file contains no field names, but other serde formats of an entry do.
 #[test]
 fn records_keep_their_names_and_the_order_of_their_fields() {
     let names: Vec<_> = entries()
@@ -270,11 +270,11 @@
     }
 }
 
-/// A new kind of record or outcome has to join the fixture: it is added at the end, and `EVENT_KINDS` or
-/// `OUTCOME_KINDS` grows.
+/// A new variant of an event or outcome must be added at the end of its enum and to the fixture, and `EVENT_KINDS` or
+/// `OUTCOME_KINDS` must be incremented.
 #[test]
 fn the_fixture_has_every_kind_of_record_and_outcome() {
-    let record = |event: &Event| postcard_bytes(event);
+    let record = |event: &Event| event_bytes(event);
     let kinds: std::collections::BTreeSet<u8> = entries()
         .iter()
         .map(|entry| record(&entry.event)[0])
@@ -292,12 +292,12 @@
     assert_eq!(outcome_kinds, (0..OUTCOME_KINDS).collect());
     let zeros = [0; 32];
     assert!(with_record(&[&[EVENT_KINDS], &zeros[..]].concat()).is_err());
-    assert!(with_record(&[&[REQUEST_ANSWERED, 5, OUTCOME_KINDS], &zeros[..]].concat()).is_err());
-    assert!(with_record(&[REQUEST_ANSWERED, 5, OUTCOME_KINDS - 1]).is_ok());
+    assert!(with_record(&[&[REQUEST_ENDED, 5, OUTCOME_KINDS], &zeros[..]].concat()).is_err());
+    assert!(with_record(&[REQUEST_ENDED, 5, OUTCOME_KINDS - 1]).is_ok());
 }
 
-/// The bytes of an event as the ledger has them behind its length and time.
-fn postcard_bytes(event: &Event) -> Vec<u8> {
+/// Returns the bytes of an event in its record, after the length prefix and the time.
+fn event_bytes(event: &Event) -> Vec<u8> {
     let mut file = Vec::new();
     let mut writer = ledger::Writer::new(&mut file, &header()).expect("a header");
     let start = {
@@ -313,7 +313,7 @@
     file.split_off(start + size_of::<u16>() + size_of::<f64>())
 }
 
-/// `fixtures/timeline.txt` is what `birchhub ledger show` printed of the stored ledger on 2026-12-03.
+/// `fixtures/timeline.txt` is the output of `birchhub ledger show` for the stored ledger on 2026-12-03.
 #[test]
 fn the_timeline_of_a_stored_ledger_keeps_its_text() {
     let header = header();
@@ -323,7 +323,7 @@
     assert_eq!(lines, TIMELINE.lines().collect::<Vec<_>>());
 }
 
-/// `fixtures/findings.json` is the part of `report.json` that an audit of the stored ledger wrote on 2026-12-03.
+/// `fixtures/findings.json` is the part of `report.json` that the audit of the stored ledger produced on 2026-12-03.
 #[test]
 fn the_findings_keep_their_keys_and_the_order_of_their_fields() {
     let findings = Audit::of(&header(), &entries());
