--- a/crates/backend-model/src/lib.rs
+++ b/crates/backend-model/src/lib.rs
@@ -1,7 +1,8 @@
-//! A backend as a state machine, for emulated backends on sockets and for simulations.
+//! Model of a backend as a state machine, for emulated backends on sockets and for simulations.
 //!
-//! It has neither sockets nor a clock: calls carry the time, in seconds from any fixed moment, which never goes back.
-//! No call costs more than O(log n) in the number of RPCs at the backend.
+//! The model uses neither sockets nor a clock. Each call takes the current time in seconds since an arbitrary fixed
+//! point; it must not decrease between calls. A call costs at most O(log n) in the number of RPCs at the backend for each
+//! event that is due.
 
 pub mod backend;
 pub mod capacity_model;
