--- a/crates/backend-model/src/backend.rs
+++ b/crates/backend-model/src/backend.rs
@@ -1,13 +1,13 @@
-//! A backend's process: cores, a queue before them, and the faults that affect them.
+//! A backend process: cores, a queue for them, and faults that affect them.
 use crate::capacity_model::CapacityModel;
 use crate::deduplication::{DeduplicationCache, IdempotencyKey};
 use crate::overload_window::OverloadWindow;
 use std::collections::{BTreeMap, HashMap};
 
-/// Identifies an attempt at a backend. The caller chooses it and never uses it twice.
+/// Identifies an attempt at a backend. The caller chooses the id and must not reuse it.
 pub type AttemptId = u64;
 
-/// Properties of a backend.
+/// Parameters of a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendParameters {
     /// Number of cores.
@@ -16,30 +16,30 @@
     pub speed: f64,
     /// Number of RPCs that may wait for a core; further ones are rejected.
     pub queue_capacity: usize,
-    /// Share of its full capacity with which it starts, between 0 and 1.
+    /// Share of its full capacity that a cold backend has at its start, between 0 and 1.
     pub initial_capacity: f64,
-    /// Time from its start until it has its full capacity, in seconds.
+    /// Time from a cold start until the backend has its full capacity, in seconds.
     pub warm_up_seconds: f64,
-    /// While it warms up, it collapses when it receives this multiple of the work that its present capacity can do.
+    /// Multiple of the work that its current capacity can do at which the backend collapses while it warms up.
     pub collapse_factor: f64,
-    /// Window over which the received work is summed for that, in seconds.
+    /// Sliding window over which received work is summed to detect a collapse, in seconds.
     pub overload_window_seconds: f64,
-    /// Time between updates of its load report, in seconds.
+    /// Minimum time between updates of the load report, in seconds.
     pub report_interval: f64,
-    /// Whether execution stops when its RPC is cancelled; a queued RPC is always removed.
+    /// Whether cancellation of an RPC stops its execution. A queued RPC is always removed.
     pub cancel_stops_execution: bool,
-    /// Largest number of connections.
+    /// Maximum number of connections.
     pub connections: usize,
     /// Additional work of the first RPC on a connection, in seconds of a standard core.
     pub connection_work: f64,
 }
 
-/// How a backend's process starts.
+/// Capacity with which a backend process starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartMode {
-    /// With its full capacity.
+    /// Full capacity.
     Warm,
-    /// With its initial capacity.
+    /// Initial capacity, which rises to the full one.
     Cold,
 }
 
@@ -50,7 +50,7 @@
     pub attempt_id: AttemptId,
     /// Its work, in seconds of a standard core.
     pub work: f64,
-    /// The key by which duplicates are dropped.
+    /// The key by which the backend detects duplicates.
     pub idempotency_key: Option<IdempotencyKey>,
     /// Whether it is the first RPC on its connection.
     pub first_on_connection: bool,
@@ -63,20 +63,20 @@
     QueueFull,
     /// The backend accepts no new work.
     Draining,
-    /// The process collapsed or crashed: nothing answers.
+    /// The process collapsed or crashed.
     Down,
 }
 
-/// Something that happens at a backend as time passes.
+/// An event at a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendEvent {
-    /// The execution of an RPC began: its effect counts from now on.
+    /// The execution of an RPC began. It has its effect from now on.
     Started(AttemptId),
     /// The execution of an RPC ended.
     Finished(AttemptId),
-    /// A duplicate was dropped: it is answered as if it had run, without an effect.
+    /// A duplicate was dropped. The response is that of an executed RPC, but there is no effect.
     DuplicateDropped(AttemptId),
-    /// The process collapsed under overload: all its RPCs are lost, and it stays down.
+    /// The process collapsed under overload. All its RPCs are lost, and it stays down.
     Collapsed,
 }
 
@@ -102,13 +102,13 @@
 /// Where an admitted RPC is.
 #[derive(Clone, Copy, Debug)]
 enum Position {
-    /// In the queue, under this number.
+    /// In the queue, under this arrival number.
     Queued(u64),
-    /// On a core, until the work clock reads the number with these bits.
+    /// On a core, until the work clock reaches the time with these bits.
     Executing(u64),
 }
 
-/// The last load report.
+/// The last load report, with its time.
 #[derive(Clone, Copy, Debug)]
 struct ReportedLoad {
     /// When it was made, in seconds.
@@ -116,16 +116,16 @@
     report: LoadReport,
 }
 
-/// One run of a backend's process, from its start to its end.
+/// One run of a backend process, from its start to its end.
 ///
-/// Each call first lets everything happen that was due before `now`, in seconds, and appends it to `events`.
+/// Methods that take `events` first process everything that is due up to `now`, in seconds, and append the events to it.
 #[derive(Debug)]
 pub struct Backend {
     spec: BackendParameters,
     capacity: CapacityModel,
-    /// By arrival number.
+    /// Queued RPCs by arrival number.
     queue: BTreeMap<u64, (AttemptId, AdmittedWork)>,
-    /// By the bits of the work clock at their end; they sort as the times do, which are not negative.
+    /// Executing RPCs by the bits of the work clock at their end. The bits sort like the clock, which is never negative.
     executing: BTreeMap<(u64, AttemptId), AdmittedWork>,
     positions: HashMap<AttemptId, Position>,
     next_arrival_number: u64,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Opens a connection. Returns false if the process has its maximum of connections or is down.
+    /// Opens a connection. Returns false if the process is down or has the maximum number of connections.
     pub fn connect(&mut self) -> bool {
         let accepted = !self.down && self.connections < self.spec.connections;
         self.connections += usize::from(accepted);
@@ -180,8 +180,8 @@
         self.connections = self.connections.saturating_sub(1);
     }
 
-    /// Admits or rejects an RPC. While the backend warms up, its work counts as load even if it is rejected, and the backend
-    /// collapses if the overload reaches 1.
+    /// Admits or rejects an RPC. While the backend warms up, the work of rejected RPCs counts as load too, and the backend
+    /// collapses when its overload reaches 1.
     pub fn receive(
         &mut self,
         now: f64,
@@ -220,7 +220,7 @@
         Ok(())
     }
 
-    /// Adds received work to the overload window. A warm backend has no overload.
+    /// Adds received work to the overload window and updates the overload, which is 0 for a warm backend.
     fn measure_overload(&mut self, now: f64, work: f64) {
         self.overload = 0.0;
         if self.capacity.is_warming_up(now) {
@@ -239,7 +239,7 @@
         self.positions.insert(attempt_id, Position::Queued(number));
     }
 
-    /// Starts queued RPCs on idle cores, and drops duplicates among them.
+    /// Starts queued RPCs on idle cores, and drops duplicates.
     fn start_queued(
         &mut self,
         now: f64,
@@ -265,14 +265,14 @@
         }
     }
 
-    /// Returns when the next event is due, in seconds, if no call comes before it.
+    /// Returns the time of the next event without further calls, in seconds; `None` if none is due.
     pub fn next_event(&self) -> Option<f64> {
         let ((end, _), _) = self.executing.first_key_value()?;
         self.capacity.time_of(f64::from_bits(*end))
     }
 
-    /// Lets time pass until `now`: executions end, and queued RPCs start in the order of their arrival, each at its
-    /// own time.
+    /// Processes the events up to `now`: each execution that ends in that time is followed, at the time of its end, by
+    /// the next queued RPC in the order of arrival.
     pub fn advance(
         &mut self,
         now: f64,
@@ -291,7 +291,7 @@
         self.capacity.advance(now);
     }
 
-    /// Cancels an RPC for which its proxy no longer waits. Returns false if its execution goes on or has ended.
+    /// Cancels an RPC. Returns false if it has ended or its execution continues.
     pub fn cancel(
         &mut self,
         now: f64,
@@ -314,12 +314,12 @@
         true
     }
 
-    /// Rejects new RPCs from now on, and finishes the admitted ones.
+    /// Starts draining: new RPCs are rejected, admitted ones are finished.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Ends the process: all its RPCs are lost.
+    /// Ends the process. All its RPCs are lost.
     pub fn crash(&mut self) {
         self.down = true;
         self.queue.clear();
@@ -327,7 +327,7 @@
         self.positions.clear();
     }
 
-    /// Begins or ends a stall, during which the process does no work. Stalls may overlap.
+    /// Begins or ends a stall, during which the process does no work. Work continues after the last of overlapping stalls.
     pub fn stall(
         &mut self,
         now: f64,
@@ -339,8 +339,8 @@
         self.capacity.stall(now, stalled);
     }
 
-    /// Multiplies the speed by `factor`: below 1 when a neighbour takes capacity, its reciprocal when the neighbour
-    /// gives it back.
+    /// Multiplies the speed by `factor`: below 1 when a neighbour on the machine takes capacity, and the reciprocal when
+    /// the neighbour releases it.
     pub fn scale(
         &mut self,
         now: f64,
@@ -352,7 +352,7 @@
         self.capacity.scale_by(now, factor);
     }
 
-    /// Returns the load report, which is updated once its interval has passed.
+    /// Returns the load report, which is updated if its interval has passed.
     pub fn report(&mut self, now: f64) -> LoadReport {
         if now - self.reported.at >= self.spec.report_interval {
             let queued = self.queue.len();
@@ -372,12 +372,12 @@
         self.positions.len()
     }
 
-    /// Returns the overload after the last RPC received: 1 at a collapse, 0 for a warm backend.
+    /// Returns the overload after the last received RPC. The backend collapses at 1; a warm backend has 0.
     pub fn overload(&self) -> f64 {
         self.overload
     }
 
-    /// Returns the largest overload so far.
+    /// Returns the peak overload so far.
     pub fn peak_overload(&self) -> f64 {
         self.peak_overload
     }
@@ -387,12 +387,12 @@
         self.down
     }
 
-    /// Whether the backend rejects new RPCs because it drains.
+    /// Whether the backend is draining.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Whether a new RPC would have to wait for a core.
+    /// Whether all cores are busy, so that a new RPC has to wait.
     pub fn is_busy(&self) -> bool {
         self.executing.len() >= self.spec.cores
     }
