--- a/crates/backend-model/src/capacity_model.rs
+++ b/crates/backend-model/src/capacity_model.rs
@@ -1,10 +1,10 @@
-//! Speed of a backend's cores over time, and the clock of the work that they do.
+//! Speed of the cores of a backend over time, and a work clock that integrates it.
 //!
-//! All cores have the same speed, so one clock tells when each execution ends. The speed rises linearly from the
-//! initial to the full capacity while the backend warms up, and is scaled by stalls and by what neighbours on the
-//! machine take. Its integral is a parabola and then a line, so both directions are solved exactly.
+//! All cores have the same speed, so one clock determines when each execution ends. While the backend warms up, the
+//! speed rises linearly from the initial to the full capacity; stalls and neighbours on the machine scale it. The
+//! integral is a parabola during warm-up and a line afterwards, so the clock and its inverse have closed forms.
 
-/// The work clock of one core.
+/// Work clock of a core: the work that a core would have done if it had been busy since the start.
 #[derive(Clone, Debug)]
 pub struct CapacityModel {
     /// Full speed, in standard cores.
@@ -12,11 +12,11 @@
     /// Share of the full speed at the start, between 0 and 1.
     initial_capacity: f64,
     warm_up_seconds: f64,
-    /// When the process started, in seconds.
+    /// When the process started, in seconds; negative infinity after a warm start.
     started_at: f64,
-    /// The time up to which `work_done` counts, in seconds.
-    at: f64,
-    /// Work of a core that was busy since the start, in seconds of a standard core.
+    /// Time up to which `work_done` is computed, in seconds.
+    advanced_to: f64,
+    /// Reading of the work clock, in seconds of a standard core.
     work_done: f64,
     /// Share of the machine that neighbours leave, between 0 and 1.
     machine_share: f64,
@@ -25,7 +25,7 @@
 }
 
 impl CapacityModel {
-    /// Starts the clock at `now`, in seconds: warming up if `cold`, otherwise with the full speed.
+    /// Creates a clock that starts at `now`, in seconds. If `cold`, it starts with the initial capacity and warms up.
     pub fn new(
         speed: f64,
         initial_capacity: f64,
@@ -39,15 +39,15 @@
             initial_capacity,
             warm_up_seconds,
             started_at,
-            at: now,
+            advanced_to: now,
             work_done: 0.0,
             machine_share: 1.0,
             stalls: 0,
         }
     }
 
-    /// Returns the growth of the warm share per second while warming up.
-    fn slope(&self) -> f64 {
+    /// Returns the increase of the warm share per second during warm-up.
+    fn warm_up_rate(&self) -> f64 {
         if self.warm_up_seconds > 0.0 {
             (1.0 - self.initial_capacity) / self.warm_up_seconds
         } else {
@@ -55,27 +55,27 @@
         }
     }
 
-    /// Returns when the backend has its full speed, in seconds.
+    /// Returns when the warm-up ends, in seconds.
     fn warm_at(&self) -> f64 {
         self.started_at + self.warm_up_seconds
     }
 
-    /// Returns the share of the full speed that the backend has by its age, between 0 and 1.
+    /// Returns the share of the full speed that the warm-up has reached, between 0 and 1.
     pub fn warm_share(&self, now: f64) -> f64 {
         if now >= self.warm_at() {
             1.0
         } else {
-            self.initial_capacity + self.slope() * (now - self.started_at).max(0.0)
+            self.initial_capacity + self.warm_up_rate() * (now - self.started_at).max(0.0)
         }
     }
 
-    /// Whether the backend has not reached its full speed.
+    /// Whether the backend is still warming up.
     pub fn is_warming_up(&self, now: f64) -> bool {
         now < self.warm_at()
     }
 
-    /// Returns the speed apart from the warm share, in standard cores.
-    fn scale(&self) -> f64 {
+    /// Returns the speed without the effect of the warm-up, in standard cores.
+    fn warm_speed(&self) -> f64 {
         if self.stalls > 0 {
             0.0
         } else {
@@ -85,50 +85,53 @@
 
     /// Returns the integral of the warm share over a period.
     fn warm_share_integral(&self, from: f64, to: f64) -> f64 {
-        let bend = self.warm_at().clamp(from, to);
-        let ramp = (bend - from) * (self.warm_share(from) + self.warm_share(bend)) / 2.0;
-        // At the bend itself the share is 1 from either side.
-        ramp + (to - bend)
+        let ramp_end = self.warm_at().clamp(from, to);
+        let ramp = (ramp_end - from) * (self.warm_share(from) + self.warm_share(ramp_end)) / 2.0;
+        // The share is 1 after the ramp.
+        ramp + (to - ramp_end)
     }
 
-    /// Advances the clock to `now`. A time before the last one changes nothing.
+    /// Advances the clock to `now`, in seconds. An earlier time than the last one has no effect.
     pub fn advance(&mut self, now: f64) {
-        if now > self.at {
-            self.work_done += self.scale() * self.warm_share_integral(self.at, now);
-            self.at = now;
+        if now > self.advanced_to {
+            self.work_done += self.warm_speed() * self.warm_share_integral(self.advanced_to, now);
+            self.advanced_to = now;
         }
     }
 
-    /// Returns the work of a core that was busy all the time, in seconds of a standard core.
+    /// Returns the reading of the clock, in seconds of a standard core.
     pub fn work_done(&self) -> f64 {
         self.work_done
     }
 
-    /// Returns when the clock will read `work_done`, in seconds; `None` during a stall.
+    /// Returns when the clock reaches `work_done`, in seconds; `None` during a stall.
     pub fn time_of(&self, work_done: f64) -> Option<f64> {
-        let scale = self.scale();
+        let speed = self.warm_speed();
         if work_done <= self.work_done {
-            return Some(self.at);
+            return Some(self.advanced_to);
         }
-        if scale <= 0.0 {
+        if speed <= 0.0 {
             return None;
         }
-        let needed = (work_done - self.work_done) / scale;
-        let ramp = if self.is_warming_up(self.at) {
-            self.warm_share_integral(self.at, self.warm_at())
+        let needed = (work_done - self.work_done) / speed;
+        let ramp = if self.is_warming_up(self.advanced_to) {
+            self.warm_share_integral(self.advanced_to, self.warm_at())
         } else {
             0.0
         };
         if needed >= ramp {
-            return Some(self.at.max(self.warm_at()) + (needed - ramp));
+            return Some(self.advanced_to.max(self.warm_at()) + (needed - ramp));
         }
-        // Solved for the smaller root in the form that loses no digits when the slope is slight.
-        let share = self.warm_share(self.at);
-        let slope = self.slope();
-        Some(self.at + 2.0 * needed / (share + (share * share + 2.0 * slope * needed).sqrt()))
+        // This form of the quadratic formula avoids cancellation when the rate is small.
+        let share = self.warm_share(self.advanced_to);
+        let rate = self.warm_up_rate();
+        Some(
+            self.advanced_to
+                + 2.0 * needed / (share + (share * share + 2.0 * rate * needed).sqrt()),
+        )
     }
 
-    /// Begins or ends a stall. Work goes on when the last of several overlapping stalls has ended.
+    /// Begins or ends a stall. The clock continues after the last of overlapping stalls.
     pub fn stall(&mut self, now: f64, stalled: bool) {
         self.advance(now);
         self.stalls = if stalled {
