--- a/crates/backend-model/src/deduplication.rs
+++ b/crates/backend-model/src/deduplication.rs
@@ -1,17 +1,17 @@
-//! Deduplication of RPCs: the backends of a group remember the idempotency keys that ran within a window.
+//! Deduplication of RPCs: the backends of a group share a cache of the idempotency keys executed within a window.
 use std::collections::{BTreeSet, HashMap};
 
-/// Expired keys that each insertion removes at most: more than it adds, so memory stays bounded.
+/// Maximum number of expired keys that an insertion removes. It exceeds the one key added, so memory stays bounded.
 const EXPIRED_KEYS_REMOVED_PER_INSERT: usize = 2;
 
-/// The idempotency key of an RPC, with the group of backends that drops its duplicates.
+/// The idempotency key of an RPC, with its group of backends and its window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IdempotencyKey {
-    /// Number of the group.
+    /// Id of the group of backends that drops duplicates.
     pub group: u64,
-    /// The key, as a hash.
+    /// Hash of the key.
     pub key: u64,
-    /// For how long duplicates are dropped, in seconds.
+    /// How long duplicates are dropped, in seconds.
     pub window: f64,
 }
 
@@ -22,23 +22,23 @@
     key: u64,
 }
 
-/// The keys that ran lately, of all groups.
+/// Recently executed keys of all groups.
 #[derive(Debug, Default)]
 pub struct DeduplicationCache {
     /// When each key expires, in seconds.
     expires_at: HashMap<GroupKey, f64>,
-    /// The same in the order of expiry; times are kept as their bits.
+    /// The same keys in the order of expiry, by the bits of the time.
     by_expiry: BTreeSet<(u64, GroupKey)>,
 }
 
-/// Returns the bits of a time, which sort as times do that are not negative.
+/// Returns the bits of a time, which sort in the order of time because negative times count as 0.
 fn time_bits(time: f64) -> u64 {
     time.max(0.0).to_bits()
 }
 
 impl DeduplicationCache {
-    /// Records an execution at `now`, in seconds. Returns false if the key ran within its window already; its window
-    /// then stays as it is.
+    /// Records an execution at `now`, in seconds. Returns false if the key is a duplicate, which does not extend the
+    /// window.
     pub fn insert(&mut self, now: f64, key: IdempotencyKey) -> bool {
         self.remove_expired(now);
         let group_key = GroupKey {
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Returns the number of keys, expired ones included.
+    /// Returns the number of keys, including expired ones that are not removed yet.
     pub fn len(&self) -> usize {
         self.expires_at.len()
     }
 
-    /// Whether there is no key.
+    /// Whether the cache has no keys.
     pub fn is_empty(&self) -> bool {
         self.expires_at.is_empty()
     }
