--- a/crates/backend-model/src/overload_window.rs
+++ b/crates/backend-model/src/overload_window.rs
@@ -1,9 +1,9 @@
-//! Work that a warming backend received lately, as a sum over a sliding window.
+//! Sliding-window sum of the work that a backend received while it warms up.
 
-/// Number of slots of a window: work older than the window is forgotten with an accuracy of one slot.
+/// Number of slots of a window. Work leaves the window with a precision of one slot.
 const SLOTS: usize = 20;
 
-/// A sum over a sliding window, kept in slots, so that the cost does not depend on the number of additions.
+/// Sum over a sliding window that is divided into slots, so that its cost is independent of the number of additions.
 #[derive(Clone, Debug)]
 pub struct OverloadWindow {
     slot_seconds: f64,
@@ -14,7 +14,7 @@
 }
 
 impl OverloadWindow {
-    /// Returns an empty window of this length, in seconds, which must be positive.
+    /// Creates an empty window of a length in seconds, which must be positive.
     pub fn new(window_seconds: f64) -> Self {
         Self {
             slot_seconds: window_seconds / SLOTS as f64,
@@ -25,10 +25,10 @@
 
     /// Adds work at `now`, in seconds, and returns the sum over the window that ends then.
     pub fn add(&mut self, now: f64, work: f64) -> f64 {
-        let number = (now / self.slot_seconds).floor() as i64;
-        let passed = number.saturating_sub(self.newest).clamp(0, SLOTS as i64);
-        self.newest = self.newest.max(number);
-        for back in 0..passed {
+        let slot = (now / self.slot_seconds).floor() as i64;
+        let elapsed_slots = slot.saturating_sub(self.newest).clamp(0, SLOTS as i64);
+        self.newest = self.newest.max(slot);
+        for back in 0..elapsed_slots {
             self.sums[slot_index(self.newest - back)] = 0.0;
         }
         self.sums[slot_index(self.newest)] += work;
@@ -36,6 +36,7 @@
     }
 }
 
+/// Returns the index of a slot in the ring.
 fn slot_index(number: i64) -> usize {
     number.rem_euclid(SLOTS as i64) as usize
 }
