--- a/crates/backend-model/src/work.rs
+++ b/crates/backend-model/src/work.rs
@@ -1,10 +1,10 @@
-//! The work of an RPC: it depends on the seed and the RPC's id alone, so it is the same wherever the RPC runs.
+//! Random work of RPCs. The work depends only on the seed and the id of the RPC, so it is the same at every backend.
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp1, LogNormal};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-/// Distribution of work around its mean.
+/// Shape of the distribution of work around its mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Spread {
@@ -17,18 +17,18 @@
     HeavyTail,
 }
 
-/// Work of a method's RPCs.
+/// Distribution of the work of a method's RPCs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkDistribution {
     /// Mean, in seconds of a standard core.
     pub mean: f64,
-    /// Distribution around the mean.
+    /// Shape around the mean.
     pub spread: Spread,
 }
 
-/// Returns a random number generator for this seed and id. Generators of neighbouring ids are independent.
+/// Returns a random number generator for a seed and an id. The generators of consecutive ids are uncorrelated.
 pub fn seeded_rng(seed: u64, id: u64) -> Pcg64Mcg {
-    // SplitMix64's finaliser (Steele, Lea, Flood 2014): ids in sequence would otherwise start alike.
+    // The finalizer of SplitMix64 (Steele, Lea, Flood 2014): seeds from consecutive ids would otherwise be correlated.
     let mut z = seed ^ id.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -36,7 +36,7 @@
 }
 
 impl WorkDistribution {
-    /// Returns the work of the RPC with this id, in seconds of a standard core.
+    /// Returns the work of the RPC with an id, in seconds of a standard core.
     pub fn sample(&self, seed: u64, id: u64) -> f64 {
         let mut rng = seeded_rng(seed, id);
         let factor = match self.spread {
--- a/crates/backend-model/tests/work.rs
+++ b/crates/backend-model/tests/work.rs
@@ -1,8 +1,8 @@
-//! The work of RPCs.
+//! Distribution of the work of RPCs.
 use birchhub_backend_model::WorkDistribution;
 use birchhub_backend_model::work::Spread;
 
-/// The same RPC has the same work at every backend, and the distribution is the one named.
+/// Samples are reproducible, and their mean and coefficient of variation are those of the distribution.
 #[test]
 fn work_depends_on_seed_and_id_alone() {
     for (spread, variation) in [
