--- a/crates/backend-model/tests/backend/admission.rs
+++ b/crates/backend-model/tests/backend/admission.rs
@@ -1,10 +1,10 @@
-//! Admission: queue, draining, connections, and load reports.
-use crate::harness::{TestBackend, incoming, spec};
+//! Admission: queue capacity, draining, and connections.
+use crate::harness::{TestBackend, incoming, parameters};
 use birchhub_backend_model::{IncomingWork, RejectionReason, StartMode};
 
 #[test]
 fn a_full_queue_rejects_and_a_draining_backend_finishes_its_rpcs() {
-    let mut backend = TestBackend::new(spec(), StartMode::Warm);
+    let mut backend = TestBackend::new(parameters(), StartMode::Warm);
     for attempt_id in 0..6 {
         backend
             .receive(0.0, attempt_id, 1.0)
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn connections_are_limited_and_the_first_rpc_pays_for_a_new_one() {
-    let mut backend = TestBackend::new(spec(), StartMode::Warm);
+fn connections_are_limited_and_the_first_rpc_on_one_has_more_work() {
+    let mut backend = TestBackend::new(parameters(), StartMode::Warm);
     let model = &mut backend.backend;
     assert!(model.connect() && model.connect() && !model.connect());
     model.disconnect();
--- a/crates/backend-model/tests/backend/deduplication.rs
+++ b/crates/backend-model/tests/backend/deduplication.rs
@@ -1,10 +1,10 @@
 //! Deduplication of RPCs with an idempotency key.
-use crate::harness::{TestBackend, incoming, spec};
+use crate::harness::{TestBackend, incoming, parameters};
 use birchhub_backend_model::{BackendEvent, IdempotencyKey, IncomingWork, StartMode};
 
 #[test]
 fn duplicates_are_dropped_within_their_group_and_window() {
-    let mut backend = TestBackend::new(spec(), StartMode::Warm);
+    let mut backend = TestBackend::new(parameters(), StartMode::Warm);
     let mut is_dropped = |now: f64, attempt_id, group, key| {
         let idempotency_key = Some(IdempotencyKey {
             group,
@@ -26,8 +26,8 @@
             && !is_dropped(2.0, 3, 2, 5)
             && !is_dropped(3.0, 4, 1, 6)
     );
-    assert!(!is_dropped(4.5, 5, 1, 5), "the window is over");
-    assert!(is_dropped(5.0, 6, 1, 5), "and has begun again");
+    assert!(!is_dropped(4.5, 5, 1, 5), "the window has expired");
+    assert!(is_dropped(5.0, 6, 1, 5), "the execution began a new window");
     assert!(!is_dropped(50.0, 7, 9, 9));
     assert!(!is_dropped(60.0, 8, 9, 8));
     let keys = backend.deduplication.len();
--- a/crates/backend-model/tests/backend/execution.rs
+++ b/crates/backend-model/tests/backend/execution.rs
@@ -1,16 +1,16 @@
 //! Execution: cancellation, neighbours on the machine, and load reports.
-use crate::harness::{Completion, TestBackend, spec};
+use crate::harness::{Completion, TestBackend, parameters};
 use birchhub_backend_model::{BackendParameters, StartMode};
 
 #[test]
 fn cancellation_stops_an_execution_only_where_the_backend_supports_it() {
     for stops in [true, false] {
-        let spec = BackendParameters {
+        let parameters = BackendParameters {
             cancel_stops_execution: stops,
             cores: 1,
-            ..spec()
+            ..parameters()
         };
-        let mut backend = TestBackend::new(spec, StartMode::Warm);
+        let mut backend = TestBackend::new(parameters, StartMode::Warm);
         for attempt_id in 0..3 {
             backend
                 .receive(0.0, attempt_id, 1.0)
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn a_neighbour_slows_a_backend_and_load_reports_have_their_age() {
-    let mut backend = TestBackend::new(spec(), StartMode::Warm);
+fn a_neighbour_slows_a_backend_and_load_reports_are_updated_at_intervals() {
+    let mut backend = TestBackend::new(parameters(), StartMode::Warm);
     backend.backend.report(0.0);
     backend.receive(0.1, 1, 1.0).expect("queue capacity");
     assert_eq!(backend.backend.report(0.2).in_flight, 0);
--- a/crates/backend-model/tests/backend/harness.rs
+++ b/crates/backend-model/tests/backend/harness.rs
@@ -1,11 +1,12 @@
-//! A backend with its deduplication cache and its events, driven by hand.
+//! Test harness: a backend with its deduplication cache and its events.
 use birchhub_backend_model::{
     AttemptId, Backend, BackendEvent, BackendParameters, DeduplicationCache, IncomingWork,
     RejectionReason, StartMode,
 };
 
-/// Two cores and a queue of four, which warm up from a quarter of their capacity in 8 s.
-pub(crate) fn spec() -> BackendParameters {
+/// Returns the parameters of a backend with two cores and a queue of four, which warms up from a quarter of its capacity
+/// in 8 s.
+pub(crate) fn parameters() -> BackendParameters {
     BackendParameters {
         cores: 2,
         speed: 1.0,
@@ -21,7 +22,7 @@
     }
 }
 
-/// An RPC without an idempotency key on a connection that is in use already.
+/// Returns an RPC without an idempotency key on a connection that was used before.
 pub(crate) fn incoming(attempt_id: AttemptId, work: f64) -> IncomingWork {
     IncomingWork {
         attempt_id,
@@ -39,7 +40,7 @@
     pub(crate) at: f64,
 }
 
-/// A backend and its events.
+/// A backend with its deduplication cache and the events not yet returned.
 pub(crate) struct TestBackend {
     pub(crate) backend: Backend,
     pub(crate) deduplication: DeduplicationCache,
@@ -47,9 +48,9 @@
 }
 
 impl TestBackend {
-    pub(crate) fn new(spec: BackendParameters, start: StartMode) -> Self {
+    pub(crate) fn new(parameters: BackendParameters, start: StartMode) -> Self {
         Self {
-            backend: Backend::new(spec, 0.0, start),
+            backend: Backend::new(parameters, 0.0, start),
             deduplication: DeduplicationCache::default(),
             events: vec![],
         }
@@ -78,7 +79,7 @@
             .cancel(now, attempt_id, &mut self.deduplication, &mut self.events)
     }
 
-    /// Lets time pass, and returns the events since the last call.
+    /// Processes the events up to `now`, and returns all since the last call.
     pub(crate) fn advance(&mut self, now: f64) -> Vec<BackendEvent> {
         self.backend
             .advance(now, &mut self.deduplication, &mut self.events);
@@ -95,7 +96,7 @@
             .scale(now, factor, &mut self.deduplication, &mut self.events);
     }
 
-    /// Lets executions end up to this time.
+    /// Processes the events up to `now`, and returns the executions that ended.
     pub(crate) fn completions_until(&mut self, now: f64) -> Vec<Completion> {
         let mut completions = vec![];
         while let Some(at) = self.backend.next_event().filter(|at| *at <= now) {
@@ -108,7 +109,7 @@
         completions
     }
 
-    /// Lets all executions end.
+    /// Processes all events, and returns the executions that ended.
     pub(crate) fn completions(&mut self) -> Vec<Completion> {
         self.completions_until(f64::MAX)
     }
--- a/crates/backend-model/tests/backend/main.rs
+++ b/crates/backend-model/tests/backend/main.rs
@@ -1,4 +1,5 @@
-//! The backend model: completion times against a reference model, admission, slow start, cancellation and deduplication.
+//! Tests of the backend model: admission, execution, slow start and deduplication, and completion times against a
+//! reference model.
 mod admission;
 mod deduplication;
 mod execution;
--- a/crates/backend-model/tests/backend/reference_model.rs
+++ b/crates/backend-model/tests/backend/reference_model.rs
@@ -1,5 +1,5 @@
 //! Generated input: completion times agree with a reference model in small steps, and no RPC is lost.
-use crate::harness::{Completion, TestBackend, spec};
+use crate::harness::{Completion, TestBackend, parameters};
 use birchhub_backend_model::{BackendEvent, BackendParameters, StartMode};
 use quickcheck::{Gen, QuickCheck, TestResult};
 use std::collections::VecDeque;
@@ -35,12 +35,12 @@
 /// Completion times by attempt id of the same backend in small steps: each core has its part of the speed; there is no
 /// work clock and no ordered map.
 fn reference_completions(
-    spec: &BackendParameters,
+    parameters: &BackendParameters,
     start: StartMode,
     stall: Stall,
     arrivals: &[Arrival],
 ) -> Vec<Completion> {
-    let mut cores: Vec<Option<(u64, f64)>> = vec![None; spec.cores];
+    let mut cores: Vec<Option<(u64, f64)>> = vec![None; parameters.cores];
     let mut queue = VecDeque::new();
     let mut completions = vec![];
     let mut arriving = (0..).zip(arrivals).peekable();
@@ -52,7 +52,7 @@
         let step_work = if stall.contains(now) {
             0.0
         } else {
-            STEP * spec.speed * warm_share(spec, start, now)
+            STEP * parameters.speed * warm_share(parameters, start, now)
         };
         for core in &mut cores {
             if core.is_none() {
@@ -78,12 +78,12 @@
     completions
 }
 
-fn warm_share(spec: &BackendParameters, start: StartMode, now: f64) -> f64 {
+fn warm_share(parameters: &BackendParameters, start: StartMode, now: f64) -> f64 {
     let age = match start {
-        StartMode::Cold => (now + STEP / 2.0) / spec.warm_up_seconds,
+        StartMode::Cold => (now + STEP / 2.0) / parameters.warm_up_seconds,
         StartMode::Warm => 1.0,
     };
-    spec.initial_capacity + (1.0 - spec.initial_capacity) * age.min(1.0)
+    parameters.initial_capacity + (1.0 - parameters.initial_capacity) * age.min(1.0)
 }
 
 /// A call of the backend that is tested.
@@ -95,12 +95,12 @@
 
 /// Completion times by attempt id of the backend that is tested.
 fn completions(
-    spec: &BackendParameters,
+    parameters: &BackendParameters,
     start: StartMode,
     stall: Stall,
     arrivals: &[Arrival],
 ) -> Vec<Completion> {
-    let mut backend = TestBackend::new(spec.clone(), start);
+    let mut backend = TestBackend::new(parameters.clone(), start);
     let mut calls = vec![
         (stall.from, Call::Stall(true)),
         (stall.from + stall.duration, Call::Stall(false)),
@@ -135,10 +135,10 @@
     if arrivals.is_empty() || arrivals.len() > 30 {
         return TestResult::discard();
     }
-    let spec = BackendParameters {
+    let parameters = BackendParameters {
         queue_capacity: 1000,
         collapse_factor: 1e9,
-        ..spec()
+        ..parameters()
     };
     let mut at = 0.0;
     let arrival = |(gap, work): &(u8, u8)| {
@@ -156,8 +156,8 @@
     } else {
         StartMode::Warm
     };
-    let found = completions(&spec, start, stall, &arrivals);
-    let expected = reference_completions(&spec, start, stall, &arrivals);
+    let found = completions(&parameters, start, stall, &arrivals);
+    let expected = reference_completions(&parameters, start, stall, &arrivals);
     let agree = |(expected, found): (&Completion, &Completion)| {
         expected.attempt_id == found.attempt_id && (expected.at - found.at).abs() < TOLERANCE
     };
@@ -167,7 +167,7 @@
 
 /// Every RPC is rejected, finished or cancelled: none is lost and none ends twice.
 fn each_rpc_ends_once(moves: Vec<(u8, u8, u8)>) -> bool {
-    let mut backend = TestBackend::new(spec(), StartMode::Warm);
+    let mut backend = TestBackend::new(parameters(), StartMode::Warm);
     let mut now = 0.0;
     let mut admitted = 0;
     let mut cancelled = 0;
--- a/crates/backend-model/tests/backend/slow_start.rs
+++ b/crates/backend-model/tests/backend/slow_start.rs
@@ -1,10 +1,10 @@
 //! Slow start: capacity while the backend warms up, and collapse under overload.
-use crate::harness::{Completion, TestBackend, spec};
+use crate::harness::{Completion, TestBackend, parameters};
 use birchhub_backend_model::{BackendEvent, RejectionReason, StartMode};
 
 #[test]
-fn a_cold_backend_warms_up_over_its_time() {
-    let mut cold = TestBackend::new(spec(), StartMode::Cold);
+fn a_cold_backend_reaches_its_full_speed_after_the_warm_up() {
+    let mut cold = TestBackend::new(parameters(), StartMode::Cold);
     cold.receive(0.0, 1, 1.0).expect("queue capacity");
     // 0.25 t + 0.75 t² / 16 = 1
     let at = (-0.25 + (0.0625 + 0.1875f64).sqrt()) * 32.0 / 3.0;
@@ -17,11 +17,11 @@
     assert_eq!(cold.completions(), [expected]);
 }
 
-/// Rule 4: rejected RPCs count as load too, and a warm backend can't be overloaded.
+/// Rejected RPCs count as load too, and a warm backend does not collapse.
 #[test]
 fn a_cold_backend_collapses_under_overload_and_a_warm_one_does_not() {
-    // Its capacity is 2 x 0.25; it collapses at 3 times that within 1 s.
-    let mut cold = TestBackend::new(spec(), StartMode::Cold);
+    // Its initial capacity is 2 × 0.25 standard cores; it collapses at 3 times that work within 1 s.
+    let mut cold = TestBackend::new(parameters(), StartMode::Cold);
     let lost = (0..17)
         .map(|attempt_id| cold.receive(0.01, attempt_id, 0.1))
         .filter(|received| *received == Err(RejectionReason::Down))
@@ -33,7 +33,7 @@
         .iter()
         .filter(|event| **event == BackendEvent::Collapsed);
     assert_eq!(collapses.count(), 1);
-    let mut paced = TestBackend::new(spec(), StartMode::Cold);
+    let mut paced = TestBackend::new(parameters(), StartMode::Cold);
     for attempt_id in 0..140 {
         let _ = paced.receive(attempt_id as f64 * 0.1, attempt_id, 0.1);
     }
@@ -42,7 +42,7 @@
         !paced.backend.is_down() && peak > 0.4 && peak < 0.6,
         "{peak}"
     );
-    let mut warm = TestBackend::new(spec(), StartMode::Warm);
+    let mut warm = TestBackend::new(parameters(), StartMode::Warm);
     for attempt_id in 0..1000 {
         let _ = warm.receive(0.01, attempt_id, 0.1);
     }
