--- a/crates/backend-model/tests/backend/reference_model.rs
+++ b/crates/backend-model/tests/backend/reference_model.rs
@@ -1,4 +1,4 @@
-//! Generated input: completion times agree with a reference model in small steps, and no RPC is lost.
+//! Property tests: completion times agree with a reference model that advances in small steps, and no RPC is lost.
 use crate::harness::{Completion, TestBackend, parameters};
 use birchhub_backend_model::{BackendEvent, BackendParameters, StartMode};
 use quickcheck::{Gen, QuickCheck, TestResult};
@@ -7,10 +7,10 @@
 /// Length of a step of the reference model, in seconds.
 const STEP: f64 = 0.0005;
 
-/// Allowed difference between a completion time and that of the reference model, in seconds: a few steps.
+/// Allowed difference between a completion time and that of the reference model, in seconds: 20 steps.
 const TOLERANCE: f64 = 0.01;
 
-/// An RPC that arrives.
+/// Arrival of an RPC.
 #[derive(Clone, Copy)]
 struct Arrival {
     /// In seconds.
@@ -19,7 +19,7 @@
     work: f64,
 }
 
-/// A stall of the backend, in seconds.
+/// Stall of the backend; times are in seconds.
 #[derive(Clone, Copy)]
 struct Stall {
     from: f64,
@@ -32,8 +32,8 @@
     }
 }
 
-/// Completion times by attempt id of the same backend in small steps: each core has its part of the speed; there is no
-/// work clock and no ordered map.
+/// Returns the completions of the reference model in the order of attempt ids. The model advances each core in small
+/// steps, without a work clock or ordered maps.
 fn reference_completions(
     parameters: &BackendParameters,
     start: StartMode,
@@ -58,17 +58,17 @@
             if core.is_none() {
                 *core = queue.pop_front();
             }
-            if let Some((attempt_id, left)) = core {
-                *left -= step_work;
-                if *left <= 0.0 {
+            if let Some((attempt_id, work_left)) = core {
+                *work_left -= step_work;
+                if *work_left <= 0.0 {
                     completions.push(Completion {
                         attempt_id: *attempt_id,
                         at: now + STEP,
                     });
-                    // The rest of the step goes to the next RPC: steps must not add up to a drift.
-                    let beyond = *left;
+                    // The next RPC gets the rest of the step, otherwise the errors of the steps would add up.
+                    let surplus = *work_left;
                     let next = queue.pop_front();
-                    *core = next.map(|(attempt_id, work)| (attempt_id, work + beyond));
+                    *core = next.map(|(attempt_id, work)| (attempt_id, work + surplus));
                 }
             }
         }
@@ -79,21 +79,21 @@
 }
 
 fn warm_share(parameters: &BackendParameters, start: StartMode, now: f64) -> f64 {
-    let age = match start {
+    let progress = match start {
         StartMode::Cold => (now + STEP / 2.0) / parameters.warm_up_seconds,
         StartMode::Warm => 1.0,
     };
-    parameters.initial_capacity + (1.0 - parameters.initial_capacity) * age.min(1.0)
+    parameters.initial_capacity + (1.0 - parameters.initial_capacity) * progress.min(1.0)
 }
 
-/// A call of the backend that is tested.
+/// Call to the backend under test.
 #[derive(Clone, Copy)]
 enum Call {
     Receive { attempt_id: u64, work: f64 },
     Stall(bool),
 }
 
-/// Completion times by attempt id of the backend that is tested.
+/// Returns the completions of the backend under test in the order of attempt ids.
 fn completions(
     parameters: &BackendParameters,
     start: StartMode,
@@ -125,8 +125,8 @@
     completions
 }
 
-/// Completion times agree with the reference model within a few of its steps, warm or in slow start, with a stall
-/// anywhere. Arrivals are pairs of the gap before them and their work, in milliseconds.
+/// Completion times agree with the reference model within the tolerance, after a warm or a cold start and with a stall at
+/// any time. Arrivals are pairs of the gap before them and their work, in milliseconds.
 fn completion_times_are_those_of_the_reference_model(
     arrivals: Vec<(u8, u8)>,
     cold: bool,
@@ -165,17 +165,17 @@
     TestResult::from_bool(all_agree && found.len() == arrivals.len())
 }
 
-/// Every RPC is rejected, finished or cancelled: none is lost and none ends twice.
-fn each_rpc_ends_once(moves: Vec<(u8, u8, u8)>) -> bool {
+/// Every RPC ends exactly once: rejected, finished or cancelled.
+fn each_rpc_ends_once(calls: Vec<(u8, u8, u8)>) -> bool {
     let mut backend = TestBackend::new(parameters(), StartMode::Warm);
     let mut now = 0.0;
     let mut admitted = 0;
     let mut cancelled = 0;
-    for (attempt_id, (gap, work, what)) in (0..).zip(&moves) {
+    for (attempt_id, (gap, work, choice)) in (0..).zip(&calls) {
         now += f64::from(*gap) / 2000.0;
         let received = backend.receive(now, attempt_id, f64::from(*work) / 500.0);
         admitted += usize::from(received.is_ok());
-        if what % 4 == 0 {
+        if choice % 4 == 0 {
             cancelled += usize::from(backend.cancel(now, attempt_id / 2));
         }
     }
@@ -188,7 +188,7 @@
     backend.backend.in_flight() == 0 && finished_before + finished_after + cancelled == admitted
 }
 
-/// Generated inputs that are the same in every run.
+/// Returns a generator with a fixed seed, so that each run has the same inputs.
 fn seeded() -> QuickCheck {
     QuickCheck::new()
         .tests(300)
