--- a/crates/audit/src/audit/mod.rs
+++ b/crates/audit/src/audit/mod.rs
@@ -1,7 +1,7 @@
-//! The audit: folds the entries of a ledger, in the order of time, into the findings of the four rules.
+//! Checks the four rules over the entries of a ledger, in chronological order.
 //!
-//! The `tracker` keeps the state that several rules need. Each rule has a module with a fold of its own, which sees
-//! each event after the tracker has recorded it.
+//! The `tracker` keeps the state that several rules need. Each rule has a module of its own, whose `observe` gets each
+//! event after the tracker has recorded it.
 mod draining;
 mod no_duplicate_effect;
 mod one_answer;
@@ -12,7 +12,7 @@
 use crate::event::{Admission, AttemptEnd, Entry, Event, RequestOutcome};
 use crate::findings::{Counts, Findings, LatenessSummary};
 use crate::header::Header;
-use crate::service::Totals;
+use crate::service::ServiceAccumulator;
 use draining::Draining;
 use no_duplicate_effect::NoDuplicateEffect;
 use one_answer::OneAnswer;
@@ -20,7 +20,8 @@
 use tracker::Tracker;
 use violations::Violations;
 
-/// An audit in progress: [`feed`](Self::feed) it the entries in the order of time, then [`finish`](Self::finish) it.
+/// An audit in progress: [`feed`](Self::feed) takes the entries in chronological order, [`finish`](Self::finish) returns
+/// the findings.
 pub struct Audit<'a> {
     tracker: Tracker<'a>,
     one_answer: OneAnswer,
@@ -29,15 +30,15 @@
     slow_start: SlowStart,
     violations: Violations,
     counts: Counts,
-    totals: Totals<'a>,
-    /// Lateness of the clients, in seconds.
+    service: ServiceAccumulator<'a>,
+    /// Scheduling delays of the emulated clients, in seconds.
     client_lateness: Vec<f64>,
-    /// Lateness of the emulated backends, in seconds.
+    /// Scheduling delays of the emulated backends, in seconds.
     emulator_lateness: Vec<f64>,
 }
 
 impl<'a> Audit<'a> {
-    /// Returns an audit that has seen no entry.
+    /// Creates an audit without entries.
     pub fn new(header: &'a Header) -> Self {
         Self {
             tracker: Tracker::new(header),
@@ -47,13 +48,13 @@
             slow_start: SlowStart::default(),
             violations: Violations::default(),
             counts: Counts::default(),
-            totals: Totals::new(header),
+            service: ServiceAccumulator::new(header),
             client_lateness: Vec::new(),
             emulator_lateness: Vec::new(),
         }
     }
 
-    /// Audits a complete ledger, whose entries are in the order of time.
+    /// Audits a complete ledger, whose entries are in chronological order.
     pub fn of(header: &'a Header, entries: &[Entry]) -> Findings {
         let mut audit = Self::new(header);
         for entry in entries {
@@ -62,7 +63,7 @@
         audit.finish()
     }
 
-    /// Adds an entry, which must not be earlier than the last one.
+    /// Processes an entry, which must not be earlier than the previous one.
     pub fn feed(&mut self, entry: &Entry) {
         self.tracker.record(entry);
         self.count(entry);
@@ -74,7 +75,7 @@
         self.slow_start.observe(entry, tracker, violations);
     }
 
-    /// Updates the counts and the service totals.
+    /// Updates the counts and the quality of service.
     fn count(&mut self, entry: &Entry) {
         let counts = &mut self.counts;
         match entry.event {
@@ -87,7 +88,7 @@
                 counts.rpcs += 1;
                 let method = method as usize;
                 let tenant = tenant as usize;
-                self.totals
+                self.service
                     .record_arrival(entry.at, rpc, method, tenant, within_quota);
             }
             Event::RequestSent { .. } => counts.client_requests += 1,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Counts the first answer of a request.
+    /// Counts the first outcome of a request; further ones are violations of rule 1.
     fn count_outcome(&mut self, at: f64, request_id: u64, outcome: RequestOutcome) {
         let Some(request) = self.tracker.requests.get(&request_id) else {
             return;
@@ -122,7 +123,7 @@
         match outcome {
             RequestOutcome::Ok => {
                 self.counts.ok += 1;
-                self.totals.record_success(at, request.rpc);
+                self.service.record_success(at, request.rpc);
             }
             RequestOutcome::Rejected(_) => self.counts.rejected += 1,
             RequestOutcome::Aborted(_) => self.counts.aborted += 1,
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Checks what needs the complete ledger, and returns the findings.
+    /// Runs the checks that need the complete ledger, and returns the findings.
     pub fn finish(mut self) -> Findings {
         let tracker = &self.tracker;
         let violations = &mut self.violations;
@@ -149,10 +150,10 @@
             cold_starts: self.slow_start.cold_starts(&self.tracker),
             violations: self.violations.into_sorted(),
             counts,
-            service: self.totals.finish(),
+            service: self.service.finish(),
             latest_after_notification: self.draining.latest_after_notification,
-            client_lateness: LatenessSummary::of(&mut self.client_lateness),
-            emulator_lateness: LatenessSummary::of(&mut self.emulator_lateness),
+            client_lateness: LatenessSummary::from_samples(&mut self.client_lateness),
+            emulator_lateness: LatenessSummary::from_samples(&mut self.emulator_lateness),
         }
     }
 }
--- a/crates/audit/tests/audit/no_duplicate_effect.rs
+++ b/crates/audit/tests/audit/no_duplicate_effect.rs
@@ -1,10 +1,11 @@
-//! Rule 2: no effect happens twice.
+//! Rule 2: no RPC has its effect twice.
 use crate::builder::{BOOK, LOG, LedgerBuilder, READ};
 use birchhub_audit::event::{Admission, AttemptEnd};
 use birchhub_audit::{Event, RequestOutcome, Rule};
 
-/// Two attempts for one RPC, the first admitted in this way, the second at this time and incarnation; then success.
-fn attempted_twice(method: u8, first: Admission, second: f64, incarnation: u32) -> LedgerBuilder {
+/// Returns a ledger with an RPC that succeeds after two attempts: `first` is how the backend handled the first one,
+/// `second` and `incarnation` are the time and the place of the second one.
+fn two_attempts(method: u8, first: Admission, second: f64, incarnation: u32) -> LedgerBuilder {
     let mut builder = LedgerBuilder::new();
     builder
         .request(1.0, 7, method)
@@ -13,24 +14,24 @@
     builder
         .attempt(second, 7, 101, incarnation, Admission::Admitted)
         .attempt_ends(second + 0.01, 101, AttemptEnd::Replied);
-    builder.answered(second + 0.02, 7, RequestOutcome::Ok);
+    builder.request_ends(second + 0.02, 7, RequestOutcome::Ok);
     builder
 }
 
 #[test]
 fn a_retry_that_may_run_twice_is_found() {
-    attempted_twice(READ, Admission::Admitted, 1.1, 2).assert_no_violations();
-    attempted_twice(BOOK, Admission::Rejected, 1.1, 2).assert_no_violations();
+    two_attempts(READ, Admission::Admitted, 1.1, 2).assert_no_violations();
+    two_attempts(BOOK, Admission::Rejected, 1.1, 2).assert_no_violations();
     for first in [Admission::Admitted, Admission::Dropped, Admission::Failed] {
-        attempted_twice(BOOK, first, 1.1, 0).assert_violation(
+        two_attempts(BOOK, first, 1.1, 0).assert_violation(
             Rule::NoDuplicateEffect,
             "rpc 7",
             "may have run: n0 at 1.001, n0 at 1.100",
         );
     }
-    attempted_twice(LOG, Admission::Admitted, 1.1, 1).assert_no_violations();
-    attempted_twice(LOG, Admission::Rejected, 1.1, 2).assert_no_violations();
-    attempted_twice(LOG, Admission::Admitted, 1.1, 2).assert_violation(
+    two_attempts(LOG, Admission::Admitted, 1.1, 1).assert_no_violations();
+    two_attempts(LOG, Admission::Rejected, 1.1, 2).assert_no_violations();
+    two_attempts(LOG, Admission::Admitted, 1.1, 2).assert_violation(
         Rule::NoDuplicateEffect,
         "rpc 7",
         "outside the group",
@@ -57,7 +58,7 @@
         builder
             .attempt(second, 7, 101, 1, Admission::Admitted)
             .attempt_ends(second + 0.01, 101, AttemptEnd::Replied);
-        builder.answered(second + 0.02, 7, RequestOutcome::Ok);
+        builder.request_ends(second + 0.02, 7, RequestOutcome::Ok);
         builder
     };
     retried_at(2.0).assert_no_violations();
@@ -70,18 +71,16 @@
     builder
         .request(1.0, 7, BOOK)
         .attempt(1.001, 7, 100, 0, Admission::Admitted)
-        .executes(1.01, 100);
-    builder.attempt_ends(1.1, 100, AttemptEnd::Broken).answered(
-        1.1,
-        7,
-        RequestOutcome::Unreachable,
-    );
+        .execution(1.01, 100);
+    builder
+        .attempt_ends(1.1, 100, AttemptEnd::Broken)
+        .request_ends(1.1, 7, RequestOutcome::Unreachable);
     builder
         .retry(1.2, 70, 7)
         .attempt(1.201, 70, 101, 2, Admission::Admitted)
-        .executes(1.21, 101)
+        .execution(1.21, 101)
         .attempt_ends(1.3, 101, AttemptEnd::Replied);
-    builder.answered(1.31, 70, RequestOutcome::Ok);
+    builder.request_ends(1.31, 70, RequestOutcome::Ok);
     builder.assert_violation(Rule::NoDuplicateEffect, "rpc 7", "ran 2 times");
 }
 
@@ -95,7 +94,7 @@
     hedged
         .attempt_ends(1.2, 100, AttemptEnd::Cancelled)
         .attempt_ends(1.2, 101, AttemptEnd::Replied)
-        .answered(1.2, 7, RequestOutcome::Ok);
+        .request_ends(1.2, 7, RequestOutcome::Ok);
     hedged.assert_violation(Rule::NoDuplicateEffect, "rpc 7", "second copy");
     let mut too_many = LedgerBuilder::new();
     too_many.request(1.0, 7, BOOK);
@@ -103,7 +102,7 @@
         too_many.attempt(1.01 + 0.01 * n as f64, 7, 100 + n, 0, Admission::Rejected);
     }
     too_many
-        .answered(1.1, 7, RequestOutcome::Rejected(None))
+        .request_ends(1.1, 7, RequestOutcome::Rejected(None))
         .assert_violation(Rule::NoDuplicateEffect, "rpc 7", "4 picks, 3 are allowed");
 }
 
@@ -120,7 +119,7 @@
             .request(1.0, 7, method)
             .attempt(1.01, 7, 100, 0, admission)
             .attempt_ends(1.2, 100, AttemptEnd::Cancelled);
-        builder.answered(1.2, 7, RequestOutcome::Rejected(Some(0.1)));
+        builder.request_ends(1.2, 7, RequestOutcome::Rejected(Some(0.1)));
         match harmful {
             true => {
                 builder.assert_violation(Rule::NoDuplicateEffect, "rpc 7", "pushed back although")
