--- a/crates/daemon/tests/in_force/planned_size.rs
+++ b/crates/daemon/tests/in_force/planned_size.rs
@@ -56,7 +56,7 @@
     proxy.daemon.reload(&text);
     eventually(EVENT_TIMEOUT, "never active", || {
         std::thread::sleep(Duration::from_millis(1));
-        proxy.is_at(n)
+        proxy.is_active_version(n)
     });
     let time = started.elapsed();
     let new = format!("new-{n}");
--- a/crates/daemon/tests/in_force/proxy.rs
+++ b/crates/daemon/tests/in_force/proxy.rs
@@ -41,7 +41,7 @@
     }
 
     /// Whether this version of the settings is active.
-    pub(crate) fn is_at(&self, version: usize) -> bool {
+    pub(crate) fn is_active_version(&self, version: usize) -> bool {
         self.active_settings()
             .starts_with(&format!("version {version}, "))
     }
@@ -62,7 +62,9 @@
         change(&mut self.config["settings"]);
         self.reload();
         let complaint = format!("version {version} never became active");
-        eventually(EVENT_TIMEOUT, &complaint, || self.is_at(version));
+        eventually(EVENT_TIMEOUT, &complaint, || {
+            self.is_active_version(version)
+        });
     }
 
     /// Waits until the log contains this text.
--- a/crates/daemon/tests/in_force/restart.rs
+++ b/crates/daemon/tests/in_force/restart.rs
@@ -40,7 +40,7 @@
         eventually(EVENT_TIMEOUT, "never shown", || {
             proxy.active_settings().ends_with(&waiting)
         });
-        assert!(proxy.is_at(0), "{}", proxy.active_settings());
+        assert!(proxy.is_active_version(0), "{}", proxy.active_settings());
     }
     assert_eq!(proxy.call("POST", "book", "as-before"), 200);
     // Other keys are applied beside them.
