--- a/crates/daemon/tests/in_force/proxy.rs
+++ b/crates/daemon/tests/in_force/proxy.rs
@@ -10,37 +10,36 @@
 /// A proxy with an admin API.
 pub(crate) struct Proxy {
     pub daemon: Daemon,
-    /// Address of the admin API.
-    management: SocketAddr,
+    admin_address: SocketAddr,
     /// Configuration that the next reload writes.
     pub config: Value,
 }
 
 impl Proxy {
     pub(crate) fn start(backends: &[(&str, SocketAddr)], change: impl FnOnce(&mut Value)) -> Self {
-        let management = unused_address();
+        let admin_address = unused_address();
         let mut initial_config = Value::Null;
         let daemon = Daemon::start_with(PROGRAM, backends, |config| {
-            config["management"] = management.to_string().into();
+            config["management"] = admin_address.to_string().into();
             without_health_checks(config);
             change(config);
             initial_config = config.clone();
         });
         Self {
             daemon,
-            management,
+            admin_address,
             config: initial_config,
         }
     }
 
     /// Returns the text of `GET /settings`.
     pub(crate) fn active_settings(&self) -> String {
-        let mut client = Client::open(self.management).expect("a connection");
+        let mut client = Client::open(self.admin_address).expect("a connection");
         let response = client.call("GET /settings HTTP/1.1\r\nHost: m\r\n\r\n");
         response.expect("a response").text()
     }
 
-    /// Whether this version of the settings is active.
+    /// Returns whether this version of the settings is active.
     pub(crate) fn is_active_version(&self, version: usize) -> bool {
         self.active_settings()
             .starts_with(&format!("version {version}, "))
@@ -49,7 +48,7 @@
     /// Returns the digest of the settings in [`Self::config`] as `GET /settings` shows it.
     pub(crate) fn expected_digest(&self) -> String {
         let parsed = birchhub_settings::parse_value(&self.config["settings"]);
-        format!("{:016x}", parsed.expect("settings").digest)
+        format!("{:016x}", parsed.expect("valid settings").digest)
     }
 
     /// Reloads [`Self::config`].
@@ -61,25 +60,25 @@
     pub(crate) fn change(&mut self, version: usize, change: impl FnOnce(&mut Value)) {
         change(&mut self.config["settings"]);
         self.reload();
-        let complaint = format!("version {version} never became active");
-        eventually(EVENT_TIMEOUT, &complaint, || {
+        let timeout_message = format!("version {version} did not become active");
+        eventually(EVENT_TIMEOUT, &timeout_message, || {
             self.is_active_version(version)
         });
     }
 
     /// Waits until the log contains this text.
     pub(crate) fn await_log(&self, text: &str) {
-        eventually(EVENT_TIMEOUT, &format!("never logged: {text}"), || {
+        eventually(EVENT_TIMEOUT, &format!("not logged: {text}"), || {
             self.daemon.logged().contains(text)
         });
     }
 
-    /// Sends SIGHUP without changing the file, and waits until the file was read.
+    /// Sends SIGHUP without changing the file, and waits until the proxy has read it.
     pub(crate) fn reload_unchanged(&self) {
         let reloads = || self.daemon.logged().matches("SIGHUP: ").count();
         let before = reloads();
         self.daemon.signal("HUP");
-        eventually(EVENT_TIMEOUT, "the file was never read", || {
+        eventually(EVENT_TIMEOUT, "the configuration file was not read", || {
             reloads() > before
         });
     }
@@ -95,13 +94,13 @@
     }
 }
 
-/// Returns a method of the settings object.
+/// Builds the settings entry of a method.
 pub(crate) fn method(name: &str, idempotency: &str) -> Value {
     json!({"name": name, "idempotency": idempotency, "dedup-scope": "cell", "window-ns": 4e9, "utility": 1.0,
         "latency-target-ns": 3e9, "hard-limit-ns": 3e9})
 }
 
-/// Returns the methods of a settings object.
+/// Returns the list of methods in a settings object.
 pub(crate) fn methods(settings: &mut Value) -> &mut Vec<Value> {
     settings["methods"].as_array_mut().expect("methods")
 }
