--- a/crates/daemon/tests/in_force/rpcs.rs
+++ b/crates/daemon/tests/in_force/rpcs.rs
@@ -20,12 +20,13 @@
     ["read", "book", "log"].map(start).into()
 }
 
-/// Methods are added, removed, reordered and changed: RPCs in flight complete under the old settings, on their connections.
+/// Methods are added, removed, reordered and changed: RPCs in flight complete under the old settings, and their connections
+/// stay open.
 #[test]
 fn rpcs_in_flight_complete_under_the_old_methods() {
     let log = Log::new(vec![]);
-    let (at, gate) = gated_backend("b1", &log, "done");
-    let mut proxy = Proxy::start(&[("s-1", at)], |_| {});
+    let (address, gate) = gated_backend("b1", &log, "done");
+    let mut proxy = Proxy::start(&[("s-1", address)], |_| {});
     let mut in_flight = start_rpcs(&proxy, &log);
     proxy.change(1, |settings| {
         let all = methods(settings);
@@ -34,7 +35,7 @@
         all.insert(0, method("extra", "idempotency_key"));
         all.swap(1, 2);
     });
-    // On new connections, as a rejected request ends its connection.
+    // Sent on new connections, as the proxy closes a connection after it rejects a request.
     assert_eq!(proxy.call("POST", "log", "gone"), 404);
     assert_eq!(proxy.call("GET", "read", "wrong"), 400);
     gate.change(|open| *open = true);
@@ -60,15 +61,15 @@
     assert_eq!(call(&mut client, "POST", "log", "back"), 200);
 }
 
-/// Starts two backends that abort the first attempt of each RPC whose id starts with `cut`, once the gate is open.
-fn cutting_backends(log: &Log, gate: &Shared<bool>) -> [(&'static str, SocketAddr); 2] {
+/// Starts two backends that abort the first attempt of each RPC whose id starts with `abort`, once the gate is open.
+fn aborting_backends(log: &Log, gate: &Shared<bool>) -> [(&'static str, SocketAddr); 2] {
     let seen = Shared::new(Vec::<String>::new());
     [("s-1", "b1"), ("s-2", "b2")].map(|(uid, name)| {
         let gate = gate.clone();
         let seen = seen.clone();
-        let at = backend(name, log, move |message| {
+        let address = backend(name, log, move |message| {
             let id = message.header("request-id").to_owned();
-            let is_first = id.starts_with("cut")
+            let is_first = id.starts_with("abort")
                 && seen.change(|seen| {
                     let is_first = !seen.contains(&id);
                     seen.push(id.clone());
@@ -80,32 +81,38 @@
             gate.wait(EVENT_TIMEOUT, |open| *open);
             BackendAction::RespondAndClose(vec![])
         });
-        (uid, at)
+        (uid, address)
     })
 }
 
-/// The idempotency of a method when an RPC is accepted decides whether the RPC may be retried.
+/// Whether an RPC may be retried depends on the idempotency that its method had when the RPC was accepted.
 #[test]
 fn changed_idempotency_applies_from_the_next_rpc_on() {
     let log = Log::new(vec![]);
     let gate = Shared::new(false);
-    let mut proxy = Proxy::start(&cutting_backends(&log, &gate), |_| {});
+    let mut proxy = Proxy::start(&aborting_backends(&log, &gate), |_| {});
     proxy.daemon.fill_retry_budget();
     let mut client = proxy.daemon.client();
-    client.send(&rpc("GET", "/read", "cut-held", ""));
-    eventually(EVENT_TIMEOUT, "never sent", || log.count("cut-held") == 1);
+    client.send(&rpc("GET", "/read", "abort-held", ""));
+    eventually(EVENT_TIMEOUT, "the attempt was not sent", || {
+        log.count("abort-held") == 1
+    });
     proxy.change(1, |settings| {
         methods(settings)[0] = method("read", "non_idempotent")
     });
     gate.change(|open| *open = true);
     let status = client.response().expect("a response").status();
-    assert_eq!(status, 200, "it was idempotent when it was accepted");
-    assert_eq!(log.count("cut-held"), 2);
-    assert_eq!(proxy.call("POST", "read", "cut-next"), 502);
-    assert_eq!(log.count("cut-next"), 1);
+    assert_eq!(
+        status, 200,
+        "the method was idempotent when the RPC was accepted"
+    );
+    assert_eq!(log.count("abort-held"), 2);
+    assert_eq!(proxy.call("POST", "read", "abort-next"), 502);
+    assert_eq!(log.count("abort-next"), 1);
 }
 
-/// Sends all but the last two bytes of each message, and waits until the proxy has read their heads.
+/// Sends all but the last two bytes of each message on a connection of its own, and waits until the proxy has
+/// read the heads.
 fn send_incomplete(proxy: &Proxy, messages: &[String]) -> Vec<Client> {
     let send = |message: &String| {
         let mut client = proxy.daemon.client();
@@ -113,7 +120,7 @@
         client
     };
     let clients = messages.iter().map(send).collect();
-    // The heads have been read once complete messages that were sent later are answered, and some time has passed.
+    // The proxy does not show when it has read a head. Later RPCs that complete over 100 ms give it the time.
     for n in 0..20 {
         assert_eq!(proxy.call("POST", "book", &format!("first{n}")), 200);
         std::thread::sleep(Duration::from_millis(5));
@@ -128,11 +135,11 @@
     let mut proxy = Proxy::start(&[("s-1", echo("b1", &log))], |config| {
         methods(&mut config["settings"]).push(method("plain", "non_idempotent"));
     });
-    let keyless =
+    let without_key =
         |path: &str, id: &str| rpc("POST", path, id, "body").replace("Idempotency-Key: k1\r\n", "");
     let messages = [
-        keyless("/book", "moved"),
-        keyless("/plain", "keyless"),
+        without_key("/book", "moved"),
+        without_key("/plain", "keyless"),
         rpc("POST", "/log", "gone", "body"),
     ];
     let mut clients = send_incomplete(&proxy, &messages);
@@ -155,11 +162,11 @@
 #[test]
 fn changed_quota_applies_from_the_next_rpc_on() {
     let log = Log::new(vec![]);
-    let at = backend("b1", &log, |_| {
+    let address = backend("b1", &log, |_| {
         std::thread::sleep(Duration::from_millis(20));
         BackendAction::Respond(reply("200 OK", ""))
     });
-    let mut proxy = Proxy::start(&[("s-1", at)], |config| {
+    let mut proxy = Proxy::start(&[("s-1", address)], |config| {
         config["settings"]["accounts"] =
             json!([{"name": "acme", "quota-per-s": 7}, {"name": "other", "quota-per-s": 7}]);
     });
@@ -173,8 +180,11 @@
             .filter(|response| response.status() == 200)
             .count()
     };
-    let few = served("few");
-    assert!(few < 80, "{few} of 80 at once under a quota of 7 a second");
+    let limited = served("limited");
+    assert!(
+        limited < 80,
+        "{limited} of 80 concurrent RPCs served under a quota of 7 a second"
+    );
     proxy.change(1, |settings| {
         settings["accounts"][0]["quota-per-s"] = 1e6.into()
     });
@@ -183,10 +193,10 @@
         settings["accounts"] =
             json!([{"name": "other", "quota-per-s": 7}, {"name": "acme", "quota-per-s": 7}]);
     });
-    let few = served("again");
+    let limited = served("again");
     assert!(
-        few < 80,
-        "{few} of 80 under the first quota, at another index"
+        limited < 80,
+        "{limited} of 80 RPCs served under the old quota at another index"
     );
 }
 
