--- a/crates/daemon/tests/in_force/restart.rs
+++ b/crates/daemon/tests/in_force/restart.rs
@@ -1,4 +1,4 @@
-//! Keys that take effect at the next start only, and the texts that name them.
+//! Configuration keys that a reload does not apply, and the texts that list them.
 use crate::common::sockets::{
     EVENT_TIMEOUT, Log, echo, endpoint_entry, eventually, unused_address,
 };
@@ -23,43 +23,45 @@
     config["watch"] = config["settings"].clone();
 }
 
-/// Each reload names the keys, and none is applied before a restart.
+/// Each reload lists the changed keys that need a restart, and applies none of them.
 #[test]
 fn keys_that_need_a_restart_are_named_and_not_applied() {
     let log = Log::new(vec![]);
-    let at = echo("b1", &log);
-    let mut proxy = Proxy::start(&[("s-1", at)], |_| {});
+    let address = echo("b1", &log);
+    let mut proxy = Proxy::start(&[("s-1", address)], |_| {});
     change_restart_keys(&mut proxy.config);
     for reloads in 1..=2 {
         proxy.reload();
         let warning = format!("these keys take effect at the next start: {RESTART_KEYS}");
-        eventually(EVENT_TIMEOUT, "never logged", || {
+        eventually(EVENT_TIMEOUT, "the warning was not logged", || {
             proxy.daemon.logged().matches(&warning).count() == reloads
         });
-        let waiting = format!("at the next start: {RESTART_KEYS}\n");
-        eventually(EVENT_TIMEOUT, "never shown", || {
-            proxy.active_settings().ends_with(&waiting)
-        });
+        let pending = format!("at the next start: {RESTART_KEYS}\n");
+        eventually(
+            EVENT_TIMEOUT,
+            "GET /settings does not list the keys",
+            || proxy.active_settings().ends_with(&pending),
+        );
         assert!(proxy.is_active_version(0), "{}", proxy.active_settings());
     }
     assert_eq!(proxy.call("POST", "book", "as-before"), 200);
-    // Other keys are applied beside them.
+    // Changes of other keys are applied in the same reload.
     proxy.config["watch"] = Value::Null;
     proxy.change(1, |settings| {
         methods(settings).push(method("extra", "non_idempotent"))
     });
     assert_eq!(proxy.call("POST", "extra", "new"), 200);
-    // The endpoint list is read in the mode and with the zones of the start.
+    // The endpoint list is still read with the membership mode and zones of the start.
     proxy
         .daemon
         .discovery
-        .publish_and_wait(&[endpoint_entry("s-1", at, "Ready")]);
+        .publish_and_wait(&[endpoint_entry("s-1", address, "Ready")]);
     assert_eq!(proxy.call("POST", "extra", "listed"), 200);
 }
 
-/// Scripts of the operators read these lines.
+/// Scripts of operators parse these lines.
 #[test]
-fn texts_of_a_reload_are_the_same_in_every_version() {
+fn texts_of_a_reload_are_stable() {
     let log = Log::new(vec![]);
     let mut proxy = Proxy::start(&[("s-1", echo("b1", &log))], |_| {});
     let digest = proxy.expected_digest();
