--- a/crates/daemon/tests/in_force/planned_size.rs
+++ b/crates/daemon/tests/in_force/planned_size.rs
@@ -1,4 +1,4 @@
-//! The cost of a reload at the planned size of the fleet, printed by an ignored test.
+//! Measures the time and processor cost of a reload with the planned numbers of methods and tenants, in an ignored test.
 use crate::common::sockets::{Client, Daemon, EVENT_TIMEOUT, Log, Shared, echo, eventually};
 use crate::load::SetOnDrop;
 use crate::proxy::{Proxy, call, method, methods};
@@ -9,17 +9,20 @@
 const METHODS: usize = 2_200;
 const TENANTS: usize = 54_000;
 const RELOADS: usize = 200;
-/// Longest time until a change must be active.
+/// Longest permitted time until a change is active.
 const MAX_RELOAD_TIME: Duration = Duration::from_secs(8);
 
 /// Returns the processor time that a process has used, in seconds.
 fn processor_time(daemon: &Daemon) -> f64 {
     const TICKS_PER_SECOND: f64 = 100.0;
     let path = format!("/proc/{}/stat", daemon.child.id());
-    let text = std::fs::read_to_string(path).expect("its figures");
-    let fields = text.rsplit(") ").next().expect("fields");
+    let text = std::fs::read_to_string(path).expect("the statistics of the process");
+    let fields = text
+        .rsplit(") ")
+        .next()
+        .expect("fields after the command name");
     let fields: Vec<_> = fields.split(' ').collect();
-    let ticks = |n: usize| fields[n].parse::<f64>().expect("ticks");
+    let ticks = |n: usize| fields[n].parse::<f64>().expect("a number of ticks");
     (ticks(11) + ticks(12)) / TICKS_PER_SECOND
 }
 
@@ -32,17 +35,22 @@
 }
 
 /// Calls a method until the flag is set, and returns the duration of each call.
-fn call_until(at: SocketAddr, over: &Shared<bool>) -> Vec<Duration> {
-    let mut client = Client::open(at).expect("a connection");
-    let mut times = Vec::new();
-    while !over.change(|over| *over) {
+fn call_until(address: SocketAddr, stop: &Shared<bool>) -> Vec<Duration> {
+    let mut client = Client::open(address).expect("a connection");
+    let mut durations = Vec::new();
+    while !stop.change(|stop| *stop) {
         let started = Instant::now();
-        let status = call(&mut client, "POST", "book", &format!("l{}", times.len()));
+        let status = call(
+            &mut client,
+            "POST",
+            "book",
+            &format!("l{}", durations.len()),
+        );
         assert_eq!(status, 200);
-        times.push(started.elapsed());
+        durations.push(started.elapsed());
         std::thread::sleep(Duration::from_millis(1));
     }
-    times
+    durations
 }
 
 /// Changes a quota and replaces a method, and returns the time until the change is active.
@@ -54,33 +62,39 @@
     let text = proxy.config.to_string();
     let started = Instant::now();
     proxy.daemon.reload(&text);
-    eventually(EVENT_TIMEOUT, "never active", || {
+    eventually(EVENT_TIMEOUT, "the change did not become active", || {
         std::thread::sleep(Duration::from_millis(1));
         proxy.is_active_version(n)
     });
-    let time = started.elapsed();
+    let duration = started.elapsed();
     let new = format!("new-{n}");
     assert_eq!(proxy.call("POST", &new, &new), 200);
     if [1, 2, 5, 10, 50, 100, 150, 200].contains(&n) {
-        println!("after {n}: {} KiB resident", proxy.daemon.memory() >> 10);
+        println!(
+            "after reload {n}: {} KiB resident",
+            proxy.daemon.memory() >> 10
+        );
     }
-    time
+    duration
 }
 
-/// Prints the processor time of a reload, and returns the duration of each reload.
+/// Reloads [`RELOADS`] times, prints the processor time of a reload, and returns the duration of each reload.
 fn reload_often(proxy: &mut Proxy) -> Vec<Duration> {
     let idle = idle_load(&proxy.daemon);
-    println!("{:.1} ms of a core a second without changes", idle * 1e3);
+    println!(
+        "{:.1} ms of processor time per second without reloads",
+        idle * 1e3
+    );
     let before = processor_time(&proxy.daemon);
     let started = Instant::now();
-    let times = (1..=RELOADS).map(|n| reload(proxy, n)).collect();
+    let durations = (1..=RELOADS).map(|n| reload(proxy, n)).collect();
     let used = processor_time(&proxy.daemon) - before;
     let for_reloads = used - idle * started.elapsed().as_secs_f64();
     println!(
-        "{:.1} ms of a core for each change",
+        "{:.1} ms of processor time per reload",
         for_reloads / RELOADS as f64 * 1e3
     );
-    times
+    durations
 }
 
 fn start(log: &Log) -> Proxy {
@@ -100,27 +114,30 @@
 }
 
 #[test]
-#[ignore = "measures, with --nocapture, and takes a minute"]
+#[ignore = "a measurement that takes a minute; run with --nocapture"]
 fn reload_at_the_planned_size() {
     let log = Log::new(vec![]);
     let mut proxy = start(&log);
-    let over = Shared::new(false);
-    let at = proxy.daemon.address;
+    let stop = Shared::new(false);
+    let address = proxy.daemon.address;
     let (mut reloads, mut calls) = std::thread::scope(|threads| {
-        let calls = threads.spawn(|| call_until(at, &over));
-        let guard = SetOnDrop(over.clone());
+        let calls = threads.spawn(|| call_until(address, &stop));
+        let guard = SetOnDrop(stop.clone());
         let reloads = reload_often(&mut proxy);
         drop(guard);
-        (reloads, calls.join().expect("a client"))
+        (
+            reloads,
+            calls.join().expect("the client thread does not panic"),
+        )
     });
     reloads.sort();
     calls.sort();
     let median = reloads[RELOADS / 2];
     let longest = reloads[RELOADS - 1];
-    println!("in force {median:.1?} after SIGHUP, at the most {longest:.1?}");
-    let quantile = |part: f64| calls[((calls.len() - 1) as f64 * part) as usize];
+    println!("time from SIGHUP until active: median {median:.1?}, maximum {longest:.1?}");
+    let quantile = |fraction: f64| calls[((calls.len() - 1) as f64 * fraction) as usize];
     println!(
-        "{} RPCs meanwhile: {:.2?}, {:.2?} of 99, {:.2?}",
+        "{} RPCs during the reloads: median {:.2?}, 99th percentile {:.2?}, maximum {:.2?}",
         calls.len(),
         quantile(0.5),
         quantile(0.99),
@@ -129,6 +146,6 @@
     let logged = proxy.daemon.logged();
     let mut lines = logged.lines();
     let last = lines.rfind(|line| line.contains("in force after"));
-    println!("{}", last.expect("a line"));
+    println!("{}", last.expect("a log line of a reload"));
     assert!(longest < MAX_RELOAD_TIME);
 }
