--- a/crates/daemon/tests/in_force/unchanged.rs
+++ b/crates/daemon/tests/in_force/unchanged.rs
@@ -1,4 +1,4 @@
-//! Reloads that change nothing: of an invalid configuration, and of the active one.
+//! Reloads of an invalid configuration and of the active one, which change nothing.
 use crate::common::sockets::{EVENT_TIMEOUT, Log, echo, eventually, unused_address};
 use crate::proxy::{Proxy, method, methods};
 use serde_json::{Value, json};
@@ -9,7 +9,7 @@
     })
 }
 
-/// Returns invalid values with their place in the configuration and a part of the error.
+/// Returns invalid values: JSON pointer of the parent, key, value, and a part of the error.
 fn invalid_values() -> [(&'static str, &'static str, Value, &'static str); 6] {
     [
         (
@@ -36,21 +36,21 @@
     ]
 }
 
-/// Valid changes in an invalid configuration are not applied either.
+/// A configuration with an invalid value is rejected as a whole: its valid changes are not applied either.
 #[test]
 fn invalid_configuration_changes_nothing() {
     let log = Log::new(vec![]);
     let proxy = start(&log);
-    let first = proxy.active_settings();
-    assert!(first.starts_with("version 0, digest "), "{first}");
-    assert!(first.ends_with(", 3 methods, 1 tenants\n"), "{first}");
-    for (place, key, value, error) in invalid_values() {
+    let initial = proxy.active_settings();
+    assert!(initial.starts_with("version 0, digest "), "{initial}");
+    assert!(initial.ends_with(", 3 methods, 1 tenants\n"), "{initial}");
+    for (parent, key, value, error) in invalid_values() {
         let mut config = proxy.config.clone();
         methods(&mut config["settings"]).push(method("extra", "read_like"));
         config["discovery"] = unused_address().to_string().into();
-        config.pointer_mut(place).expect("a place")[key] = value;
+        config.pointer_mut(parent).expect("the parent")[key] = value;
         proxy.daemon.reload(&config.to_string());
-        eventually(EVENT_TIMEOUT, &format!("never logged: {error}"), || {
+        eventually(EVENT_TIMEOUT, &format!("not logged: {error}"), || {
             let logged = proxy.daemon.logged();
             let mut lines = logged.lines();
             lines.any(|line| {
@@ -58,15 +58,15 @@
                     && line.contains(error)
             })
         });
-        assert_eq!(proxy.active_settings(), first, "{error}");
+        assert_eq!(proxy.active_settings(), initial, "{error}");
         let id = error.split(' ').next().expect("a word");
         assert_eq!(proxy.call("GET", "extra", id), 404);
     }
     assert!(!proxy.daemon.logged().contains("SIGHUP: discovery is at"));
-    // They have no effect on the next reload either.
+    // The rejected configurations have no effect on the next reload.
     proxy.reload();
     proxy.await_log("SIGHUP: discovery is at");
-    assert_eq!(proxy.active_settings(), first);
+    assert_eq!(proxy.active_settings(), initial);
     assert!(!proxy.daemon.logged().contains("in force"));
 }
 
@@ -74,11 +74,11 @@
 fn reload_of_the_active_configuration_changes_nothing() {
     let log = Log::new(vec![]);
     let proxy = start(&log);
-    let first = proxy.active_settings();
+    let initial = proxy.active_settings();
     proxy.reload();
     proxy.await_log("SIGHUP: discovery is at");
     proxy.reload_unchanged();
-    assert_eq!(proxy.active_settings(), first);
+    assert_eq!(proxy.active_settings(), initial);
     let logged = proxy.daemon.logged();
     assert!(!logged.contains("in force"), "{logged}");
 }
@@ -88,13 +88,13 @@
     let log = Log::new(vec![]);
     let mut proxy = start(&log);
     let without_version = |text: String| text["version N".len()..].to_owned();
-    let first = without_version(proxy.active_settings());
+    let initial = without_version(proxy.active_settings());
     proxy.change(1, |settings| {
         settings["accounts"][0]["quota-per-s"] = 200.into()
     });
-    assert_ne!(without_version(proxy.active_settings()), first);
+    assert_ne!(without_version(proxy.active_settings()), initial);
     proxy.change(2, |settings| {
         settings["accounts"][0]["quota-per-s"] = 100.into()
     });
-    assert_eq!(without_version(proxy.active_settings()), first);
+    assert_eq!(without_version(proxy.active_settings()), initial);
 }
