--- a/crates/daemon/tests/in_force/load.rs
+++ b/crates/daemon/tests/in_force/load.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Sets the flag when it is dropped, so that clients end even if an assertion fails.
+/// Sets the flag when it is dropped, so that the client threads end even if an assertion fails.
 pub(crate) struct SetOnDrop(pub Shared<bool>);
 
 impl Drop for SetOnDrop {
@@ -16,8 +16,13 @@
 }
 
 /// Sends RPCs on one connection until the flag is set, and counts the responses.
-fn send_rpcs(client_number: usize, at: SocketAddr, over: &Shared<bool>, responses: &AtomicUsize) {
-    let mut client = Client::open(at).expect("a connection");
+fn send_rpcs(
+    client_number: usize,
+    address: SocketAddr,
+    stop: &Shared<bool>,
+    responses: &AtomicUsize,
+) {
+    let mut client = Client::open(address).expect("a connection");
     for n in 0.. {
         let (verb, name) = [("GET", "read"), ("POST", "book"), ("POST", "log")][n % 3];
         let message = rpc(
@@ -30,13 +35,13 @@
         let status = client.call(&message).map(|response| response.status());
         assert_eq!(status, Some(200), "{name} {n} of client {client_number}");
         responses.fetch_add(1, Ordering::SeqCst);
-        if over.change(|over| *over) {
+        if stop.change(|stop| *stop) {
             return;
         }
     }
 }
 
-/// Changes the order of the methods, one method, the quotas and the limit of attempts.
+/// Changes the order of the methods, one method, the quotas and the maximum number of attempts.
 fn change_settings(settings: &mut Value, n: usize) {
     let all = methods(settings);
     all.retain(|m| ["read", "book", "log"].contains(&m["name"].as_str().expect("a name")));
@@ -52,24 +57,28 @@
     change_settings(&mut proxy.config["settings"], n);
     let before = responses.load(Ordering::SeqCst);
     proxy.reload();
-    eventually(EVENT_TIMEOUT, "no RPC completes", || {
+    eventually(EVENT_TIMEOUT, "no RPC completed", || {
         responses.load(Ordering::SeqCst) > before
     });
 }
 
-/// Waits for the log line of the last change. RPCs would not do: rejected ones would use up the proxy's sockets, and idle
-/// clients would be evicted.
+/// Waits until the log shows that the last change is active. Polling with RPCs would disturb the test: rejected RPCs would
+/// exhaust the proxy's socket budget, and idle clients would be evicted.
 fn await_last_change(proxy: &Proxy) {
     let digest = format!("digest {}", proxy.expected_digest());
-    eventually(EVENT_TIMEOUT, "the last change never became active", || {
-        std::thread::sleep(Duration::from_millis(10));
-        let logged = proxy.daemon.logged();
-        let mut lines = logged.lines();
-        lines.any(|line| line.contains("in force") && line.contains(&digest))
-    });
+    eventually(
+        EVENT_TIMEOUT,
+        "the last change did not become active",
+        || {
+            std::thread::sleep(Duration::from_millis(10));
+            let logged = proxy.daemon.logged();
+            let mut lines = logged.lines();
+            lines.any(|line| line.contains("in force") && line.contains(&digest))
+        },
+    );
 }
 
-/// Each RPC is answered, on the connection that its client opened first.
+/// Each RPC gets a response on the one connection of its client.
 #[test]
 fn hundreds_of_reloads_lose_no_rpc() {
     let log = Log::new(vec![]);
@@ -78,21 +87,21 @@
         ("s-2", echo("b2", &log)),
         ("s-3", echo("b3", &log)),
     ];
-    // Long enough for a machine that stalls for some seconds.
+    // Latency targets long enough for a machine that stalls for some seconds.
     let mut proxy = Proxy::start(&backends, |config| {
         methods(&mut config["settings"])
             .iter_mut()
             .for_each(|m| m["latency-target-ns"] = 15e9.into());
     });
-    let over = Shared::new(false);
+    let stop = Shared::new(false);
     let responses = AtomicUsize::new(0);
-    let at = proxy.daemon.address;
+    let address = proxy.daemon.address;
     std::thread::scope(|threads| {
-        let _guard = SetOnDrop(over.clone());
+        let _guard = SetOnDrop(stop.clone());
         for number in 0..4 {
-            let over = &over;
+            let stop = &stop;
             let responses = &responses;
-            threads.spawn(move || send_rpcs(number, at, over, responses));
+            threads.spawn(move || send_rpcs(number, address, stop, responses));
         }
         for n in 1..=300 {
             reload_between_rpcs(&mut proxy, n, &responses);
