--- a/crates/daemon/tests/long.rs
+++ b/crates/daemon/tests/long.rs
@@ -17,14 +17,14 @@
     Daemon::start_with(PROGRAM, backends, without_health_checks)
 }
 
-/// Creates a text of this length.
-fn text(bytes: usize) -> String {
+/// Creates a body of this length whose content differs along it.
+fn body_text(bytes: usize) -> String {
     (0..bytes)
         .map(|n| char::from(b'a' + (n % 23 + n / 1000 % 3) as u8))
         .collect()
 }
 
-/// Encodes the same RPC with the chunked transfer coding, a chunk extension and a trailer.
+/// Encodes an RPC again, with the chunked transfer coding, a chunk extension in each chunk and a trailer.
 fn chunked(message: &str) -> String {
     let (head, body) = message.split_once("\r\n\r\n").expect("a head");
     let head: Vec<_> = head
@@ -33,7 +33,7 @@
         .collect();
     let chunks: String = body
         .as_bytes()
-        .chunks(100_000) // hyper accepts 16 KiB of extensions in a body
+        .chunks(100_000) // hyper accepts at most 16 KiB of chunk extensions in a body
         .map(|chunk| {
             format!(
                 "{:x};a=\"b\"\r\n{}\r\n",
@@ -54,13 +54,13 @@
     let daemon = start(&[("s-1", echo("b1", &log))]);
     let mut client = daemon.client();
     for bytes in [(64 << 10) - 1, 64 << 10, (64 << 10) + 1, 80 << 10, 5 << 20] {
-        let body = text(bytes);
+        let body = body_text(bytes);
         let plain = rpc("POST", "/log", &format!("plain{bytes}"), &body);
         for message in [chunked(&plain).replace("plain", "chunked"), plain] {
-            let answer = client.call(&message).expect("an answer");
-            assert_eq!(answer.status(), 200);
+            let response = client.call(&message).expect("a response");
+            assert_eq!(response.status(), 200);
             assert!(
-                answer.text().strip_prefix("b1:") == Some(&body),
+                response.text().strip_prefix("b1:") == Some(&body),
                 "a body of {bytes} bytes was changed"
             );
         }
@@ -74,18 +74,26 @@
         "s-1",
         backend("b1", &log, |_| BackendAction::Respond(reply("200 OK", ""))),
     )]);
-    let body = text((32 << 20) + 1);
+    let body = body_text((32 << 20) + 1);
     let message = chunked(&rpc("POST", "/log", "chunked", &body));
     let mut client = daemon.client();
     let mut writer = client.stream();
     let sending = spawn(move || writer.write_all(message.as_bytes()).is_ok());
-    assert_eq!(client.response().map(|answer| answer.status()), Some(413));
+    assert_eq!(
+        client.response().map(|response| response.status()),
+        Some(413)
+    );
     drop(client);
     let _ = sending.join();
-    assert_eq!(log.count("chunked"), 0, "a backend received all of it");
+    assert_eq!(
+        log.count("chunked"),
+        0,
+        "a backend received the complete request"
+    );
 }
 
-/// Concurrent bodies exceed the memory limit in total, and their peers pause: none is truncated, and the limit is kept.
+/// Concurrent bodies exceed the memory limit in total while clients and the backend pause: no body is truncated, and the
+/// process stays within the limit.
 #[test]
 fn bodies_larger_than_memory_are_streamed() {
     let log = Log::new(vec![]);
@@ -98,16 +106,16 @@
         without_health_checks(config);
         config["limits"]["memory_mb"] = (limit >> 20).into();
     });
-    let body = text(4 << 20);
+    let body = body_text(4 << 20);
     let rpcs: Vec<_> = (0..16)
         .map(|n| {
-            let (at, message, bytes) = (
+            let (address, message, bytes) = (
                 daemon.address,
                 rpc("POST", "/log", &format!("n{n}"), &body),
                 body.len(),
             );
             spawn(move || {
-                let mut client = Client::open(at).expect("a connection");
+                let mut client = Client::open(address).expect("a connection");
                 let mut writer = client.stream();
                 let sending = spawn(move || {
                     message.as_bytes().chunks(1 << 20).all(|chunk| {
@@ -117,9 +125,9 @@
                 });
                 // The client reads nothing at first.
                 sleep(Duration::from_millis(1500));
-                let answer = client.response().expect("an answer");
+                let response = client.response().expect("a response");
                 assert!(sending.join().expect("a sender"));
-                (answer.status(), answer.body.len()) == (200, bytes)
+                (response.status(), response.body.len()) == (200, bytes)
             })
         })
         .collect();
@@ -135,12 +143,12 @@
     assert!(peak_memory <= limit, "{} MiB of memory", peak_memory >> 20);
 }
 
-/// The deadline of a request counts from its last byte, and a response that is being sent is not truncated.
+/// The deadline of a request is measured from its last byte, and a response that is being sent is not truncated.
 #[test]
 fn rpcs_of_slow_clients_are_served() {
     let log = Log::new(vec![]);
     let daemon = start(&[("s-1", echo("b1", &log))]);
-    let body = text(250_000);
+    let body = body_text(250_000);
     let message = rpc("POST", "/book", "slow", &body).replace("3000", "400");
     let mut client = daemon.client();
     for piece in message.as_bytes().chunks(60_000) {
@@ -148,39 +156,39 @@
         sleep(Duration::from_millis(200));
     }
     sleep(Duration::from_millis(800));
-    let answer = client.response().expect("an answer");
-    assert!(answer.status() == 200 && answer.body.len() == 250_003);
-    // Two pipelined requests whose bytes take two seconds.
-    let two = [
+    let response = client.response().expect("a response");
+    assert!(response.status() == 200 && response.body.len() == 250_003);
+    // Two pipelined requests, sent over two seconds.
+    let pipelined = [
         rpc("POST", "/book", "one", "x"),
         rpc("POST", "/book", "two", "yz"),
     ]
     .concat();
-    for piece in two.as_bytes().chunks(two.len() / 50) {
+    for piece in pipelined.as_bytes().chunks(pipelined.len() / 50) {
         client.send(std::str::from_utf8(piece).expect("text"));
         sleep(Duration::from_millis(40));
     }
-    let answers =
-        [client.response(), client.response()].map(|answer| answer.expect("an answer").text());
-    assert_eq!(answers, ["b1:x", "b1:yz"]);
+    let responses =
+        [client.response(), client.response()].map(|response| response.expect("a response").text());
+    assert_eq!(responses, ["b1:x", "b1:yz"]);
 }
 
 #[test]
 fn truncated_response_is_not_forwarded_as_complete() {
     let log = Log::new(vec![]);
-    let cut = |head: &str| {
+    let truncating_backend = |head: &str| {
         let head = format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n");
         let chunk = if head.contains("chunked") {
-            format!("{:x}\r\n{}\r\n", 200_000, text(200_000))
+            format!("{:x}\r\n{}\r\n", 200_000, body_text(200_000))
         } else {
-            text(200_000)
+            body_text(200_000)
         };
         backend("b1", &log, move |_| {
             BackendAction::RespondAndClose([head.as_bytes(), chunk.as_bytes()].concat())
         })
     };
     for head in ["Content-Length: 300000", "Transfer-Encoding: chunked"] {
-        let daemon = start(&[("s-1", cut(head))]);
+        let daemon = start(&[("s-1", truncating_backend(head))]);
         let mut client = daemon.client();
         client.send(&rpc("POST", "/book", "cut", ""));
         assert!(
@@ -197,7 +205,7 @@
     let is_closed = Shared::new(false);
     let closed = is_closed.clone();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("an address");
     spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         let _ = stream.read(&mut [0; 4096]);
@@ -205,14 +213,14 @@
         while stream.write_all(&[b'x'; 65536]).is_ok() {}
         closed.change(|is_closed| *is_closed = true);
     });
-    let daemon = start(&[("s-1", at)]);
+    let daemon = start(&[("s-1", address)]);
     let mut client = daemon.client();
     client.send(&rpc("POST", "/book", "disconnects", ""));
     let mut first = [0; 100_000];
     client
         .stream()
         .read_exact(&mut first)
-        .expect("the first of it");
+        .expect("the start of the response");
     drop(client);
     assert!(
         is_closed.wait(EVENT_TIMEOUT, |is_closed| *is_closed),
@@ -221,31 +229,31 @@
     assert_eq!(log.all().len(), 0);
 }
 
-/// A request that was not written completely has not run, so it is rejected. It is not retried once bytes that are not
-/// buffered were sent.
+/// A backend does not execute a request that it received in part, so the client gets a rejection. The proxy does not retry
+/// the request once it has sent bytes that it no longer buffers.
 #[test]
 fn incomplete_request_is_rejected_without_a_retry() {
     let log = Log::new(vec![]);
     let closing_backend = |read_bytes: usize| {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let log = log.clone();
-        let at = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("an address");
         spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 log.record(format!("read {read_bytes}"));
                 let _ = stream.read_exact(&mut vec![0; read_bytes]);
             }
         });
-        at
+        address
     };
     for read_bytes in [200, 300_000] {
         let daemon = start(&[("s-1", closing_backend(read_bytes))]);
         let mut client = daemon.client();
         let mut writer = client.stream();
-        let message = rpc("POST", "/book", "breaks", &text(4 << 20));
+        let message = rpc("POST", "/book", "breaks", &body_text(4 << 20));
         spawn(move || writer.write_all(message.as_bytes()).is_ok());
         assert_eq!(
-            client.response().map(|answer| answer.status()),
+            client.response().map(|response| response.status()),
             Some(503),
             "after {read_bytes} bytes"
         );
@@ -256,46 +264,49 @@
 #[test]
 fn all_framings_of_responses_are_forwarded() {
     let log = Log::new(vec![]);
-    let at = backend("b1", &log, |m| {
+    let address = backend("b1", &log, |m| {
         match m.header("request-id") {
         "interim" => BackendAction::Respond([&b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"[..], &reply("200 OK", "interim")].concat()),
-        "ends" => BackendAction::RespondAndClose(b"HTTP/1.1 200 OK\r\n\r\nends with the connection".to_vec()),
-        "old" => BackendAction::RespondAndClose(b"HTTP/1.0 200 OK\r\n\r\nold".to_vec()),
+        "until-close" => BackendAction::RespondAndClose(b"HTTP/1.1 200 OK\r\n\r\nends with the connection".to_vec()),
+        "http10" => BackendAction::RespondAndClose(b"HTTP/1.0 200 OK\r\n\r\nold".to_vec()),
         "chunks" => BackendAction::Respond(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nch\r\n4\r\nunks\r\n0\r\nT: x\r\n\r\n".to_vec()),
         id => panic!("no such RPC: {id}"),
     }
     });
-    let daemon = start(&[("s-1", at)]);
+    let daemon = start(&[("s-1", address)]);
     let mut client = daemon.client();
     for (id, body) in [
         ("interim", "interim"),
-        ("ends", "ends with the connection"),
-        ("old", "old"),
+        ("until-close", "ends with the connection"),
+        ("http10", "old"),
         ("chunks", "chunks"),
     ] {
-        let answer = client
+        let response = client
             .call(&rpc("POST", "/book", id, ""))
-            .expect("an answer");
-        assert_eq!((answer.status(), answer.text().as_str()), (200, body));
+            .expect("a response");
+        assert_eq!((response.status(), response.text().as_str()), (200, body));
     }
 }
 
 #[test]
 fn all_framings_of_requests_are_forwarded() {
     let log = Log::new(vec![]);
-    let at = backend("b1", &log, |m| {
+    let address = backend("b1", &log, |m| {
         BackendAction::Respond(reply("200 OK", &m.text()))
     });
-    let daemon = start(&[("s-1", at)]);
+    let daemon = start(&[("s-1", address)]);
     let mut client = daemon.client();
-    // With `Expect` the body is sent after the interim response.
+    // With `Expect: 100-continue` the client sends the body after the interim response.
     let expecting =
         rpc("POST", "/book", "expects", "body").replace("Tenant", "Expect: 100-continue\r\nTenant");
     let (head, body) = expecting.split_once("\r\n\r\n").expect("a head");
     client.send(&format!("{head}\r\n\r\n"));
-    assert_eq!(client.response().expect("an interim answer").status(), 100);
+    assert_eq!(
+        client.response().expect("an interim response").status(),
+        100
+    );
     assert_eq!(client.text_of(body), "body");
-    // HTTP/1.0, with a connection that is kept alive on request.
+    // HTTP/1.0, where a connection is kept alive only on request.
     let old = rpc("POST", "/book", "old-1", "1.0").replace("HTTP/1.1", "HTTP/1.0");
     let kept = old
         .replace("old-1", "old-2")
@@ -317,31 +328,32 @@
 #[test]
 fn connection_with_an_unread_response_is_not_evicted() {
     let log = Log::new(vec![]);
-    let at = backend("b1", &log, |_| {
-        BackendAction::Respond(reply("200 OK", &text(60_000)))
+    let address = backend("b1", &log, |_| {
+        BackendAction::Respond(reply("200 OK", &body_text(60_000)))
     });
-    let few = |config: &mut serde_json::Value| config["limits"]["sockets"] = 74.into();
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], few);
+    let small_socket_limit =
+        |config: &mut serde_json::Value| config["limits"]["sockets"] = 74.into();
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", address)], small_socket_limit);
     let mut slow: Vec<_> = (0..5).map(|_| daemon.client()).collect();
     for (n, client) in slow.iter_mut().enumerate() {
         (0..3)
             .for_each(|m| assert!(client.send(&rpc("POST", "/book", &format!("slow{n}-{m}"), ""))));
     }
-    eventually(EVENT_TIMEOUT, "the responses never came", || {
+    eventually(EVENT_TIMEOUT, "the backend did not get the RPCs", || {
         log.count("slow") >= 5
     });
-    let begun = Instant::now();
-    let crowd: Vec<_> = (0..100)
+    let started = Instant::now();
+    let idle_connections: Vec<_> = (0..100)
         .filter_map(|_| TcpStream::connect(daemon.address).ok())
         .collect();
     let mut client = daemon.client();
     assert_eq!(client.status_of(&rpc("POST", "/book", "prompt", "")), 200);
-    assert!(begun.elapsed() < Duration::from_secs(2));
+    assert!(started.elapsed() < Duration::from_secs(2));
     for client in &mut slow {
         assert_eq!(
-            client.response().map(|answer| answer.body.len()),
+            client.response().map(|response| response.body.len()),
             Some(60_000)
         );
     }
-    drop(crowd);
+    drop(idle_connections);
 }
