--- a/crates/daemon/tests/on_call_page.rs
+++ b/crates/daemon/tests/on_call_page.rs
@@ -1,9 +1,9 @@
-//! The on-call page quotes log lines; each of them has to exist in the module that the page names.
+//! Checks that each log line that the on-call page quotes exists in the module that the page names.
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Fragments shorter than this are punctuation between two placeholders.
-const SHORTEST_FRAGMENT: usize = 3;
+/// Minimum length of a fragment that is looked up; shorter ones are punctuation between two placeholders.
+const MIN_FRAGMENT_LENGTH: usize = 3;
 
 fn source_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("src")
@@ -13,11 +13,11 @@
     fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// All source files below a folder.
+/// Returns all source files in a folder and its subfolders.
 fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in fs::read_dir(folder).expect("a source folder") {
-        let path = entry.expect("a folder's entry").path();
+        let path = entry.expect("a folder entry").path();
         if path.is_dir() {
             files.extend(source_files(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs") {
@@ -27,7 +27,7 @@
     files
 }
 
-/// Whether lines with this module name may be written by the file: a module is a file, or a folder with all its files.
+/// Returns whether the file may write log lines with this module name. A module is a file, or a folder with all its files.
 fn belongs_to(path: &Path, module: &str) -> bool {
     let is_program_target = module == "birchhubd" && read(path).contains("target: \"birchhubd\"");
     let is_main = module == "birchhubd" && path.ends_with("main.rs");
@@ -36,16 +36,16 @@
     is_program_target || is_main || is_file || is_in_folder
 }
 
-/// The text of a module's files, with string literals that span several lines joined as the compiler joins them.
+/// Returns the text of a module's files, with string literals that span several lines joined as the compiler joins them.
 fn source_of(module: Option<&str>) -> String {
     let mut folders = vec![source_folder()];
     if module.is_none_or(|name| name == "logger") {
         folders.push(source_folder().join("../../logging/src"));
     }
     let files = folders.iter().flat_map(|folder| source_files(folder));
-    let of_module =
+    let module_files =
         files.filter(|path| module.is_none_or(|name| name == "logger" || belongs_to(path, name)));
-    let text: String = of_module.map(|path| read(&path)).collect();
+    let text: String = module_files.map(|path| read(&path)).collect();
     let mut joined = String::new();
     for part in text.split("\\\n") {
         joined.push_str(part.trim_start());
@@ -53,11 +53,13 @@
     joined
 }
 
-/// The log lines that the page quotes: the code spans in the second column of the table.
+/// Returns the log lines that the page quotes: the code spans in the second column of the table.
 fn quoted_lines() -> Vec<String> {
     let page = read(&source_folder().join("../../../docs/on-call.md"));
-    let (_, section) = page.split_once("## Log lines").expect("the section");
-    let (section, _) = section.split_once("\n## ").expect("a section behind it");
+    let (_, section) = page
+        .split_once("## Log lines")
+        .expect("a section with the log lines");
+    let (section, _) = section.split_once("\n## ").expect("a section after it");
     let rows = section.lines().filter(|line| line.starts_with("| "));
     let cells = rows.skip(2).filter_map(|row| row.split(" | ").nth(1));
     cells
@@ -65,28 +67,28 @@
         .collect()
 }
 
-/// The module at the start of a line, and the text behind it.
+/// Splits a log line into the module at its start, if any, and the text after it.
 fn split_module(line: &str) -> (Option<&str>, &str) {
-    let is_name = |name: &str| name.chars().all(|c| c.is_ascii_lowercase() || c == '_');
+    let is_module_name = |name: &str| name.chars().all(|c| c.is_ascii_lowercase() || c == '_');
     match line.split_once(": ") {
-        Some((module, text)) if is_name(module) => (Some(module), text),
+        Some((module, text)) if is_module_name(module) => (Some(module), text),
         _ => (None, line),
     }
 }
 
-/// Whether a word stands for a value: in capitals, a field with a value, or an ellipsis.
+/// Returns whether a word stands for a value: a word in capitals, a field with a value, or an ellipsis.
 fn is_placeholder(word: &str) -> bool {
     let core = word.trim_matches(|c: char| !c.is_alphanumeric());
     let is_capital = |c: char| c.is_ascii_uppercase() || c.is_ascii_digit();
     let is_value =
         !core.is_empty() && core.chars().all(is_capital) && core != "RPC" && core != "RPCS";
-    let is_name = core.chars().all(|c| c.is_ascii_uppercase()) && core.starts_with("SIG");
+    let is_signal_name = core.chars().all(|c| c.is_ascii_uppercase()) && core.starts_with("SIG");
     let is_field = word.contains('=');
     let is_ellipsis = word.contains('…') || word.contains("...");
-    (is_value && !is_name) || is_field || is_ellipsis
+    (is_value && !is_signal_name) || is_field || is_ellipsis
 }
 
-/// The parts of a quoted line that stand in the source as they are.
+/// Returns the parts of a quoted line between its placeholders, which the source contains literally.
 fn literal_fragments(text: &str) -> Vec<String> {
     let mut fragments = vec![String::new()];
     for word in text.split(' ') {
@@ -94,13 +96,13 @@
             fragments.push(String::new());
             continue;
         }
-        let fragment = fragments.last_mut().expect("never empty");
+        let fragment = fragments.last_mut().expect("at least one fragment");
         if !fragment.is_empty() {
             fragment.push(' ');
         }
         fragment.push_str(word);
     }
-    fragments.retain(|fragment| fragment.len() >= SHORTEST_FRAGMENT);
+    fragments.retain(|fragment| fragment.len() >= MIN_FRAGMENT_LENGTH);
     fragments
 }
 
@@ -113,10 +115,12 @@
         let (module, text) = split_module(line);
         let source = source_of(module);
         let fragments = literal_fragments(text);
-        assert!(!fragments.is_empty(), "nothing to look for in: {line}");
+        assert!(!fragments.is_empty(), "no literal text in: {line}");
         for fragment in fragments {
             if !source.contains(&fragment) {
-                missing.push(format!("{line}: no \"{fragment}\""));
+                missing.push(format!(
+                    "{line}: the source does not contain \"{fragment}\""
+                ));
             }
         }
     }
