--- a/crates/daemon/tests/process.rs
+++ b/crates/daemon/tests/process.rs
@@ -32,34 +32,34 @@
     let log = Log::new(vec![]);
     let gate = Shared::new(false);
     let open = gate.clone();
-    let at = backend("b1", &log, move |m| {
+    let address = backend("b1", &log, move |m| {
         if m.header("request-id") == "held" {
             open.wait(EVENT_TIMEOUT, |open| *open);
         }
         BackendAction::Respond(reply("200 OK", "done"))
     });
-    let mut daemon = Daemon::start(PROGRAM, &[("s-1", at)]);
+    let mut daemon = Daemon::start(PROGRAM, &[("s-1", address)]);
     let mut held = daemon.client();
-    let mut half = daemon.client();
+    let mut incomplete = daemon.client();
     let mut idle = daemon.client();
     held.send(&rpc("POST", "/book", "held", ""));
     log.await_event("b1 got POST /book HTTP/1.1 held");
     let message = rpc("POST", "/book", "half", "body");
-    half.send(&message[..message.len() - 2]);
+    incomplete.send(&message[..message.len() - 2]);
     // This response shows that the proxy has accepted the other connections and read the incomplete RPC.
     assert_eq!(daemon.client().status_of(HEALTH), 200);
     daemon.signal("TERM");
     daemon.await_ready(503); // on a new connection
-    half.send(&message[message.len() - 2..]);
-    let answer = half.response().expect("an answer");
+    incomplete.send(&message[message.len() - 2..]);
+    let response = incomplete.response().expect("a response");
     assert_eq!(
-        (answer.status(), answer.header("connection")),
+        (response.status(), response.header("connection")),
         (200, "close")
     );
     assert!(idle.is_closed());
     gate.change(|open| *open = true);
-    let answer = held.response().expect("an answer");
-    assert_eq!((answer.status(), answer.text().as_str()), (200, "done"));
+    let response = held.response().expect("a response");
+    assert_eq!((response.status(), response.text().as_str()), (200, "done"));
     assert!(daemon.await_exit().success());
 }
 
@@ -73,8 +73,9 @@
     held.send(&rpc("POST", "/book", "held", ""));
     log.await_event("b1 got POST /book HTTP/1.1 held");
     let mut client = daemon.client();
-    let mut ask = |n: &str| client.text_of(&rpc("GET", "/read", n, ""));
-    // Each service starts with the version that its predecessor had: only a call for the full list is answered.
+    let mut read = |n: &str| client.text_of(&rpc("GET", "/read", n, ""));
+    // Each service starts at the version that the previous one had reached, so the proxy gets the new list only if it asks
+    // for a complete one.
     let mut now = endpoint_entry("s-1", old, "Ready");
     for name in ["b2", "b3"] {
         let version = daemon
@@ -85,39 +86,39 @@
         now = endpoint_entry("s-2", echo(name, &log), "Ready");
         next.publish(std::slice::from_ref(&now));
         daemon.reload(&config(daemon.address, next.address, &[]).to_string());
-        eventually(EVENT_TIMEOUT, "the new list was never applied", || {
-            ask(name) == format!("{name}:")
+        eventually(EVENT_TIMEOUT, "the new list was not applied", || {
+            read(name) == format!("{name}:")
         });
         daemon
             .discovery
-            .publish(&[endpoint_entry("s-1", old, "Ready")]); // nobody listens there any more
+            .publish(&[endpoint_entry("s-1", old, "Ready")]); // the proxy no longer polls this service
         daemon.discovery = next;
     }
     for text in ["", "{\"listen\":", "{}"] {
         daemon.reload(text);
-        assert_eq!(ask("kept"), "b3:");
+        assert_eq!(read("kept"), "b3:");
     }
     gate.change(|open| *open = true);
-    assert_eq!(held.response().expect("an answer").text(), "old");
+    assert_eq!(held.response().expect("a response").text(), "old");
     daemon.signal("TERM");
     daemon.await_ready(503);
     daemon.reload("{}");
     assert!(daemon.await_exit().success());
 }
 
-/// An interval in which the process was stopped does not count as response time of its backends.
+/// An interval in which the process was stopped does not count towards the response time of its backends.
 #[test]
 fn stop_of_the_process_does_not_count_against_backends() {
     let log = Log::new(vec![]);
-    let at = backend("b1", &log, |_| {
+    let address = backend("b1", &log, |_| {
         std::thread::sleep(Duration::from_millis(30));
         BackendAction::Respond(reply("200 OK", "done"))
     });
-    let tight = |config: &mut Value| {
+    let short_target = |config: &mut Value| {
         config["settings"]["methods"][0]["latency-target-ns"] = 200e6.into();
         without_health_checks(config);
     };
-    let daemon = Daemon::start_with(PROGRAM, &[("s-1", at)], tight);
+    let daemon = Daemon::start_with(PROGRAM, &[("s-1", address)], short_target);
     let mut client = daemon.client();
     assert_eq!(client.status_of(&rpc("GET", "/read", "before", "")), 200);
     client.send(&rpc("GET", "/read", "stopped", ""));
@@ -125,16 +126,17 @@
     daemon.signal("STOP");
     std::thread::sleep(Duration::from_millis(600));
     daemon.signal("CONT");
-    client.response().expect("an answer, whatever it is");
+    client.response().expect("a response of any status");
     assert_eq!(client.status_of(&rpc("GET", "/read", "after", "")), 200);
 }
 
-/// A timer that expires while the process is stopped fires later: queued RPCs are answered before their deadline.
+/// A timer that expires while the process is stopped fires after it continues, so that queued RPCs get their
+/// response before the deadline.
 #[test]
 fn timers_that_expire_while_the_process_is_stopped_fire_later() {
-    let tight =
+    let short_target =
         |config: &mut Value| config["settings"]["methods"][0]["latency-target-ns"] = 200e6.into();
-    let daemon = Daemon::start_with(PROGRAM, &[], tight);
+    let daemon = Daemon::start_with(PROGRAM, &[], short_target);
     let mut client = daemon.client();
     for n in 0..5 {
         client.send(&rpc("GET", "/read", &format!("n{n}"), ""));
@@ -142,66 +144,66 @@
         daemon.signal("STOP");
         std::thread::sleep(Duration::from_millis(100));
         daemon.signal("CONT");
-        assert_eq!(client.response().expect("an answer").status(), 503);
+        assert_eq!(client.response().expect("a response").status(), 503);
     }
 }
 
-/// Returns invalid variants of a valid configuration, and what the error must name.
-fn bad_configurations(good: &Value) -> Vec<(Option<String>, &'static str)> {
+/// Returns invalid variants of a valid configuration, each with the text that the error must contain.
+fn invalid_configurations(valid_config: &Value) -> Vec<(Option<String>, &'static str)> {
     let without = |key: &str| {
-        let mut file = good.clone();
+        let mut file = valid_config.clone();
         file.as_object_mut().expect("an object").remove(key);
         file.to_string()
     };
-    let odd = |key: &str| {
-        let mut file = good.clone();
-        file[key] = "odd".into();
+    let with_invalid = |key: &str| {
+        let mut file = valid_config.clone();
+        file[key] = "invalid".into();
         file.to_string()
     };
     vec![
         (None, "LB_CONFIG is not set"),
         (Some(String::new()), "LB_CONFIG"),
         (Some(without("listen")), "LB_LISTEN"),
-        (Some(odd("discovery")), "LB_DISCOVERY"),
-        (Some(odd("seed")), "seed"),
+        (Some(with_invalid("discovery")), "LB_DISCOVERY"),
+        (Some(with_invalid("seed")), "seed"),
         (Some(without("settings")), "settings"),
-        (Some(odd("settings")), "settings"),
-        (Some(odd("watch")), "watch"),
-        (Some(good.to_string()), "LB_LISTEN cannot be bound"),
+        (Some(with_invalid("settings")), "settings"),
+        (Some(with_invalid("watch")), "watch"),
+        (Some(valid_config.to_string()), "LB_LISTEN cannot be bound"),
     ]
 }
 
-/// Returns configurations with invalid shadow settings, and what the error must name.
-fn bad_shadow_settings(good: &Value) -> Vec<(Option<String>, &'static str)> {
-    let watching = |change: fn(&mut Value)| {
-        let mut file = good.clone();
+/// Returns configurations with invalid shadow settings, each with the text that the error must contain.
+fn invalid_shadow_settings(valid_config: &Value) -> Vec<(Option<String>, &'static str)> {
+    let with_shadow = |change: fn(&mut Value)| {
+        let mut file = valid_config.clone();
         file["watch"] = file["settings"].clone();
         change(&mut file["watch"]);
         Some(file.to_string())
     };
     vec![
         (
-            watching(|watch| watch["ceilings"]["probes"] = 1.into()),
+            with_shadow(|watch| watch["ceilings"]["probes"] = 1.into()),
             "watch.ceilings.probes",
         ),
         (
-            watching(|watch| watch["report"]["fields"] = "depth".into()),
+            with_shadow(|watch| watch["report"]["fields"] = "depth".into()),
             "watch.report.fields",
         ),
         (
-            watching(|watch| watch["extra"] = json!({"warm-keys": 3})),
+            with_shadow(|watch| watch["extra"] = json!({"warm-keys": 3})),
             "watch.extra.warm-keys",
         ),
         (
-            watching(|watch| watch["goal"] = json!({"nines-wanted": -2})),
+            with_shadow(|watch| watch["goal"] = json!({"nines-wanted": -2})),
             "watch.goal.nines-wanted",
         ),
         (
-            watching(|watch| watch["methods"][1]["name"] = "sell".into()),
+            with_shadow(|watch| watch["methods"][1]["name"] = "sell".into()),
             "watch.methods",
         ),
         (
-            watching(|watch| watch["failure-domains"] = json!(["b"])),
+            with_shadow(|watch| watch["failure-domains"] = json!(["b"])),
             "watch.failure-domains",
         ),
     ]
@@ -209,20 +211,28 @@
 
 #[test]
 fn startup_error_names_the_invalid_configuration_value() {
-    let folder = TestFolder::new("bad");
+    let folder = TestFolder::new("invalid");
     let taken = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let good = config(
+    let valid_config = config(
         taken.local_addr().expect("an address"),
         unused_address(),
         &[],
     );
-    for (file, named) in [bad_configurations(&good), bad_shadow_settings(&good)].concat() {
+    for (file, expected_text) in [
+        invalid_configurations(&valid_config),
+        invalid_shadow_settings(&valid_config),
+    ]
+    .concat()
+    {
         let mut start = Command::new(PROGRAM);
         if let Some(text) = file {
             start.env("LB_CONFIG", folder.write_config(&text));
         }
-        let end = FailedStart::of(&mut start);
-        end.assert_one_line();
-        assert!(end.error.contains(named), "{named}: {end:?}");
+        let failure = FailedStart::of(&mut start);
+        failure.assert_one_line();
+        assert!(
+            failure.error.contains(expected_text),
+            "{expected_text}: {failure:?}"
+        );
     }
 }
