--- a/crates/daemon/tests/rehearsals.rs
+++ b/crates/daemon/tests/rehearsals.rs
@@ -1,5 +1,5 @@
-//! Short rehearsals of birchhubd itself, judged by the rules alone: time limits have a slack that no noise of the machine
-//! uses up, and no level of service is required.
+//! Short rehearsals of birchhubd that must violate none of the rules. No level of service is required, and time limits
+//! have enough slack for pauses of the test machine.
 use birchhub_rehearsal::{Options, Plan, Report, Scenario, Verdict, rehearse};
 
 const DEPLOYMENT: &str = r#"
@@ -71,16 +71,17 @@
     let counts = &report.findings.counts;
     assert!(
         counts.ok > counts.rpcs / 2,
-        "few RPCs were served: {}",
+        "half of the RPCs or fewer were served: {}",
         report.text()
     );
     let _ = std::fs::remove_dir_all(out);
     report
 }
 
-/// Two faults during a drain: half of a rack is stopped while a deploy drains it, and a neighbour takes part of the rest.
+/// Two faults during a drain: half of a rack is stopped while a deploy drains its zone, and other load takes half of the
+/// processor time of the rest.
 #[test]
-fn overlapping_faults_during_a_drain_keep_the_rules() {
+fn overlapping_faults_during_a_drain_violate_no_rule() {
     let report = run_rehearsal(
         "overlap",
         r#"
@@ -119,10 +120,10 @@
     );
 }
 
-/// A zone dies and comes back in slow start at once, and a proxy is killed with RPCs in flight: no backend is overloaded,
-/// and nothing runs twice.
+/// A zone crashes and all its backends restart at once in slow start, and a proxy is killed with RPCs in flight: no backend
+/// collapses under load, and no request is executed twice.
 #[test]
-fn the_loss_of_a_zone_and_a_proxy_keeps_the_rules() {
+fn loss_of_a_zone_and_a_proxy_violates_no_rule() {
     let report = run_rehearsal(
         "deaths",
         r#"
@@ -160,7 +161,7 @@
     );
     assert!(
         counts.unreachable > 0,
-        "no client met the killed proxy: {}",
+        "no client tried to reach the killed proxy: {}",
         report.text()
     );
 }
