--- a/crates/daemon/tests/replacing.rs
+++ b/crates/daemon/tests/replacing.rs
@@ -14,7 +14,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// The platform, which owns the listening socket for clients and the folder that all processes of a proxy share.
+/// The platform that runs a proxy: it owns the listening socket for clients and the folder that all processes share.
 struct Platform {
     socket: TcpListener,
     discovery: DiscoveryService,
@@ -27,7 +27,7 @@
 /// A process of the proxy, killed when dropped.
 struct Process {
     child: Child,
-    management: SocketAddr,
+    admin_address: SocketAddr,
 }
 
 impl Drop for Process {
@@ -43,7 +43,7 @@
         discovery.publish(
             &backends
                 .iter()
-                .map(|(uid, at)| endpoint_entry(uid, *at, "Ready"))
+                .map(|(uid, address)| endpoint_entry(uid, *address, "Ready"))
                 .collect::<Vec<_>>(),
         );
         let socket = TcpListener::bind("127.0.0.1:0").expect("a socket");
@@ -56,14 +56,14 @@
         }
     }
 
-    fn at(&self) -> SocketAddr {
+    fn address(&self) -> SocketAddr {
         self.socket.local_addr().expect("an address")
     }
 
     /// Starts a process and waits until it accepts clients.
     fn start(&self) -> Process {
         let process = self.spawn(|_| {});
-        eventually(EVENT_TIMEOUT, "never yes", || {
+        eventually(EVENT_TIMEOUT, "the process did not accept clients", || {
             process
                 .call("GET /status")
                 .is_some_and(|(status, _)| status == 200)
@@ -73,21 +73,21 @@
 
     /// Starts a process, which inherits the listening socket as descriptor 7.
     fn spawn(&self, change: impl FnOnce(&mut Value)) -> Process {
-        let management = unused_address();
-        let known: Vec<_> = self
+        let admin_address = unused_address();
+        let cached_endpoints: Vec<_> = self
             .backends
             .iter()
-            .map(|(uid, at)| endpoint_entry(uid, *at, "Ready"))
+            .map(|(uid, address)| endpoint_entry(uid, *address, "Ready"))
             .collect();
-        let mut config = config(self.at(), self.discovery.address, &known);
+        let mut config = config(self.address(), self.discovery.address, &cached_endpoints);
         without_health_checks(&mut config);
-        config["management"] = management.to_string().into();
+        config["management"] = admin_address.to_string().into();
         config["limits"]["sockets"] = self.max_sockets.into();
         change(&mut config);
         let folder = self.folder.path();
-        let file = folder.join(format!("{management}.json"));
+        let file = folder.join(format!("{admin_address}.json"));
         std::fs::write(&file, config.to_string()).expect("a file");
-        let log = folder.join(format!("{management}.log"));
+        let log = folder.join(format!("{admin_address}.log"));
         let log = std::fs::File::create(log).expect("a file");
         let mut start = Command::new("sh");
         start.args(["-c", &format!("exec 7<&0 </dev/null; exec {PROGRAM}")]);
@@ -102,33 +102,33 @@
             .stderr(log);
         Process {
             child: start.spawn().expect("birchhubd"),
-            management,
+            admin_address,
         }
     }
 
     fn client(&self) -> Client {
-        Client::open(self.at()).expect("a connection")
+        Client::open(self.address()).expect("a connection")
     }
 
-    /// Sends an RPC on a new connection, and returns the status of the response.
-    fn ask(&self, id: &str) -> u16 {
+    /// Sends an RPC on a new connection, and returns the status of the response; 0 if there is none.
+    fn rpc_status(&self, id: &str) -> u16 {
         self.client()
             .call(&rpc("POST", "/book", id, ""))
-            .map_or(0, |answer| answer.status())
+            .map_or(0, |response| response.status())
     }
 }
 
 impl Process {
     /// Makes an admin call, and returns the status and text of the response.
     fn call(&self, call: &str) -> Option<(u16, String)> {
-        let answer =
-            Client::open(self.management)?.call(&format!("{call} HTTP/1.1\r\nHost: m\r\n\r\n"))?;
-        Some((answer.status(), answer.text()))
+        let response = Client::open(self.admin_address)?
+            .call(&format!("{call} HTTP/1.1\r\nHost: m\r\n\r\n"))?;
+        Some((response.status(), response.text()))
     }
 
     /// Makes an admin call, and returns the text of the response.
     fn text_of(&self, call: &str) -> String {
-        self.call(call).expect("an answer").1
+        self.call(call).expect("a response").1
     }
 
     fn signal(&self, name: &str) {
@@ -144,48 +144,52 @@
 #[test]
 fn replacement_rejects_no_rpc() {
     let log = Log::new(vec![]);
-    let platform = Platform::new("nothing", &[("s-1", echo("b1", &log))]);
+    let platform = Platform::new("replacement", &[("s-1", echo("b1", &log))]);
     let mut old = platform.start();
     let mut open: Vec<_> = (0..20).map(|_| platform.client()).collect();
     let call = |client: &mut Client, id: String| {
         client
             .call(&rpc("POST", "/book", &id, ""))
-            .expect("an answer")
+            .expect("a response")
     };
     for (n, client) in open.iter_mut().enumerate() {
         assert_eq!(call(client, format!("before{n}")).status(), 200);
     }
     let mut new = platform.start();
-    assert!((0..50).all(|n| platform.ask(&format!("both{n}")) == 200));
+    assert!((0..50).all(|n| platform.rpc_status(&format!("both{n}")) == 200));
     old.signal("TERM");
-    eventually(EVENT_TIMEOUT, "SIGTERM was never heard", || {
-        old.call("GET /status")
-            .is_none_or(|response| response.0 == 503)
-    });
+    eventually(
+        EVENT_TIMEOUT,
+        "the process did not begin to shut down",
+        || {
+            old.call("GET /status")
+                .is_none_or(|response| response.0 == 503)
+        },
+    );
     assert_eq!(
-        platform.client().call(HEALTH).expect("an answer").status(),
+        platform.client().call(HEALTH).expect("a response").status(),
         200
     );
     let mut closing = 0;
     for (n, client) in open.iter_mut().enumerate() {
-        // Connections to the old process end with their response, those to the new one stay open.
-        let answer = call(client, format!("after{n}"));
-        assert_eq!(answer.status(), 200);
-        closing += usize::from(answer.header("connection") == "close");
+        // The old process closes each connection after its response, the new one keeps its connections open.
+        let response = call(client, format!("after{n}"));
+        assert_eq!(response.status(), 200);
+        closing += usize::from(response.header("connection") == "close");
     }
-    assert!(closing > 0, "the old process held none");
-    assert!((0..50).all(|n| platform.ask(&format!("new{n}")) == 200));
+    assert!(closing > 0, "the old process had no open connection");
+    assert!((0..50).all(|n| platform.rpc_status(&format!("new{n}")) == 200));
     assert!(old.child.wait().expect("its end").success());
     assert!(new.child.try_wait().expect("its state").is_none());
     assert_eq!(
-        platform.ask("alone"),
+        platform.rpc_status("alone"),
         200,
         "the socket outlives the old process"
     );
 }
 
 /// SIGTERM reaches the old process right after the new one began to accept, before the old one polls its siblings. The new
-/// one is stopped meanwhile, so that the old one answers.
+/// one is stopped in the meantime, so that the old one handles the health calls.
 #[test]
 fn health_stays_ready_when_sigterm_follows_the_takeover_at_once() {
     let log = Log::new(vec![]);
@@ -195,25 +199,32 @@
         let new = platform.start();
         new.signal("STOP");
         old.signal("TERM");
-        eventually(EVENT_TIMEOUT, "SIGTERM was never heard", || {
-            old.call("GET /status")
-                .is_none_or(|response| response.0 == 503)
-        });
+        eventually(
+            EVENT_TIMEOUT,
+            "the process did not begin to shut down",
+            || {
+                old.call("GET /status")
+                    .is_none_or(|response| response.0 == 503)
+            },
+        );
         let mut clients: Vec<_> = (0..16).map(|_| platform.client()).collect();
         assert!(clients.iter_mut().all(|client| client.send(HEALTH)));
-        std::thread::sleep(Duration::from_millis(100)); // the old one has polled its siblings since
+        std::thread::sleep(Duration::from_millis(100)); // enough time for the old process to poll its siblings
         new.signal("CONT");
         for client in &mut clients {
-            assert_eq!(client.response().map(|answer| answer.status()), Some(200));
+            assert_eq!(
+                client.response().map(|response| response.status()),
+                Some(200)
+            );
         }
         assert!(old.child.wait().expect("its end").success());
     }
 }
 
-/// SIGTERM reaches the old process while the new one still starts and then shuts down too: the old one accepts clients for
-/// another half second.
+/// SIGTERM reaches the old process while the new one has no endpoint list yet and then shuts down too. The old process must
+/// not rely on a successor, so it accepts clients for another half second.
 #[test]
-fn starting_process_is_no_successor() {
+fn starting_process_is_not_taken_for_a_successor() {
     let log = Log::new(vec![]);
     let platform = Platform::new("starts", &[("s-1", echo("b1", &log))]);
     let mut old = platform.start();
@@ -221,12 +232,14 @@
         // No cached endpoint list and no discovery service.
         (config["known"], config["discovery"]) = (Value::Null, unused_address().to_string().into());
     });
-    eventually(EVENT_TIMEOUT, "the new process was never noticed", || {
-        old.text_of("GET /status").contains("1 other")
-    });
+    eventually(
+        EVENT_TIMEOUT,
+        "the old process did not detect the new one",
+        || old.text_of("GET /status").contains("1 other"),
+    );
     new.signal("TERM");
     old.signal("TERM");
-    assert!((0..5).all(|n| platform.ask(&format!("n{n}")) == 200));
+    assert!((0..5).all(|n| platform.rpc_status(&format!("n{n}")) == 200));
     assert!(old.child.wait().expect("its end").success());
     assert!(new.child.wait().expect("its end").success());
 }
@@ -245,42 +258,45 @@
             .call("GET /status")
             .is_none_or(|response| response.0 == 503)
     };
-    eventually(EVENT_TIMEOUT, "SIGTERM was never heard", || {
-        is_shutting_down(&old) && is_shutting_down(&new)
-    });
-    std::thread::sleep(Duration::from_millis(150)); // both have polled their siblings since
-    assert!((0..5).all(|n| platform.ask(&format!("n{n}")) == 200));
+    eventually(
+        EVENT_TIMEOUT,
+        "the process did not begin to shut down",
+        || is_shutting_down(&old) && is_shutting_down(&new),
+    );
+    std::thread::sleep(Duration::from_millis(150)); // enough time for both to poll their siblings
+    assert!((0..5).all(|n| platform.rpc_status(&format!("n{n}")) == 200));
     assert!(old.child.wait().expect("its end").success());
     assert!(new.child.wait().expect("its end").success());
 }
 
-/// SIGTERM reaches both processes before either polls its siblings again, and each knows that the other accepted.
+/// SIGTERM reaches both processes before either polls its siblings again, while each still has the state in which the other
+/// accepts clients.
 #[test]
 fn processes_that_shut_down_between_polls_both_accept_clients() {
     let log = Log::new(vec![]);
-    let platform = Platform::new("acquainted", &[("s-1", echo("b1", &log))]);
+    let platform = Platform::new("between-polls", &[("s-1", echo("b1", &log))]);
     let mut old = platform.start();
     let mut new = platform.start();
-    std::thread::sleep(Duration::from_millis(150)); // both have polled their siblings since
+    std::thread::sleep(Duration::from_millis(150)); // enough time for both to poll their siblings
     old.signal("STOP");
     new.signal("STOP");
     old.signal("TERM");
     new.signal("TERM");
     old.signal("CONT");
     new.signal("CONT");
-    assert!((0..5).all(|n| platform.ask(&format!("n{n}")) == 200));
+    assert!((0..5).all(|n| platform.rpc_status(&format!("n{n}")) == 200));
     assert!(old.child.wait().expect("its end").success());
     assert!(new.child.wait().expect("its end").success());
 }
 
-/// Waits until the status of a process contains a text, which the call at a sibling changes.
+/// Waits until the status of a process contains a text that results from an admin call to its sibling.
 fn await_status(process: &Process, text: &str) {
     eventually(Duration::from_secs(1), text, || {
         process.text_of("GET /status").contains(text)
     });
 }
 
-/// Maintenance and standby are in force in both processes, whichever was called, and end in both.
+/// Maintenance and standby begin and end in both processes, whichever of them gets the admin call.
 #[test]
 fn admin_state_is_shared_by_both_processes() {
     let log = Log::new(vec![]);
@@ -296,19 +312,19 @@
     let new = platform.start();
     assert!(
         new.text_of("GET /status").contains("1 members banned"),
-        "it is in force from the start"
+        "the maintenance applies from the start of the process"
     );
-    assert!((0..40).all(|n| platform.ask(&format!("maintenance{n}")) == 200));
+    assert!((0..40).all(|n| platform.rpc_status(&format!("maintenance{n}")) == 200));
     assert_eq!(log.count("b1 got"), 0);
     new.text_of("POST /maintenance/enter?member=s-2");
     await_status(&old, "2 members");
-    assert_eq!(platform.ask("none"), 503);
+    assert_eq!(platform.rpc_status("none"), 503);
     old.text_of("POST /maintenance/exit?member=s-1");
     await_status(&new, "1 members");
     new.text_of("POST /standby");
     await_status(&old, "on standby");
     assert_eq!(
-        platform.client().call(HEALTH).expect("an answer").status(),
+        platform.client().call(HEALTH).expect("a response").status(),
         503
     );
     old.signal("TERM");
@@ -318,13 +334,14 @@
     assert_admin_state_outlives_its_processes(&platform);
 }
 
-/// A process that starts after all others were killed finds the maintenance of `s-2`. A damaged file is ignored.
+/// Checks that a process that starts after all others were killed reads the maintenance of `s-2` from the stored state,
+/// and that a damaged file is ignored.
 fn assert_admin_state_outlives_its_processes(platform: &Platform) {
     let third = platform.start();
     assert!(third.text_of("GET /status").contains("1 members"));
     drop(third);
     let file = platform.folder.path().join("birchhub-n0/birchhub.standing");
-    std::fs::write(file, "{").expect("written");
+    std::fs::write(file, "{").expect("a writable state file");
     let fourth = platform.start();
     assert!(fourth.text_of("GET /status").contains("0 members"));
     fourth.text_of("POST /maintenance/enter?member=s-2");
@@ -337,22 +354,23 @@
     );
 }
 
-/// Two processes together hold no more descriptors than one may, and a process that is left alone may use all of them.
+/// Two processes together hold at most the number of descriptors that one process may hold, and the last process may use
+/// all of them again.
 #[test]
 fn processes_share_the_socket_limit_of_one() {
     let log = Log::new(vec![]);
     let mut platform = Platform::new("limit", &[("s-1", echo("b1", &log))]);
     platform.max_sockets = 200;
     let old = platform.start();
-    let crowd = |_| Some(platform.client());
-    let mut clients: Vec<_> = (0..300).filter_map(crowd).collect();
-    eventually(EVENT_TIMEOUT, "the crowd was never accepted", || {
+    let open_client = |_| Some(platform.client());
+    let mut clients: Vec<_> = (0..300).filter_map(open_client).collect();
+    eventually(EVENT_TIMEOUT, "the clients were not accepted", || {
         old.descriptors() > 70
     });
     let new = platform.start();
-    clients.extend((0..300).filter_map(crowd));
+    clients.extend((0..300).filter_map(open_client));
     for n in 0..20 {
-        assert_eq!(platform.ask(&format!("crowd{n}")), 200);
+        assert_eq!(platform.rpc_status(&format!("crowd{n}")), 200);
         assert!(old.descriptors() + new.descriptors() <= 200);
     }
     let shared = new.descriptors();
@@ -360,9 +378,9 @@
     drop(old);
     eventually(
         EVENT_TIMEOUT,
-        "the socket budget was never restored",
+        "the process did not use the whole socket limit again",
         || {
-            clients.extend((0..50).filter_map(crowd));
+            clients.extend((0..50).filter_map(open_client));
             new.descriptors() > shared + 30
         },
     );
@@ -371,29 +389,32 @@
 
 #[test]
 fn invalid_inherited_socket_ends_the_start() {
-    let platform = Platform::new("bad", &[]);
+    let platform = Platform::new("invalid", &[]);
     let config = config(unused_address(), unused_address(), &[]).to_string();
     let file = platform.folder.write_config(&config);
-    let plain = || Stdio::from(std::fs::File::open(&file).expect("a file"));
+    let config_file = || Stdio::from(std::fs::File::open(&file).expect("a file"));
     let udp = std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    let stream = std::net::TcpStream::connect(platform.at()).expect("a connection");
+    let stream = std::net::TcpStream::connect(platform.address()).expect("a connection");
     let cases = [
-        ("seven", plain()),
-        ("-1", plain()),
-        ("", plain()),
-        ("99", plain()),
-        ("0", plain()),
+        ("seven", config_file()),
+        ("-1", config_file()),
+        ("", config_file()),
+        ("99", config_file()),
+        ("0", config_file()),
         ("0", OwnedFd::from(udp).into()),
         ("0", OwnedFd::from(stream).into()),
     ];
-    for (name, stdin) in cases {
+    for (descriptor, stdin) in cases {
         let mut start = Command::new(PROGRAM);
         start
             .env("LB_CONFIG", &file)
-            .env("LB_PASSED_SOCKET", name)
+            .env("LB_PASSED_SOCKET", descriptor)
             .stdin(stdin);
-        let end = FailedStart::of(&mut start);
-        end.assert_one_line();
-        assert!(end.error.contains("LB_PASSED_SOCKET"), "{name}: {end:?}");
+        let failure = FailedStart::of(&mut start);
+        failure.assert_one_line();
+        assert!(
+            failure.error.contains("LB_PASSED_SOCKET"),
+            "{descriptor}: {failure:?}"
+        );
     }
 }
