--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings at the start of birchhubd.
+//! Validation of the configuration when birchhubd starts.
 //!
 //! Optional values that are missing, null, zero or huge do not prevent a start. A value that cannot be parsed ends the start
 //! with exit code 2 and one line that names the value.
@@ -14,7 +14,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// A place in the settings, a key of it, and an unusual value.
+/// JSON pointer of an object in the settings, a key of the object, and an unusual value.
 type UnusualSetting = (&'static str, &'static str, Value);
 
 fn missing() -> Value {
@@ -25,7 +25,7 @@
     json!(u64::MAX)
 }
 
-fn unusual_ceilings() -> Vec<UnusualSetting> {
+fn unusual_ceiling_values() -> Vec<UnusualSetting> {
     vec![
         ("/ceilings", "connect-timeout-ns", missing()),
         ("/ceilings", "connect-timeout-ns", json!(0)),
@@ -38,7 +38,7 @@
     ]
 }
 
-fn unusual_contracts() -> Vec<UnusualSetting> {
+fn unusual_contract_values() -> Vec<UnusualSetting> {
     vec![
         ("/contract", "ask-within-ns", missing()),
         ("/contract", "ask-within-ns", json!(0)),
@@ -51,7 +51,7 @@
     ]
 }
 
-fn unusual_methods() -> Vec<UnusualSetting> {
+fn unusual_method_values() -> Vec<UnusualSetting> {
     vec![
         ("/methods/1", "hard-limit-ns", missing()),
         ("/methods/1", "hard-limit-ns", json!(0)),
@@ -64,15 +64,15 @@
     ]
 }
 
-fn unusual_rest() -> Vec<UnusualSetting> {
-    let unknown_fields = json!({"how": "answers", "fields": ["err_ps", "of_their_own"]});
+fn other_unusual_values() -> Vec<UnusualSetting> {
+    let unknown_fields = json!({"how": "answers", "fields": ["err_ps", "unknown_field"]});
     let account = |quota: f64| json!([{"name": "acme", "quota-per-s": quota}]);
     vec![
         ("", "failure-domains", missing()),
         ("", "my-zone", json!("elsewhere")),
         ("", "report", missing()),
         ("", "report", unknown_fields),
-        ("", "report", json!({"how": "by_pigeon"})),
+        ("", "report", json!({"how": "unknown"})),
         ("", "membership-mode", missing()),
         ("", "accounts", account(0.0)),
         ("", "accounts", account(1e300)),
@@ -82,12 +82,14 @@
 }
 
 /// Starts a proxy with this value and checks that it serves an RPC of each method.
-fn assert_serves((place, key, value): UnusualSetting, backend: std::net::SocketAddr) {
+fn assert_serves((pointer, key, value): UnusualSetting, backend: std::net::SocketAddr) {
     let daemon = Daemon::start_with(PROGRAM, &[("s-1", backend)], |config| {
         without_health_checks(config);
-        config["settings"].pointer_mut(place).expect("a place")[key] = value.clone();
+        config["settings"]
+            .pointer_mut(pointer)
+            .expect("an existing object")[key] = value.clone();
     });
-    // RPCs without weight, or over their quota, may be rejected.
+    // RPCs without utility, or over their quota, may be rejected.
     let may_reject = key == "utility" || key == "accounts";
     let mut client = daemon.client();
     let calls = [("GET", "read"), ("POST", "book"), ("POST", "log")];
@@ -96,13 +98,13 @@
         let status = response.map(|response| response.status());
         assert!(
             status == Some(200) || may_reject && status == Some(503),
-            "{place}/{key} = {value}: {method} {status:?}"
+            "{pointer}/{key} = {value}: {method} {status:?}"
         );
     }
     let logged = daemon.logged();
     assert!(
         !logged.contains("panicked"),
-        "{place}/{key} = {value}: {logged}"
+        "{pointer}/{key} = {value}: {logged}"
     );
 }
 
@@ -111,10 +113,10 @@
     let log = Log::new(vec![]);
     let backend = echo("b1", &log);
     let groups = [
-        unusual_ceilings(),
-        unusual_contracts(),
-        unusual_methods(),
-        unusual_rest(),
+        unusual_ceiling_values(),
+        unusual_contract_values(),
+        unusual_method_values(),
+        other_unusual_values(),
     ];
     for unusual in groups.into_iter().flatten() {
         assert_serves(unusual, backend);
@@ -124,16 +126,18 @@
 #[test]
 fn startup_error_names_the_setting_that_cannot_be_parsed() {
     let folder = TestFolder::new("settings");
-    let assert_named = |place: &str, key: &str, value: Value, path: &str| {
+    let assert_named = |pointer: &str, key: &str, value: Value, path: &str| {
         let mut config = config(
             unused_address(),
             unused_address(),
             &[endpoint_entry("s-1", unused_address(), "Ready")],
         );
-        config["settings"].pointer_mut(place).expect("a place")[key] = value;
-        let end = failed_start_with(&folder.write_config(&config.to_string()));
-        end.assert_one_line();
-        assert!(end.error.contains(path), "{path}: {end:?}");
+        config["settings"]
+            .pointer_mut(pointer)
+            .expect("an existing object")[key] = value;
+        let failed = failed_start_with(&folder.write_config(&config.to_string()));
+        failed.assert_one_line();
+        assert!(failed.error.contains(path), "{path}: {failed:?}");
     };
     let path = "ceilings.connect-timeout-ns";
     assert_named("/ceilings", "connect-timeout-ns", json!("250ms"), path);
@@ -164,7 +168,7 @@
     failed_start(&[("LB_CONFIG", config.to_str().expect("a path"))])
 }
 
-/// The end of a start that fails with this error.
+/// Returns the result of a start that fails with this error.
 fn failure(error: &str) -> FailedStart {
     FailedStart {
         exit_code: Some(2),
@@ -195,10 +199,11 @@
     }
 }
 
-/// Returns changes of a valid configuration, each with the complete text of the error.
+/// Returns changes that make a valid configuration invalid, each with the complete text of the error.
 fn invalid_configurations() -> Vec<(&'static str, &'static str, Value, &'static str)> {
-    let mut other = config(unused_address(), unused_address(), &[])["settings"].clone();
-    other["accounts"] = json!([{"name": "x", "quota-per-s": 1}]);
+    let mut settings_with_account =
+        config(unused_address(), unused_address(), &[])["settings"].clone();
+    settings_with_account["accounts"] = json!([{"name": "x", "quota-per-s": 1}]);
     vec![
         ("", "name", Value::Null, "LB_NAME is not set"),
         ("", "listen", json!(5), "LB_LISTEN is not set"),
@@ -234,7 +239,7 @@
         (
             "",
             "watch",
-            other,
+            settings_with_account,
             "watch.accounts has other names than settings.accounts",
         ),
     ]
@@ -243,14 +248,14 @@
 #[test]
 fn error_texts_of_invalid_configurations() {
     let folder = TestFolder::new("wrong");
-    let good = config(unused_address(), unused_address(), &[]);
-    for (place, key, value, error) in invalid_configurations() {
-        let mut config = good.clone();
-        config.pointer_mut(place).expect("a place")[key] = value;
+    let valid_config = config(unused_address(), unused_address(), &[]);
+    for (pointer, key, value, error) in invalid_configurations() {
+        let mut config = valid_config.clone();
+        config.pointer_mut(pointer).expect("an existing object")[key] = value;
         let file = folder.write_config(&config.to_string());
         assert_eq!(failed_start_with(&file), failure(error));
     }
-    let mut config = good;
+    let mut config = valid_config;
     config
         .as_object_mut()
         .expect("an object")
@@ -268,8 +273,8 @@
         ("99", "is not open: 99"),
         ("1", "is not a socket: 1"),
     ] {
-        let end = failed_start(&[("LB_PASSED_SOCKET", passed)]);
-        assert_eq!(end, failure(&format!("LB_PASSED_SOCKET {error}")));
+        let failed = failed_start(&[("LB_PASSED_SOCKET", passed)]);
+        assert_eq!(failed, failure(&format!("LB_PASSED_SOCKET {error}")));
     }
 }
 
