--- a/crates/daemon/tests/shadow.rs
+++ b/crates/daemon/tests/shadow.rs
@@ -1,4 +1,4 @@
-//! The shadow evaluation of other settings.
+//! The shadow evaluation, which compares the decisions of other settings with those of the active ones.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
@@ -12,7 +12,8 @@
 /// Method and verb for each kind of idempotency: idempotent, non-idempotent, deduplicated.
 const METHODS: [(&str, &str); 3] = [("read", "GET"), ("book", "POST"), ("log", "POST")];
 
-/// Sends this many RPCs, of each method in turn, and returns the counts of the shadow evaluation at the end.
+/// Sends this many RPCs, of each method in turn, ends the proxy, and returns the counts that the shadow evaluation logs at
+/// its end.
 fn shadow_counts(mut daemon: Daemon, rpcs: usize) -> String {
     let mut client = daemon.client();
     for n in 0..rpcs {
@@ -21,7 +22,7 @@
             client
                 .call(&rpc(verb, &format!("/{method}"), &format!("n{n}"), ""))
                 .is_some(),
-            "an answer"
+            "no response to RPC {n}"
         );
     }
     drop(client);
@@ -32,9 +33,9 @@
         .lines()
         .rev()
         .find(|line| line.contains("shadow evaluation ended: "))
-        .expect("the counts at the end");
+        .expect("a log line with the counts");
     last.split_once("shadow evaluation ended: ")
-        .expect("found")
+        .expect("the counts after the prefix")
         .1
         .to_owned()
 }
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn a_shadow_with_the_same_settings_decides_the_same() {
+fn shadow_with_the_same_settings_makes_the_same_decisions() {
     for change in [|_: &mut Value| {}, without_health_checks] {
         let log = Log::new(vec![]);
         let daemon = Daemon::start_with(PROGRAM, &mixed_backends(&log), |config| {
@@ -65,20 +66,24 @@
             config["watch"] = config["settings"].clone();
         });
         let counts = shadow_counts(daemon, 300);
-        let none = "300 RPCs compared: queued 0, attempted 0, rejected 0, accepted 0, given up 0, retried 0, \
+        let no_differences = "300 RPCs compared: queued 0, attempted 0, rejected 0, accepted 0, given up 0, retried 0, \
                     answered differently 0; other backend 0; ";
         let health_checks = counts
-            .strip_prefix(none)
+            .strip_prefix(no_differences)
             .unwrap_or_else(|| panic!("{counts}"));
-        let (sent, would) = health_checks
+        let (active, shadow) = health_checks
             .split_once(", would be ")
             .expect("health checks");
-        assert_eq!(sent.strip_prefix("health checks "), Some(would), "{counts}");
+        assert_eq!(
+            active.strip_prefix("health checks "),
+            Some(shadow),
+            "{counts}"
+        );
     }
 }
 
 #[test]
-fn a_shadow_with_other_settings_is_only_counted() {
+fn shadow_with_other_settings_is_counted_and_sends_nothing() {
     let log = Log::new(vec![]);
     let backends = [("s-1", echo("b1", &log)), ("s-2", echo("b2", &log))];
     // A shadow without health checks does not queue RPCs until there are load reports.
@@ -91,7 +96,7 @@
         !counts.contains(" attempted 0,") && counts.ends_with(", would be 0"),
         "{counts}"
     );
-    let before = log.all().len();
+    let requests_before = log.all().len();
     let daemon = Daemon::start_with(PROGRAM, &backends, |config| {
         config["watch"] = config["settings"].clone();
         without_health_checks(config);
@@ -103,7 +108,7 @@
     );
     assert!(!counts.ends_with("would be 0"), "{counts}");
     assert_eq!(
-        log.all().len() - before,
+        log.all().len() - requests_before,
         90,
         "one request for each RPC, and no health check"
     );
