--- a/crates/daemon/tests/stalled_clients.rs
+++ b/crates/daemon/tests/stalled_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that stall inside a request without closing the connection: each gets an error or a close in time, wherever it
-//! stalls and whatever the backends do.
+//! Clients that stall inside a request without closing the connection: the proxy sends an error or closes the connection in
+//! time, wherever the client stalls and whatever the backends do.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{Client, Daemon, HEALTH, Log, echo, eventually, rpc};
@@ -20,13 +20,13 @@
 /// The behaviour of a stalled client.
 struct Stall {
     name: &'static str,
-    /// RPCs that are served on the connection first.
+    /// Number of RPCs that are served on the connection first.
     served_before: usize,
-    /// Bytes that are sent at once.
+    /// Bytes that the client sends at once before it stalls.
     sent: String,
-    /// Complete requests in `sent`, whose responses precede the error or close.
+    /// Number of complete requests in `sent`, whose responses precede the error or close.
     complete_requests: usize,
-    /// Further bytes, sent one by one.
+    /// Number of further bytes that it sends one by one.
     trickled_bytes: usize,
 }
 
@@ -63,8 +63,8 @@
     }
 
     /// Runs the client and returns the time from its last byte to an error or a close; none if neither happened.
-    fn run(&self, at: SocketAddr) -> Option<Duration> {
-        let mut client = Client::open(at).expect("a connection");
+    fn run(&self, address: SocketAddr) -> Option<Duration> {
+        let mut client = Client::open(address).expect("a connection");
         for number in 0..self.served_before {
             let id = format!("before-{number}-{}", self.name.replace(' ', "-"));
             assert_eq!(client.status_of(&rpc("GET", "/read", &id, "")), 200);
@@ -73,7 +73,7 @@
         // The write fails if the proxy has already responded and closed the connection.
         let _ = stream.write_all(self.sent.as_bytes());
         for _ in 0..self.complete_requests {
-            assert_eq!(client.response().expect("an answer").status(), 200);
+            assert_eq!(client.response().expect("a response").status(), 200);
         }
         let stalled_at = Instant::now();
         if self.trickled_bytes > 0 {
@@ -98,11 +98,13 @@
     let mut received = Vec::new();
     let mut chunk = [0; 4096];
     loop {
-        let Some(left) = deadline.checked_duration_since(Instant::now()) else {
+        let Some(remaining) = deadline.checked_duration_since(Instant::now()) else {
             return false;
         };
-        let left = left.max(Duration::from_millis(1));
-        stream.set_read_timeout(Some(left)).expect("a time limit");
+        let remaining = remaining.max(Duration::from_millis(1));
+        stream
+            .set_read_timeout(Some(remaining))
+            .expect("a positive timeout");
         match stream.read(&mut chunk) {
             Ok(0) => return true,
             Ok(length) => {
@@ -151,8 +153,8 @@
             let head = rpc("GET", "/read", "endless", "");
             head[..head.len() - 2].to_owned()
         }),
-        Stall::new("one byte, kept", "G").after_served(1),
-        Stall::new("half a head, kept", HALF_HEAD).after_served(2),
+        Stall::new("one byte, connection reused", "G").after_served(1),
+        Stall::new("half a head, connection reused", HALF_HEAD).after_served(2),
         Stall::new("half a head after health", format!("{HEALTH}{HALF_HEAD}"))
             .with_complete_requests(1),
     ]
@@ -164,7 +166,11 @@
         Stall::new("no body", truncated_body("short-none", 9, 0)),
         Stall::new("half a body", truncated_body("short-half", 9, 4)),
         Stall::new("a byte missing", truncated_body("short-1", 60_000, 59_999)),
-        Stall::new("half a body, kept", truncated_body("short-kept", 9, 4)).after_served(1),
+        Stall::new(
+            "half a body, connection reused",
+            truncated_body("short-kept", 9, 4),
+        )
+        .after_served(1),
         Stall::new(
             "half a body, trickled",
             truncated_body("short-trickle", 900, 4),
@@ -176,7 +182,7 @@
         Stall::new("no last chunk", chunked("chunk-last", &chunk(9))),
         Stall::new("half the trailers", chunked("trailers", "0\r\nX-A: ")),
         Stall::new(
-            "expects to be asked",
+            "waits for 100 Continue",
             truncated_body("expect", 9, 0).replace("Host:", "Expect: 100-continue\r\nHost:"),
         ),
     ]
@@ -187,10 +193,10 @@
     let half = || truncated_body("long-half", 140_000, 70_000);
     vec![
         Stall::new("half a long body", half()),
-        Stall::new("little time", {
+        Stall::new("short deadline", {
             half().replace("long-half", "hurry").replace("3000", "100")
         }),
-        Stall::new("much time", {
+        Stall::new("long deadline", {
             half().replace("long-half", "calm").replace("3000", "60000")
         }),
         Stall::new(
@@ -202,7 +208,7 @@
             truncated_body("long-mb", 2 << 20, 1 << 20),
         ),
         Stall::new(
-            "half a long body, kept",
+            "half a long body, connection reused",
             truncated_body("kept", 140_000, 70_000),
         )
         .after_served(1),
@@ -260,10 +266,10 @@
 }
 
 /// Runs all clients concurrently, and returns those that got no error or close in time.
-fn late_clients(at: SocketAddr, stalls: Vec<Stall>) -> Vec<LateClient> {
+fn late_clients(address: SocketAddr, stalls: Vec<Stall>) -> Vec<LateClient> {
     let run = move |stall: Stall| LateClient {
         name: stall.name,
-        ended_after: stall.run(at),
+        ended_after: stall.run(address),
     };
     let clients: Vec<JoinHandle<_>> = stalls
         .into_iter()
@@ -297,22 +303,30 @@
         stalls_behind_a_request(),
     ];
     let late = late_clients(daemon.address, stalls.into_iter().flatten().collect());
-    assert!(late.is_empty(), "{} are late: {late:#?}", late.len());
+    assert!(
+        late.is_empty(),
+        "{} clients got no error or close in time: {late:#?}",
+        late.len()
+    );
 }
 
 #[test]
 fn clients_that_stall_in_a_long_body_get_an_error_in_time_while_the_backend_hangs() {
-    let (at, _listener) = unresponsive_backend();
+    let (address, _listener) = unresponsive_backend();
     let daemon = Daemon::start_with(
         PROGRAM,
-        &[("s-1", at)],
+        &[("s-1", address)],
         common::sockets::without_health_checks,
     );
-    // This backend serves nothing, so no RPC can be served on the connection before.
+    // This backend serves nothing, so the clients that need a served RPC first are left out.
     let stalls = stalls_in_a_long_body().into_iter();
     let stalls = stalls.filter(|stall| stall.served_before == 0).collect();
     let late = late_clients(daemon.address, stalls);
-    assert!(late.is_empty(), "{} are late: {late:#?}", late.len());
+    assert!(
+        late.is_empty(),
+        "{} clients got no error or close in time: {late:#?}",
+        late.len()
+    );
 }
 
 /// Sends the pieces with a pause between them, and returns the status of the response.
@@ -322,10 +336,10 @@
         sleep(if number > 0 { pause } else { Duration::ZERO });
         assert!(client.send(piece), "closed at piece {number}");
     }
-    client.response().expect("an answer").status()
+    client.response().expect("a response").status()
 }
 
-/// The timeouts permit what the protocol does: 2 s for a head, and a body at 64 kB/s in pieces of any size.
+/// The proxy's timeouts permit what the protocol permits: 2 s for a head, and a body at 64 kB/s in pieces of any size.
 #[test]
 fn slow_clients_within_the_limits_are_served() {
     let log = Log::new(vec![]);
@@ -336,7 +350,7 @@
     let (burst, rest) = slow_body.split_at(128_000);
     let (second_burst, last) = rest.split_at(128_000);
     let trickled = rpc("POST", "/book", "trickled", &"x".repeat(100_000));
-    let text = |piece| str::from_utf8(piece).expect("plain text");
+    let text = |piece| str::from_utf8(piece).expect("ASCII text");
     let small_pieces: Vec<_> = trickled.as_bytes().chunks(1280).map(text).collect();
     thread::scope(|scope| {
         let clients = [
@@ -352,7 +366,7 @@
     });
 }
 
-/// The log has the reason and the phase of a closed connection, and the status of an invalid request.
+/// The log contains the reason and phase of a closed connection, and the status of the response to an invalid request.
 #[test]
 fn end_reasons_of_connections_and_requests_are_logged() {
     let log = Log::new(vec![]);
@@ -378,6 +392,6 @@
         ],
         ["message is no valid RPC", "reason=invalid-request", "404"],
     ] {
-        eventually(EVENT_TIMEOUT, "a line is missing", || is_logged(&words));
+        eventually(EVENT_TIMEOUT, "a log line is missing", || is_logged(&words));
     }
 }
