--- a/crates/daemon/tests/starting.rs
+++ b/crates/daemon/tests/starting.rs
@@ -1,4 +1,5 @@
-//! Simultaneous start of many processes: nine in ten are ready in time, although all call the discovery service.
+//! Simultaneous start of many processes: nine in ten are ready in time, although all of them call a discovery service that
+//! serves one call at a time.
 #[path = "../../../tests/common/mod.rs"]
 mod common;
 use common::sockets::{
@@ -14,22 +15,22 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 const PROCESSES: usize = 10;
 const ENDPOINTS: u32 = 8700;
-/// Time within which nine in ten must be ready.
+/// Time within which nine in ten processes must be ready.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Time that the service needs for a complete list.
+/// Time that the discovery service takes to serve a complete list.
 const LIST_TIME: Duration = Duration::from_millis(300);
 
 fn endpoints() -> Vec<Value> {
-    let at = |n: u32| SocketAddr::from(([127, 250, (n >> 8) as u8, n as u8], 5000));
+    let address = |n: u32| SocketAddr::from(([127, 250, (n >> 8) as u8, n as u8], 5000));
     (0..ENDPOINTS)
-        .map(|n| endpoint_entry(&format!("s-{n}"), at(n), "Ready"))
+        .map(|n| endpoint_entry(&format!("s-{n}"), address(n), "Ready"))
         .collect()
 }
 
 /// Starts a discovery service that serves one call at a time and rejects the others. Polls that wait for a change do not
-/// count.
-fn busy_service(log: &Log) -> SocketAddr {
-    let busy = AtomicUsize::new(0);
+/// count towards this limit.
+fn overloaded_service(log: &Log) -> SocketAddr {
+    let active_calls = AtomicUsize::new(0);
     let complete_list = json!({"rev": 2, "all": true, "targets": endpoints()}).to_string();
     backend("list", log, move |call: &Message| {
         if call.start_line.contains("from=2&hold_ms=3") {
@@ -39,25 +40,26 @@
                 r#"{"rev": 2, "all": false, "targets": []}"#,
             ));
         }
-        if busy.fetch_add(1, Ordering::SeqCst) > 0 {
-            busy.fetch_sub(1, Ordering::SeqCst);
+        if active_calls.fetch_add(1, Ordering::SeqCst) > 0 {
+            active_calls.fetch_sub(1, Ordering::SeqCst);
             return BackendAction::Respond(reply("503 Service Unavailable", ""));
         }
         sleep(LIST_TIME);
-        busy.fetch_sub(1, Ordering::SeqCst);
+        active_calls.fetch_sub(1, Ordering::SeqCst);
         BackendAction::Respond(reply("200 OK", &complete_list))
     })
 }
 
-/// Starts all processes at the same moment, with or without a cached list, and returns the time until each was ready.
+/// Starts all processes at the same moment, with or without a cached list, and returns the sorted times until
+/// each was ready.
 fn start(cached: bool) -> Vec<Duration> {
     let log = Log::new(vec![]);
-    let service = busy_service(&log);
+    let service = overloaded_service(&log);
     let cached = Arc::new(cached.then(endpoints));
-    let together = Arc::new(Barrier::new(PROCESSES));
-    let one = |n: usize| {
+    let start_barrier = Arc::new(Barrier::new(PROCESSES));
+    let start_process = |n: usize| {
         let cached = cached.clone();
-        let together = together.clone();
+        let start_barrier = start_barrier.clone();
         spawn(move || {
             let mut started_at = Instant::now();
             let daemon = Daemon::start_with(PROGRAM, &[], |config| {
@@ -69,14 +71,14 @@
                     Some(endpoints) => json!({"rev": 1, "all": true, "targets": endpoints}),
                     None => Value::Null,
                 };
-                together.wait();
+                start_barrier.wait();
                 started_at = Instant::now();
             });
             (started_at.elapsed(), daemon)
         })
     };
-    let starts: Vec<_> = (0..PROCESSES).map(one).collect();
-    // The processes are kept until the last one is ready.
+    let starts: Vec<_> = (0..PROCESSES).map(start_process).collect();
+    // The processes run until the last one is ready.
     let started: Vec<_> = starts
         .into_iter()
         .map(|start| start.join().expect("a start"))
@@ -107,7 +109,7 @@
 }
 
 /// A process without a list does not repeat a call to a slow service: the service may serve its callers one after the other,
-/// and a repeated call would delay the others.
+/// and a repeated call would delay the other callers.
 #[test]
 fn process_without_a_list_waits_for_a_slow_discovery_service() {
     let log = Log::new(vec![]);
