--- a/crates/daemon/tests/system_calls.rs
+++ b/crates/daemon/tests/system_calls.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
-/// Concurrent clients.
+/// Number of concurrent clients.
 const CLIENTS: usize = 8;
-/// RPCs of each client.
+/// Number of RPCs that each client sends.
 const RPCS: usize = 60;
 /// Timeout for the exit of the process after SIGTERM.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
@@ -22,12 +22,12 @@
 #[expect(dead_code, reason = "shown by a failed assertion")]
 struct FailedRpc {
     id: String,
-    /// The status of the response; none if the connection was lost.
+    /// Status of the response; none if the connection ended without one.
     status: Option<u16>,
 }
 
 /// Runs concurrent clients with a connection each, which send RPCs whose bodies take several reads. Returns the RPCs that
-/// were not served.
+/// were not served completely.
 fn run_clients(daemon: &Daemon) -> Vec<FailedRpc> {
     let run = |client: usize| {
         let mut connection = daemon.client();
@@ -58,12 +58,20 @@
     })
 }
 
-/// Shuts the process down.
+/// Sends SIGTERM, and waits until the process has exited.
 fn shut_down(daemon: &mut Daemon) -> ExitStatus {
     daemon.signal("TERM");
-    eventually(SHUTDOWN_TIMEOUT, "it did not end after SIGTERM", || {
-        daemon.child.try_wait().expect("its state").is_some()
-    });
+    eventually(
+        SHUTDOWN_TIMEOUT,
+        "the process did not exit after SIGTERM",
+        || {
+            daemon
+                .child
+                .try_wait()
+                .expect("the state of the process")
+                .is_some()
+        },
+    );
     daemon.await_exit()
 }
 
@@ -83,7 +91,7 @@
         "{faults}: {}",
         daemon.logged()
     );
-    std::fs::remove_file(program).expect("the program");
+    std::fs::remove_file(program).expect("the wrapper program");
 }
 
 #[test]
@@ -104,7 +112,7 @@
 }
 
 #[test]
-fn connections_that_end_before_their_accept_delay_no_other() {
+fn connections_that_end_before_accept_delay_no_other() {
     check_that_all_are_served("seed=4,accept=ECONNABORTED@0.3,accept=EPROTO@0.1");
 }
 
@@ -116,7 +124,7 @@
     );
 }
 
-/// A failed accept doesn't close the connections of other clients.
+/// A failed accept does not close idle connections of other clients.
 #[test]
 fn a_failed_accept_closes_no_idle_connection() {
     let log = Log::new(vec![]);
@@ -139,12 +147,12 @@
         open(n);
     }
     for (n, client) in idle.iter_mut().enumerate() {
-        let answer = client.call(&rpc("GET", "/read", &format!("again{n}"), ""));
+        let response = client.call(&rpc("GET", "/read", &format!("again{n}"), ""));
         assert_eq!(
-            answer.map(|answer| answer.status()),
+            response.map(|response| response.status()),
             Some(200),
             "client {n}"
         );
     }
-    std::fs::remove_file(program).expect("the program");
+    std::fs::remove_file(program).expect("the wrapper program");
 }
