--- a/crates/daemon/tests/replacing.rs
+++ b/crates/daemon/tests/replacing.rs
@@ -179,8 +179,8 @@
     }
     assert!(closing > 0, "the old process had no open connection");
     assert!((0..50).all(|n| platform.rpc_status(&format!("new{n}")) == 200));
-    assert!(old.child.wait().expect("its end").success());
-    assert!(new.child.try_wait().expect("its state").is_none());
+    assert!(old.child.wait().expect("an exit status").success());
+    assert!(new.child.try_wait().expect("a process state").is_none());
     assert_eq!(
         platform.rpc_status("alone"),
         200,
@@ -217,7 +217,7 @@
                 Some(200)
             );
         }
-        assert!(old.child.wait().expect("its end").success());
+        assert!(old.child.wait().expect("an exit status").success());
     }
 }
 
@@ -240,8 +240,8 @@
     new.signal("TERM");
     old.signal("TERM");
     assert!((0..5).all(|n| platform.rpc_status(&format!("n{n}")) == 200));
-    assert!(old.child.wait().expect("its end").success());
-    assert!(new.child.wait().expect("its end").success());
+    assert!(old.child.wait().expect("an exit status").success());
+    assert!(new.child.wait().expect("an exit status").success());
 }
 
 /// Neither of two processes that shut down at the same time takes the other for its successor.
@@ -265,8 +265,8 @@
     );
     std::thread::sleep(Duration::from_millis(150)); // enough time for both to poll their siblings
     assert!((0..5).all(|n| platform.rpc_status(&format!("n{n}")) == 200));
-    assert!(old.child.wait().expect("its end").success());
-    assert!(new.child.wait().expect("its end").success());
+    assert!(old.child.wait().expect("an exit status").success());
+    assert!(new.child.wait().expect("an exit status").success());
 }
 
 /// SIGTERM reaches both processes before either polls its siblings again, while each still has the state in which the other
@@ -285,8 +285,8 @@
     old.signal("CONT");
     new.signal("CONT");
     assert!((0..5).all(|n| platform.rpc_status(&format!("n{n}")) == 200));
-    assert!(old.child.wait().expect("its end").success());
-    assert!(new.child.wait().expect("its end").success());
+    assert!(old.child.wait().expect("an exit status").success());
+    assert!(new.child.wait().expect("an exit status").success());
 }
 
 /// Waits until the status of a process contains a text that results from an admin call to its sibling.
