--- a/crates/audit/src/audit/mod.rs
+++ b/crates/audit/src/audit/mod.rs
@@ -106,8 +106,8 @@
                 counts.attempts_cancelled += usize::from(how == AttemptEnd::Cancelled);
             }
             Event::BackendCollapsed { .. } => counts.collapsed += 1,
-            Event::ClientLate { by } => self.client_lateness.push(f64::from(by)),
-            Event::EmulatorLate { by } => self.emulator_lateness.push(f64::from(by)),
+            Event::ClientLate { delay } => self.client_lateness.push(f64::from(delay)),
+            Event::EmulatorLate { delay } => self.emulator_lateness.push(f64::from(delay)),
             _ => {}
         }
     }
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -319,7 +319,8 @@
     #[serde(rename = "Trouble")]
     Fault {
         /// Index of the fault in the ledger's header.
-        number: u16,
+        #[serde(rename = "number")]
+        index: u16,
         /// True when it began, false when it ended.
         begins: bool,
     },
@@ -327,13 +328,15 @@
     #[serde(rename = "KitLate")]
     ClientLate {
         /// The delay, in seconds.
-        by: f32,
+        #[serde(rename = "by")]
+        delay: f32,
     },
     /// An emulated backend acted later than scheduled.
     #[serde(rename = "StageLate")]
     EmulatorLate {
         /// The delay, in seconds.
-        by: f32,
+        #[serde(rename = "by")]
+        delay: f32,
     },
     /// A backend received the timeout that a proxy forwarded with an attempt.
     #[serde(rename = "TimeTold")]
--- a/crates/audit/src/timeline.rs
+++ b/crates/audit/src/timeline.rs
@@ -227,12 +227,12 @@
     /// Describes an event of the rehearsal itself; `None` for any other event.
     fn rehearsal_text(&self, event: &Event) -> Option<String> {
         Some(match event {
-            Event::Fault { number, begins } => {
-                let name = self.header.fault_name(*number);
+            Event::Fault { index, begins } => {
+                let name = self.header.fault_name(*index);
                 format!("trouble {name} {}", if *begins { "begins" } else { "ends" })
             }
-            Event::EmulatorLate { by } => format!("a stand-in is {:.2} ms late", by * 1e3),
-            Event::ClientLate { by } => format!("the kit is {:.2} ms late", by * 1e3),
+            Event::EmulatorLate { delay } => format!("a stand-in is {:.2} ms late", delay * 1e3),
+            Event::ClientLate { delay } => format!("the kit is {:.2} ms late", delay * 1e3),
             _ => return None,
         })
     }
--- a/crates/audit/tests/stored_form.rs
+++ b/crates/audit/tests/stored_form.rs
@@ -195,11 +195,11 @@
     events.extend(proxy_events());
     events.extend([
         Event::Fault {
-            number: 0,
+            index: 0,
             begins: true,
         },
-        Event::ClientLate { by: 0.25 },
-        Event::EmulatorLate { by: 0.5 },
+        Event::ClientLate { delay: 0.25 },
+        Event::EmulatorLate { delay: 0.5 },
         Event::TimeoutForwarded {
             attempt_id: 77,
             seconds: 0.5,
--- a/crates/cli/tests/exit_codes.rs
+++ b/crates/cli/tests/exit_codes.rs
@@ -125,7 +125,7 @@
 
 #[test]
 fn a_verdict_of_void_exits_with_2() {
-    let (code, text) = audit("void", vec![(1.0, Event::ClientLate { by: 0.5 })]);
+    let (code, text) = audit("void", vec![(1.0, Event::ClientLate { delay: 0.5 })]);
     assert_eq!(code, VOID, "{text}");
     assert!(text.starts_with("VOID  by hand"), "{text}");
 }
--- a/crates/emulator/src/backend/driver.rs
+++ b/crates/emulator/src/backend/driver.rs
@@ -35,7 +35,7 @@
         let mut events = Vec::new();
         if let Some(due_at) = due_at {
             self.fleet.event_log.record(Event::EmulatorLate {
-                by: (now - due_at).max(0.0) as f32,
+                delay: (now - due_at).max(0.0) as f32,
             });
         }
         self.with(number, |incarnation| {
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -116,7 +116,7 @@
         let mut open = JoinSet::new();
         while let Some((rpc, arrival)) = due.recv().await {
             let by = (self.event_log.clock.now() - arrival.due) as f32;
-            self.event_log.record(Event::ClientLate { by });
+            self.event_log.record(Event::ClientLate { delay: by });
             let event = Event::Arrival {
                 rpc,
                 method: arrival.method,
--- a/crates/rehearsal/src/environment/actions.rs
+++ b/crates/rehearsal/src/environment/actions.rs
@@ -87,7 +87,10 @@
     }
 
     fn record_fault(&self, number: u16, begins: bool) {
-        self.event_log.record(Event::Fault { number, begins });
+        self.event_log.record(Event::Fault {
+            index: number,
+            begins,
+        });
     }
 
     fn set_stall(&self, node: u32, number: u64, on: bool) {
--- a/crates/rehearsal/tests/report_files.rs
+++ b/crates/rehearsal/tests/report_files.rs
@@ -29,7 +29,7 @@
         proxy: (number % 2) as u16,
         client_timeout: 0.6,
     };
-    let late = Event::ClientLate { by: 0.0005 };
+    let late = Event::ClientLate { delay: 0.0005 };
     let mut entries: Vec<_> = [arrival, sent, late]
         .map(|event| Entry { at: due, event })
         .into();
@@ -64,7 +64,7 @@
         (0.003, Event::ExecutionStarted { attempt_id }),
         (0.04, Event::ExecutionFinished { attempt_id }),
         (0.041, Event::AttemptEnded { attempt_id, how }),
-        (0.04, Event::EmulatorLate { by: 0.0007 }),
+        (0.04, Event::EmulatorLate { delay: 0.0007 }),
     ]
     .map(|(after, event)| Entry {
         at: due + after,
--- a/crates/rehearsal/tests/verdicts.rs
+++ b/crates/rehearsal/tests/verdicts.rs
@@ -49,7 +49,7 @@
         .collect();
     entries.extend((0..100).map(|n| Entry {
         at: f64::from(n) * 0.1,
-        event: Event::ClientLate { by: late },
+        event: Event::ClientLate { delay: late },
     }));
     entries.extend(more);
     entries.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -131,7 +131,7 @@
     let emulator_late = |by| {
         (0..50).map(move |n| Entry {
             at: f64::from(n) * 0.1,
-            event: Event::EmulatorLate { by },
+            event: Event::EmulatorLate { delay: by },
         })
     };
     assert_eq!(
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -60,7 +60,10 @@
     }
 
     fn record_fault(&mut self, number: u16, begins: bool) {
-        self.record(Event::Fault { number, begins });
+        self.record(Event::Fault {
+            index: number,
+            begins,
+        });
     }
 
     fn scale_machine(&mut self, node: u32, factor: f64) {
