--- a/crates/audit/src/audit/draining.rs
+++ b/crates/audit/src/audit/draining.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Draining {
     /// Longest time between a notification and new work for that backend, in seconds.
-    pub(super) latest_after_notification: f64,
+    pub(super) max_delay_after_notification: f64,
 }
 
 impl Draining {
@@ -36,7 +36,7 @@
             return;
         };
         let delay = first_byte_at - notified_at;
-        self.latest_after_notification = self.latest_after_notification.max(delay);
+        self.max_delay_after_notification = self.max_delay_after_notification.max(delay);
         let rules = &tracker.header.rules;
         if delay > rules.drain_grace + rules.slack {
             let rpc = tracker
--- a/crates/audit/src/audit/mod.rs
+++ b/crates/audit/src/audit/mod.rs
@@ -151,7 +151,7 @@
             violations: self.violations.into_sorted(),
             counts,
             service: self.service.finish(),
-            latest_after_notification: self.draining.latest_after_notification,
+            max_delay_after_notification: self.draining.max_delay_after_notification,
             client_lateness: LatenessSummary::from_samples(&mut self.client_lateness),
             emulator_lateness: LatenessSummary::from_samples(&mut self.emulator_lateness),
         }
--- a/crates/audit/src/findings.rs
+++ b/crates/audit/src/findings.rs
@@ -116,7 +116,7 @@
     pub cold_starts: Vec<ColdStart>,
     /// Longest time between the notification that a backend drains or is gone and new work for it, in seconds.
     #[serde(rename = "latest_after_told")]
-    pub latest_after_notification: f64,
+    pub max_delay_after_notification: f64,
     /// How much later than scheduled the emulated clients sent their requests.
     #[serde(rename = "kit_late")]
     pub client_lateness: LatenessSummary,
--- a/crates/audit/tests/audit/draining.rs
+++ b/crates/audit/tests/audit/draining.rs
@@ -18,7 +18,7 @@
             .at(2.0, notified(state, 0, 0))
             .succeeds(1.3, 7, READ);
         let findings = builder.assert_no_violations();
-        assert!((findings.latest_after_notification - 0.301).abs() < 1e-9);
+        assert!((findings.max_delay_after_notification - 0.301).abs() < 1e-9);
         builder.0.pop();
         builder.succeeds(2.1, 8, READ).assert_violation(
             Rule::Draining,
--- a/crates/rehearsal/src/page/mod.rs
+++ b/crates/rehearsal/src/page/mod.rs
@@ -158,7 +158,7 @@
     format!(
         "<h2>The kit itself</h2>\n<p>RPCs went out late by {median} (median), {percentile_99} (99th percentile), {worst} (worst). \
          Latest new work to a node after its drain was told: {:.0} ms.</p>\n</body></html>\n",
-        findings.latest_after_notification * 1e3
+        findings.max_delay_after_notification * 1e3
     )
 }
 
--- a/crates/rehearsal/src/report/text.rs
+++ b/crates/rehearsal/src/report/text.rs
@@ -99,7 +99,7 @@
         let _ = writeln!(
             text,
             "  latest new work after a drain was told: {:.0} ms; cold nodes {}, pushed to {:.0}% of their fall at most; {} fell",
-            self.findings.latest_after_notification * 1e3,
+            self.findings.max_delay_after_notification * 1e3,
             cold_starts.len(),
             peak_overload * 100.0,
             self.findings.counts.collapsed
