--- a/crates/audit/src/audit/slow_start.rs
+++ b/crates/audit/src/audit/slow_start.rs
@@ -63,8 +63,8 @@
             }
             Event::AttemptReceived(received) => self.record_work(entry.at, received, tracker),
             Event::BackendCollapsed { incarnation } => {
-                if let Some(known) = tracker.incarnations.get(&incarnation) {
-                    self.check_collapse(entry.at, incarnation, *known, tracker, violations);
+                if let Some(state) = tracker.incarnations.get(&incarnation) {
+                    self.check_collapse(entry.at, incarnation, *state, tracker, violations);
                 }
             }
             _ => {}
@@ -74,8 +74,8 @@
     /// Records work for a cold backend, and removes work older than the overload window.
     fn record_work(&mut self, at: f64, received: ReceivedAttempt, tracker: &Tracker<'_>) {
         let incarnation = received.incarnation;
-        let known = tracker.incarnations.get(&incarnation);
-        let Some(known) = known.filter(|known| known.cold) else {
+        let state = tracker.incarnations.get(&incarnation);
+        let Some(state) = state.filter(|state| state.cold) else {
             return;
         };
         let load = self.loads.entry(incarnation).or_default();
@@ -83,7 +83,7 @@
         load.recent.push_back(ReceivedWork {
             at,
             work: f64::from(received.work),
-            informed: tracker.is_notified_of(received.proxy, known.backend, incarnation),
+            informed: tracker.is_notified_of(received.proxy, state.backend, incarnation),
         });
         let oldest = at - tracker.header.rules.overload_window;
         while load.recent.front().is_some_and(|first| first.at < oldest) {
@@ -96,24 +96,24 @@
         &mut self,
         at: f64,
         incarnation: u32,
-        known: Incarnation,
+        state: Incarnation,
         tracker: &Tracker<'_>,
         violations: &mut Violations,
     ) {
         let load = self.loads.entry(incarnation).or_default();
         load.peak_overload = load.peak_overload.max(1.0);
-        let all = load.recent_work(|_| true);
+        let total = load.recent_work(|_| true);
         let informed = load.recent_work(|received| received.informed);
-        if informed < RESPONSIBLE_SHARE * all {
+        if informed < RESPONSIBLE_SHARE * total {
             self.collapsed_uninformed += 1;
             return;
         }
-        let age = at - known.started_at;
-        let informed_percent = informed / all.max(f64::MIN_POSITIVE) * 100.0;
+        let age = at - state.started_at;
+        let informed_percent = informed / total.max(f64::MIN_POSITIVE) * 100.0;
         violations.add(Violation {
             rule: Rule::SlowStart,
             at,
-            subject: tracker.header.backend_name(known.backend).to_owned(),
+            subject: tracker.header.backend_name(state.backend).to_owned(),
             description: format!(
                 "pushed over {age:.1} s after its start, {informed_percent:.0}% of it by proxies that knew of the start"
             ),
@@ -123,11 +123,11 @@
 
     /// Returns the cold starts sorted by time, and those at the same time by backend name.
     pub(super) fn cold_starts(&self, tracker: &Tracker<'_>) -> Vec<ColdStart> {
-        let cold = tracker.incarnations.iter().filter(|(_, known)| known.cold);
+        let cold = tracker.incarnations.iter().filter(|(_, state)| state.cold);
         let mut cold_starts: Vec<_> = cold
-            .map(|(incarnation, known)| ColdStart {
-                backend: tracker.header.backend_name(known.backend).to_owned(),
-                started_at: known.started_at,
+            .map(|(incarnation, state)| ColdStart {
+                backend: tracker.header.backend_name(state.backend).to_owned(),
+                started_at: state.started_at,
                 peak_overload: self
                     .loads
                     .get(incarnation)
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -166,7 +166,7 @@
 /// - `method`, `tenant`, `proxy` and `backend` are indices into the ledger's header.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// An RPC was scheduled to be sent, whether or not a request could be sent.
+    /// An RPC was due to be sent. It is recorded even if no request could be sent.
     #[serde(rename = "Asked")]
     Arrival {
         /// The RPC.
