--- a/crates/backend-model/src/backend.rs
+++ b/crates/backend-model/src/backend.rs
@@ -104,7 +104,7 @@
 enum Position {
     /// In the queue, under this arrival number.
     Queued(u64),
-    /// On a core, until the work clock reaches the time with these bits.
+    /// On a core, until the work clock reaches the value with these bits.
     Executing(u64),
 }
 
@@ -121,7 +121,7 @@
 /// Methods that take `events` first process everything that is due up to `now`, in seconds, and append the events to it.
 #[derive(Debug)]
 pub struct Backend {
-    spec: BackendParameters,
+    parameters: BackendParameters,
     capacity: CapacityModel,
     /// Queued RPCs by arrival number.
     queue: BTreeMap<u64, (AttemptId, AdmittedWork)>,
@@ -140,18 +140,18 @@
 
 impl Backend {
     /// Starts a process at `now`, in seconds.
-    pub fn new(spec: BackendParameters, now: f64, start: StartMode) -> Self {
+    pub fn new(parameters: BackendParameters, now: f64, start: StartMode) -> Self {
         let cold = start == StartMode::Cold;
         Self {
             capacity: CapacityModel::new(
-                spec.speed,
-                spec.initial_capacity,
-                spec.warm_up_seconds,
+                parameters.speed,
+                parameters.initial_capacity,
+                parameters.warm_up_seconds,
                 now,
                 cold,
             ),
-            overload_window: OverloadWindow::new(spec.overload_window_seconds),
-            spec,
+            overload_window: OverloadWindow::new(parameters.overload_window_seconds),
+            parameters,
             queue: BTreeMap::new(),
             executing: BTreeMap::new(),
             positions: HashMap::new(),
@@ -170,7 +170,7 @@
 
     /// Opens a connection. Returns false if the process is down or has the maximum number of connections.
     pub fn connect(&mut self) -> bool {
-        let accepted = !self.down && self.connections < self.spec.connections;
+        let accepted = !self.down && self.connections < self.parameters.connections;
         self.connections += usize::from(accepted);
         accepted
     }
@@ -194,7 +194,7 @@
             return Err(RejectionReason::Down);
         }
         let connection_work = if incoming.first_on_connection {
-            self.spec.connection_work
+            self.parameters.connection_work
         } else {
             0.0
         };
@@ -208,7 +208,7 @@
         if self.draining {
             return Err(RejectionReason::Draining);
         }
-        if self.is_busy() && self.queue.len() >= self.spec.queue_capacity {
+        if self.is_busy() && self.queue.len() >= self.parameters.queue_capacity {
             return Err(RejectionReason::QueueFull);
         }
         let admitted = AdmittedWork {
@@ -224,9 +224,12 @@
     fn measure_overload(&mut self, now: f64, work: f64) {
         self.overload = 0.0;
         if self.capacity.is_warming_up(now) {
-            let capacity = self.spec.cores as f64 * self.spec.speed * self.capacity.warm_share(now);
-            let collapse_work =
-                self.spec.collapse_factor * capacity * self.spec.overload_window_seconds;
+            let capacity = self.parameters.cores as f64
+                * self.parameters.speed
+                * self.capacity.warm_share(now);
+            let collapse_work = self.parameters.collapse_factor
+                * capacity
+                * self.parameters.overload_window_seconds;
             self.overload = self.overload_window.add(now, work) / collapse_work;
             self.peak_overload = self.peak_overload.max(self.overload);
         }
@@ -304,7 +307,7 @@
             Some(Position::Queued(number)) => {
                 self.queue.remove(&number);
             }
-            Some(Position::Executing(end)) if self.spec.cancel_stops_execution => {
+            Some(Position::Executing(end)) if self.parameters.cancel_stops_execution => {
                 self.executing.remove(&(end, attempt_id));
             }
             _ => return false,
@@ -354,13 +357,13 @@
 
     /// Returns the load report, which is updated if its interval has passed.
     pub fn report(&mut self, now: f64) -> LoadReport {
-        if now - self.reported.at >= self.spec.report_interval {
+        if now - self.reported.at >= self.parameters.report_interval {
             let queued = self.queue.len();
             let executing = self.executing.len();
             let report = LoadReport {
                 in_flight: queued + executing,
                 queued,
-                utilisation: executing as f64 / self.spec.cores as f64,
+                utilisation: executing as f64 / self.parameters.cores as f64,
             };
             self.reported = ReportedLoad { at: now, report };
         }
@@ -394,6 +397,6 @@
 
     /// Whether all cores are busy, so that a new RPC has to wait.
     pub fn is_busy(&self) -> bool {
-        self.executing.len() >= self.spec.cores
+        self.executing.len() >= self.parameters.cores
     }
 }
