--- a/crates/audit/src/audit/mod.rs
+++ b/crates/audit/src/audit/mod.rs
@@ -106,8 +106,8 @@
                 counts.attempts_cancelled += usize::from(how == AttemptEnd::Cancelled);
             }
             Event::BackendCollapsed { .. } => counts.collapsed += 1,
-            Event::ClientLate { by } => self.client_lateness.push(f64::from(by)),
-            Event::EmulatorLate { by } => self.emulator_lateness.push(f64::from(by)),
+            Event::ClientLate { delay } => self.client_lateness.push(f64::from(delay)),
+            Event::EmulatorLate { delay } => self.emulator_lateness.push(f64::from(delay)),
             _ => {}
         }
     }
@@ -151,7 +151,7 @@
             violations: self.violations.into_sorted(),
             counts,
             service: self.service.finish(),
-            latest_after_notification: self.draining.latest_after_notification,
+            max_delay_after_notification: self.draining.max_delay_after_notification,
             client_lateness: LatenessSummary::from_samples(&mut self.client_lateness),
             emulator_lateness: LatenessSummary::from_samples(&mut self.emulator_lateness),
         }
