--- a/crates/daemon/src/upstream/attempt/send.rs
+++ b/crates/daemon/src/upstream/attempt/send.rs
@@ -48,6 +48,7 @@
         invariants.may_send(self.request.id_text(), send)
     }
 
+    /// Describes the first byte to be sent now, for the check of the invariants.
     fn attempt_send(&self, is_client_disconnected: bool) -> AttemptSend {
         let now = Instant::now();
         // The client's deadline of a streamed request is not known before its last byte.
