--- a/tests/common/sockets/backend.rs
+++ b/tests/common/sockets/backend.rs
@@ -1,4 +1,4 @@
-//! Emulated backends that respond, close connections or stay silent.
+//! Emulated backends that respond, close their connections or send nothing.
 use super::http::{Message, read_message, reply};
 use super::shared::{EVENT_TIMEOUT, Log, Shared};
 use std::io::{BufReader, Read, Write};
@@ -7,7 +7,7 @@
 use std::thread::spawn;
 use std::time::Duration;
 
-/// The action of a backend on an RPC.
+/// What a backend does when it receives an RPC.
 pub(crate) enum BackendAction {
     /// Writes these bytes.
     Respond(Vec<u8>),
@@ -25,7 +25,7 @@
         /// Written after the event.
         rest: Vec<u8>,
     },
-    /// Writes nothing until the proxy closes the connection.
+    /// Sends nothing, and waits until the proxy closes the connection.
     Hang,
 }
 
@@ -82,8 +82,9 @@
                         events.iter().any(|recorded| recorded.ends_with(&event))
                     });
                     if rest.is_empty() {
-                        // Closed before the event is recorded: whoever waits for it finds the connection closed. Dropping
-                        // the socket is not enough: a process that another test is just starting may still hold a copy.
+                        // The connection is closed before the event is recorded, so that a test that waits for the event
+                        // finds it closed. Dropping the socket is not enough: a process that another test is starting may
+                        // still hold a copy of the descriptor.
                         let _ = stream.shutdown(Shutdown::Both);
                         drop((input, stream));
                         return log.record(format!("{name} done with {id}"));
@@ -101,7 +102,7 @@
     })
 }
 
-/// Starts a backend that responds once its gate is open, and returns its address and the gate.
+/// Starts a backend that responds once its gate is set to true, and returns its address and the gate.
 pub(crate) fn gated_backend(
     name: &'static str,
     log: &Log,
--- a/tests/common/sockets/client.rs
+++ b/tests/common/sockets/client.rs
@@ -9,14 +9,14 @@
 pub(crate) struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// Connects to this address; none if the connection fails.
+    /// Connects to this address. Returns `None` if the connection fails.
     pub(crate) fn open(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(EVENT_TIMEOUT)).ok()?;
         Some(Self(BufReader::new(stream)))
     }
 
-    /// Sends these bytes; false if that fails.
+    /// Sends these bytes. Returns false if that fails.
     pub(crate) fn send(&mut self, bytes: &str) -> bool {
         self.0.get_mut().write_all(bytes.as_bytes()).is_ok()
     }
@@ -33,7 +33,7 @@
         self.0.get_ref().try_clone().expect("a second handle")
     }
 
-    /// Reads the next response; none if the connection ends before it is complete.
+    /// Reads the next response. Returns `None` if the connection ends before it is complete.
     pub(crate) fn response(&mut self) -> Option<Message> {
         read_message(&mut self.0)
     }
@@ -54,8 +54,8 @@
         self.call(bytes).expect("a response").text()
     }
 
-    /// Waits until the peer closes the connection; false if it sends something instead. A read with a timeout fails with
-    /// `EINTR` when a signal arrives, such as the SIGCHLD of another test's child, and is repeated.
+    /// Waits until the peer closes the connection. Returns false if it sends something instead. A read with a timeout
+    /// fails with `EINTR` when a signal arrives, such as the SIGCHLD of another test's child, and is repeated.
     pub(crate) fn is_closed(&mut self) -> bool {
         loop {
             match self.0.read(&mut [0]) {
--- a/tests/common/sockets/daemon.rs
+++ b/tests/common/sockets/daemon.rs
@@ -29,8 +29,9 @@
     config["settings"]["ceilings"]["probes"] = false.into();
 }
 
-/// Returns an address that no other process or test uses: all others listen elsewhere in the loopback range. Its port is
-/// not an ephemeral one, because a client that connects too early could be connected to itself.
+/// Returns an address that no other process or test uses: each has another address of the loopback range. The port is
+/// outside the ephemeral range, because a client that connects before the daemon listens could otherwise be connected to
+/// itself.
 pub(crate) fn unused_address() -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
@@ -66,7 +67,8 @@
         .env("LB_CONFIG", folder.join("config.json"))
         .env("TMPDIR", folder);
     start.stderr(log);
-    // A script that a test has just written is busy while another test's child, between fork and exec, has it open.
+    // Starting a script that a test has just written fails with ETXTBSY while a child of another test, between fork and
+    // exec, still has it open for writing.
     loop {
         match start.spawn() {
             Err(e) if e.kind() == ErrorKind::ExecutableFileBusy => sleep(Duration::from_millis(2)),
@@ -127,7 +129,7 @@
         self.child = spawn_daemon(program, &self.folder);
     }
 
-    /// Waits until the readiness check has this status.
+    /// Waits until the readiness check responds with this status.
     pub(crate) fn await_ready(&self, status: u16) {
         let current = || Some(Client::open(self.address)?.call(HEALTH)?.status());
         eventually(EVENT_TIMEOUT, &format!("never {status}"), || {
@@ -171,7 +173,7 @@
         pages.expect("pages") << 12
     }
 
-    /// Returns the log so far.
+    /// Returns the text that the process has logged so far.
     pub(crate) fn logged(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).expect("its log")
     }
--- a/tests/common/sockets/discovery.rs
+++ b/tests/common/sockets/discovery.rs
@@ -26,7 +26,7 @@
     /// The address that it listens on.
     pub address: SocketAddr,
     publication: Shared<Publication>,
-    /// The version that the latest call has already.
+    /// The version that the caller had when it sent the latest call.
     requested_after: Shared<u64>,
     /// The version of the latest response, or of the latest call without one.
     pub answered: Shared<u64>,
@@ -85,7 +85,8 @@
         version
     }
 
-    /// Responds with this body, or closes connections without one, and waits until a call was treated like that.
+    /// Responds with this body from now on, or closes connections if there is none, and waits until this has happened to
+    /// a call.
     pub(crate) fn respond_with(&self, body: Option<&str>) {
         let version = self.publication.change(|publication| {
             publication.version += 1;
@@ -100,7 +101,7 @@
     }
 }
 
-/// The part of the service that its connections share.
+/// The state that all connections of the service share.
 struct ServiceConnections {
     publication: Shared<Publication>,
     requested_after: Shared<u64>,
@@ -110,7 +111,7 @@
 }
 
 impl ServiceConnections {
-    /// Serves the calls on one connection. A call waits until there is something newer than what the proxy has.
+    /// Serves the calls on one connection. A call waits until there is a version other than the one that the proxy has.
     fn serve(&self, mut stream: TcpStream) {
         let mut input = BufReader::new(stream.try_clone().expect("a second handle"));
         while let Some(call) = read_message(&mut input) {
@@ -140,7 +141,7 @@
     }
 }
 
-/// Returns the version that the sender of a call has already; 0 for none.
+/// Returns the version that the sender of a call has; 0 if it has none.
 fn version_after(call: &Message) -> u64 {
     let from = call
         .start_line
--- a/tests/common/sockets/faults.rs
+++ b/tests/common/sockets/faults.rs
@@ -1,4 +1,4 @@
-//! Runs programs with failing system calls, a stepping wall clock or a limit of descriptors.
+//! Runs programs with injected faults of system calls and of the wall clock, or with a limit on file descriptors.
 use std::fs::Permissions;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -6,8 +6,8 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Returns the library to preload. It is built on first use, because cargo doesn't build it for the tests of another
-/// package.
+/// Returns the path of the library that injects faults when it is preloaded. It is built on first use, because cargo
+/// doesn't build it for the tests of another package.
 pub(crate) fn fault_shim() -> &'static Path {
     static SHIM: OnceLock<PathBuf> = OnceLock::new();
     SHIM.get_or_init(|| {
@@ -35,7 +35,7 @@
     ))
 }
 
-/// Writes a script that runs the program with this limit of descriptors, and returns its path.
+/// Writes a script that runs the program with this limit on file descriptors, and returns its path.
 pub(crate) fn with_descriptor_limit(program: &str, descriptors: u64) -> String {
     write_script(&format!("ulimit -n {descriptors}\nexec {program} \"$@\"\n"))
 }
--- a/tests/common/sockets/http.rs
+++ b/tests/common/sockets/http.rs
@@ -76,7 +76,7 @@
     Some(body)
 }
 
-/// Reads the next message on a connection; none if the connection ends before it is complete.
+/// Reads the next message on a connection. Returns `None` if the connection ends before it is complete.
 pub(crate) fn read_message(from: &mut impl BufRead) -> Option<Message> {
     let start_line = read_line(from)?;
     let headers = read_headers(from)?;
--- a/tests/common/sockets/process.rs
+++ b/tests/common/sockets/process.rs
@@ -1,4 +1,4 @@
-//! Processes and folders of tests that start birchhubd themselves.
+//! Helpers for tests that start birchhubd themselves: signals, temporary folders and failed starts.
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command};
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// The end of a program that could not start.
+/// Exit code and error output of a program that failed to start.
 #[derive(Debug, PartialEq)]
 pub(crate) struct FailedStart {
     pub exit_code: Option<i32>,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Checks that the program exited with the code of a failed start, after one line of error.
+    /// Checks that the program exited with the code of a failed start after it had printed one line to standard error.
     pub(crate) fn assert_one_line(&self) {
         assert_eq!(self.exit_code, Some(2), "{self:?}");
         assert_eq!(self.error.lines().count(), 1, "{self:?}");
--- a/tests/common/sockets/shared.rs
+++ b/tests/common/sockets/shared.rs
@@ -3,7 +3,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// For an event that a test waits for. Events are expected much sooner.
+/// Timeout for an event that a test waits for. Events are expected much earlier.
 pub(crate) const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A value that several threads change and wait for.
@@ -16,7 +16,7 @@
 }
 
 impl<T: Send + 'static> Shared<T> {
-    /// Shares a value.
+    /// Creates a shared value.
     pub(crate) fn new(value: T) -> Self {
         Self(Arc::new((Mutex::new(value), Condvar::new())))
     }
@@ -28,7 +28,7 @@
         result
     }
 
-    /// Waits until the condition is met; false if that takes longer than the timeout.
+    /// Waits until the condition is met. Returns false if that takes longer than the timeout.
     pub(crate) fn wait(&self, timeout: Duration, is_met: impl Fn(&T) -> bool) -> bool {
         let guard = self.0.0.lock().expect("a healthy lock");
         let (_guard, result) = self
@@ -43,7 +43,7 @@
 /// Interval between two checks of a condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Checks until the condition is met; panics with the message if that takes longer than the timeout.
+/// Polls the condition until it is met. Panics with the message if that takes longer than the timeout.
 pub(crate) fn eventually(timeout: Duration, message: &str, mut is_met: impl FnMut() -> bool) {
     let started = Instant::now();
     while !is_met() {
--- a/tests/common/sockets/slow_accept.rs
+++ b/tests/common/sockets/slow_accept.rs
@@ -3,17 +3,17 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// An address whose connections are established only once the test accepts them.
+/// A listener whose queue of connections is full, so that further ones are established only once the test accepts them.
 pub(crate) struct SlowAccept {
     /// The address that it listens on.
     pub address: SocketAddr,
     listener: socket2::Socket,
-    /// Connections that fill the kernel's queue.
+    /// Connections that fill the kernel's accept queue.
     fillers: Vec<socket2::Socket>,
 }
 
 impl SlowAccept {
-    /// Listens, and fills the queue of the kernel so that further connects wait.
+    /// Listens, and fills the kernel's accept queue so that further connects wait.
     pub(crate) fn start() -> Self {
         use socket2::{Domain, Socket, Type};
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns the number of connects that wait, without the fillers.
+    /// Returns the number of connects that wait for their SYN to be acknowledged, without the fillers.
     pub(crate) fn pending_connects(&self) -> usize {
         let SocketAddr::V4(address) = self.address else {
             panic!("no such address: {}", self.address)
