--- a/crates/daemon/tests/footprint.rs
+++ b/crates/daemon/tests/footprint.rs
@@ -5,7 +5,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchhubd");
 
-/// Guards against mailboxes that preallocate memory, which most backends of a large fleet never need.
+/// Guards against endpoint mailboxes that preallocate memory, which most backends of a large fleet never need.
 #[test]
 fn listed_backend_takes_a_few_kilobytes() {
     const ADDED_BACKENDS: usize = 4_000;
