--- a/crates/daemon/tests/forwarding.rs
+++ b/crates/daemon/tests/forwarding.rs
@@ -75,8 +75,8 @@
     log.await_event("k1 4");
 }
 
-/// Rule 2: an attempt that a backend may have executed is retried only if the method is idempotent or has an
-/// idempotency key.
+/// Rule 2 of the audit, no effect happens twice: an attempt that a backend may have executed is retried only if the
+/// method is idempotent or has an idempotency key.
 #[test]
 fn reset_attempt_is_retried_only_if_the_method_is_idempotent() {
     let log = Log::new(vec![]);
