--- a/crates/emulator/src/backend.rs
+++ b/crates/emulator/src/backend.rs
@@ -14,7 +14,7 @@
 use crate::fleet::Fleet;
 use birchhub_audit::Event;
 use birchhub_backend_model::{BackendEvent, BackendParameters, StartMode};
-use incarnation::{Incarnation, Shutdown};
+use incarnation::{Incarnation, IncarnationState};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::io;
@@ -104,12 +104,12 @@
 
     /// Ends the process as a crash does: all RPCs in flight are lost and connections are reset.
     pub fn crash(&self) {
-        self.end(Shutdown::Crashed);
+        self.end(IncarnationState::Crashed);
     }
 
     /// Ends the process in order: connections are closed. RPCs still in flight are lost.
     pub fn stop(&self) {
-        self.end(Shutdown::Stopped);
+        self.end(IncarnationState::Stopped);
     }
 
     /// Finishes the RPCs in flight and rejects new ones.
@@ -180,13 +180,13 @@
     }
 
     /// Ends the running incarnation.
-    fn end(&self, shutdown: Shutdown) {
+    fn end(&self, state: IncarnationState) {
         if let Some(mut incarnation) = self.incarnation.borrow_mut().take() {
             incarnation.model.crash();
             self.fleet.event_log.record(Event::BackendEnded {
                 incarnation: incarnation.number,
             });
-            incarnation.shutdown.send_replace(shutdown);
+            incarnation.state.send_replace(state);
         }
     }
 
--- a/crates/emulator/src/backend/connections.rs
+++ b/crates/emulator/src/backend/connections.rs
@@ -1,7 +1,7 @@
 //! Connections of proxies to an emulated backend: accepting, partitions, stalls and the order of requests.
 use super::EmulatedBackend;
 use super::connection_slot::{ConnectionSlot, NextStep};
-use super::incarnation::Shutdown;
+use super::incarnation::IncarnationState;
 use super::requests::ReceivedRequest;
 use crate::protocol::{HEALTH_CHECK_PATH, LOAD_REPORT_PATH};
 use crate::wire::{MessageKind, Peer};
@@ -25,12 +25,12 @@
         number: u32,
         proxy: u16,
         listener: TcpListener,
-        mut shutdown: watch::Receiver<Shutdown>,
+        mut state: watch::Receiver<IncarnationState>,
     ) {
         loop {
             let accepted = select! {
                 biased;
-                _ = shutdown.changed() => return,
+                _ = state.changed() => return,
                 () = self.until_partitioned(proxy, true) => {
                     self.until_partitioned(proxy, false).await;
                     reset_pending(&listener).await;
@@ -43,7 +43,7 @@
                 Ok((stream, _)) => {
                     let slot = self.clone().slot(number);
                     let peer = Peer::new(stream);
-                    spawn_local(self.clone().connection(peer, proxy, slot, shutdown.clone()));
+                    spawn_local(self.clone().connection(peer, proxy, slot, state.clone()));
                 }
                 Err(error) => {
                     log::warn!("{}: accept failed, retrying: {error}", self.spec.name);
@@ -72,15 +72,17 @@
         mut peer: Peer,
         proxy: u16,
         slot: ConnectionSlot,
-        mut shutdown: watch::Receiver<Shutdown>,
+        mut state: watch::Receiver<IncarnationState>,
     ) {
         let ended = async {
-            let shutdown = shutdown.wait_for(|state| *state != Shutdown::Running).await;
-            shutdown.map_or(Shutdown::Crashed, |shutdown| *shutdown)
+            let ended = state
+                .wait_for(|state| *state != IncarnationState::Running)
+                .await;
+            ended.map_or(IncarnationState::Crashed, |state| *state)
         };
         let is_reset = select! {
             biased;
-            shutdown = ended => shutdown == Shutdown::Crashed,
+            state = ended => state == IncarnationState::Crashed,
             () = self.until_partitioned(proxy, true) => {
                 self.until_partitioned(proxy, false).await;
                 true
--- a/crates/emulator/src/backend/driver.rs
+++ b/crates/emulator/src/backend/driver.rs
@@ -1,6 +1,6 @@
 //! Drives the model of an incarnation: runs its events when they are due and records them.
 use super::EmulatedBackend;
-use super::incarnation::{Completion, Shutdown};
+use super::incarnation::{Completion, IncarnationState};
 use birchhub_audit::Event;
 use birchhub_backend_model::{AttemptId, BackendEvent};
 use std::rc::Rc;
@@ -12,7 +12,7 @@
     pub(super) async fn drive(
         self: Rc<Self>,
         number: u32,
-        mut shutdown: watch::Receiver<Shutdown>,
+        mut state: watch::Receiver<IncarnationState>,
     ) {
         let clock = self.fleet.event_log.clock;
         loop {
@@ -21,7 +21,7 @@
                 .flatten();
             select! {
                 biased;
-                _ = shutdown.changed() => return,
+                _ = state.changed() => return,
                 () = clock.sleep_until(next_event_at.unwrap_or(f64::MAX)), if next_event_at.is_some() => {}
                 () = self.timer_changed.notified() => continue,
             }
@@ -67,7 +67,7 @@
                     event_log.record(Event::BackendCollapsed {
                         incarnation: number,
                     });
-                    self.end(Shutdown::Crashed);
+                    self.end(IncarnationState::Crashed);
                 }
             }
         }
--- a/crates/emulator/src/backend/incarnation.rs
+++ b/crates/emulator/src/backend/incarnation.rs
@@ -12,14 +12,14 @@
 /// Connections that may wait to be accepted at a listener.
 const LISTEN_BACKLOG: u32 = 256;
 
-/// How an incarnation ends for its connections.
+/// Whether an incarnation runs, and otherwise how its connections end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Shutdown {
-    /// The incarnation has not ended.
+pub(super) enum IncarnationState {
+    /// The process is running.
     Running,
-    /// Connections are closed.
+    /// The process was stopped: its connections are closed.
     Stopped,
-    /// Connections are reset.
+    /// The process crashed: its connections are reset.
     Crashed,
 }
 
@@ -35,7 +35,7 @@
     pub model: Backend,
     /// Connections that wait for the execution of an attempt.
     pub waiting: HashMap<AttemptId, oneshot::Sender<Completion>>,
-    pub shutdown: watch::Sender<Shutdown>,
+    pub state: watch::Sender<IncarnationState>,
     /// Numbers of the stalls that last.
     pub stalls: BTreeSet<u64>,
 }
@@ -70,21 +70,21 @@
         cold: start == StartMode::Cold,
         warm_capacity: (spec.cores as f64 * spec.speed) as f32,
     });
-    let (shutdown, shutdown_seen) = watch::channel(Shutdown::Running);
+    let (state, state_receiver) = watch::channel(IncarnationState::Running);
     *backend.incarnation.borrow_mut() = Some(Incarnation {
         number,
         model,
         waiting: HashMap::new(),
-        shutdown,
+        state,
         stalls: BTreeSet::new(),
     });
     for (proxy, listener) in listeners.into_iter().enumerate() {
         let accepting =
             backend
                 .clone()
-                .accept(number, proxy as u16, listener, shutdown_seen.clone());
+                .accept(number, proxy as u16, listener, state_receiver.clone());
         spawn_local(accepting);
     }
-    spawn_local(backend.clone().drive(number, shutdown_seen));
+    spawn_local(backend.clone().drive(number, state_receiver));
     Ok(number)
 }
