--- a/crates/emulator/src/backend.rs
+++ b/crates/emulator/src/backend.rs
@@ -104,12 +104,12 @@
 
     /// Ends the process as a crash does: all RPCs in flight are lost and connections are reset.
     pub fn crash(&self) {
-        self.end(IncarnationState::Crashed);
+        self.end_incarnation(IncarnationState::Crashed);
     }
 
     /// Ends the process in order: connections are closed. RPCs still in flight are lost.
     pub fn stop(&self) {
-        self.end(IncarnationState::Stopped);
+        self.end_incarnation(IncarnationState::Stopped);
     }
 
     /// Finishes the RPCs in flight and rejects new ones.
@@ -137,7 +137,7 @@
         let Some(number) = self.incarnation() else {
             return;
         };
-        self.change(number, |incarnation, now, fleet, events| {
+        self.update_incarnation(number, |incarnation, now, fleet, events| {
             let was_stalled = incarnation.is_stalled();
             change(&mut incarnation.stalls);
             let is_stalled = incarnation.is_stalled();
@@ -156,7 +156,7 @@
         let Some(number) = self.incarnation() else {
             return;
         };
-        self.change(number, |incarnation, now, fleet, events| {
+        self.update_incarnation(number, |incarnation, now, fleet, events| {
             let mut deduplication = fleet.deduplication.borrow_mut();
             let model = &mut incarnation.model;
             model.scale(now, factor, &mut deduplication, events);
@@ -180,7 +180,7 @@
     }
 
     /// Ends the running incarnation.
-    fn end(&self, state: IncarnationState) {
+    fn end_incarnation(&self, state: IncarnationState) {
         if let Some(mut incarnation) = self.incarnation.borrow_mut().take() {
             incarnation.model.crash();
             self.fleet.event_log.record(Event::BackendEnded {
@@ -191,7 +191,11 @@
     }
 
     /// Gives access to an incarnation if it is still the running one.
-    fn with<R>(&self, number: u32, access: impl FnOnce(&mut Incarnation) -> R) -> Option<R> {
+    fn with_incarnation<R>(
+        &self,
+        number: u32,
+        access: impl FnOnce(&mut Incarnation) -> R,
+    ) -> Option<R> {
         self.incarnation
             .borrow_mut()
             .as_mut()
@@ -200,17 +204,17 @@
     }
 
     /// Changes an incarnation at the present time, then records the events that the change caused.
-    fn change<R>(
+    fn update_incarnation<R>(
         &self,
         number: u32,
         change: impl FnOnce(&mut Incarnation, f64, &Fleet, &mut Vec<BackendEvent>) -> R,
     ) -> Option<R> {
         let now = self.fleet.event_log.clock.now();
         let mut events = Vec::new();
-        let result = self.with(number, |incarnation| {
+        let result = self.with_incarnation(number, |incarnation| {
             change(incarnation, now, &self.fleet, &mut events)
         });
-        self.record(number, events);
+        self.record_model_events(number, events);
         self.timer_changed.notify_one();
         result
     }
--- a/crates/emulator/src/backend/connection_slot.rs
+++ b/crates/emulator/src/backend/connection_slot.rs
@@ -25,9 +25,10 @@
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         if self.is_granted {
-            self.backend.with(self.incarnation, |incarnation| {
-                incarnation.model.disconnect()
-            });
+            self.backend
+                .with_incarnation(self.incarnation, |incarnation| {
+                    incarnation.model.disconnect()
+                });
         }
     }
 }
--- a/crates/emulator/src/backend/connections.rs
+++ b/crates/emulator/src/backend/connections.rs
@@ -56,7 +56,7 @@
     /// Takes a place for a connection, if the model has one left.
     fn slot(self: Rc<Self>, number: u32) -> ConnectionSlot {
         let is_granted = self
-            .with(number, |incarnation| incarnation.model.connect())
+            .with_incarnation(number, |incarnation| incarnation.model.connect())
             .unwrap_or(false);
         ConnectionSlot {
             backend: self,
@@ -137,7 +137,7 @@
         let mut fault_state = self.fault_state.subscribe();
         let mut closed_at = None;
         while self
-            .with(number, |incarnation| incarnation.is_stalled())
+            .with_incarnation(number, |incarnation| incarnation.is_stalled())
             .unwrap_or(false)
         {
             select! {
--- a/crates/emulator/src/backend/driver.rs
+++ b/crates/emulator/src/backend/driver.rs
@@ -17,7 +17,7 @@
         let clock = self.fleet.event_log.clock;
         loop {
             let next_event_at = self
-                .with(number, |incarnation| incarnation.model.next_event())
+                .with_incarnation(number, |incarnation| incarnation.model.next_event())
                 .flatten();
             select! {
                 biased;
@@ -38,17 +38,17 @@
                 delay: (now - due_at).max(0.0) as f32,
             });
         }
-        self.with(number, |incarnation| {
+        self.with_incarnation(number, |incarnation| {
             let mut deduplication = self.fleet.deduplication.borrow_mut();
             incarnation
                 .model
                 .advance(now, &mut deduplication, &mut events);
         });
-        self.record(number, events);
+        self.record_model_events(number, events);
     }
 
     /// Records events of the model and notifies the connections whose attempts are complete.
-    pub(super) fn record(&self, number: u32, events: Vec<BackendEvent>) {
+    pub(super) fn record_model_events(&self, number: u32, events: Vec<BackendEvent>) {
         let event_log = &self.fleet.event_log;
         for event in events {
             match event {
@@ -67,7 +67,7 @@
                     event_log.record(Event::BackendCollapsed {
                         incarnation: number,
                     });
-                    self.end(IncarnationState::Crashed);
+                    self.end_incarnation(IncarnationState::Crashed);
                 }
             }
         }
@@ -75,7 +75,7 @@
 
     /// Notifies the connection of an attempt. Health checks and cancelled attempts have none that waits.
     fn complete(&self, number: u32, attempt_id: AttemptId) {
-        let waiting = self.with(number, |incarnation| {
+        let waiting = self.with_incarnation(number, |incarnation| {
             incarnation.waiting.remove(&attempt_id)
         });
         if let Some(connection) = waiting.flatten() {
--- a/crates/emulator/src/backend/requests.rs
+++ b/crates/emulator/src/backend/requests.rs
@@ -105,7 +105,7 @@
     fn cancel(mut self) {
         self.end = AttemptEnd::Cancelled;
         self.backend
-            .change(self.incarnation, |incarnation, now, fleet, events| {
+            .update_incarnation(self.incarnation, |incarnation, now, fleet, events| {
                 incarnation.waiting.remove(&self.attempt_id);
                 let mut deduplication = fleet.deduplication.borrow_mut();
                 let model = &mut incarnation.model;
@@ -216,7 +216,7 @@
         let (completion, mut completed) = oneshot::channel();
         let decision = self.admit(slot, incoming, completion);
         attempt.record_received(request, &rpc, decision.recorded(), decision.overload);
-        self.record(incarnation, decision.events);
+        self.record_model_events(incarnation, decision.events);
         self.timer_changed.notify_one();
         match decision.result {
             Ok(()) => {}
@@ -252,7 +252,7 @@
         let now = self.fleet.event_log.clock.now();
         let mut events = Vec::new();
         let attempt_id = incoming.attempt_id;
-        let decided = self.with(slot.incarnation, |incarnation| {
+        let decided = self.with_incarnation(slot.incarnation, |incarnation| {
             if !slot.is_granted {
                 return (
                     Err(RejectionReason::QueueFull),
@@ -319,7 +319,7 @@
             idempotency_key: None,
             first_on_connection: false,
         };
-        self.change(incarnation, |incarnation, now, fleet, events| {
+        self.update_incarnation(incarnation, |incarnation, now, fleet, events| {
             let mut deduplication = fleet.deduplication.borrow_mut();
             let model = &mut incarnation.model;
             let _ = model.receive(now, incoming, &mut deduplication, events);
--- a/crates/emulator/src/backend/responses.rs
+++ b/crates/emulator/src/backend/responses.rs
@@ -40,7 +40,7 @@
     /// The load that the backend reports now.
     pub(super) fn load_report(&self, incarnation: u32) -> LoadReport {
         let now = self.fleet.event_log.clock.now();
-        self.with(incarnation, |incarnation| incarnation.model.report(now))
+        self.with_incarnation(incarnation, |incarnation| incarnation.model.report(now))
             .unwrap_or_default()
     }
 
