--- a/crates/emulator/src/backend/connections.rs
+++ b/crates/emulator/src/backend/connections.rs
@@ -20,7 +20,7 @@
 
 impl EmulatedBackend {
     /// Accepts the connections of one proxy until the incarnation ends.
-    pub(super) async fn accept(
+    pub(super) async fn accept_connections(
         self: Rc<Self>,
         number: u32,
         proxy: u16,
@@ -31,8 +31,8 @@
             let accepted = select! {
                 biased;
                 _ = state.changed() => return,
-                () = self.until_partitioned(proxy, true) => {
-                    self.until_partitioned(proxy, false).await;
+                () = self.wait_for_partition(proxy, true) => {
+                    self.wait_for_partition(proxy, false).await;
                     reset_pending(&listener).await;
                     continue;
                 }
@@ -41,9 +41,12 @@
             };
             match accepted {
                 Ok((stream, _)) => {
-                    let slot = self.clone().slot(number);
+                    let slot = self.clone().acquire_slot(number);
                     let peer = Peer::new(stream);
-                    spawn_local(self.clone().connection(peer, proxy, slot, state.clone()));
+                    spawn_local(
+                        self.clone()
+                            .serve_connection(peer, proxy, slot, state.clone()),
+                    );
                 }
                 Err(error) => {
                     log::warn!("{}: accept failed, retrying: {error}", self.spec.name);
@@ -54,7 +57,7 @@
     }
 
     /// Takes a place for a connection, if the model has one left.
-    fn slot(self: Rc<Self>, number: u32) -> ConnectionSlot {
+    fn acquire_slot(self: Rc<Self>, number: u32) -> ConnectionSlot {
         let is_granted = self
             .with_incarnation(number, |incarnation| incarnation.model.connect())
             .unwrap_or(false);
@@ -67,7 +70,7 @@
 
     /// Serves one connection until it or the incarnation ends. During a partition nothing is read or written; at its
     /// end the connection is reset.
-    async fn connection(
+    async fn serve_connection(
         self: Rc<Self>,
         mut peer: Peer,
         proxy: u16,
@@ -83,11 +86,11 @@
         let is_reset = select! {
             biased;
             state = ended => state == IncarnationState::Crashed,
-            () = self.until_partitioned(proxy, true) => {
-                self.until_partitioned(proxy, false).await;
+            () = self.wait_for_partition(proxy, true) => {
+                self.wait_for_partition(proxy, false).await;
                 true
             }
-            next = self.serve(&mut peer, proxy, &slot) => next == NextStep::Reset,
+            next = self.serve_requests(&mut peer, proxy, &slot) => next == NextStep::Reset,
         };
         if is_reset {
             peer.reset();
@@ -95,7 +98,7 @@
     }
 
     /// Serves the requests of a connection, one after another.
-    async fn serve(&self, peer: &mut Peer, proxy: u16, slot: &ConnectionSlot) -> NextStep {
+    async fn serve_requests(&self, peer: &mut Peer, proxy: u16, slot: &ConnectionSlot) -> NextStep {
         let clock = self.fleet.event_log.clock;
         let idle_timeout = Duration::from_secs_f64(self.spec.idle_timeout_seconds);
         loop {
@@ -104,7 +107,7 @@
                 return NextStep::Close;
             };
             let request = ReceivedRequest {
-                closed_at: self.until_not_stalled(peer, slot.incarnation).await,
+                closed_at: self.wait_while_stalled(peer, slot.incarnation).await,
                 message,
                 proxy,
             };
@@ -125,7 +128,7 @@
     }
 
     /// Waits until this proxy is partitioned from the backend, or no longer is.
-    async fn until_partitioned(&self, proxy: u16, expected: bool) {
+    async fn wait_for_partition(&self, proxy: u16, expected: bool) {
         let mut fault_state = self.fault_state.subscribe();
         while self.faults.is_partitioned(proxy) != expected {
             let _ = fault_state.changed().await;
@@ -133,7 +136,7 @@
     }
 
     /// Waits until the process is not stalled. Returns when the peer closed the connection, if it did meanwhile.
-    async fn until_not_stalled(&self, peer: &mut Peer, number: u32) -> Option<f64> {
+    async fn wait_while_stalled(&self, peer: &mut Peer, number: u32) -> Option<f64> {
         let mut fault_state = self.fault_state.subscribe();
         let mut closed_at = None;
         while self
--- a/crates/emulator/src/backend/incarnation.rs
+++ b/crates/emulator/src/backend/incarnation.rs
@@ -79,10 +79,12 @@
         stalls: BTreeSet::new(),
     });
     for (proxy, listener) in listeners.into_iter().enumerate() {
-        let accepting =
-            backend
-                .clone()
-                .accept(number, proxy as u16, listener, state_receiver.clone());
+        let accepting = backend.clone().accept_connections(
+            number,
+            proxy as u16,
+            listener,
+            state_receiver.clone(),
+        );
         spawn_local(accepting);
     }
     spawn_local(backend.clone().drive(number, state_receiver));
--- a/crates/emulator/src/discovery_service.rs
+++ b/crates/emulator/src/discovery_service.rs
@@ -85,7 +85,7 @@
             capacity: RefCell::default(),
         });
         for (proxy, listener) in listeners.into_iter().enumerate() {
-            spawn_local(service.clone().accept(proxy as u16, listener));
+            spawn_local(service.clone().accept_connections(proxy as u16, listener));
         }
         Ok(service)
     }
--- a/crates/emulator/src/discovery_service/connections.rs
+++ b/crates/emulator/src/discovery_service/connections.rs
@@ -31,12 +31,12 @@
 
 impl DiscoveryService {
     /// Accepts the connections of one proxy. Never ends.
-    pub(super) async fn accept(self: Rc<Self>, proxy: u16, listener: TcpListener) {
+    pub(super) async fn accept_connections(self: Rc<Self>, proxy: u16, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) if self.is_down() => Peer::new(stream).reset(),
                 Ok((stream, _)) => {
-                    spawn_local(self.clone().connection(proxy, Peer::new(stream)));
+                    spawn_local(self.clone().serve_connection(proxy, Peer::new(stream)));
                 }
                 Err(error) => {
                     log::warn!("discovery service: accept failed, retrying: {error}");
@@ -47,7 +47,7 @@
     }
 
     /// Serves one connection until it ends.
-    async fn connection(self: Rc<Self>, proxy: u16, mut peer: Peer) {
+    async fn serve_connection(self: Rc<Self>, proxy: u16, mut peer: Peer) {
         loop {
             match self.serve_call(proxy, &mut peer).await {
                 Ok(()) => {}
@@ -62,7 +62,7 @@
         let clock = self.event_log.clock;
         let message = select! {
             message = peer.read(MessageKind::Request, &clock) => message,
-            () = self.until_down() => return Err(ConnectionEnd::Reset),
+            () = self.wait_until_down() => return Err(ConnectionEnd::Reset),
         };
         let message = message.map_err(|_| ConnectionEnd::Close)?;
         let Some(call) = ListCall::parse(&message) else {
@@ -83,8 +83,8 @@
                 slot = None;
             }
             select! {
-                () = self.until_newer(proxy, from, call.hold) => {}
-                () = self.until_down() => return Err(ConnectionEnd::Reset),
+                () = self.wait_for_change(proxy, from, call.hold) => {}
+                () = self.wait_until_down() => return Err(ConnectionEnd::Reset),
                 () = peer.closed() => return Err(ConnectionEnd::Close),
             }
         }
@@ -118,7 +118,7 @@
             let endpoints = self.response(proxy, from).notifications.len() as u32;
             select! {
                 () = sleep(capacity.processing_time(endpoints)) => {}
-                () = self.until_down() => return Err(ConnectionEnd::Reset),
+                () = self.wait_until_down() => return Err(ConnectionEnd::Reset),
             }
         }
         let response = self.response(proxy, from);
@@ -143,7 +143,7 @@
         Ok(())
     }
 
-    async fn until_down(&self) {
+    async fn wait_until_down(&self) {
         let mut changed = self.changed.subscribe();
         while !self.is_down() {
             let _ = changed.changed().await;
@@ -151,7 +151,7 @@
     }
 
     /// Waits until the proxy's list has another version than `from`, at most for `hold`.
-    async fn until_newer(&self, proxy: u16, from: u64, hold: Duration) {
+    async fn wait_for_change(&self, proxy: u16, from: u64, hold: Duration) {
         let deadline = Instant::now() + hold;
         let mut changed = self.changed.subscribe();
         while self.with_snapshot(proxy, |list| list.version == from) {
