--- a/crates/emulator/src/backend/driver.rs
+++ b/crates/emulator/src/backend/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the model of an incarnation: runs its events when they are due and records them.
+//! Driver of an incarnation's model: runs the model's events when they are due and records them.
 use super::EmulatedBackend;
 use super::incarnation::{Completion, IncarnationState};
 use birchhub_audit::Event;
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 
 impl EmulatedBackend {
-    /// Runs the model's events at their times until the incarnation ends.
+    /// Advances the model at the time of each of its events until the incarnation ends.
     pub(super) async fn drive(
         self: Rc<Self>,
         number: u32,
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Advances the model to the present time. `due_at` is when the first event was due, in seconds.
+    /// Advances the model to the current time. `due_at` is the time at which the next event was due, in seconds; the
+    /// delay since then is recorded as lateness of the emulator.
     fn run_due_events(&self, number: u32, due_at: Option<f64>) {
         let now = self.fleet.event_log.clock.now();
         let mut events = Vec::new();
@@ -47,7 +48,8 @@
         self.record_model_events(number, events);
     }
 
-    /// Records events of the model and notifies the connections whose attempts are complete.
+    /// Records the model's events and notifies the connections whose attempts are complete. A collapse ends the
+    /// incarnation.
     pub(super) fn record_model_events(&self, number: u32, events: Vec<BackendEvent>) {
         let event_log = &self.fleet.event_log;
         for event in events {
@@ -57,11 +59,11 @@
                 }
                 BackendEvent::Finished(attempt_id) => {
                     event_log.record(Event::ExecutionFinished { attempt_id });
-                    self.complete(number, attempt_id);
+                    self.notify_completion(number, attempt_id);
                 }
                 BackendEvent::DuplicateDropped(attempt_id) => {
                     event_log.record(Event::DuplicateDropped { attempt_id });
-                    self.complete(number, attempt_id);
+                    self.notify_completion(number, attempt_id);
                 }
                 BackendEvent::Collapsed => {
                     event_log.record(Event::BackendCollapsed {
@@ -73,13 +75,13 @@
         }
     }
 
-    /// Notifies the connection of an attempt. Health checks and cancelled attempts have none that waits.
-    fn complete(&self, number: u32, attempt_id: AttemptId) {
-        let waiting = self.with_incarnation(number, |incarnation| {
-            incarnation.waiting.remove(&attempt_id)
+    /// Notifies the connection that waits for an attempt. No connection waits for a health check or a cancelled attempt.
+    fn notify_completion(&self, number: u32, attempt_id: AttemptId) {
+        let sender = self.with_incarnation(number, |incarnation| {
+            incarnation.completion_senders.remove(&attempt_id)
         });
-        if let Some(connection) = waiting.flatten() {
-            let _ = connection.send(Completion);
+        if let Some(sender) = sender.flatten() {
+            let _ = sender.send(Completion);
         }
     }
 }
--- a/crates/emulator/src/backend/incarnation.rs
+++ b/crates/emulator/src/backend/incarnation.rs
@@ -34,7 +34,7 @@
     pub number: u32,
     pub model: Backend,
     /// Connections that wait for the execution of an attempt.
-    pub waiting: HashMap<AttemptId, oneshot::Sender<Completion>>,
+    pub completion_senders: HashMap<AttemptId, oneshot::Sender<Completion>>,
     pub state: watch::Sender<IncarnationState>,
     /// Numbers of the stalls that last.
     pub stalls: BTreeSet<u64>,
@@ -74,7 +74,7 @@
     *backend.incarnation.borrow_mut() = Some(Incarnation {
         number,
         model,
-        waiting: HashMap::new(),
+        completion_senders: HashMap::new(),
         state,
         stalls: BTreeSet::new(),
     });
--- a/crates/emulator/src/backend/requests.rs
+++ b/crates/emulator/src/backend/requests.rs
@@ -106,7 +106,7 @@
         self.end = AttemptEnd::Cancelled;
         self.backend
             .update_incarnation(self.incarnation, |incarnation, now, fleet, events| {
-                incarnation.waiting.remove(&self.attempt_id);
+                incarnation.completion_senders.remove(&self.attempt_id);
                 let mut deduplication = fleet.deduplication.borrow_mut();
                 let model = &mut incarnation.model;
                 model.cancel(now, self.attempt_id, &mut deduplication, events);
@@ -263,7 +263,9 @@
             let model = &mut incarnation.model;
             let result = model.receive(now, incoming, &mut deduplication, &mut events);
             if result.is_ok() {
-                incarnation.waiting.insert(attempt_id, completion);
+                incarnation
+                    .completion_senders
+                    .insert(attempt_id, completion);
             }
             (result, model.overload())
         });
