--- a/crates/emulator/src/backend/incarnation.rs
+++ b/crates/emulator/src/backend/incarnation.rs
@@ -1,4 +1,4 @@
-//! One run of an emulated backend's process, from its start to its end.
+//! An incarnation of an emulated backend: one run of its process, from start to exit.
 use super::EmulatedBackend;
 use crate::wire::listen;
 use birchhub_audit::Event;
@@ -9,7 +9,7 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::spawn_local;
 
-/// Connections that may wait to be accepted at a listener.
+/// Backlog of each listener, in connections.
 const LISTEN_BACKLOG: u32 = 256;
 
 /// Whether an incarnation runs, and otherwise how its connections end.
@@ -23,8 +23,8 @@
     Crashed,
 }
 
-/// Notifies the connection of an attempt that its execution is over. A sender that is dropped without it means that the
-/// incarnation has ended.
+/// Sent to the connection of an attempt when its execution ends. A sender that is dropped without sending it means that
+/// the incarnation has ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Completion;
 
@@ -33,10 +33,10 @@
     /// Number of the incarnation, unique in the fleet.
     pub number: u32,
     pub model: Backend,
-    /// Connections that wait for the execution of an attempt.
+    /// Senders to the connections that wait for the execution of an attempt.
     pub completion_senders: HashMap<AttemptId, oneshot::Sender<Completion>>,
     pub state: watch::Sender<IncarnationState>,
-    /// Numbers of the stalls that last.
+    /// Numbers of the active stalls.
     pub stalls: BTreeSet<u64>,
 }
 
