--- a/crates/emulator/src/backend/connection_slot.rs
+++ b/crates/emulator/src/backend/connection_slot.rs
@@ -1,24 +1,24 @@
-//! State of one connection of a proxy to an emulated backend.
+//! Slot of a proxy's connection at an emulated backend, and what the connection does after a request.
 use super::EmulatedBackend;
 use std::rc::Rc;
 
 /// What a connection does after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NextStep {
-    /// Reads the next request.
+    /// Read the next request.
     Read,
-    /// Closes the connection.
+    /// Close the connection.
     Close,
-    /// Resets the connection.
+    /// Reset the connection.
     Reset,
 }
 
-/// A connection's place among those that the backend accepts, released when it is dropped.
+/// One of the connections that the model permits at a time. It is released when it is dropped.
 pub(super) struct ConnectionSlot {
     pub backend: Rc<EmulatedBackend>,
     /// Number of the incarnation that accepted the connection.
     pub incarnation: u32,
-    /// Whether the backend had a place left. A connection without one gets a rejection.
+    /// Whether the model permitted the connection. RPCs on a connection that is not permitted are rejected.
     pub is_granted: bool,
 }
 
