--- a/crates/emulator/src/backend/requests.rs
+++ b/crates/emulator/src/backend/requests.rs
@@ -20,7 +20,8 @@
 pub(super) struct ReceivedRequest {
     pub message: Message,
     pub proxy: u16,
-    /// When the proxy closed the connection, if that was before the backend could process the request; in seconds.
+    /// When the proxy closed the connection, in seconds, if it did so while a stall kept the backend from processing the
+    /// request.
     pub closed_at: Option<f64>,
 }
 
@@ -32,7 +33,7 @@
     idempotency_key: Option<IdempotencyKey>,
 }
 
-/// Error response to a request that is no RPC of a known method.
+/// Error response to a request that is not an RPC of a known method.
 struct BadRequest {
     status: u16,
     body: &'static [u8],
@@ -41,14 +42,14 @@
 /// Decision of the model on an RPC.
 struct AdmissionDecision {
     result: Result<(), RejectionReason>,
-    /// Recent work for a cold backend as a share of the work at which it collapses; 0 for a warm one.
+    /// Recent work of a cold backend as a fraction of the work at which it collapses; 0 for a warm backend.
     overload: f64,
     events: Vec<BackendEvent>,
 }
 
 impl AdmissionDecision {
-    /// The decision as the ledger records it.
-    fn recorded(&self) -> Admission {
+    /// The decision in the form that the ledger records.
+    fn admission(&self) -> Admission {
         match self.result {
             Ok(()) => Admission::Admitted,
             Err(RejectionReason::Down) => Admission::Dropped,
@@ -63,13 +64,14 @@
     incarnation: u32,
     attempt_id: AttemptId,
     end: AttemptEnd,
-    /// When the proxy gave the attempt up, if that was before the backend could process it; in seconds.
+    /// When the proxy cancelled the attempt, in seconds, if it did so before the backend processed it.
     closed_at: Option<f64>,
 }
 
 impl Attempt<'_> {
-    /// Time to record: an attempt that was given up before it was processed counts from that time on.
-    fn recorded_at(&self) -> f64 {
+    /// Time of the attempt's events in the ledger. An attempt that was cancelled before it was processed is recorded at the
+    /// time of the cancellation.
+    fn event_time(&self) -> f64 {
         self.closed_at
             .unwrap_or_else(|| self.backend.fleet.event_log.clock.now())
     }
@@ -92,7 +94,7 @@
             overload: overload as f32,
             admission,
         };
-        event_log.record_at(self.recorded_at(), Event::AttemptReceived(received));
+        event_log.record_at(self.event_time(), Event::AttemptReceived(received));
         if let Some(seconds) = forwarded_timeout(&request.message) {
             event_log.record(Event::TimeoutForwarded {
                 attempt_id: self.attempt_id,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Cancels the attempt after the proxy closed the connection. The model decides whether its execution stops.
+    /// Cancels the attempt after the proxy closed the connection. The model's parameters say whether its execution stops.
     fn cancel(mut self) {
         self.end = AttemptEnd::Cancelled;
         self.backend
@@ -121,7 +123,7 @@
             how: self.end,
         };
         let event_log = &self.backend.fleet.event_log;
-        event_log.record_at(self.recorded_at(), ended);
+        event_log.record_at(self.event_time(), ended);
     }
 }
 
@@ -166,7 +168,8 @@
         }
     }
 
-    /// Reads an RPC's id and finds its cost.
+    /// Parses the request id of an RPC and looks up its cost. Fails with status 404 if there is no id or the method is
+    /// unknown, and with 400 if the id is malformed.
     fn parse_rpc(&self, message: &Message) -> Result<Rpc, BadRequest> {
         let id = message.header(REQUEST_ID);
         let request_id = id
@@ -196,7 +199,7 @@
         })
     }
 
-    /// Offers an RPC to the model, waits for its execution if it is admitted, and responds.
+    /// Submits an RPC to the model, waits for its execution if it is admitted, and responds.
     async fn execute(
         &self,
         peer: &mut Peer,
@@ -215,7 +218,7 @@
         };
         let (completion, mut completed) = oneshot::channel();
         let decision = self.admit(slot, incoming, completion);
-        attempt.record_received(request, &rpc, decision.recorded(), decision.overload);
+        attempt.record_received(request, &rpc, decision.admission(), decision.overload);
         self.record_model_events(incarnation, decision.events);
         self.timer_changed.notify_one();
         match decision.result {
@@ -242,7 +245,7 @@
         written.next
     }
 
-    /// Lets the model decide on an RPC. `completion` is sent when the execution of an admitted one is over.
+    /// Submits an RPC to the model. If it is admitted, `completion` is sent when its execution ends.
     fn admit(
         &self,
         slot: &ConnectionSlot,
@@ -277,7 +280,8 @@
         }
     }
 
-    /// Responds that an RPC was not started. A connection without a slot is closed after that.
+    /// Responds with a rejection that tells the proxy that the RPC was not started. A connection without a granted slot is
+    /// then closed.
     async fn reject(&self, peer: &mut Peer, slot: &ConnectionSlot) -> NextStep {
         let not_started = [(NOT_STARTED, "1")];
         let next = self
@@ -313,7 +317,7 @@
             .await
     }
 
-    /// Adds the work of a health check to the model. The response does not depend on whether it is admitted.
+    /// Submits the work of a health check to the model. The response does not depend on whether it is admitted.
     fn execute_health_check(&self, incarnation: u32) {
         let incoming = IncomingWork {
             attempt_id: self.fleet.new_attempt_id(),
