--- a/crates/emulator/src/backend/requests.rs
+++ b/crates/emulator/src/backend/requests.rs
@@ -239,7 +239,7 @@
             }
         }
         let body = format!("{:016x} {}\n", rpc.request_id, self.spec.name);
-        let bytes = self.encode(incarnation, 200, &[], body.as_bytes());
+        let bytes = self.encode_response(incarnation, 200, &[], body.as_bytes());
         let written = write_response(peer, &bytes, fault).await;
         attempt.end = written.end;
         written.next
--- a/crates/emulator/src/backend/responses.rs
+++ b/crates/emulator/src/backend/responses.rs
@@ -1,4 +1,4 @@
-//! Responses of an emulated backend: load reports, and the faults that spoil a response on the connection.
+//! Responses of an emulated backend: load reports, and faults that truncate, corrupt, delay or drop a response.
 use super::EmulatedBackend;
 use super::connection_slot::NextStep;
 use crate::faults::Fault;
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Sent in place of a response by [`Fault::MalformedResponse`].
+/// Bytes that [`Fault::MalformedResponse`] sends instead of a response; they are not valid HTTP.
 const MALFORMED_RESPONSE: &[u8] = b"\x00\x01 what?\r\n\r\n";
-/// [`Fault::TruncatedResponse`] leaves out one part in so many.
-const TRUNCATED_PART: usize = 8;
+/// [`Fault::TruncatedResponse`] omits the last `1 / TRUNCATION_DIVISOR` of a response.
+const TRUNCATION_DIVISOR: usize = 8;
 
 /// Result of writing a response.
 pub(super) struct WrittenResponse {
@@ -37,15 +37,15 @@
 }
 
 impl EmulatedBackend {
-    /// The load that the backend reports now.
+    /// The current load report of an incarnation; the default report if the incarnation has ended.
     pub(super) fn load_report(&self, incarnation: u32) -> LoadReport {
         let now = self.fleet.event_log.clock.now();
         self.with_incarnation(incarnation, |incarnation| incarnation.model.report(now))
             .unwrap_or_default()
     }
 
-    /// Encodes a response, with the load report if responses carry it.
-    pub(super) fn encode(
+    /// Encodes a response, with the load report as a header if the fleet reports load in responses.
+    pub(super) fn encode_response(
         &self,
         incarnation: u32,
         status: u16,
@@ -60,7 +60,7 @@
         response(status, &headers, body)
     }
 
-    /// Writes a response that no fault spoils.
+    /// Writes a response that faults do not affect.
     pub(super) async fn respond(
         &self,
         peer: &mut Peer,
@@ -69,7 +69,7 @@
         headers: &[(&str, &str)],
         body: &[u8],
     ) -> NextStep {
-        let bytes = self.encode(incarnation, status, headers, body);
+        let bytes = self.encode_response(incarnation, status, headers, body);
         match peer.write(&bytes).await {
             Ok(()) => NextStep::Read,
             Err(_) => NextStep::Close,
@@ -77,7 +77,7 @@
     }
 }
 
-/// A load report in the form of its header and of the response's body.
+/// Formats a load report as the value of its header and as the body of a response.
 pub(super) fn load_report_text(report: &LoadReport) -> String {
     format!(
         "inflight={},queue={},util={:.3}",
@@ -85,7 +85,7 @@
     )
 }
 
-/// Writes the response of an RPC as the fault demands.
+/// Writes the response to an RPC with the effect of `fault`.
 pub(super) async fn write_response(
     peer: &mut Peer,
     bytes: &[u8],
@@ -94,7 +94,7 @@
     match fault {
         Some(Fault::ConnectionReset { .. }) => WrittenResponse::broken(NextStep::Reset),
         Some(Fault::TruncatedResponse { .. }) => {
-            let length = bytes.len() - bytes.len() / TRUNCATED_PART;
+            let length = bytes.len() - bytes.len() / TRUNCATION_DIVISOR;
             let _ = peer.write(&bytes[..length]).await;
             WrittenResponse::broken(NextStep::Close)
         }
@@ -112,7 +112,7 @@
     }
 }
 
-/// Writes a response byte by byte over a number of seconds.
+/// Writes a response byte by byte, spread evenly over `seconds`.
 async fn write_slowly(peer: &mut Peer, bytes: &[u8], seconds: f64) -> WrittenResponse {
     let pause = Duration::from_secs_f64(seconds / bytes.len() as f64);
     for byte in bytes {
