--- a/crates/emulator/src/backend/connections.rs
+++ b/crates/emulator/src/backend/connections.rs
@@ -1,4 +1,5 @@
-//! Connections of proxies to an emulated backend: accepting, partitions, stalls and the order of requests.
+//! Connections of proxies to an emulated backend: accepts them, serves their requests in order, and applies partitions
+//! and stalls.
 use super::EmulatedBackend;
 use super::connection_slot::{ConnectionSlot, NextStep};
 use super::incarnation::IncarnationState;
@@ -15,8 +16,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Pause before accepting again after an error, such as a lack of file descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(5);
+/// Delay before accepting again after an error, such as a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 impl EmulatedBackend {
     /// Accepts the connections of one proxy until the incarnation ends.
@@ -36,7 +37,7 @@
                     reset_pending(&listener).await;
                     continue;
                 }
-                // Also while the process is stalled: the operating system completes connections for it.
+                // Accepts also during a stall: the kernel completes the handshakes of a stalled process.
                 accepted = listener.accept() => accepted,
             };
             match accepted {
@@ -50,13 +51,13 @@
                 }
                 Err(error) => {
                     log::warn!("{}: accept failed, retrying: {error}", self.spec.name);
-                    sleep(ACCEPT_RETRY).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Takes a place for a connection, if the model has one left.
+    /// Registers a connection with the model, which grants a slot if its limit of connections is not reached.
     fn acquire_slot(self: Rc<Self>, number: u32) -> ConnectionSlot {
         let is_granted = self
             .with_incarnation(number, |incarnation| incarnation.model.connect())
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Serves one connection until it or the incarnation ends. During a partition nothing is read or written; at its
-    /// end the connection is reset.
+    /// Serves one connection until it or the incarnation ends. A partition suspends reads and writes; the connection is
+    /// reset when the partition ends.
     async fn serve_connection(
         self: Rc<Self>,
         mut peer: Peer,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Serves the requests of a connection, one after another.
+    /// Serves the requests of a connection sequentially.
     async fn serve_requests(&self, peer: &mut Peer, proxy: u16, slot: &ConnectionSlot) -> NextStep {
         let clock = self.fleet.event_log.clock;
         let idle_timeout = Duration::from_secs_f64(self.spec.idle_timeout_seconds);
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Waits until this proxy is partitioned from the backend, or no longer is.
+    /// Waits until the backend is partitioned from this proxy, or is not if `expected` is false.
     async fn wait_for_partition(&self, proxy: u16, expected: bool) {
         let mut fault_state = self.fault_state.subscribe();
         while self.faults.is_partitioned(proxy) != expected {
@@ -135,7 +136,8 @@
         }
     }
 
-    /// Waits until the process is not stalled. Returns when the peer closed the connection, if it did meanwhile.
+    /// Waits until the process is not stalled. Returns the time at which the peer closed the connection, if it did so
+    /// during the stall.
     async fn wait_while_stalled(&self, peer: &mut Peer, number: u32) -> Option<f64> {
         let mut fault_state = self.fault_state.subscribe();
         let mut closed_at = None;
@@ -154,7 +156,7 @@
     }
 }
 
-/// Resets the connections that were opened during a partition.
+/// Resets the connections that the kernel accepted during a partition.
 async fn reset_pending(listener: &TcpListener) {
     while let Poll::Ready(Ok((stream, _))) =
         poll_fn(|context| Poll::Ready(listener.poll_accept(context))).await
