--- a/crates/emulator/src/client.rs
+++ b/crates/emulator/src/client.rs
@@ -14,11 +14,12 @@
 use tokio::select;
 use tokio::time::timeout;
 
-/// Time for which a client still reads after its timeout, so that a late response is recorded as late.
+/// Time for which a client keeps reading after its timeout, so that a late response is recorded as late.
 const LATE_RESPONSE_SECONDS: f64 = 0.25;
-/// Time after a send within which the proxy's close may have crossed the request. No proxy restarts as fast.
+/// Time after a send within which a close by the proxy may have crossed the request on the wire. A restart of a proxy
+/// takes longer.
 const CROSSED_CLOSE_SECONDS: f64 = 0.005;
-/// Limit for connecting to a proxy, which runs on this machine.
+/// Timeout for connecting to a proxy, which runs on this machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The emulated clients of one thread, with a pool of idle connections to each proxy.
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Sends a request to the proxy at this address and waits for the response. Records both.
+    /// Sends a request to the proxy at this address and waits for its outcome. Records both in the event log.
     pub async fn send(&self, request: &ClientRequest, address: SocketAddr) -> RequestOutcome {
         let mut exchange = Exchange {
             client: self,
@@ -56,11 +57,11 @@
         &self.event_log.clock
     }
 
-    /// Takes an idle connection out of the pool.
+    /// Takes an open idle connection out of the pool and discards closed ones.
     fn pooled_connection(&self, address: SocketAddr) -> Option<Peer> {
         let mut idle = self.idle.borrow_mut();
         let peers = idle.get_mut(&address)?;
-        // A connection that was closed or received bytes while it was idle can't be used.
+        // A connection that was closed or received bytes while it was idle cannot be reused.
         while let Some(mut peer) = peers.pop() {
             if peer.state() == ConnectionState::Open {
                 return Some(peer);
@@ -72,31 +73,32 @@
 
 /// Result of a request on one connection.
 enum ConnectionOutcome {
-    /// The request has its outcome.
-    Answered(RequestOutcome),
-    /// A pooled connection was closed while the request was written: the proxy never read it.
+    /// The outcome of the request; no further connection is tried.
+    Final(RequestOutcome),
+    /// The proxy closed a pooled connection while the request was written, without reading the request.
     ClosedBeforeRead,
 }
 
-/// One request on its way, over a pooled connection, a new one or both.
+/// A request in flight, on a pooled connection, a new connection or first one and then the other.
 struct Exchange<'a> {
     client: &'a Client,
     request: &'a ClientRequest,
     address: SocketAddr,
-    /// Whether the request is recorded as sent. It is recorded once, even if two connections are used.
+    /// Whether the request was recorded as sent. It is recorded once, even if two connections are used.
     is_recorded: bool,
 }
 
 impl Exchange<'_> {
     async fn run(&mut self) -> RequestOutcome {
         if let Some(peer) = self.client.pooled_connection(self.address)
-            && let ConnectionOutcome::Answered(outcome) = self.send_on(peer, true).await
+            && let ConnectionOutcome::Final(outcome) = self.send_on(peer, true).await
         {
             return outcome;
         }
         let connecting = timeout(CONNECT_TIMEOUT, Peer::connect(self.address));
         let Ok(Ok(peer)) = connecting.await else {
-            // A proxy that closed the pooled connection is gone; what it had read is unknown.
+            // If the request was written to a pooled connection first, the proxy ended after that, and whether it had read
+            // the request is unknown.
             let outcome = match self.is_recorded {
                 true => RequestOutcome::Lost,
                 false => RequestOutcome::Unreachable,
@@ -105,7 +107,7 @@
             return outcome;
         };
         match self.send_on(peer, false).await {
-            ConnectionOutcome::Answered(outcome) => outcome,
+            ConnectionOutcome::Final(outcome) => outcome,
             ConnectionOutcome::ClosedBeforeRead => RequestOutcome::Lost,
         }
     }
@@ -122,7 +124,8 @@
         });
     }
 
-    /// Sends all pieces of a slow request but the last, which it returns. Of other requests it returns all bytes.
+    /// Sends all pieces of a slow request except the last, and returns the last piece. For other requests it sends nothing
+    /// and returns all bytes.
     async fn send_early_pieces<'b>(&self, peer: &mut Peer, bytes: &'b [u8]) -> &'b [u8] {
         let Some(slow_send) = self.request.slow_send else {
             return bytes;
@@ -142,22 +145,22 @@
     async fn send_on(&mut self, mut peer: Peer, is_pooled: bool) -> ConnectionOutcome {
         let bytes = self.request.encode();
         let last_piece = self.send_early_pieces(&mut peer, &bytes).await;
-        // A proxy that closed the connection meanwhile never received the complete request.
+        // A proxy that closed the connection between the pieces never received the complete request.
         let is_closed = self.request.slow_send.is_some() && peer.state() == ConnectionState::Closed;
-        // Recorded before the last bytes leave: no attempt at a backend may precede its request in the log.
+        // Recorded before the last bytes are written, so that no attempt at a backend precedes its request in the log.
         self.record_sent();
         if is_closed {
-            return ConnectionOutcome::Answered(RequestOutcome::Unreachable);
+            return ConnectionOutcome::Final(RequestOutcome::Unreachable);
         }
         let sent_at = self.client.clock().now();
-        // An error of the write shows when the response is read.
+        // A write error is reported by the read of the response.
         let _ = peer.write(last_piece).await;
         match self.read_response(&mut peer, sent_at).await {
-            Err(outcome) => ConnectionOutcome::Answered(outcome),
-            Ok(Ok(message)) => ConnectionOutcome::Answered(self.finish(peer, &message)),
-            Ok(Err(ReadError::Malformed)) => ConnectionOutcome::Answered(RequestOutcome::Malformed),
-            // The proxy closed an idle connection at the moment of the send. After that time it may have read the
-            // request, and only the client's retry rules say whether it is sent again.
+            Err(outcome) => ConnectionOutcome::Final(outcome),
+            Ok(Ok(message)) => ConnectionOutcome::Final(self.finish(peer, &message)),
+            Ok(Err(ReadError::Malformed)) => ConnectionOutcome::Final(RequestOutcome::Malformed),
+            // The proxy closed an idle connection while the request was sent. A close after CROSSED_CLOSE_SECONDS may come
+            // from a proxy that has read the request; then only the client's retry rules decide whether it is sent again.
             Ok(Err(ReadError::Closed | ReadError::Broken))
                 if is_pooled
                     && peer.has_no_buffered_bytes()
@@ -165,11 +168,11 @@
             {
                 ConnectionOutcome::ClosedBeforeRead
             }
-            Ok(Err(_)) => ConnectionOutcome::Answered(RequestOutcome::Lost),
+            Ok(Err(_)) => ConnectionOutcome::Final(RequestOutcome::Lost),
         }
     }
 
-    /// Reads the response; an error is the outcome for a client that stopped waiting for it.
+    /// Reads the response. Returns the request's outcome as the error if the client cancels or times out first.
     async fn read_response(
         &self,
         peer: &mut Peer,
@@ -190,7 +193,7 @@
         }
     }
 
-    /// Classifies a response and returns the connection to the pool if it can be used again.
+    /// Classifies a response and returns the connection to the pool if it can be reused.
     fn finish(&self, mut peer: Peer, message: &Message) -> RequestOutcome {
         match peer.state() {
             ConnectionState::UnexpectedBytes => return RequestOutcome::Malformed,
@@ -204,7 +207,7 @@
     }
 }
 
-/// Classifies a response. One with status 200 must carry the id of the request.
+/// Classifies a response. The body of a response with status 200 must start with the id of the request.
 fn classify(request: &ClientRequest, message: &Message) -> RequestOutcome {
     match message.status {
         200 => {
