--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -23,19 +23,21 @@
 const CHUNK_BYTES: usize = 16 << 10;
 /// Length of the segments into which [`Disturbance::Split`] splits a chunk.
 const SEGMENT_BYTES: usize = 7;
-/// Time for which [`Disturbance::Join`] holds bytes back to join them with the next ones.
-const JOIN_TIME: Duration = Duration::from_millis(3);
+/// Time for which [`Disturbance::Coalesce`] holds bytes back to join them with the next ones.
+const COALESCE_DELAY: Duration = Duration::from_millis(3);
 
-/// A disturbance of a connection or of its bytes. Outward is the direction from the proxy, inward the one to it.
+/// A disturbance of a connection or of its bytes. Outbound is the direction from the proxy, inbound the one to it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Disturbance {
     /// Delays every chunk in both directions, in milliseconds.
     Delay(u64),
     /// Drops what the proxy sends. The connection is reset when the disturbance ends.
-    SilenceOutward,
+    #[serde(rename = "silence-outward")]
+    DropOutbound,
     /// Drops what is sent to the proxy. The connection is reset when the disturbance ends.
-    SilenceInward,
+    #[serde(rename = "silence-inward")]
+    DropInbound,
     /// Resets the connections that are open when the disturbance begins.
     Reset,
     /// Closes the direction to the proxy, which may still write.
@@ -43,7 +45,8 @@
     /// Splits chunks into segments of a few bytes.
     Split,
     /// Holds chunks back for a moment and joins them with the next ones.
-    Join,
+    #[serde(rename = "join")]
+    Coalesce,
 }
 
 /// A disturbance and the time for which it lasts.
@@ -61,9 +64,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Direction {
     /// From the proxy.
-    Outward,
+    Outbound,
     /// To the proxy.
-    Inward,
+    Inbound,
 }
 
 /// The relay in front of one address.
@@ -111,9 +114,9 @@
         let (proxy_read, mut proxy_write) = proxy.into_split();
         let (target_read, mut target_write) = target.into_split();
         let is_broken = {
-            let outward = self.forward(Direction::Outward, &proxy_read, &mut target_write);
-            let inward = self.forward(Direction::Inward, &target_read, &mut proxy_write);
-            let both = async { tokio::join!(outward, inward) };
+            let outbound = self.forward(Direction::Outbound, &proxy_read, &mut target_write);
+            let inbound = self.forward(Direction::Inbound, &target_read, &mut proxy_write);
+            let both = async { tokio::join!(outbound, inbound) };
             select! {
                 _ = both => false,
                 () = self.until_reset(opened_at) => true,
@@ -133,7 +136,7 @@
         let resets = self.windows.iter().filter_map(|window| {
             let at = match window.disturbance {
                 Disturbance::Reset => window.from,
-                Disturbance::SilenceOutward | Disturbance::SilenceInward => window.until,
+                Disturbance::DropOutbound | Disturbance::DropInbound => window.until,
                 _ => return None,
             };
             Some(at).filter(|at| *at > opened_at)
@@ -149,10 +152,10 @@
         let now = self.clock.now();
         let lasts = |window: &&Window| window.from <= now && now < window.until;
         let concerns = |disturbance: &Disturbance| match disturbance {
-            Disturbance::SilenceOutward => direction == Direction::Outward,
-            Disturbance::SilenceInward | Disturbance::HalfClose => direction == Direction::Inward,
+            Disturbance::DropOutbound => direction == Direction::Outbound,
+            Disturbance::DropInbound | Disturbance::HalfClose => direction == Direction::Inbound,
             Disturbance::Reset => false,
-            Disturbance::Delay(_) | Disturbance::Split | Disturbance::Join => true,
+            Disturbance::Delay(_) | Disturbance::Split | Disturbance::Coalesce => true,
         };
         let active = self.windows.iter().filter(lasts);
         active.map(|window| window.disturbance).find(concerns)
@@ -161,7 +164,7 @@
     /// Forwards bytes in one direction until either side closes it, and forwards that too.
     async fn forward(&self, direction: Direction, from: &OwnedReadHalf, to: &mut OwnedWriteHalf) {
         let mut chunk = vec![0; CHUNK_BYTES];
-        let mut is_silent = false;
+        let mut is_dropping = false;
         loop {
             let Ok(length) = read_some(from, &mut chunk).await else {
                 return;
@@ -170,15 +173,15 @@
                 break;
             }
             let disturbance = self.active(direction);
-            is_silent |= matches!(
+            is_dropping |= matches!(
                 disturbance,
-                Some(Disturbance::SilenceOutward | Disturbance::SilenceInward)
+                Some(Disturbance::DropOutbound | Disturbance::DropInbound)
             );
             if disturbance == Some(Disturbance::HalfClose) {
                 break;
             }
             // Bytes after dropped ones would not make sense to the receiver.
-            if is_silent {
+            if is_dropping {
                 continue;
             }
             let forwarded = forward_chunk(&mut chunk, length, from, to, disturbance).await;
@@ -211,8 +214,8 @@
 ) -> io::Result<()> {
     match disturbance {
         Some(Disturbance::Delay(ms)) => sleep(Duration::from_millis(ms)).await,
-        Some(Disturbance::Join) => {
-            sleep(JOIN_TIME).await;
+        Some(Disturbance::Coalesce) => {
+            sleep(COALESCE_DELAY).await;
             length += from.try_read(&mut chunk[length..]).unwrap_or(0);
         }
         Some(Disturbance::Split) => {
--- a/crates/emulator/tests/emulator/relays.rs
+++ b/crates/emulator/tests/emulator/relays.rs
@@ -46,7 +46,11 @@
 
 #[test]
 fn bytes_arrive_complete_and_in_order_when_split_or_joined() {
-    for disturbance in [Disturbance::Delay(5), Disturbance::Split, Disturbance::Join] {
+    for disturbance in [
+        Disturbance::Delay(5),
+        Disturbance::Split,
+        Disturbance::Coalesce,
+    ] {
         on_one_thread(|_, _| async {
             let (mut proxy, mut backend, _) = connected(disturbance).await;
             let message: Vec<u8> = (0..5000_u32).map(|n| n as u8).collect();
@@ -75,7 +79,7 @@
 #[test]
 fn silence_drops_one_direction_and_ends_with_a_reset() {
     on_one_thread(|_, _| async {
-        let (mut proxy, mut backend, clock) = connected(Disturbance::SilenceOutward).await;
+        let (mut proxy, mut backend, clock) = connected(Disturbance::DropOutbound).await;
         proxy.write_all(b"lost").await.expect("written");
         backend.write_all(b"heard").await.expect("written");
         assert_eq!(read_exactly(&mut proxy, 5).await, b"heard");
@@ -86,7 +90,7 @@
         assert!(clock.now() >= END);
     });
     on_one_thread(|_, _| async {
-        let (mut proxy, mut backend, _) = connected(Disturbance::SilenceInward).await;
+        let (mut proxy, mut backend, _) = connected(Disturbance::DropInbound).await;
         proxy.write_all(b"heard").await.expect("written");
         assert_eq!(read_exactly(&mut backend, 5).await, b"heard");
         backend.write_all(b"lost").await.expect("written");
--- a/crates/soak/src/generate.rs
+++ b/crates/soak/src/generate.rs
@@ -48,12 +48,12 @@
 /// Disturbances of connections.
 const DISTURBANCES: [Disturbance; 7] = [
     Disturbance::Delay(20),
-    Disturbance::SilenceOutward,
-    Disturbance::SilenceInward,
+    Disturbance::DropOutbound,
+    Disturbance::DropInbound,
     Disturbance::Reset,
     Disturbance::HalfClose,
     Disturbance::Split,
-    Disturbance::Join,
+    Disturbance::Coalesce,
 ];
 
 impl SoakPlan {
