--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -1,5 +1,5 @@
-//! A fault-injecting relay: it forwards bytes between a proxy and the address that the proxy connects to, and disturbs
-//! them at planned times.
+//! Fault-injecting relay: it forwards bytes between a proxy and the address that the proxy connects to, and applies
+//! network faults at planned times.
 use crate::clock::Clock;
 use crate::wire::listen;
 use serde::{Deserialize, Serialize};
@@ -21,24 +21,24 @@
 const ACCEPT_RETRY: Duration = Duration::from_millis(5);
 /// Most bytes that are forwarded at a time.
 const CHUNK_BYTES: usize = 16 << 10;
-/// Length of the segments into which [`Disturbance::Split`] splits a chunk.
+/// Length of the segments into which [`NetworkFault::Split`] splits a chunk.
 const SEGMENT_BYTES: usize = 7;
-/// Time for which [`Disturbance::Coalesce`] holds bytes back to join them with the next ones.
+/// Time for which [`NetworkFault::Coalesce`] holds bytes back to join them with the next ones.
 const COALESCE_DELAY: Duration = Duration::from_millis(3);
 
-/// A disturbance of a connection or of its bytes. Outbound is the direction from the proxy, inbound the one to it.
+/// A fault of a connection or of its bytes. Outbound is the direction from the proxy, inbound the one to it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Disturbance {
+pub enum NetworkFault {
     /// Delays every chunk in both directions, in milliseconds.
     Delay(u64),
-    /// Drops what the proxy sends. The connection is reset when the disturbance ends.
+    /// Drops what the proxy sends. The connection is reset when the fault ends.
     #[serde(rename = "silence-outward")]
     DropOutbound,
-    /// Drops what is sent to the proxy. The connection is reset when the disturbance ends.
+    /// Drops what is sent to the proxy. The connection is reset when the fault ends.
     #[serde(rename = "silence-inward")]
     DropInbound,
-    /// Resets the connections that are open when the disturbance begins.
+    /// Resets the connections that are open when the fault begins.
     Reset,
     /// Closes the direction to the proxy, which may still write.
     HalfClose,
@@ -49,7 +49,7 @@
     Coalesce,
 }
 
-/// A disturbance and the time for which it lasts.
+/// A fault and the time for which it lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Window {
     /// When it begins, in seconds of the clock.
@@ -57,7 +57,8 @@
     /// When it ends, in seconds of the clock.
     pub until: f64,
     /// What it does.
-    pub disturbance: Disturbance,
+    #[serde(rename = "disturbance")]
+    pub fault: NetworkFault,
 }
 
 /// Direction in which bytes are forwarded.
@@ -134,9 +135,9 @@
     /// Waits until a connection that was opened at `opened_at` is to be reset.
     async fn until_reset(&self, opened_at: f64) {
         let resets = self.windows.iter().filter_map(|window| {
-            let at = match window.disturbance {
-                Disturbance::Reset => window.from,
-                Disturbance::DropOutbound | Disturbance::DropInbound => window.until,
+            let at = match window.fault {
+                NetworkFault::Reset => window.from,
+                NetworkFault::DropOutbound | NetworkFault::DropInbound => window.until,
                 _ => return None,
             };
             Some(at).filter(|at| *at > opened_at)
@@ -147,18 +148,18 @@
         }
     }
 
-    /// The disturbance of bytes in this direction at the present time.
-    fn active(&self, direction: Direction) -> Option<Disturbance> {
+    /// The fault of bytes in this direction at the present time.
+    fn active(&self, direction: Direction) -> Option<NetworkFault> {
         let now = self.clock.now();
         let lasts = |window: &&Window| window.from <= now && now < window.until;
-        let concerns = |disturbance: &Disturbance| match disturbance {
-            Disturbance::DropOutbound => direction == Direction::Outbound,
-            Disturbance::DropInbound | Disturbance::HalfClose => direction == Direction::Inbound,
-            Disturbance::Reset => false,
-            Disturbance::Delay(_) | Disturbance::Split | Disturbance::Coalesce => true,
+        let affects = |fault: &NetworkFault| match fault {
+            NetworkFault::DropOutbound => direction == Direction::Outbound,
+            NetworkFault::DropInbound | NetworkFault::HalfClose => direction == Direction::Inbound,
+            NetworkFault::Reset => false,
+            NetworkFault::Delay(_) | NetworkFault::Split | NetworkFault::Coalesce => true,
         };
         let active = self.windows.iter().filter(lasts);
-        active.map(|window| window.disturbance).find(concerns)
+        active.map(|window| window.fault).find(affects)
     }
 
     /// Forwards bytes in one direction until either side closes it, and forwards that too.
@@ -172,19 +173,19 @@
             if length == 0 {
                 break;
             }
-            let disturbance = self.active(direction);
+            let fault = self.active(direction);
             is_dropping |= matches!(
-                disturbance,
-                Some(Disturbance::DropOutbound | Disturbance::DropInbound)
+                fault,
+                Some(NetworkFault::DropOutbound | NetworkFault::DropInbound)
             );
-            if disturbance == Some(Disturbance::HalfClose) {
+            if fault == Some(NetworkFault::HalfClose) {
                 break;
             }
             // Bytes after dropped ones would not make sense to the receiver.
             if is_dropping {
                 continue;
             }
-            let forwarded = forward_chunk(&mut chunk, length, from, to, disturbance).await;
+            let forwarded = forward_chunk(&mut chunk, length, from, to, fault).await;
             if forwarded.is_err() {
                 return;
             }
@@ -204,21 +205,21 @@
     }
 }
 
-/// Forwards a chunk as the disturbance demands.
+/// Forwards a chunk as the fault demands.
 async fn forward_chunk(
     chunk: &mut [u8],
     mut length: usize,
     from: &OwnedReadHalf,
     to: &mut OwnedWriteHalf,
-    disturbance: Option<Disturbance>,
+    fault: Option<NetworkFault>,
 ) -> io::Result<()> {
-    match disturbance {
-        Some(Disturbance::Delay(ms)) => sleep(Duration::from_millis(ms)).await,
-        Some(Disturbance::Coalesce) => {
+    match fault {
+        Some(NetworkFault::Delay(ms)) => sleep(Duration::from_millis(ms)).await,
+        Some(NetworkFault::Coalesce) => {
             sleep(COALESCE_DELAY).await;
             length += from.try_read(&mut chunk[length..]).unwrap_or(0);
         }
-        Some(Disturbance::Split) => {
+        Some(NetworkFault::Split) => {
             for segment in chunk[..length].chunks(SEGMENT_BYTES) {
                 to.write_all(segment).await?;
                 yield_now().await;
--- a/crates/emulator/tests/emulator/relays.rs
+++ b/crates/emulator/tests/emulator/relays.rs
@@ -1,7 +1,7 @@
-//! The relay: what each disturbance does to bytes and connections, seen from both ends.
+//! The relay: what each network fault does to bytes and connections, seen from both ends.
 use crate::common::{LOCALHOST, on_one_thread};
 use birchhub_emulator::Clock;
-use birchhub_emulator::relay::{Disturbance, Relay, Window};
+use birchhub_emulator::relay::{NetworkFault, Relay, Window};
 use birchhub_emulator::wire::listen;
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// End of the disturbances of these tests, in seconds.
+/// End of the faults of these tests, in seconds.
 const END: f64 = 0.4;
 
-/// Both ends of a connection through a relay that disturbs it from the start until [`END`].
-async fn connected(disturbance: Disturbance) -> (TcpStream, TcpStream, Clock) {
+/// Both ends of a connection through a relay that applies a fault from the start until [`END`].
+async fn connected(fault: NetworkFault) -> (TcpStream, TcpStream, Clock) {
     connected_in(Window {
         from: -1.0,
         until: END,
-        disturbance,
+        fault,
     })
     .await
 }
@@ -46,13 +46,13 @@
 
 #[test]
 fn bytes_arrive_complete_and_in_order_when_split_or_joined() {
-    for disturbance in [
-        Disturbance::Delay(5),
-        Disturbance::Split,
-        Disturbance::Coalesce,
+    for fault in [
+        NetworkFault::Delay(5),
+        NetworkFault::Split,
+        NetworkFault::Coalesce,
     ] {
         on_one_thread(|_, _| async {
-            let (mut proxy, mut backend, _) = connected(disturbance).await;
+            let (mut proxy, mut backend, _) = connected(fault).await;
             let message: Vec<u8> = (0..5000_u32).map(|n| n as u8).collect();
             proxy.write_all(&message).await.expect("written");
             assert_eq!(read_exactly(&mut backend, message.len()).await, message);
@@ -67,7 +67,7 @@
 #[test]
 fn a_delay_holds_bytes_back() {
     on_one_thread(|_, _| async {
-        let (mut proxy, mut backend, _) = connected(Disturbance::Delay(50)).await;
+        let (mut proxy, mut backend, _) = connected(NetworkFault::Delay(50)).await;
         let begun = Instant::now();
         proxy.write_all(b"request").await.expect("written");
         read_exactly(&mut backend, 7).await;
@@ -79,7 +79,7 @@
 #[test]
 fn silence_drops_one_direction_and_ends_with_a_reset() {
     on_one_thread(|_, _| async {
-        let (mut proxy, mut backend, clock) = connected(Disturbance::DropOutbound).await;
+        let (mut proxy, mut backend, clock) = connected(NetworkFault::DropOutbound).await;
         proxy.write_all(b"lost").await.expect("written");
         backend.write_all(b"heard").await.expect("written");
         assert_eq!(read_exactly(&mut proxy, 5).await, b"heard");
@@ -90,7 +90,7 @@
         assert!(clock.now() >= END);
     });
     on_one_thread(|_, _| async {
-        let (mut proxy, mut backend, _) = connected(Disturbance::DropInbound).await;
+        let (mut proxy, mut backend, _) = connected(NetworkFault::DropInbound).await;
         proxy.write_all(b"heard").await.expect("written");
         assert_eq!(read_exactly(&mut backend, 5).await, b"heard");
         backend.write_all(b"lost").await.expect("written");
@@ -104,7 +104,7 @@
         let (mut proxy, _backend, clock) = connected_in(Window {
             from: 0.1,
             until: 0.2,
-            disturbance: Disturbance::Reset,
+            fault: NetworkFault::Reset,
         })
         .await;
         assert!(is_reset(&mut proxy).await);
@@ -116,7 +116,7 @@
 #[test]
 fn a_half_close_ends_one_direction() {
     on_one_thread(|_, _| async {
-        let (mut proxy, mut backend, _) = connected(Disturbance::HalfClose).await;
+        let (mut proxy, mut backend, _) = connected(NetworkFault::HalfClose).await;
         backend.write_all(b"lost").await.expect("written");
         assert_eq!(proxy.read(&mut [0; 8]).await.expect("an end"), 0);
         proxy.write_all(b"still").await.expect("written");
--- a/crates/soak/src/generate.rs
+++ b/crates/soak/src/generate.rs
@@ -1,7 +1,7 @@
 //! Generates a plan from a seed.
 use crate::plan::{Fault, FaultKind, SoakPlan};
 use birchhub_backend_model::work::seeded_rng;
-use birchhub_emulator::relay::Disturbance;
+use birchhub_emulator::relay::NetworkFault;
 use rand::Rng;
 use rand::seq::IndexedRandom;
 use std::ops::Range;
@@ -45,15 +45,15 @@
     "epoll_wait=EINTR@0.2",
 ];
 
-/// Disturbances of connections.
-const DISTURBANCES: [Disturbance; 7] = [
-    Disturbance::Delay(20),
-    Disturbance::DropOutbound,
-    Disturbance::DropInbound,
-    Disturbance::Reset,
-    Disturbance::HalfClose,
-    Disturbance::Split,
-    Disturbance::Coalesce,
+/// Faults of the network between proxies and backends.
+const NETWORK_FAULTS: [NetworkFault; 7] = [
+    NetworkFault::Delay(20),
+    NetworkFault::DropOutbound,
+    NetworkFault::DropInbound,
+    NetworkFault::Reset,
+    NetworkFault::HalfClose,
+    NetworkFault::Split,
+    NetworkFault::Coalesce,
 ];
 
 impl SoakPlan {
@@ -121,7 +121,7 @@
         7 => FaultKind::Partition { count },
         8..=10 => FaultKind::Network {
             count,
-            disturbance: *DISTURBANCES.choose(rng).expect("the list is not empty"),
+            fault: *NETWORK_FAULTS.choose(rng).expect("the list is not empty"),
         },
         11 => FaultKind::DiscoveryDown,
         12 => FaultKind::DiscoveryLate {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,6 +1,6 @@
 //! The plan of a soak: which faults occur when, and its file.
 use crate::error::SoakError;
-use birchhub_emulator::relay::Disturbance;
+use birchhub_emulator::relay::NetworkFault;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
@@ -120,12 +120,13 @@
         /// How many backends.
         count: usize,
     },
-    /// The connections of all proxies to some backends are disturbed by a relay.
+    /// The connections of all proxies to some backends go through a relay that applies a network fault.
     Network {
         /// How many backends.
         count: usize,
-        /// The disturbance.
-        disturbance: Disturbance,
+        /// The network fault.
+        #[serde(rename = "disturbance")]
+        fault: NetworkFault,
     },
     /// Discovery resets all connections.
     DiscoveryDown,
--- a/crates/soak/src/scenario.rs
+++ b/crates/soak/src/scenario.rs
@@ -149,28 +149,28 @@
         ..Hooks::default()
     };
     let mut shim_faults = vec![Vec::new(); plan.proxies];
-    for fault in &plan.faults {
-        let start = fault.start_seconds;
-        let end = fault.start_seconds + fault.duration_seconds;
-        match &fault.kind {
-            FaultKind::Network { count, disturbance } => {
+    for planned in &plan.faults {
+        let start = planned.start_seconds;
+        let end = planned.start_seconds + planned.duration_seconds;
+        match &planned.kind {
+            FaultKind::Network { count, fault } => {
                 let window = Window {
                     from: start,
                     until: end,
-                    disturbance: *disturbance,
+                    fault: *fault,
                 };
-                for node in targets(plan, fault, *count, plan.backends) {
+                for node in targets(plan, planned, *count, plan.backends) {
                     hooks.links.entry(node as u32).or_default().push(window);
                 }
             }
             FaultKind::SystemCalls { count, faults } => {
-                for proxy in targets(plan, fault, *count, plan.proxies) {
+                for proxy in targets(plan, planned, *count, plan.proxies) {
                     let timed = faults.iter().map(|call| format!("{call}:{start}-{end}"));
                     shim_faults[proxy].extend(timed);
                 }
             }
             FaultKind::ClockStep { count, seconds } => {
-                for proxy in targets(plan, fault, *count, plan.proxies) {
+                for proxy in targets(plan, planned, *count, plan.proxies) {
                     shim_faults[proxy].push(format!("clock={seconds:+}@1:{start}-{end}"));
                 }
             }
--- a/crates/soak/tests/plan_file.rs
+++ b/crates/soak/tests/plan_file.rs
@@ -1,4 +1,4 @@
-//! The form of a plan's file, pinned by a plan with every kind of fault and every disturbance of connections.
+//! The form of a plan's file, pinned by a plan with every kind of fault and every network fault.
 use birchhub_soak::SoakPlan;
 use std::path::Path;
 
