--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -15,48 +15,48 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
-/// Connections that may wait to be accepted.
+/// Backlog of the listener, in connections.
 const LISTEN_BACKLOG: u32 = 256;
-/// Pause before accepting again after an error, such as a lack of file descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(5);
-/// Most bytes that are forwarded at a time.
+/// Delay before accepting again after an error, such as a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Maximum number of bytes that are forwarded at a time.
 const CHUNK_BYTES: usize = 16 << 10;
 /// Length of the segments into which [`NetworkFault::Split`] splits a chunk.
 const SEGMENT_BYTES: usize = 7;
-/// Time for which [`NetworkFault::Coalesce`] holds bytes back to join them with the next ones.
+/// Time for which [`NetworkFault::Coalesce`] delays a chunk to forward it together with the bytes that follow.
 const COALESCE_DELAY: Duration = Duration::from_millis(3);
 
-/// A fault of a connection or of its bytes. Outbound is the direction from the proxy, inbound the one to it.
+/// A fault of a connection or of the bytes on it. Outbound bytes come from the proxy, inbound bytes go to it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NetworkFault {
     /// Delays every chunk in both directions, in milliseconds.
     Delay(u64),
-    /// Drops what the proxy sends. The connection is reset when the fault ends.
+    /// Drops the bytes that the proxy sends. The connection is reset when the fault ends.
     #[serde(rename = "silence-outward")]
     DropOutbound,
-    /// Drops what is sent to the proxy. The connection is reset when the fault ends.
+    /// Drops the bytes that are sent to the proxy. The connection is reset when the fault ends.
     #[serde(rename = "silence-inward")]
     DropInbound,
     /// Resets the connections that are open when the fault begins.
     Reset,
-    /// Closes the direction to the proxy, which may still write.
+    /// Closes the inbound direction; the proxy can still send.
     HalfClose,
     /// Splits chunks into segments of a few bytes.
     Split,
-    /// Holds chunks back for a moment and joins them with the next ones.
+    /// Delays each chunk briefly and forwards it together with the bytes that follow.
     #[serde(rename = "join")]
     Coalesce,
 }
 
-/// A fault and the time for which it lasts.
+/// A fault and the time during which it is active.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Window {
     /// When it begins, in seconds of the clock.
     pub from: f64,
     /// When it ends, in seconds of the clock.
     pub until: f64,
-    /// What it does.
+    /// The fault.
     #[serde(rename = "disturbance")]
     pub fault: NetworkFault,
 }
@@ -92,20 +92,20 @@
             target,
             windows,
         });
-        spawn_local(relay.accept(listener));
+        spawn_local(relay.accept_connections(listener));
         Ok(address)
     }
 
-    async fn accept(self: Rc<Self>, listener: TcpListener) {
+    async fn accept_connections(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => drop(spawn_local(self.clone().connection(stream))),
-                Err(_) => sleep(ACCEPT_RETRY).await,
+                Ok((stream, _)) => drop(spawn_local(self.clone().serve_connection(stream))),
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 
-    async fn connection(self: Rc<Self>, proxy: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, proxy: TcpStream) {
         let Ok(target) = TcpStream::connect(self.target).await else {
             return reset(&proxy);
         };
@@ -120,20 +120,20 @@
             let both = async { tokio::join!(outbound, inbound) };
             select! {
                 _ = both => false,
-                () = self.until_reset(opened_at) => true,
+                () = self.wait_for_reset(opened_at) => true,
             }
         };
         if is_broken {
             reset(proxy_read.as_ref());
             reset(target_read.as_ref());
-            // Dropping the write halves would close the connections before the reset.
+            // Dropping the write halves would shut the connections down before they are reset.
             proxy_write.forget();
             target_write.forget();
         }
     }
 
-    /// Waits until a connection that was opened at `opened_at` is to be reset.
-    async fn until_reset(&self, opened_at: f64) {
+    /// Waits until the first time after `opened_at` at which a fault resets connections; forever if there is none.
+    async fn wait_for_reset(&self, opened_at: f64) {
         let resets = self.windows.iter().filter_map(|window| {
             let at = match window.fault {
                 NetworkFault::Reset => window.from,
@@ -148,21 +148,22 @@
         }
     }
 
-    /// The fault of bytes in this direction at the present time.
-    fn active(&self, direction: Direction) -> Option<NetworkFault> {
+    /// The first active fault that affects bytes in this direction.
+    fn active_fault(&self, direction: Direction) -> Option<NetworkFault> {
         let now = self.clock.now();
-        let lasts = |window: &&Window| window.from <= now && now < window.until;
+        let is_active = |window: &&Window| window.from <= now && now < window.until;
         let affects = |fault: &NetworkFault| match fault {
             NetworkFault::DropOutbound => direction == Direction::Outbound,
             NetworkFault::DropInbound | NetworkFault::HalfClose => direction == Direction::Inbound,
             NetworkFault::Reset => false,
             NetworkFault::Delay(_) | NetworkFault::Split | NetworkFault::Coalesce => true,
         };
-        let active = self.windows.iter().filter(lasts);
+        let active = self.windows.iter().filter(is_active);
         active.map(|window| window.fault).find(affects)
     }
 
-    /// Forwards bytes in one direction until either side closes it, and forwards that too.
+    /// Forwards bytes in one direction until its sender closes it or a fault does, and then closes it for the receiver.
+    /// Stops without closing it after an error.
     async fn forward(&self, direction: Direction, from: &OwnedReadHalf, to: &mut OwnedWriteHalf) {
         let mut chunk = vec![0; CHUNK_BYTES];
         let mut is_dropping = false;
@@ -173,7 +174,7 @@
             if length == 0 {
                 break;
             }
-            let fault = self.active(direction);
+            let fault = self.active_fault(direction);
             is_dropping |= matches!(
                 fault,
                 Some(NetworkFault::DropOutbound | NetworkFault::DropInbound)
@@ -181,7 +182,7 @@
             if fault == Some(NetworkFault::HalfClose) {
                 break;
             }
-            // Bytes after dropped ones would not make sense to the receiver.
+            // Once bytes were dropped, later bytes are dropped too: the receiver would read them in the wrong place.
             if is_dropping {
                 continue;
             }
@@ -194,7 +195,7 @@
     }
 }
 
-/// Reads the bytes that are there, and waits for the first; 0 at the end of the stream.
+/// Waits for bytes and reads those that are available. Returns 0 at the end of the stream.
 async fn read_some(from: &OwnedReadHalf, chunk: &mut [u8]) -> io::Result<usize> {
     loop {
         from.readable().await?;
@@ -205,7 +206,7 @@
     }
 }
 
-/// Forwards a chunk as the fault demands.
+/// Forwards a chunk with the effect of `fault`.
 async fn forward_chunk(
     chunk: &mut [u8],
     mut length: usize,
@@ -231,7 +232,7 @@
     to.write_all(&chunk[..length]).await
 }
 
-/// Makes the connection end with a reset when it is dropped.
+/// Sets a linger time of 0, so that the connection is reset when it is dropped.
 fn reset(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
