--- a/crates/emulator/src/discovery_service.rs
+++ b/crates/emulator/src/discovery_service.rs
@@ -1,5 +1,5 @@
-//! The emulated discovery service: it sends the endpoint list, complete or as changes, to each proxy at an address of
-//! its own, so that it knows which proxy was notified of what.
+//! The emulated discovery service. It sends each proxy the endpoint list, complete or as changes, and has an address for
+//! each proxy, so that it can record what each proxy was notified of.
 mod capacity;
 mod connections;
 mod endpoints;
@@ -20,26 +20,26 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Connections that may wait to be accepted at a listener.
+/// Backlog of each listener, in connections.
 const LISTEN_BACKLOG: u32 = 64;
 
-/// A snapshot that a proxy receives in place of the present list.
+/// An outdated snapshot that a proxy receives instead of the current list.
 struct StaleSnapshot {
-    /// Number of faults that demand it.
-    faults: usize,
+    /// Number of active faults that require it.
+    active_faults: usize,
     snapshot: EndpointListSnapshot,
 }
 
 /// Faults of the service, for all proxies or for one.
 #[derive(Default)]
 struct FaultState {
-    /// Number of faults during which the service is down.
-    down: usize,
-    /// Proxies that receive an outdated list.
+    /// Number of active faults during which the service is down.
+    active_outages: usize,
+    /// Outdated snapshots, by proxy.
     stale: HashMap<u16, StaleSnapshot>,
 }
 
-/// State that a proxy was last notified of for one backend.
+/// The state of a backend that a proxy was last notified of.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct NotifiedState {
     incarnation: u32,
@@ -49,13 +49,13 @@
 /// The emulated discovery service.
 pub struct DiscoveryService {
     event_log: EventLog,
-    /// Address for each proxy.
+    /// The service's address for each proxy.
     addresses: Vec<SocketAddr>,
     list: RefCell<EndpointListSnapshot>,
     fault_state: RefCell<FaultState>,
-    /// By proxy and backend.
+    /// The last notified states, by proxy and backend.
     notified: RefCell<HashMap<(u16, u32), NotifiedState>>,
-    /// Changes with the list and the fault state.
+    /// Incremented when the list or the fault state changes.
     changed: watch::Sender<u64>,
     answered_calls: Cell<u64>,
     rejected_calls: Cell<u64>,
@@ -63,7 +63,7 @@
 }
 
 impl DiscoveryService {
-    /// Starts the service with an empty list. It listens on the IP that is given for each proxy.
+    /// Starts the service with an empty list. `ips` has the IP to listen on for each proxy.
     pub fn start(event_log: EventLog, ips: &[IpAddr]) -> io::Result<Rc<Self>> {
         let listeners = ips
             .iter()
@@ -110,7 +110,7 @@
         self.capacity.replace(Some(capacity));
     }
 
-    /// Sets a backend's endpoint and wakes the proxies that watch.
+    /// Sets a backend's endpoint and wakes the watches of all proxies.
     pub fn update_endpoint(&self, backend: u32, endpoint: Endpoint) {
         self.event_log.record(Event::EndpointChanged {
             backend,
@@ -124,28 +124,28 @@
     /// Begins or ends a fault during which the service resets all connections. Faults may overlap.
     pub fn set_down(&self, is_down: bool) {
         let mut faults = self.fault_state.borrow_mut();
-        faults.down = if is_down {
-            faults.down + 1
+        faults.active_outages = if is_down {
+            faults.active_outages + 1
         } else {
-            faults.down.saturating_sub(1)
+            faults.active_outages.saturating_sub(1)
         };
         drop(faults);
         self.notify_change();
     }
 
-    /// Begins or ends a fault during which a proxy receives the list as it is now. Faults may overlap; the first one's
-    /// list is sent until the last one ends.
+    /// Begins or ends a fault during which a proxy receives the list as it was when the fault began. Faults may overlap:
+    /// the snapshot of the first is sent until the last ends.
     pub fn set_stale(&self, proxy: u16, is_stale: bool) {
         let mut faults = self.fault_state.borrow_mut();
         if is_stale {
             let stale = faults.stale.entry(proxy).or_insert_with(|| StaleSnapshot {
-                faults: 0,
+                active_faults: 0,
                 snapshot: self.list.borrow().clone(),
             });
-            stale.faults += 1;
+            stale.active_faults += 1;
         } else if let Some(stale) = faults.stale.get_mut(&proxy) {
-            stale.faults -= 1;
-            if stale.faults == 0 {
+            stale.active_faults -= 1;
+            if stale.active_faults == 0 {
                 faults.stale.remove(&proxy);
             }
         }
@@ -153,14 +153,14 @@
         self.notify_change();
     }
 
-    /// The complete list for a proxy that starts. It is recorded as sent.
+    /// The complete list for a proxy that starts. Records the proxy as notified of it.
     pub fn initial_snapshot(&self, proxy: u16) -> Value {
         let response = self.response(proxy, None);
         self.record_notifications(proxy, true, response.notifications);
         response.body
     }
 
-    /// Forgets what a proxy was notified of, when it restarts.
+    /// Clears the record of what a proxy was notified of. Called when the proxy restarts.
     pub fn forget_proxy(&self, proxy: u16) {
         self.notified.borrow_mut().retain(|(p, _), _| *p != proxy);
     }
@@ -170,10 +170,10 @@
     }
 
     fn is_down(&self) -> bool {
-        self.fault_state.borrow().down > 0
+        self.fault_state.borrow().active_outages > 0
     }
 
-    /// Gives access to the list that a proxy receives.
+    /// Calls `access` with the list that a proxy receives: its outdated snapshot if it has one, else the current list.
     fn with_snapshot<R>(&self, proxy: u16, access: impl FnOnce(&EndpointListSnapshot) -> R) -> R {
         match self.fault_state.borrow().stale.get(&proxy) {
             Some(stale) => access(&stale.snapshot),
@@ -185,7 +185,7 @@
         self.with_snapshot(proxy, |list| list.response(proxy, from))
     }
 
-    /// Records which states are new to a proxy. Backends that a complete list leaves out are gone.
+    /// Records the states that are new to a proxy. A backend that a complete list omits is recorded as gone.
     fn record_notifications(
         &self,
         proxy: u16,
