--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -1,8 +1,8 @@
-//! The clock of a rehearsal, which all its threads share.
+//! The clock that all threads of a rehearsal share.
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{Instant, sleep_until};
 
-/// Limit of [`Clock::instant`] on both sides of the start, in seconds: one day.
+/// [`Clock::instant`] clamps times to this many seconds before and after the start: one day.
 const MAX_OFFSET_SECONDS: f64 = 86_400.0;
 
 /// Measures time in seconds since the start of a rehearsal.
@@ -14,7 +14,7 @@
 }
 
 impl Clock {
-    /// Creates a clock whose time is 0 after `lead`.
+    /// Creates a clock that reaches time 0 after `lead`.
     pub fn starting_in(lead: Duration) -> Self {
         let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Converts a time in seconds to an instant. Times more than a day from the start are cut to a day.
+    /// Converts a time in seconds to an instant. Times are clamped to one day before and after the start.
     pub fn instant(&self, at: f64) -> Instant {
         let offset = Duration::from_secs_f64(at.abs().min(MAX_OFFSET_SECONDS));
         if at < 0.0 {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Converts a time in seconds to Unix time in whole milliseconds, as the discovery protocol has it.
+    /// Converts a time in seconds to Unix time in whole milliseconds, the unit of the discovery protocol.
     pub fn unix_ms(&self, at: f64) -> f64 {
         ((self.start_unix_seconds + at) * 1e3).round()
     }
