--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -57,7 +57,7 @@
     /// Keys of the RPCs that were executed.
     pub deduplication: RefCell<DeduplicationCache>,
     /// Factor on the work of each method; 1 is usual.
-    slowdown: RefCell<Vec<f64>>,
+    work_factors: RefCell<Vec<f64>>,
     next_attempt_id: Cell<u64>,
     next_incarnation: Cell<u32>,
 }
@@ -65,7 +65,7 @@
 impl Fleet {
     /// Creates a fleet that answers health checks without work and reports its load in responses.
     pub fn new(event_log: EventLog, seed: u64, costs: Vec<MethodCost>) -> Self {
-        let slowdown = RefCell::new(vec![1.0; costs.len()]);
+        let work_factors = RefCell::new(vec![1.0; costs.len()]);
         Self {
             event_log,
             seed,
@@ -74,7 +74,7 @@
             reports_in_responses: true,
             answers_health_checks: true,
             deduplication: RefCell::default(),
-            slowdown,
+            work_factors,
             next_attempt_id: Cell::new(1),
             next_incarnation: Cell::new(1),
         }
@@ -92,9 +92,9 @@
     }
 
     /// Multiplies the work of a method by `factor` from now on.
-    pub fn slow_down(&self, method: usize, factor: f64) {
-        if let Some(slowdown) = self.slowdown.borrow_mut().get_mut(method) {
-            *slowdown *= factor;
+    pub fn scale_method_work(&self, method: usize, factor: f64) {
+        if let Some(work_factors) = self.work_factors.borrow_mut().get_mut(method) {
+            *work_factors *= factor;
         }
     }
 
@@ -119,7 +119,7 @@
             _ => None,
         };
         Some(RpcCost {
-            work: usual_work * self.slowdown.borrow()[method],
+            work: usual_work * self.work_factors.borrow()[method],
             idempotency_key,
         })
     }
--- a/crates/rehearsal/src/environment/actions.rs
+++ b/crates/rehearsal/src/environment/actions.rs
@@ -51,7 +51,7 @@
                     backend.scale_machine_speed(factor);
                 }
             }
-            Action::SlowMethod { method, factor } => self.fleet.slow_down(method, factor),
+            Action::SlowMethod { method, factor } => self.fleet.scale_method_work(method, factor),
             Action::Crash { node } => self.crash(node),
             Action::Restart { node } => self.start_backend(node),
             Action::AnnounceDrain { node } => self.announce_drain(node),
