--- a/crates/emulator/src/discovery_service.rs
+++ b/crates/emulator/src/discovery_service.rs
@@ -181,8 +181,8 @@
         }
     }
 
-    fn response(&self, proxy: u16, from: Option<u64>) -> ListResponse {
-        self.with_snapshot(proxy, |list| list.response(proxy, from))
+    fn response(&self, proxy: u16, since: Option<u64>) -> ListResponse {
+        self.with_snapshot(proxy, |list| list.response(proxy, since))
     }
 
     /// Records the states that are new to a proxy. A backend that a complete list omits is recorded as gone.
--- a/crates/emulator/src/discovery_service/connections.rs
+++ b/crates/emulator/src/discovery_service/connections.rs
@@ -77,23 +77,23 @@
                 return self.reject(peer).await;
             }
         }
-        if let Some(from) = call.from {
-            if self.with_snapshot(proxy, |list| list.version == from) {
+        if let Some(since) = call.since {
+            if self.with_snapshot(proxy, |list| list.version == since) {
                 // A watch that waits uses no capacity.
                 slot = None;
             }
             select! {
-                () = self.wait_for_change(proxy, from, call.hold) => {}
+                () = self.wait_for_change(proxy, since, call.max_wait) => {}
                 () = self.wait_until_down() => return Err(ConnectionEnd::Reset),
                 () = peer.closed() => return Err(ConnectionEnd::Close),
             }
         }
         // A version that was never given out is from another service: the response is then the complete list.
-        let from = call
-            .from
-            .filter(|from| self.with_snapshot(proxy, |list| *from <= list.version));
-        let response = self.process(proxy, from, capacity.as_ref(), slot).await?;
-        self.respond(proxy, peer, from, response).await
+        let since = call
+            .since
+            .filter(|since| self.with_snapshot(proxy, |list| *since <= list.version));
+        let response = self.process(proxy, since, capacity.as_ref(), slot).await?;
+        self.respond(proxy, peer, since, response).await
     }
 
     /// Rejects a call for lack of capacity.
@@ -107,7 +107,7 @@
     async fn process<'a>(
         &self,
         proxy: u16,
-        from: Option<u64>,
+        since: Option<u64>,
         capacity: Option<&'a ServiceCapacity>,
         mut slot: Option<SemaphorePermit<'a>>,
     ) -> Result<ListResponse, ConnectionEnd> {
@@ -115,13 +115,13 @@
             if slot.is_none() {
                 slot = capacity.acquire().await;
             }
-            let endpoints = self.response(proxy, from).notifications.len() as u32;
+            let endpoints = self.response(proxy, since).notifications.len() as u32;
             select! {
                 () = sleep(capacity.processing_time(endpoints)) => {}
                 () = self.wait_until_down() => return Err(ConnectionEnd::Reset),
             }
         }
-        let response = self.response(proxy, from);
+        let response = self.response(proxy, since);
         drop(slot);
         Ok(response)
     }
@@ -131,7 +131,7 @@
         &self,
         proxy: u16,
         peer: &mut Peer,
-        from: Option<u64>,
+        since: Option<u64>,
         list: ListResponse,
     ) -> Result<(), ConnectionEnd> {
         let headers = [("Content-Type", "application/json")];
@@ -139,7 +139,7 @@
         peer.write(&response(200, &headers, body.as_bytes()))
             .await?;
         self.answered_calls.set(self.answered_calls.get() + 1);
-        self.record_notifications(proxy, from.is_none(), list.notifications);
+        self.record_notifications(proxy, since.is_none(), list.notifications);
         Ok(())
     }
 
@@ -150,11 +150,11 @@
         }
     }
 
-    /// Waits until the proxy's list has another version than `from`, at most for `hold`.
-    async fn wait_for_change(&self, proxy: u16, from: u64, hold: Duration) {
-        let deadline = Instant::now() + hold;
+    /// Waits until the proxy's list has another version than `since`, for at most `max_wait`.
+    async fn wait_for_change(&self, proxy: u16, since: u64, max_wait: Duration) {
+        let deadline = Instant::now() + max_wait;
         let mut changed = self.changed.subscribe();
-        while self.with_snapshot(proxy, |list| list.version == from) {
+        while self.with_snapshot(proxy, |list| list.version == since) {
             select! {
                 _ = changed.changed() => {}
                 () = sleep_until(deadline) => return,
--- a/crates/emulator/src/discovery_service/endpoints.rs
+++ b/crates/emulator/src/discovery_service/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of the emulated discovery service, and the call that asks for it.
+//! The endpoint list of the emulated discovery service, and the calls that request it.
 use crate::protocol::ENDPOINT_LIST_PATH;
 use crate::wire::Message;
 use birchhub_audit::EndpointState;
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest time that a watch may wait for a change, in milliseconds.
-const MAX_HOLD_MS: u64 = 60_000;
+/// Maximum time for which a watch waits for a change, in milliseconds.
+const MAX_WAIT_MS: u64 = 60_000;
 
 /// A backend as the discovery service knows it.
 #[derive(Clone, Debug, PartialEq)]
@@ -21,20 +21,20 @@
     pub rack: u64,
     /// Name of its machine type.
     pub machine: String,
-    /// Capacity hint, as a ratio of the usual capacity.
+    /// Capacity hint, relative to the normal capacity.
     pub capacity: f64,
-    /// Its address for each proxy.
+    /// Address for each proxy.
     pub addresses: Vec<SocketAddr>,
-    /// Its state.
+    /// State of the backend.
     pub state: EndpointState,
     /// Number of the incarnation that the state belongs to.
     pub incarnation: u32,
-    /// Unix time of its last start in milliseconds; 0 if that was long ago.
+    /// Unix time of the last start in milliseconds; 0 if it started long ago.
     pub boot_ms: f64,
 }
 
 impl Endpoint {
-    /// The endpoint in the form of the discovery protocol, with its address for one proxy.
+    /// Encodes the endpoint for the discovery protocol, with its address for one proxy.
     pub fn to_json(&self, proxy: u16) -> Value {
         let state = match self.state {
             EndpointState::Ready => "Ready",
@@ -48,7 +48,7 @@
     }
 }
 
-/// An endpoint with the version of the list at which it last changed.
+/// An endpoint and the version of the list at which it last changed.
 #[derive(Clone, Debug)]
 struct VersionedEndpoint {
     version: u64,
@@ -63,13 +63,13 @@
     pub state: EndpointState,
 }
 
-/// Body of a response, and what it notifies the proxy of.
+/// Body of a response, and the states that it notifies the proxy of.
 pub(super) struct ListResponse {
     pub body: Value,
     pub notifications: Vec<Notification>,
 }
 
-/// The endpoint list at one version. It keeps every backend that ever was in the list.
+/// The endpoint list at one version. Backends that are gone stay in it, so that changes can include them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EndpointListSnapshot {
     pub version: u64,
@@ -77,7 +77,7 @@
 }
 
 impl EndpointListSnapshot {
-    /// Sets a backend's endpoint, which makes a new version.
+    /// Sets a backend's endpoint and increments the version.
     pub(super) fn update(&mut self, backend: u32, endpoint: Endpoint) {
         self.version += 1;
         let version = self.version;
@@ -85,11 +85,11 @@
         self.endpoints.insert(backend, versioned);
     }
 
-    /// The complete list, or with `from` the changes since that version.
-    pub(super) fn response(&self, proxy: u16, from: Option<u64>) -> ListResponse {
-        let is_included = |(_, versioned): &(&u32, &VersionedEndpoint)| match from {
+    /// The response to a proxy: the changes after version `since`, or the complete list if it is `None`.
+    pub(super) fn response(&self, proxy: u16, since: Option<u64>) -> ListResponse {
+        let is_included = |(_, versioned): &(&u32, &VersionedEndpoint)| match since {
             None => versioned.endpoint.state != EndpointState::Gone,
-            Some(from) => versioned.version > from,
+            Some(since) => versioned.version > since,
         };
         let included: Vec<_> = self.endpoints.iter().filter(is_included).collect();
         let targets: Vec<_> = included
@@ -105,23 +105,23 @@
             })
             .collect();
         ListResponse {
-            body: json!({"rev": self.version, "all": from.is_none(), "targets": targets}),
+            body: json!({"rev": self.version, "all": since.is_none(), "targets": targets}),
             notifications,
         }
     }
 }
 
-/// A call for the endpoint list.
+/// A call that requests the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListCall {
-    /// The version to watch from; `None` asks for the complete list.
-    pub from: Option<u64>,
-    /// How long a watch waits for a change.
-    pub hold: Duration,
+    /// Version since which changes are requested; `None` requests the complete list.
+    pub since: Option<u64>,
+    /// Maximum time for which a watch waits for a change.
+    pub max_wait: Duration,
 }
 
 impl ListCall {
-    /// Reads a call; `None` if the request asks for something else.
+    /// Parses a call; `None` if the request has another path.
     pub(super) fn parse(message: &Message) -> Option<Self> {
         let (path, query) = message.path.split_once('?').unwrap_or((&message.path, ""));
         if path != ENDPOINT_LIST_PATH {
@@ -133,10 +133,10 @@
                 .find(|(key, _)| *key == name)
                 .and_then(|(_, value)| value.parse::<u64>().ok())
         };
-        let hold_ms = number("hold_ms").unwrap_or(0).min(MAX_HOLD_MS);
+        let max_wait_ms = number("hold_ms").unwrap_or(0).min(MAX_WAIT_MS);
         Some(Self {
-            from: number("from"),
-            hold: Duration::from_millis(hold_ms),
+            since: number("from"),
+            max_wait: Duration::from_millis(max_wait_ms),
         })
     }
 }
