--- a/crates/emulator/src/discovery_service/connections.rs
+++ b/crates/emulator/src/discovery_service/connections.rs
@@ -11,8 +11,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Pause before accepting again after an error, such as a lack of file descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(5);
+/// Delay before accepting again after an error, such as a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// How the service ends a connection.
 enum ConnectionEnd {
@@ -23,14 +23,14 @@
 }
 
 impl From<io::Error> for ConnectionEnd {
-    /// A connection that can't be written to is closed.
+    /// Closes a connection after a write error.
     fn from(_: io::Error) -> Self {
         Self::Close
     }
 }
 
 impl DiscoveryService {
-    /// Accepts the connections of one proxy. Never ends.
+    /// Accepts the connections of one proxy. Never returns.
     pub(super) async fn accept_connections(self: Rc<Self>, proxy: u16, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -40,7 +40,7 @@
                 }
                 Err(error) => {
                     log::warn!("discovery service: accept failed, retrying: {error}");
-                    sleep(ACCEPT_RETRY).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -79,7 +79,7 @@
         }
         if let Some(since) = call.since {
             if self.with_snapshot(proxy, |list| list.version == since) {
-                // A watch that waits uses no capacity.
+                // A waiting watch uses no capacity, so its slot is released.
                 slot = None;
             }
             select! {
@@ -88,7 +88,8 @@
                 () = peer.closed() => return Err(ConnectionEnd::Close),
             }
         }
-        // A version that was never given out is from another service: the response is then the complete list.
+        // A version that this service has not issued yet comes from another instance of the service: the response is then
+        // the complete list.
         let since = call
             .since
             .filter(|since| self.with_snapshot(proxy, |list| *since <= list.version));
@@ -103,7 +104,7 @@
         Ok(())
     }
 
-    /// Makes the response to a call, for which it needs a slot and takes time if the capacity is limited.
+    /// Prepares the response to a call. If the capacity is limited, this needs a slot and takes processing time.
     async fn process<'a>(
         &self,
         proxy: u16,
@@ -126,7 +127,7 @@
         Ok(response)
     }
 
-    /// Writes a response and records what it notifies the proxy of.
+    /// Writes a response and records the states that it notifies the proxy of.
     async fn respond(
         &self,
         proxy: u16,
@@ -143,6 +144,7 @@
         Ok(())
     }
 
+    /// Waits until a fault takes the service down.
     async fn wait_until_down(&self) {
         let mut changed = self.changed.subscribe();
         while !self.is_down() {
