--- a/crates/emulator/src/backend/requests.rs
+++ b/crates/emulator/src/backend/requests.rs
@@ -214,7 +214,7 @@
             attempt_id: attempt.attempt_id,
             work: rpc.work,
             idempotency_key: rpc.idempotency_key,
-            first_on_connection: peer.messages == 1,
+            first_on_connection: peer.messages_read == 1,
         };
         let (completion, mut completed) = oneshot::channel();
         let decision = self.admit(slot, incoming, completion);
--- a/crates/emulator/src/client.rs
+++ b/crates/emulator/src/client.rs
@@ -163,7 +163,7 @@
             // from a proxy that has read the request; then only the client's retry rules decide whether it is sent again.
             Ok(Err(ReadError::Closed | ReadError::Broken))
                 if is_pooled
-                    && peer.has_no_buffered_bytes()
+                    && peer.is_buffer_empty()
                     && self.client.clock().now() < sent_at + CROSSED_CLOSE_SECONDS =>
             {
                 ConnectionOutcome::ClosedBeforeRead
--- a/crates/emulator/src/wire.rs
+++ b/crates/emulator/src/wire.rs
@@ -1,6 +1,7 @@
-//! A minimal HTTP/1.1 connection that reads complete messages.
+//! A minimal HTTP/1.1 implementation that reads complete messages.
 //!
-//! The emulator needs the times at which bytes are received, and connection ends that an HTTP library would not produce.
+//! An HTTP library would not suffice: the emulator needs the times at which bytes are received, and must truncate messages
+//! and reset connections.
 use crate::clock::Clock;
 use std::io;
 use std::mem::MaybeUninit;
@@ -8,19 +9,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Longest head of a message.
+/// Maximum size of a message's head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Longest body of a message: endpoint lists of some ten thousand backends.
+/// Maximum size of a message's body: enough for an endpoint list of some ten thousand backends.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// Most headers of a message.
+/// Maximum number of headers of a message.
 const MAX_HEADERS: usize = 32;
 
-/// A message that was received.
+/// A received message.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// When its first byte was received, in seconds of the clock.
+    /// Time at which the first byte was received, in seconds of the clock.
     pub first_byte_at: f64,
-    /// When its last byte was received, in seconds of the clock.
+    /// Time at which the last byte was received, in seconds of the clock.
     pub complete_at: f64,
     /// HTTP method of a request; empty for a response.
     pub http_method: String,
@@ -34,7 +35,7 @@
 }
 
 impl Message {
-    /// The value of a header. The case of its name doesn't matter.
+    /// The value of a header. Names are compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -58,7 +59,7 @@
     }
 }
 
-/// The kind of message that is read.
+/// The kind of message to read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
     /// A request.
@@ -74,41 +75,41 @@
     Closed,
     /// The connection ended within a message, or was reset.
     Broken,
-    /// The received bytes are no HTTP/1.1 message, or the message is too large.
+    /// The received bytes are not a valid HTTP/1.1 message, or the message is too large.
     Malformed,
 }
 
-/// State of a connection after the last message.
+/// State of a connection between two messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Open, with nothing received.
+    /// Open, and no bytes were received.
     Open,
     /// Closed or reset by the peer.
     Closed,
-    /// The peer sent bytes that belong to no expected message.
+    /// The peer sent bytes although no message was expected.
     UnexpectedBytes,
 }
 
-/// One side of an HTTP/1.1 connection with its read buffer.
+/// An HTTP/1.1 connection to a peer, with a read buffer.
 #[derive(Debug)]
 pub struct Peer {
     stream: TcpStream,
     buffer: Vec<u8>,
-    /// When the first byte of `buffer` was received, in seconds of the clock.
+    /// Time at which the first byte of `buffer` was received, in seconds of the clock.
     first_byte_at: f64,
-    /// Messages read so far.
-    pub messages: usize,
+    /// Number of messages read so far.
+    pub messages_read: usize,
 }
 
-/// A message's head, and the lengths of the message's parts in bytes.
+/// A parsed head, and the sizes of the message's head and body.
 struct ParsedHead {
     message: Message,
     head_bytes: usize,
     body_bytes: usize,
 }
 
-/// Parses a head; `None` while it is not complete.
-fn parse(kind: MessageKind, bytes: &[u8]) -> Result<Option<ParsedHead>, ReadError> {
+/// Parses the head of a message; `None` if it is incomplete.
+fn parse_head(kind: MessageKind, bytes: &[u8]) -> Result<Option<ParsedHead>, ReadError> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut message = Message::default();
     let (status, headers) = match kind {
@@ -149,13 +150,13 @@
 impl Peer {
     /// Wraps an open connection.
     pub fn new(stream: TcpStream) -> Self {
-        // Without this, Nagle's algorithm delays small messages.
+        // Disables Nagle's algorithm, which would delay small messages.
         let _ = stream.set_nodelay(true);
         Self {
             stream,
             buffer: Vec::new(),
             first_byte_at: 0.0,
-            messages: 0,
+            messages_read: 0,
         }
     }
 
@@ -185,7 +186,7 @@
             head_bytes,
             body_bytes,
         } = loop {
-            if let Some(parsed) = parse(kind, &self.buffer)? {
+            if let Some(parsed) = parse_head(kind, &self.buffer)? {
                 break parsed;
             }
             if self.buffer.len() > MAX_HEAD_BYTES {
@@ -204,28 +205,28 @@
         message.body = self.buffer[head_bytes..head_bytes + body_bytes].to_vec();
         self.buffer.drain(..head_bytes + body_bytes);
         self.first_byte_at = message.complete_at;
-        self.messages += 1;
+        self.messages_read += 1;
         Ok(message)
     }
 
-    /// Waits until the peer closes the connection. Bytes received meanwhile are buffered.
+    /// Waits until the peer closes the connection. Bytes that arrive before that are buffered.
     pub async fn closed(&mut self) {
         loop {
             match self.stream.read_buf(&mut self.buffer).await {
                 Ok(0) | Err(_) => return,
-                // A peer that sends more than one message ahead violates the protocol.
+                // The limit bounds the buffer. A peer that pipelines more than one message violates the protocol.
                 Ok(_) if self.buffer.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES => return,
                 Ok(_) => {}
             }
         }
     }
 
-    /// The state of the connection after the last message.
+    /// The state of the connection between two messages.
     pub fn state(&mut self) -> ConnectionState {
         if !self.buffer.is_empty() {
             return ConnectionState::UnexpectedBytes;
         }
-        // Asks the operating system: the runtime may not have seen yet that the peer closed the connection.
+        // Asks the kernel, because the runtime may not have noticed yet that the peer closed the connection.
         match socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
             Ok(0) => ConnectionState::Closed,
             Ok(_) => ConnectionState::UnexpectedBytes,
@@ -234,8 +235,8 @@
         }
     }
 
-    /// Whether no byte was received since the last message.
-    pub fn has_no_buffered_bytes(&self) -> bool {
+    /// Whether no bytes were read since the last message.
+    pub fn is_buffer_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
@@ -244,13 +245,13 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Ends the connection with a reset, as the crash of a process does.
+    /// Resets the connection, as the kernel does when a process crashes.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
 }
 
-/// Creates a listener that can take over its address at once after the one before is closed.
+/// Creates a listener with `SO_REUSEADDR`, so that it can bind its address right after the previous listener is closed.
 pub fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
