--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,7 +1,7 @@
 //! Emulates the environment of a proxy on loopback sockets, for tests and rehearsals.
 //!
-//! It has backends (the model of `birchhub-backend-model` served over HTTP/1.1), the discovery service, clients and a
-//! fault-injecting relay. All emulated backends share one thread: an execution waits on a timer and uses no processor time.
+//! It provides backends (the model of `birchhub-backend-model` behind HTTP/1.1), the discovery service, clients and a
+//! fault-injecting relay. All emulated backends run on one thread: the execution of an RPC is a timer and uses no CPU time.
 //! Every event is recorded in an [`EventLog`], from which the ledger is written.
 pub mod backend;
 pub mod client;
