--- a/crates/emulator/src/client/request.rs
+++ b/crates/emulator/src/client/request.rs
@@ -1,4 +1,4 @@
-//! A client's request to a proxy and its form on the wire.
+//! A client's request to a proxy, and its encoding.
 use crate::protocol::{CLIENT_RETRY, IDEMPOTENCY_KEY, REQUEST_ID, REQUEST_TIMEOUT, TENANT};
 
 /// How a slow client sends a request.
@@ -6,7 +6,7 @@
 pub struct SlowSend {
     /// Number of pieces into which the request is split.
     pub pieces: usize,
-    /// Time between two pieces, in seconds.
+    /// Pause between two pieces, in seconds.
     pub pause_seconds: f64,
 }
 
@@ -17,25 +17,25 @@
     pub request_id: u64,
     /// Number of the RPC that this request is an attempt of.
     pub rpc: u32,
-    /// Number of the proxy that receives it.
+    /// Number of the proxy that the request is sent to.
     pub proxy: u16,
     /// HTTP method, `GET` or `POST`.
     pub http_method: &'static str,
     /// Path of the request's URL; its first segment names the RPC's method.
     pub path: String,
-    /// Tenant on whose quota the request counts.
+    /// Tenant whose quota the request is charged to.
     pub tenant: Option<String>,
     /// Idempotency key of the RPC, the same for all its attempts.
     pub idempotency_key: Option<String>,
     /// Whether the request is marked as a retry.
     pub is_retry: bool,
-    /// Time that the client waits for the response, in seconds.
+    /// Time for which the client waits for the response, in seconds.
     pub client_timeout: f64,
-    /// Time after which the client closes the connection without a response, in seconds; `None` if it never does.
+    /// Time after which the client cancels the request by closing the connection, in seconds; `None` if it does not cancel.
     pub cancel_after: Option<f64>,
-    /// Length of the request's body in bytes; requests with `GET` have none.
+    /// Length of the body in bytes. Ignored for `GET`, which has no body.
     pub body_bytes: usize,
-    /// Sends the request in pieces; `None` sends it at once.
+    /// How the request is sent in pieces; `None` if it is sent at once.
     pub slow_send: Option<SlowSend>,
 }
 
--- a/crates/emulator/src/protocol.rs
+++ b/crates/emulator/src/protocol.rs
@@ -1,10 +1,10 @@
-//! Names of the HTTP headers and paths that the platform's protocols give.
+//! HTTP headers and paths defined by the platform's protocols.
 
 /// Id of a client's request, in hexadecimal.
 pub(crate) const REQUEST_ID: &str = "Request-Id";
-/// Time that the sender waits for the response, in milliseconds.
+/// Time for which the sender waits for the response, in milliseconds.
 pub(crate) const REQUEST_TIMEOUT: &str = "Request-Timeout-Ms";
-/// Tenant on whose quota a request counts.
+/// Tenant whose quota a request is charged to.
 pub(crate) const TENANT: &str = "Tenant";
 /// Idempotency key of an RPC.
 pub(crate) const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
@@ -17,9 +17,9 @@
 /// Time after which a rejected client may retry, in seconds.
 pub(crate) const RETRY_AFTER: &str = "Retry-After";
 
-/// Health check of a backend.
+/// Path of a backend's health check.
 pub(crate) const HEALTH_CHECK_PATH: &str = "/health/live";
-/// Health check of a backend whose response has the load report as its body.
+/// Path of a backend's health check whose response body is the load report.
 pub(crate) const LOAD_REPORT_PATH: &str = "/stats";
-/// The endpoint list of the discovery service.
+/// Path of the endpoint list of the discovery service.
 pub(crate) const ENDPOINT_LIST_PATH: &str = "/registry/instances";
