--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -4,12 +4,12 @@
 /// A fault of RPCs or connections at a backend. `share` is the fraction of RPCs that it affects, 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// The RPC is executed, and its connection is reset in place of a response.
+    /// The RPC is executed, and its connection is reset instead of a response.
     ConnectionReset {
         /// Fraction of RPCs.
         share: f64,
     },
-    /// The RPC is received and never answered. Health checks are answered.
+    /// The RPC is received and gets no response. Health checks get one.
     NoResponse {
         /// Fraction of RPCs.
         share: f64,
@@ -19,7 +19,7 @@
         /// Fraction of RPCs.
         share: f64,
     },
-    /// The RPC is executed, and the response is no HTTP.
+    /// The RPC is executed, and the response is not valid HTTP.
     MalformedResponse {
         /// Fraction of RPCs.
         share: f64,
@@ -28,15 +28,15 @@
     SlowResponse {
         /// Fraction of RPCs.
         share: f64,
-        /// Time that the response takes, in seconds.
+        /// Duration of writing the response, in seconds.
         extra_seconds: f64,
     },
-    /// The RPC is answered with an error at once and not executed.
+    /// The RPC is not executed and gets an error response at once.
     ErrorResponse {
         /// Fraction of RPCs.
         share: f64,
     },
-    /// The backend neither reads, writes nor closes. Connections that are open at the end are reset.
+    /// The backend neither reads from, writes to nor closes connections. Those that are open when the fault ends are reset.
     Partition {
         /// The proxy that is affected; `None` for all proxies.
         proxy: Option<u16>,
@@ -44,7 +44,7 @@
 }
 
 impl Fault {
-    /// Fraction of RPCs that the fault affects by itself; a partition affects connections.
+    /// Fraction of RPCs that the fault affects; 0 for a partition, which affects connections instead.
     fn share(&self) -> f64 {
         match *self {
             Self::ConnectionReset { share }
@@ -58,7 +58,7 @@
     }
 }
 
-/// The faults of one backend that last, each with the number by which it is ended.
+/// The active faults of one backend, each with the number that identifies it.
 #[derive(Debug, Default)]
 pub struct ActiveFaults(RefCell<Vec<(u64, Fault)>>);
 
@@ -68,23 +68,23 @@
         self.0.borrow_mut().push((number, fault));
     }
 
-    /// Ends the fault of this number.
+    /// Ends the fault with this number.
     pub fn end(&self, number: u64) {
         self.0.borrow_mut().retain(|(n, _)| *n != number);
     }
 
     /// Whether the backend is partitioned from this proxy.
     pub fn is_partitioned(&self, proxy: u16) -> bool {
-        let partitions = |(_, fault): &(u64, Fault)| match fault {
+        let is_partition = |(_, fault): &(u64, Fault)| match fault {
             Fault::Partition { proxy: affected } => {
                 affected.is_none_or(|affected| affected == proxy)
             }
             _ => false,
         };
-        self.0.borrow().iter().any(partitions)
+        self.0.borrow().iter().any(is_partition)
     }
 
-    /// The first fault that affects an RPC. `is_selected` decides that from the fault's number and share.
+    /// Returns the first fault that affects an RPC. `is_selected` decides from a fault's number and share whether it does.
     pub fn select(&self, is_selected: impl Fn(u64, f64) -> bool) -> Option<Fault> {
         self.0
             .borrow()
