--- a/crates/emulator/src/backend.rs
+++ b/crates/emulator/src/backend.rs
@@ -1,8 +1,8 @@
-//! One emulated backend on sockets: the backend model behind a listener for each proxy, so that it knows which proxy
-//! sent what.
+//! An emulated backend: the backend model behind one listener for each proxy, so that each request can be attributed to
+//! a proxy.
 //!
-//! Each incarnation has tasks of its own: one that accepts for each listener, one for each connection, and the driver
-//! of the model. All of them end with the incarnation.
+//! Each incarnation has its own tasks: one for each listener, one for each connection, and the driver of the model. All of
+//! them end with the incarnation.
 mod connection_slot;
 mod connections;
 mod driver;
@@ -22,42 +22,42 @@
 use std::rc::Rc;
 use tokio::sync::{Notify, watch};
 
-/// Identity, place and model of a backend.
+/// Identity, location and model parameters of a backend.
 #[derive(Clone, Debug)]
 pub struct BackendSpec {
     /// Number of the backend in the ledger.
     pub index: u32,
-    /// Name of the backend, which its responses carry.
+    /// Name of the backend, included in its responses.
     pub name: String,
     /// Number of its zone.
     pub zone: u32,
     /// Number of its rack within the zone.
     pub rack: u32,
-    /// Capacity, queue and slow start of its model.
+    /// Parameters of its model, such as capacity, queue length and slow start.
     pub model: BackendParameters,
     /// Time after which an idle connection is closed, in seconds.
     pub idle_timeout_seconds: f64,
 }
 
-/// An emulated backend. Its addresses stay the same over all its incarnations.
+/// An emulated backend. All its incarnations have the same addresses.
 pub struct EmulatedBackend {
-    /// What the backend is and where.
+    /// Identity, location and model parameters.
     pub spec: BackendSpec,
     fleet: Rc<Fleet>,
     faults: ActiveFaults,
-    /// Address for each proxy.
+    /// The backend's address for each proxy.
     addresses: Vec<SocketAddr>,
     incarnation: RefCell<Option<Incarnation>>,
-    /// Fraction of the machine's speed that neighbours leave to this backend.
+    /// Factor on the speed of the backend's machine, which noisy neighbours reduce; 1 without any.
     machine_speed: Cell<f64>,
     /// Notified when the time of the model's next event may have changed.
     timer_changed: Notify,
-    /// Changes when a fault or a stall begins or ends.
+    /// Incremented when a fault or a stall begins or ends.
     fault_state: watch::Sender<u64>,
 }
 
 impl EmulatedBackend {
-    /// Reserves an address for each proxy, on the IP that is given for it. The backend is not started.
+    /// Creates a stopped backend and picks a free address for each proxy. `ips` has the IP for each proxy.
     pub fn new(spec: BackendSpec, fleet: Rc<Fleet>, ips: &[IpAddr]) -> io::Result<Rc<Self>> {
         let reserve = |ip: &IpAddr| std::net::TcpListener::bind((*ip, 0))?.local_addr();
         let addresses = ips.iter().map(reserve).collect::<io::Result<_>>()?;
@@ -78,13 +78,13 @@
         self.addresses.get(proxy as usize).copied()
     }
 
-    /// Number of the running incarnation.
+    /// Number of the running incarnation; `None` if the backend is stopped.
     pub fn incarnation(&self) -> Option<u32> {
         let incarnation = self.incarnation.borrow();
         incarnation.as_ref().map(|incarnation| incarnation.number)
     }
 
-    /// Whether no RPC is in flight here. A stopped backend is idle.
+    /// Whether no RPC is queued or executing. A stopped backend is idle.
     pub fn is_idle(&self) -> bool {
         self.in_flight() == 0
     }
@@ -97,22 +97,22 @@
             .map_or(0, |incarnation| incarnation.model.in_flight())
     }
 
-    /// Starts an incarnation and returns its number. The one before must have ended.
+    /// Starts an incarnation and returns its number. The previous incarnation must have ended.
     pub fn start(self: &Rc<Self>, start: StartMode) -> io::Result<u32> {
         incarnation::start(self, start)
     }
 
-    /// Ends the process as a crash does: all RPCs in flight are lost and connections are reset.
+    /// Crashes the process: RPCs in flight are lost and connections are reset.
     pub fn crash(&self) {
         self.end_incarnation(IncarnationState::Crashed);
     }
 
-    /// Ends the process in order: connections are closed. RPCs still in flight are lost.
+    /// Stops the process: connections are closed. RPCs still in flight are lost.
     pub fn stop(&self) {
         self.end_incarnation(IncarnationState::Stopped);
     }
 
-    /// Finishes the RPCs in flight and rejects new ones.
+    /// Drains the running process: it finishes the RPCs in flight and rejects new ones.
     pub fn drain(&self) {
         if let Some(incarnation) = self.incarnation.borrow_mut().as_mut() {
             incarnation.model.drain();
@@ -125,15 +125,15 @@
     /// Stalls the running process: it makes no progress until [`Self::end_stall`] is called with the same number.
     /// Processes that start later are not stalled.
     pub fn begin_stall(&self, number: u64) {
-        self.change_stalls(|stalls| stalls.insert(number));
+        self.update_stalls(|stalls| stalls.insert(number));
     }
 
-    /// Ends the stall of this number. Other stalls may still last.
+    /// Ends the stall with this number. The process stays stalled while another stall is active.
     pub fn end_stall(&self, number: u64) {
-        self.change_stalls(|stalls| stalls.remove(&number));
+        self.update_stalls(|stalls| stalls.remove(&number));
     }
 
-    fn change_stalls(&self, change: impl FnOnce(&mut BTreeSet<u64>) -> bool) {
+    fn update_stalls(&self, change: impl FnOnce(&mut BTreeSet<u64>) -> bool) {
         let Some(number) = self.incarnation() else {
             return;
         };
@@ -169,7 +169,7 @@
         self.notify_fault_state();
     }
 
-    /// Ends the fault of this number.
+    /// Ends the fault with this number.
     pub fn end_fault(&self, number: u64) {
         self.faults.end(number);
         self.notify_fault_state();
@@ -179,7 +179,7 @@
         self.fault_state.send_modify(|changes| *changes += 1);
     }
 
-    /// Ends the running incarnation.
+    /// Ends the running incarnation and its tasks, if there is one.
     fn end_incarnation(&self, state: IncarnationState) {
         if let Some(mut incarnation) = self.incarnation.borrow_mut().take() {
             incarnation.model.crash();
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Gives access to an incarnation if it is still the running one.
+    /// Calls `access` with an incarnation if it is still running.
     fn with_incarnation<R>(
         &self,
         number: u32,
@@ -203,7 +203,7 @@
             .map(access)
     }
 
-    /// Changes an incarnation at the present time, then records the events that the change caused.
+    /// Changes a running incarnation at the current time, records the resulting events and wakes the driver.
     fn update_incarnation<R>(
         &self,
         number: u32,
