--- a/crates/emulator/tests/emulator/common.rs
+++ b/crates/emulator/tests/emulator/common.rs
@@ -14,10 +14,10 @@
 /// Time limit of a test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Address at which everything listens.
+/// IP address of all listeners of the tests.
 pub(crate) const LOCALHOST: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-/// Runs a test on one thread, as the emulator does in a rehearsal.
+/// Runs a test on a single-threaded runtime, like that of the emulator in a rehearsal.
 pub(crate) fn on_one_thread<F: Future<Output = ()>>(
     test: impl FnOnce(EventLog, Receiver<Entry>) -> F,
 ) {
@@ -29,11 +29,11 @@
         let (event_log, entries) = EventLog::new(Clock::starting_in(Duration::ZERO));
         timeout(TEST_TIMEOUT, test(event_log, entries))
             .await
-            .expect("in time");
+            .expect("the test ends before its timeout");
     });
 }
 
-/// A backend of one core whose queue holds one RPC, with methods that cost `work` seconds. It is not started.
+/// A stopped backend with one core and a queue for one RPC, whose methods cost `work` seconds.
 pub(crate) fn backend(event_log: &EventLog, work: f64) -> Rc<EmulatedBackend> {
     let method = |name: &str, idempotency| MethodCost {
         name: name.into(),
@@ -76,17 +76,22 @@
     EmulatedBackend::new(spec, fleet, &[LOCALHOST, LOCALHOST]).expect("addresses")
 }
 
-/// A backend that is started and warm.
+/// A started backend at its full capacity.
 pub(crate) fn warm_backend(event_log: &EventLog, work: f64) -> Rc<EmulatedBackend> {
     let backend = backend(event_log, work);
     backend.start(StartMode::Warm).expect("a start");
     backend
 }
 
-/// Encodes a proxy's request; `more` are further headers.
-pub(crate) fn request(http_method: &str, path: &str, request_id: u64, more: &str) -> Vec<u8> {
+/// Encodes a proxy's request with additional header lines.
+pub(crate) fn request(
+    http_method: &str,
+    path: &str,
+    request_id: u64,
+    extra_headers: &str,
+) -> Vec<u8> {
     format!(
-        "{http_method} {path} HTTP/1.1\r\nHost: n\r\nRequest-Id: {request_id:016x}\r\n{more}\r\n"
+        "{http_method} {path} HTTP/1.1\r\nHost: n\r\nRequest-Id: {request_id:016x}\r\n{extra_headers}\r\n"
     )
     .into_bytes()
 }
@@ -98,7 +103,7 @@
 }
 
 impl Connection {
-    /// Connects as this proxy.
+    /// Connects to the backend's address for this proxy.
     pub(crate) async fn open(backend: &EmulatedBackend, event_log: &EventLog, proxy: u16) -> Self {
         let peer = Peer::connect(backend.address(proxy).expect("an address"))
             .await
@@ -129,7 +134,7 @@
     }
 }
 
-/// Takes the recorded events that match.
+/// Drains the recorded events and returns those that match.
 pub(crate) fn recorded_events(
     entries: &Receiver<Entry>,
     matches: impl Fn(&Event) -> bool,
@@ -141,7 +146,7 @@
         .collect()
 }
 
-/// Waits for a recorded event that matches. Events before it are dropped.
+/// Waits for a recorded event that matches and drops all others.
 pub(crate) async fn await_event(
     entries: &Receiver<Entry>,
     matches: impl Fn(&Event) -> bool,
