--- a/crates/emulator/tests/emulator/backend_requests.rs
+++ b/crates/emulator/tests/emulator/backend_requests.rs
@@ -16,20 +16,20 @@
     on_one_thread(|event_log, entries| async move {
         let backend = warm_backend(&event_log, 0.005);
         let mut connection = Connection::open(&backend, &event_log, 1).await;
-        let answer = connection
+        let response = connection
             .call(request_id_of(7, 0))
             .await
             .expect("a response");
         assert_eq!(
-            (answer.status, answer.body.as_slice()),
+            (response.status, response.body.as_slice()),
             (200, &b"0000000000000700 n0\n"[..])
         );
         assert_eq!(
-            answer.header("server-load"),
+            response.header("server-load"),
             Some("inflight=0,queue=0,util=0.000")
         );
         let events = recorded_events(&entries, |_| true);
-        let got = events.iter().find_map(|e| match e {
+        let received = events.iter().find_map(|e| match e {
             Event::AttemptReceived(ReceivedAttempt {
                 proxy,
                 request_id,
@@ -38,7 +38,7 @@
             }) => Some((*proxy, *request_id, *admission)),
             _ => None,
         });
-        assert_eq!(got, Some((1, 0x700, Admission::Admitted)));
+        assert_eq!(received, Some((1, 0x700, Admission::Admitted)));
         assert!(
             events.iter().any(|e| matches!(
                 e,
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn requests_other_than_rpcs_have_their_status() {
+fn requests_that_are_not_rpcs_get_a_status() {
     on_one_thread(|event_log, _entries| async move {
         let backend = warm_backend(&event_log, 0.005);
         let mut connection = Connection::open(&backend, &event_log, 1).await;
@@ -91,11 +91,11 @@
             }
             connections.push(connection);
         }
-        // One RPC is executing and one is queued, which fills the queue.
+        // One RPC is executing and one is in the queue, which is then full.
         for connection in &mut connections[2..] {
-            let answer = connection.receive().await.expect("a response");
+            let response = connection.receive().await.expect("a response");
             assert_eq!(
-                (answer.status, answer.header("not-started")),
+                (response.status, response.header("not-started")),
                 (503, Some("1"))
             );
         }
@@ -135,10 +135,10 @@
         connection.send(1).await;
         await_event(&entries, |e| matches!(e, Event::ExecutionStarted { .. })).await;
         drop(connection);
-        let left = await_event(&entries, is_attempt_end).await;
+        let ended = await_event(&entries, is_attempt_end).await;
         assert!(
             matches!(
-                left,
+                ended,
                 Event::AttemptEnded {
                     how: AttemptEnd::Cancelled,
                     ..
@@ -153,7 +153,7 @@
     on_one_thread(|event_log, entries| async move {
         let backend = backend(&event_log, 0.5);
         backend.start(StartMode::Cold).expect("an incarnation");
-        // The cold capacity is half of a core, and the backend collapses at three times that within a second.
+        // The capacity of a cold backend is half a core; it collapses when it receives three times that within a second.
         for request_id in 0..4 {
             Connection::open(&backend, &event_log, 0)
                 .await
@@ -186,7 +186,7 @@
             connection.peer.write(&bytes).await.expect("a write");
             assert_eq!(connection.receive().await.expect("a response").status, 200);
         }
-        let runs = recorded_events(&entries, |e| {
+        let executions = recorded_events(&entries, |e| {
             matches!(
                 e,
                 Event::ExecutionStarted { .. } | Event::DuplicateDropped { .. }
@@ -194,13 +194,13 @@
         });
         assert!(
             matches!(
-                runs.as_slice(),
+                executions.as_slice(),
                 [
                     Event::ExecutionStarted { .. },
                     Event::DuplicateDropped { .. }
                 ]
             ),
-            "{runs:?}"
+            "{executions:?}"
         );
     });
 }
