--- a/crates/emulator/tests/emulator/backend_faults.rs
+++ b/crates/emulator/tests/emulator/backend_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a backend: each shows on the connection as a proxy sees it, and in the recorded events.
+//! Faults of a backend: their effects on a proxy's connection and on the recorded events.
 use crate::common::{
     Connection, await_event, is_attempt_end, on_one_thread, recorded_events, request, warm_backend,
 };
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A crashed process resets its connections and refuses new ones; it restarts at the same address.
+/// A crashed process resets its connections and refuses new ones until it restarts at the same address.
 #[test]
 fn a_crashed_backend_resets_and_refuses_connections_until_its_restart() {
     on_one_thread(|event_log, entries| async move {
@@ -25,16 +25,16 @@
             (busy.receive().await.err(), idle.receive().await.is_err()),
             (Some(ReadError::Broken), true)
         );
-        let left = await_event(&entries, is_attempt_end).await;
+        let ended = await_event(&entries, is_attempt_end).await;
         assert!(
             matches!(
-                left,
+                ended,
                 Event::AttemptEnded {
                     how: AttemptEnd::Broken,
                     ..
                 }
             ),
-            "{left:?}"
+            "{ended:?}"
         );
         while Peer::connect(backend.address(0).expect("an address"))
             .await
@@ -51,8 +51,8 @@
     });
 }
 
-/// Faults, whether the RPC runs under them, and what the proxy reads.
-fn faults_and_effects() -> [(Fault, bool, Result<u16, ReadError>); 6] {
+/// Faults, whether the RPC is executed, and what the proxy reads.
+fn fault_cases() -> [(Fault, bool, Result<u16, ReadError>); 6] {
     [
         (
             Fault::ConnectionReset { share: 1.0 },
@@ -87,25 +87,26 @@
     on_one_thread(|event_log, entries| async move {
         let backend = warm_backend(&event_log, 0.001);
         let mut request_id = 0;
-        for (fault, runs, expected) in faults_and_effects() {
+        for (fault, is_executed, expected) in fault_cases() {
             request_id += 1;
             backend.begin_fault(request_id, fault);
             let mut connection = Connection::open(&backend, &event_log, 0).await;
-            let got = connection
+            let received = connection
                 .call(request_id_of(request_id as u32, 0))
                 .await
-                .map(|m| m.status);
-            assert_eq!(got, expected, "{fault:?}");
+                .map(|response| response.status);
+            assert_eq!(received, expected, "{fault:?}");
             backend.end_fault(request_id);
-            let mut seen = Vec::new();
-            while !seen.iter().any(is_attempt_end) {
-                seen.extend(recorded_events(&entries, |_| true));
+            let mut events = Vec::new();
+            while !events.iter().any(is_attempt_end) {
+                events.extend(recorded_events(&entries, |_| true));
                 sleep(Duration::from_millis(1)).await;
             }
             assert_eq!(
-                seen.iter()
+                events
+                    .iter()
                     .any(|e| matches!(e, Event::ExecutionStarted { .. })),
-                runs,
+                is_executed,
                 "{fault:?}"
             );
         }
@@ -129,17 +130,20 @@
             )
         })
         .await;
-        let mut probe = Connection::open(&backend, &event_log, 0).await;
-        probe
+        let mut health_check = Connection::open(&backend, &event_log, 0).await;
+        health_check
             .peer
             .write(&request("GET", "/stats", 0, ""))
             .await
             .expect("a write");
-        assert_eq!(probe.receive().await.expect("a response").status, 200);
+        assert_eq!(
+            health_check.receive().await.expect("a response").status,
+            200
+        );
         drop(connection);
-        let left = await_event(&entries, is_attempt_end).await;
+        let ended = await_event(&entries, is_attempt_end).await;
         assert!(matches!(
-            left,
+            ended,
             Event::AttemptEnded {
                 how: AttemptEnd::Cancelled,
                 ..
@@ -148,7 +152,8 @@
     });
 }
 
-/// A backend that is partitioned from one proxy serves the others. At the end, open connections to that proxy are reset.
+/// A backend that is partitioned from one proxy serves the others. Connections to that proxy are reset when the partition
+/// ends.
 #[test]
 fn a_partition_stops_all_traffic_and_ends_with_resets() {
     on_one_thread(|event_log, _entries| async move {
@@ -160,7 +165,7 @@
         let mut during = Connection::open(&backend, &event_log, 0).await;
         during.send(3).await;
         let silent = timeout(Duration::from_millis(100), during.receive()).await;
-        assert!(silent.is_err(), "it answered: {silent:?}");
+        assert!(silent.is_err(), "response during the partition: {silent:?}");
         assert_eq!(
             Connection::open(&backend, &event_log, 1)
                 .await
@@ -184,7 +189,8 @@
     });
 }
 
-/// A stalled process answers nothing. Requests of that time are served afterwards, and recorded with their time of arrival.
+/// A stalled process sends no responses. Requests that arrive during the stall are served after it, and are recorded with
+/// the time of their arrival.
 #[test]
 fn a_stalled_backend_serves_requests_after_the_stall() {
     on_one_thread(|event_log, entries| async move {
@@ -204,15 +210,15 @@
             timeout(Duration::from_millis(50), connection.receive())
                 .await
                 .is_err(),
-            "the other stall lasts"
+            "the second stall is still active"
         );
-        let ended = event_log.clock.now();
+        let stall_ended_at = event_log.clock.now();
         backend.end_stall(2);
         assert_eq!(connection.receive().await.expect("a response").status, 200);
-        let got = await_event(&entries, |e| matches!(e, Event::AttemptReceived { .. })).await;
+        let received = await_event(&entries, |e| matches!(e, Event::AttemptReceived { .. })).await;
         assert!(
-            matches!(got, Event::AttemptReceived(ReceivedAttempt { first_byte_at, .. }) if first_byte_at >= before && first_byte_at < ended),
-            "{got:?}"
+            matches!(received, Event::AttemptReceived(ReceivedAttempt { first_byte_at, .. }) if first_byte_at >= before && first_byte_at < stall_ended_at),
+            "{received:?}"
         );
     });
 }
