--- a/crates/emulator/tests/emulator/client.rs
+++ b/crates/emulator/tests/emulator/client.rs
@@ -8,7 +8,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// A request with this id and timeout in seconds.
+/// A request with a timeout in seconds.
 fn request_of(request_id: u64, client_timeout: f64) -> ClientRequest {
     let path = "/read/1".into();
     ClientRequest {
@@ -27,10 +27,10 @@
     }
 }
 
-/// Starts a server that reads one request and writes these bytes. Returns its address.
-fn answer_once(clock: Clock, bytes: Vec<u8>) -> SocketAddr {
+/// Starts a server that reads one request, writes `bytes` and closes the connection. Returns its address.
+fn serve_once(clock: Clock, bytes: Vec<u8>) -> SocketAddr {
     let listener = wire::listen((LOCALHOST, 0).into(), 8).expect("a listener");
-    let at = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("an address");
     spawn_local(async move {
         let (stream, _) = listener.accept().await.expect("a client");
         let mut peer = Peer::new(stream);
@@ -39,10 +39,9 @@
             .expect("an RPC");
         peer.write(&bytes).await.expect("a response");
     });
-    at
+    address
 }
 
-/// What a client records of each response of a proxy.
 #[test]
 fn a_client_classifies_responses() {
     on_one_thread(|event_log, _entries| async move {
@@ -67,9 +66,9 @@
             (vec![], RequestOutcome::Lost),
         ];
         for (bytes, expected) in cases {
-            let at = answer_once(event_log.clock, bytes);
+            let address = serve_once(event_log.clock, bytes);
             let outcome = Client::new(event_log.clone())
-                .send(&request_of(1, 5.0), at)
+                .send(&request_of(1, 5.0), address)
                 .await;
             assert_eq!(outcome, expected);
         }
@@ -77,33 +76,33 @@
 }
 
 #[test]
-fn a_client_without_a_response_classifies_the_reason() {
+fn a_client_classifies_why_it_got_no_response() {
     on_one_thread(|event_log, _entries| async move {
         let silent = wire::listen((LOCALHOST, 0).into(), 8).expect("a listener");
-        let at = silent.local_addr().expect("an address");
+        let address = silent.local_addr().expect("an address");
         let client = || Client::new(event_log.clone());
-        let outcome = client().send(&request_of(1, 0.05), at).await;
+        let outcome = client().send(&request_of(1, 0.05), address).await;
         assert_eq!(outcome, RequestOutcome::TimedOut);
         let cancelling = ClientRequest {
             cancel_after: Some(0.01),
             ..request_of(1, 5.0)
         };
         assert_eq!(
-            client().send(&cancelling, at).await,
+            client().send(&cancelling, address).await,
             RequestOutcome::Cancelled
         );
         drop(silent);
-        let outcome = client().send(&request_of(1, 5.0), at).await;
+        let outcome = client().send(&request_of(1, 5.0), address).await;
         assert_eq!(outcome, RequestOutcome::Unreachable);
     });
 }
 
-/// A pooled connection that was closed while idle is not used, and no RPC is lost by it.
+/// A pooled connection that the proxy closed while it was idle is not used, so that no request is lost.
 #[test]
 fn a_pooled_connection_that_was_closed_is_not_used() {
     on_one_thread(|event_log, entries| async move {
         let listener = wire::listen((LOCALHOST, 0).into(), 8).expect("a listener");
-        let at = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("an address");
         let clock = event_log.clock;
         spawn_local(async move {
             loop {
@@ -115,13 +114,13 @@
                 peer.write(&wire::response(200, &[], b"0000000000000001 n\n"))
                     .await
                     .expect("a response");
-                // The connection is closed here, between two RPCs.
+                // Dropping the peer closes the connection between two requests.
             }
         });
         let client = Client::new(event_log);
         for _ in 0..3 {
             assert_eq!(
-                client.send(&request_of(1, 5.0), at).await,
+                client.send(&request_of(1, 5.0), address).await,
                 RequestOutcome::Ok
             );
             sleep(Duration::from_millis(5)).await;
