--- a/crates/emulator/tests/emulator/discovery_service.rs
+++ b/crates/emulator/tests/emulator/discovery_service.rs
@@ -1,4 +1,4 @@
-//! The discovery service: complete lists, watches, capacity and faults.
+//! The emulated discovery service: complete lists, watches, capacity and faults.
 use crate::common::{LOCALHOST, on_one_thread, recorded_events};
 use birchhub_audit::{EndpointState, Entry, Event};
 use birchhub_emulator::discovery_service::{Endpoint, ServiceCapacity};
@@ -70,7 +70,7 @@
         let watch =
             spawn_local(async move { poll(&watching, 1, "?from=1&hold_ms=20000", &clock).await });
         while !watch.is_finished() {
-            // Repeated, so that a change is newer than the watch's version whenever the watch begins.
+            // Repeated until the watch returns, as its call may arrive after the first change.
             discovery.update_endpoint(0, endpoint(EndpointState::Draining, 1));
             sleep(Duration::from_millis(5)).await;
         }
@@ -91,10 +91,10 @@
     });
 }
 
-/// The states of endpoints that a proxy was notified of, in order.
-fn notified_states(entries: &Receiver<Entry>, to: u16) -> Vec<EndpointState> {
+/// The endpoint states that a proxy was notified of, in order.
+fn notified_states(entries: &Receiver<Entry>, recipient: u16) -> Vec<EndpointState> {
     let is_notification =
-        |event: &Event| matches!(event, Event::ProxyNotified { proxy, .. } if *proxy == to);
+        |event: &Event| matches!(event, Event::ProxyNotified { proxy, .. } if *proxy == recipient);
     let events = recorded_events(entries, is_notification);
     let states = events.iter().filter_map(|event| match event {
         Event::ProxyNotified { state, .. } => Some(*state),
@@ -103,7 +103,7 @@
     states.collect()
 }
 
-/// Polls the complete list as proxy 1 and returns the response's status.
+/// Polls the complete list as proxy 1 and returns the status of the response.
 async fn list_call_status(discovery: &DiscoveryService, clock: &Clock) -> u16 {
     let mut peer = Peer::connect(discovery.address(1).expect("an address"))
         .await
@@ -111,11 +111,11 @@
     peer.write(b"GET /registry/instances HTTP/1.1\r\nHost: l\r\n\r\n")
         .await
         .expect("a call");
-    let answer = peer.read(MessageKind::Response, clock).await;
-    answer.expect("a response").status
+    let response = peer.read(MessageKind::Response, clock).await;
+    response.expect("a response").status
 }
 
-/// The service processes one call at a time and rejects the others. A watch that waits uses no capacity.
+/// The service processes one call at a time and rejects others. A watch uses no capacity while it waits.
 #[test]
 fn a_discovery_service_at_capacity_rejects_further_calls() {
     on_one_thread(|event_log, _entries| async move {
@@ -137,18 +137,18 @@
                 let call =
                     b"GET /registry/instances?from=1&hold_ms=20000 HTTP/1.1\r\nHost: l\r\n\r\n";
                 peer.write(call).await.expect("a call");
-                let answer = peer
+                let response = peer
                     .read(MessageKind::Response, &clock)
                     .await
                     .expect("a response");
-                if answer.status == 200 {
-                    return serde_json::from_slice::<Value>(&answer.body).expect("JSON");
+                if response.status == 200 {
+                    return serde_json::from_slice::<Value>(&response.body).expect("JSON");
                 }
                 sleep(Duration::from_millis(5)).await;
             }
         });
         let call = async || list_call_status(&discovery, &clock).await;
-        // Repeated until two calls overlap; calls that don't are both answered.
+        // Repeated until two calls overlap: without an overlap both succeed.
         while !matches!(tokio::join!(call(), call()), (200, 503) | (503, 200)) {}
         assert!(discovery.rejected_calls() > 0 && !watch.is_finished());
         discovery.update_endpoint(0, endpoint(EndpointState::Draining, 1));
