--- a/crates/emulator/tests/emulator/relays.rs
+++ b/crates/emulator/tests/emulator/relays.rs
@@ -1,4 +1,4 @@
-//! The relay: what each network fault does to bytes and connections, seen from both ends.
+//! The relay: the effects of each network fault on bytes and connections, at both ends.
 use crate::common::{LOCALHOST, on_one_thread};
 use birchhub_emulator::Clock;
 use birchhub_emulator::relay::{NetworkFault, Relay, Window};
@@ -13,8 +13,8 @@
 const END: f64 = 0.4;
 
 /// Both ends of a connection through a relay that applies a fault from the start until [`END`].
-async fn connected(fault: NetworkFault) -> (TcpStream, TcpStream, Clock) {
-    connected_in(Window {
+async fn connect_with(fault: NetworkFault) -> (TcpStream, TcpStream, Clock) {
+    connect_in(Window {
         from: -1.0,
         until: END,
         fault,
@@ -23,7 +23,7 @@
 }
 
 /// Both ends of a connection through a relay with this window.
-async fn connected_in(window: Window) -> (TcpStream, TcpStream, Clock) {
+async fn connect_in(window: Window) -> (TcpStream, TcpStream, Clock) {
     let clock = Clock::starting_in(Duration::ZERO);
     let listener = listen((LOCALHOST, 0).into(), 8).expect("a listener");
     let target = listener.local_addr().expect("an address");
@@ -45,14 +45,14 @@
 }
 
 #[test]
-fn bytes_arrive_complete_and_in_order_when_split_or_joined() {
+fn bytes_arrive_complete_and_in_order_when_delayed_split_or_coalesced() {
     for fault in [
         NetworkFault::Delay(5),
         NetworkFault::Split,
         NetworkFault::Coalesce,
     ] {
         on_one_thread(|_, _| async {
-            let (mut proxy, mut backend, _) = connected(fault).await;
+            let (mut proxy, mut backend, _) = connect_with(fault).await;
             let message: Vec<u8> = (0..5000_u32).map(|n| n as u8).collect();
             proxy.write_all(&message).await.expect("written");
             assert_eq!(read_exactly(&mut backend, message.len()).await, message);
@@ -67,41 +67,41 @@
 #[test]
 fn a_delay_holds_bytes_back() {
     on_one_thread(|_, _| async {
-        let (mut proxy, mut backend, _) = connected(NetworkFault::Delay(50)).await;
-        let begun = Instant::now();
+        let (mut proxy, mut backend, _) = connect_with(NetworkFault::Delay(50)).await;
+        let sent_at = Instant::now();
         proxy.write_all(b"request").await.expect("written");
         read_exactly(&mut backend, 7).await;
-        assert!(begun.elapsed() >= Duration::from_millis(50));
+        assert!(sent_at.elapsed() >= Duration::from_millis(50));
     });
 }
 
-/// Silence drops bytes in one direction only, and ends with a reset.
+/// Bytes are dropped in one direction only, and the connection is reset when the fault ends.
 #[test]
-fn silence_drops_one_direction_and_ends_with_a_reset() {
+fn dropping_affects_one_direction_and_ends_with_a_reset() {
     on_one_thread(|_, _| async {
-        let (mut proxy, mut backend, clock) = connected(NetworkFault::DropOutbound).await;
+        let (mut proxy, mut backend, clock) = connect_with(NetworkFault::DropOutbound).await;
         proxy.write_all(b"lost").await.expect("written");
         backend.write_all(b"heard").await.expect("written");
         assert_eq!(read_exactly(&mut proxy, 5).await, b"heard");
         let mut chunk = [0; 8];
-        let silent = timeout(Duration::from_millis(50), backend.read(&mut chunk)).await;
-        assert!(silent.is_err(), "{silent:?}");
+        let read = timeout(Duration::from_millis(50), backend.read(&mut chunk)).await;
+        assert!(read.is_err(), "{read:?}");
         assert!(is_reset(&mut proxy).await);
         assert!(clock.now() >= END);
     });
     on_one_thread(|_, _| async {
-        let (mut proxy, mut backend, _) = connected(NetworkFault::DropInbound).await;
+        let (mut proxy, mut backend, _) = connect_with(NetworkFault::DropInbound).await;
         proxy.write_all(b"heard").await.expect("written");
         assert_eq!(read_exactly(&mut backend, 5).await, b"heard");
         backend.write_all(b"lost").await.expect("written");
-        assert!(is_reset(&mut proxy).await, "nothing before that");
+        assert!(is_reset(&mut proxy).await, "no bytes before the reset");
     });
 }
 
 #[test]
 fn a_reset_ends_both_sides_as_it_begins() {
     on_one_thread(|_, _| async {
-        let (mut proxy, _backend, clock) = connected_in(Window {
+        let (mut proxy, _backend, clock) = connect_in(Window {
             from: 0.1,
             until: 0.2,
             fault: NetworkFault::Reset,
@@ -112,11 +112,11 @@
     });
 }
 
-/// The proxy reads the end of the stream, and what it writes still arrives.
+/// The proxy reads the end of the stream, and bytes that it writes still arrive.
 #[test]
 fn a_half_close_ends_one_direction() {
     on_one_thread(|_, _| async {
-        let (mut proxy, mut backend, _) = connected(NetworkFault::HalfClose).await;
+        let (mut proxy, mut backend, _) = connect_with(NetworkFault::HalfClose).await;
         backend.write_all(b"lost").await.expect("written");
         assert_eq!(proxy.read(&mut [0; 8]).await.expect("an end"), 0);
         proxy.write_all(b"still").await.expect("written");
