--- a/crates/emulator/tests/emulator/discovery_service.rs
+++ b/crates/emulator/tests/emulator/discovery_service.rs
@@ -70,7 +70,7 @@
         let watch =
             spawn_local(async move { poll(&watching, 1, "?from=1&hold_ms=20000", &clock).await });
         while !watch.is_finished() {
-            // Repeated until the watch returns, as its call may arrive after the first change.
+            // Repeated until the watch returns: whenever its call arrives, a change is newer than its version.
             discovery.update_endpoint(0, endpoint(EndpointState::Draining, 1));
             sleep(Duration::from_millis(5)).await;
         }
