--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -1,14 +1,14 @@
-//! The plan of faults: the format of `BIRCHHUB_FAULTS`.
+//! The fault plan: the format of the environment variable `BIRCHHUB_FAULTS`.
 //!
 //! Faults are separated by commas. Each is `CALL=EFFECT@PROBABILITY[:FROM-UNTIL]`, with times in seconds since the process
-//! started. `seed=NUMBER` seeds the random numbers. `CALL` is one of [`Call`], `EFFECT` the name of an error or `short`:
+//! started. `seed=NUMBER` seeds the random number generator. `CALL` is one of [`Call`], `EFFECT` the name of an error or `short`:
 //!
 //! ```text
 //! seed=7,recv=EINTR@0.2,send=short@0.5:1-4.5,accept=EMFILE@1:2-2.5,clock=+3600@1:3-9
 //! ```
 //!
-//! For `clock` the effect is the step in seconds. A plan that can't be parsed ends the process at its start: a test must
-//! not pass because its faults were misspelt.
+//! For `clock` the effect is the step in seconds. An invalid plan ends the process at its first call, because a test must
+//! not pass without its faults if they are misspelt.
 use thiserror::Error;
 
 /// A system call that can fail.
@@ -61,11 +61,11 @@
     Error(i32),
     /// The call transfers fewer bytes than were asked for.
     Short,
-    /// The wall clock is stepped by so many seconds.
+    /// The wall clock is stepped by this number of seconds.
     Step(i64),
 }
 
-/// Errors by their names in a plan.
+/// Error numbers by their names in a plan.
 const ERRORS: [(&str, i32); 13] = [
     ("EINTR", libc::EINTR),
     ("EMFILE", libc::EMFILE),
@@ -95,14 +95,14 @@
     }
 }
 
-/// A fault of a kind of call.
+/// A fault that affects one kind of call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// The call that fails.
+    /// The affected call.
     pub call: Call,
-    /// What happens to it.
+    /// The effect on the call.
     pub effect: Effect,
-    /// Fraction of the calls that are affected, 0 to 1.
+    /// Probability with which a call is affected, 0 to 1.
     pub probability: f64,
     /// Start of the fault, in seconds since the start of the process.
     pub from: f64,
@@ -138,25 +138,25 @@
     }
 }
 
-/// Part of a plan that can't be parsed.
+/// A part of a plan is invalid.
 #[derive(Clone, Debug, Error, PartialEq)]
-#[error("{part} can't be read")]
+#[error("invalid part of the fault plan: \"{part}\"")]
 pub struct PlanError {
-    /// Text of the part between two commas.
+    /// Text of the invalid part, without the commas around it.
     pub part: String,
 }
 
 /// All faults of a process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// The faults. Of several that are active for a call, the first that occurs decides.
+    /// The faults. If several affect the same call, the first one applies.
     pub faults: Vec<Fault>,
 }
 
 impl Plan {
-    /// Parses the text of a plan. The error names the first part that can't be parsed.
+    /// Parses the text of a plan. The error names the first invalid part.
     pub fn parse(text: &str) -> Result<Self, PlanError> {
         let mut plan = Self::default();
         for part in text.split(',').filter(|part| !part.is_empty()) {
--- a/crates/fault-shim/src/plan/tests.rs
+++ b/crates/fault-shim/src/plan/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_misspelt_fault_is_an_error_that_names_it() {
+fn an_invalid_part_is_an_error_that_names_it() {
     for text in [
         "recv",
         "recv=EINTR",
@@ -41,6 +41,9 @@
         "seed=x",
     ] {
         let error = Plan::parse(&format!("seed=1,{text}")).expect_err(text);
-        assert_eq!(error.to_string(), format!("{text} can't be read"));
+        assert_eq!(
+            error.to_string(),
+            format!("invalid part of the fault plan: \"{text}\"")
+        );
     }
 }
