--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,8 +1,8 @@
-//! A library for `LD_PRELOAD` that makes system calls of a process under test fail in the ways that Linux documents, or
-//! steps its wall clock.
+//! Fault-injection library for `LD_PRELOAD`: it makes system calls of a process under test fail with errors that Linux
+//! documents for them, shortens reads and writes, and steps the wall clock.
 //!
-//! The environment variable `BIRCHHUB_FAULTS` holds the plan, see [`plan`]; without it no call fails. The library is
-//! never linked into a program, and holds all unsafe code of the project.
+//! The environment variable `BIRCHHUB_FAULTS` holds the plan, see [`plan`]; without it no call fails. The library is never
+//! linked into a program. All unsafe code of the project is here.
 mod calls;
 pub mod plan;
 mod state;
