--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -18,4 +18,4 @@
 pub use result::SoakResult;
 pub use run::{SoakOptions, run};
 pub use shrink::shrink;
-pub use stalled_clients::UnendedClient;
+pub use stalled_clients::UnterminatedClient;
--- a/crates/soak/src/result.rs
+++ b/crates/soak/src/result.rs
@@ -1,5 +1,5 @@
 //! The result of a soak, from the invariants of the proxies, the audit of the ledger and the stalled clients.
-use crate::stalled_clients::UnendedClient;
+use crate::stalled_clients::UnterminatedClient;
 use birchhub_rehearsal::{Report, Verdict};
 use std::fmt;
 use std::path::Path;
@@ -19,7 +19,7 @@
     /// Reasons for which the audit of the ledger failed; empty if it passed or the run is void.
     pub audit_failures: Vec<String>,
     /// Stalled clients that got no end in time.
-    pub unended_clients: Vec<UnendedClient>,
+    pub unterminated_clients: Vec<UnterminatedClient>,
     /// Whether the machine was too busy for times to be checked.
     pub is_void: bool,
     /// Number of RPCs.
@@ -30,7 +30,11 @@
 
 impl SoakResult {
     /// Checks the report and the logs of a run.
-    pub(crate) fn new(report: &Report, logs: &Path, unended_clients: Vec<UnendedClient>) -> Self {
+    pub(crate) fn new(
+        report: &Report,
+        logs: &Path,
+        unterminated_clients: Vec<UnterminatedClient>,
+    ) -> Self {
         let counts = &report.findings.counts;
         Self {
             violations: violations(logs),
@@ -38,7 +42,7 @@
                 Verdict::Fail => report.reasons.clone(),
                 Verdict::Pass | Verdict::Void => Vec::new(),
             },
-            unended_clients,
+            unterminated_clients,
             is_void: report.verdict == Verdict::Void,
             requests: counts.rpcs,
             served: counts.ok,
@@ -47,8 +51,8 @@
 
     /// Whether a check failed. Checks that depend on times don't fail in a void run.
     pub fn has_failed(&self) -> bool {
-        let has_unended_clients = !self.unended_clients.is_empty() && !self.is_void;
-        !self.violations.is_empty() || !self.audit_failures.is_empty() || has_unended_clients
+        let has_unterminated_clients = !self.unterminated_clients.is_empty() && !self.is_void;
+        !self.violations.is_empty() || !self.audit_failures.is_empty() || has_unterminated_clients
     }
 
     /// The result in one word.
@@ -92,12 +96,12 @@
         } = self;
         let word = self.word();
         write!(formatter, "{word}: {served} of {requests} requests served")?;
-        let unended_clients = self.unended_clients.iter().map(ToString::to_string);
-        let unended_clients: Vec<_> = unended_clients.collect();
+        let unterminated_clients = self.unterminated_clients.iter().map(ToString::to_string);
+        let unterminated_clients: Vec<_> = unterminated_clients.collect();
         for (check, findings) in [
             ("invariants", &self.violations),
             ("audit", &self.audit_failures),
-            ("clients", &unended_clients),
+            ("clients", &unterminated_clients),
         ] {
             for finding in findings.iter().take(SHOWN_FINDINGS) {
                 write!(formatter, "\n  {check}: {finding}")?;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -36,10 +36,10 @@
     let plan_file = out.join(PLAN_FILE);
     std::fs::write(&plan_file, plan.to_text()).map_err(SoakError::io(&plan_file))?;
     let prepared = PreparedRehearsal::new(plan, &options.shim.to_string_lossy())?;
-    let (unended_sender, unended_clients) = channel();
+    let (unterminated_sender, unterminated_clients) = channel();
     let client_plan = plan.clone();
     let stalled_clients: BackgroundTask = Box::new(move |clock, proxies| {
-        stalled_clients::start(client_plan, clock, proxies, unended_sender)
+        stalled_clients::start(client_plan, clock, proxies, unterminated_sender)
     });
     let rehearsal = Options {
         seed: plan.seed,
@@ -54,6 +54,6 @@
         &prepared.hooks,
         Some(stalled_clients),
     )?;
-    let unended_clients = unended_clients.try_iter().collect();
-    Ok(SoakResult::new(&report, out, unended_clients))
+    let unterminated_clients = unterminated_clients.try_iter().collect();
+    Ok(SoakResult::new(&report, out, unterminated_clients))
 }
--- a/crates/soak/src/stalled_clients.rs
+++ b/crates/soak/src/stalled_clients.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Time within which a proxy must end a stalled client, from its last byte on, with an allowance for this machine.
-const END_TIMEOUT: Duration = Duration::from_millis(3250);
+const TERMINATION_TIMEOUT: Duration = Duration::from_millis(3250);
 /// Limit for connecting to a proxy, which may be restarting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Shortest timeout of a read: the operating system rejects 0.
@@ -35,7 +35,7 @@
 
 /// A stalled client that a proxy did not end in time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct UnendedClient {
+pub struct UnterminatedClient {
     /// Name of what it had sent.
     #[serde(rename = "client")]
     pub sent: String,
@@ -46,7 +46,7 @@
     pub stalled_at: f64,
 }
 
-impl fmt::Display for UnendedClient {
+impl fmt::Display for UnterminatedClient {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         let Self {
             sent,
@@ -96,7 +96,7 @@
     plan: SoakPlan,
     clock: Clock,
     proxies: Vec<SocketAddr>,
-    unended: Sender<UnendedClient>,
+    unterminated: Sender<UnterminatedClient>,
 ) -> JoinHandle<()> {
     std::thread::spawn(move || {
         let mut clients = Vec::new();
@@ -107,7 +107,7 @@
             wait_until(clock, fault.start_seconds);
             for client in group.clients(&plan, fault, proxies.len()) {
                 let address = proxies[client.proxy];
-                clients.extend(client.spawn(address, clock.now(), unended.clone()));
+                clients.extend(client.spawn(address, clock.now(), unterminated.clone()));
             }
         }
         for client in clients {
@@ -175,11 +175,11 @@
         self,
         address: SocketAddr,
         stalled_at: f64,
-        unended: Sender<UnendedClient>,
+        unterminated: Sender<UnterminatedClient>,
     ) -> std::io::Result<JoinHandle<()>> {
         Builder::new().stack_size(STACK_BYTES).spawn(move || {
-            if !is_ended_in_time(address, &self.request) {
-                let _ = unended.send(UnendedClient {
+            if !is_terminated_in_time(address, &self.request) {
+                let _ = unterminated.send(UnterminatedClient {
                     sent: self.request.name.to_owned(),
                     proxy: self.proxy,
                     stalled_at,
@@ -197,12 +197,12 @@
 }
 
 /// Whether the client got an error or a close in time, or could not connect.
-fn is_ended_in_time(address: SocketAddr, request: &PartialRequest) -> bool {
+fn is_terminated_in_time(address: SocketAddr, request: &PartialRequest) -> bool {
     let Ok(mut stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) else {
         return true;
     };
     let _ = stream.write_all(request.bytes.as_bytes());
-    let deadline = Instant::now() + END_TIMEOUT;
+    let deadline = Instant::now() + TERMINATION_TIMEOUT;
     let mut received = Vec::new();
     let mut chunk = [0; 1024];
     loop {
