--- a/crates/soak/src/stalled_clients.rs
+++ b/crates/soak/src/stalled_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that stall within a request or send nothing: a proxy must end each with an error or a close.
+//! Clients that stall within a request or send nothing. A proxy must terminate each with an error response or a close.
 use crate::plan::{Fault, FaultKind, SoakPlan};
 use crate::scenario::targets;
 use birchhub_backend_model::work::seeded_rng;
@@ -12,15 +12,16 @@
 use std::thread::{Builder, JoinHandle, sleep};
 use std::time::{Duration, Instant};
 
-/// Time within which a proxy must end a stalled client, from its last byte on, with an allowance for this machine.
+/// Time after a stalled client's last byte within which a proxy must terminate it, with an allowance for delays of this
+/// machine.
 const TERMINATION_TIMEOUT: Duration = Duration::from_millis(3250);
-/// Limit for connecting to a proxy, which may be restarting.
+/// Timeout for connecting to a proxy, which may be restarting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Shortest timeout of a read: the operating system rejects 0.
+/// Minimum timeout of a read: the standard library rejects 0.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
-/// Stack of a client's thread.
+/// Stack size of a client's thread.
 const STACK_BYTES: usize = 128 << 10;
-/// Stream of random numbers for clients, distinct from the other streams of a seed.
+/// Random stream for clients, distinct from the other streams of a seed.
 const STREAM: u64 = 0x50A6;
 
 const PARTIAL_HEAD: &str = "GET /read HTTP/1.1\r\nHost: api.internal\r\nRequest-";
@@ -33,10 +34,10 @@
     bytes: String,
 }
 
-/// A stalled client that a proxy did not end in time.
+/// A stalled client that a proxy did not terminate in time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct UnterminatedClient {
-    /// Name of what it had sent.
+    /// Name of the partial request that it had sent.
     #[serde(rename = "client")]
     pub sent: String,
     /// The proxy that it was connected to.
@@ -55,12 +56,12 @@
         } = self;
         write!(
             formatter,
-            "at {stalled_at:.3} s a client of proxy {proxy} that had sent {sent} was left waiting"
+            "at {stalled_at:.3} s: proxy {proxy} neither rejected nor closed a stalled client that had sent {sent}"
         )
     }
 }
 
-/// A `POST` whose body has so many bytes, whatever its headers announce.
+/// A `POST` request with `body_bytes` bytes of body, regardless of the length in `body_header`.
 fn post(body_header: &str, body_bytes: usize) -> String {
     format!(
         "POST /book/0 HTTP/1.1\r\nHost: api.internal\r\nRequest-Id: ffff\r\n\
@@ -69,17 +70,17 @@
     )
 }
 
-/// All requests within which a client may stall.
+/// All partial requests after which a client may stall.
 fn partial_requests() -> Vec<PartialRequest> {
     let request = |name, bytes: &str| PartialRequest {
         name,
         bytes: bytes.to_owned(),
     };
-    let behind_health_check = HEALTH_CHECK.to_owned() + PARTIAL_HEAD;
+    let after_health_check = HEALTH_CHECK.to_owned() + PARTIAL_HEAD;
     vec![
         request("one byte", "G"),
         request("half a head", PARTIAL_HEAD),
-        request("half a head behind health", &behind_health_check),
+        request("half a head behind health", &after_health_check),
         request("half a body", &post("Content-Length: 9", 4)),
         request("a byte missing", &post("Content-Length: 60000", 59_999)),
         request("no chunk", &post("Transfer-Encoding: chunked", 0)),
@@ -91,7 +92,8 @@
     ]
 }
 
-/// Runs all stalled clients of a plan and sends those that were not ended in time. The thread ends with the last of them.
+/// Starts a thread that runs all stalled clients of a plan and sends those that were not terminated in time to
+/// `unterminated`. The thread ends with the last client.
 pub(crate) fn start(
     plan: SoakPlan,
     clock: Clock,
@@ -116,7 +118,7 @@
     })
 }
 
-/// A client that connects to a proxy, sends its bytes and stalls.
+/// A client that connects to a proxy, sends a partial request and stalls.
 struct StalledClient {
     proxy: usize,
     request: PartialRequest,
@@ -130,7 +132,7 @@
 }
 
 impl ClientGroup {
-    /// The clients of a kind of fault, if it has any.
+    /// The clients of a kind of fault; `None` if it has none.
     fn of(kind: &FaultKind) -> Option<Self> {
         match *kind {
             FaultKind::StalledClients { count } => Some(Self {
@@ -145,17 +147,17 @@
         }
     }
 
-    /// Selects the proxy of each client and what it sends.
+    /// Selects the proxy and the partial request of each client at random.
     fn clients(&self, plan: &SoakPlan, fault: &Fault, proxies: usize) -> Vec<StalledClient> {
         let mut rng = seeded_rng(plan.seed, STREAM ^ fault.start_seconds.to_bits());
-        let crowded_proxy = targets(plan, fault, 1, proxies)[0];
+        let silent_clients_proxy = targets(plan, fault, 1, proxies)[0];
         let requests = partial_requests();
         let client = |_| {
             let request = requests[rng.random_range(0..requests.len())].clone();
             let proxy = rng.random_range(0..proxies);
             if self.is_silent {
                 StalledClient {
-                    proxy: crowded_proxy,
+                    proxy: silent_clients_proxy,
                     request: PartialRequest {
                         name: "nothing",
                         bytes: String::new(),
@@ -170,7 +172,7 @@
 }
 
 impl StalledClient {
-    /// Runs the client on a thread of its own. Fails if the machine has no thread left.
+    /// Runs the client on its own thread. Fails if the system cannot create a thread.
     fn spawn(
         self,
         address: SocketAddr,
@@ -196,7 +198,7 @@
     }
 }
 
-/// Whether the client got an error or a close in time, or could not connect.
+/// Whether the client received an error response or a close in time, or could not connect.
 fn is_terminated_in_time(address: SocketAddr, request: &PartialRequest) -> bool {
     let Ok(mut stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) else {
         return true;
