--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! Soak tests: real proxies among emulated backends, discovery and clients, under random faults that overlap.
+//! Soak tests: real proxies in an emulated environment under random, overlapping faults.
 //!
-//! [`SoakPlan::generate`] makes a plan from a seed. A plan is a file that can be read, changed and run again. [`run`]
-//! runs it on top of a rehearsal. The [`SoakResult`] rests on three checks: the invariants that the proxies check
-//! themselves, the audit of the ledger, and whether clients that stall in a request get an end. [`shrink`] removes
-//! faults from a failing plan for as long as it still fails.
+//! [`SoakPlan::generate`] makes a plan from a seed. A plan is stored in a file, which can be edited and run again.
+//! [`run`] runs it as a rehearsal. The [`SoakResult`] combines three checks: the invariants that the proxies check at run
+//! time, the audit of the ledger, and whether stalled clients are terminated. [`shrink`] removes faults from a failing plan
+//! while it still fails.
 mod error;
 mod generate;
 mod plan;
--- a/crates/soak/src/shrink.rs
+++ b/crates/soak/src/shrink.rs
@@ -1,8 +1,8 @@
-//! Shrinks a failing plan.
+//! Shrinking of a failing plan to fewer faults.
 use crate::plan::SoakPlan;
 
-/// Removes faults from a plan for as long as `fails` holds: first half of them at a time, then ever smaller parts, down
-/// to single faults. Returns the smallest plan that failed, or the first error of `fails`.
+/// Removes faults from a plan while `fails` returns true for the rest: first half of them at a time, then smaller and
+/// smaller parts, down to single faults. Returns the smallest plan that failed, or the first error of `fails`.
 pub fn shrink<E>(
     plan: &SoakPlan,
     mut fails: impl FnMut(&SoakPlan) -> Result<bool, E>,
