--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a plan could not be run. None of these is a fault of the proxies.
+/// Error that prevents a plan from running. None of them is a failure of the proxies.
 #[derive(Debug, Error)]
 pub enum SoakError {
     /// A file can't be read or written.
@@ -15,15 +15,15 @@
         source: std::io::Error,
     },
     /// A plan's file can't be parsed.
-    #[error("the plan: {0}")]
+    #[error("invalid plan: {0}")]
     Parse(#[from] toml::de::Error),
-    /// The plan makes no valid scenario.
-    #[error("the plan: {0}")]
+    /// The scenario made from the plan is invalid.
+    #[error("the plan does not give a valid scenario: {0}")]
     Scenario(String),
-    /// The library that makes system calls fail is not there.
-    #[error("there is no {}: build birchhub-fault-shim, or name it", .0.display())]
+    /// The fault shim does not exist at this path.
+    #[error("there is no fault shim at {}; build birchhub-fault-shim or give its path", .0.display())]
     MissingShim(PathBuf),
-    /// The rehearsal could not be run to its end.
+    /// The rehearsal did not run to its end.
     #[error(transparent)]
     Rehearsal(#[from] RehearsalError),
 }
