--- a/crates/soak/src/generate.rs
+++ b/crates/soak/src/generate.rs
@@ -1,4 +1,4 @@
-//! Generates a plan from a seed.
+//! Generation of a plan from a seed.
 use crate::plan::{Fault, FaultKind, SoakPlan};
 use birchhub_backend_model::work::seeded_rng;
 use birchhub_emulator::relay::NetworkFault;
@@ -6,30 +6,30 @@
 use rand::seq::IndexedRandom;
 use std::ops::Range;
 
-/// Stream of random numbers for plans, distinct from the other streams of a seed.
+/// Random stream for plans, distinct from the other streams of a seed.
 const STREAM: u64 = 0x50A4;
-/// Number of backends as a ratio of the number of proxies.
+/// Number of backends per proxy.
 const BACKENDS_PER_PROXY: f64 = 0.75;
-/// Smallest number of backends.
+/// Minimum number of backends.
 const MIN_BACKENDS: usize = 8;
-/// Requests per second and proxy.
+/// Rate of requests per proxy, in requests per second.
 const REQUESTS_PER_SECOND_AND_PROXY: f64 = 12.0;
-/// Fraction of requests whose client cancels.
+/// Fraction of requests that clients cancel.
 const CANCELLED_FRACTION: f64 = 0.04;
 /// Fraction of requests that are sent slowly.
 const SLOW_FRACTION: f64 = 0.02;
-/// Time without faults at the start and at the end of a plan.
+/// Duration without faults at the start and at the end of a plan.
 const QUIET_SECONDS: f64 = 1.0;
 /// Duration of a fault.
 const FAULT_SECONDS: Range<f64> = 0.5..5.0;
-/// Mean time from the start of one fault to the start of the next. Two to three faults overlap.
+/// Mean interval between the starts of faults. Two to three faults overlap on average.
 const SECONDS_PER_FAULT: f64 = 1.2;
-/// Step of a wall clock, forward or back: one hour.
+/// Size of a step of the wall clock, forward or backward: one hour.
 const CLOCK_STEP_SECONDS: i64 = 3600;
-/// Number of clients that send nothing.
+/// Number of clients of a fault that connect and send nothing.
 const SILENT_CLIENTS: usize = 60;
 
-/// Faults of system calls; each is one that Linux documents for the call.
+/// Faults of system calls. Linux documents each of them for its call.
 const SYSTEM_CALL_FAULTS: [&str; 12] = [
     "recv=EINTR@0.2",
     "recv=short@0.3",
@@ -57,7 +57,7 @@
 ];
 
 impl SoakPlan {
-    /// Generates the plan of a seed for a number of proxies, with requests for `seconds` seconds.
+    /// Generates the plan of a seed for a number of proxies. Clients send requests for `seconds` seconds.
     pub fn generate(seed: u64, seconds: f64, proxies: usize) -> Self {
         let mut rng = seeded_rng(seed, STREAM);
         let backends = (proxies as f64 * BACKENDS_PER_PROXY) as usize;
@@ -92,23 +92,23 @@
     let latest_start = (seconds - QUIET_SECONDS - duration).max(QUIET_SECONDS);
     let start = rng.random_range(QUIET_SECONDS..=latest_start);
     Fault {
-        name: format!("{}-{number}", name_of(&kind)),
-        start_seconds: round(start),
-        duration_seconds: round(duration),
+        name: format!("{}-{number}", name_prefix(&kind)),
+        start_seconds: round_to_ms(start),
+        duration_seconds: round_to_ms(duration),
         kind,
     }
 }
 
-/// Rounds to milliseconds, which keeps the plan's file readable.
-fn round(seconds: f64) -> f64 {
+/// Rounds to milliseconds, so that the plan's file is readable.
+fn round_to_ms(seconds: f64) -> f64 {
     (seconds * 1e3).round() / 1e3
 }
 
-/// Generates what a fault does.
+/// Generates the kind of a fault and its parameters.
 fn generate_kind(proxies: usize, backends: usize, rng: &mut impl Rng) -> FaultKind {
     let few_backends = rng.random_range(1..=(backends / 4).max(1));
     let few_proxies = rng.random_range(1..=(proxies / 4).max(1));
-    let fraction = round(rng.random_range(0.1..0.6));
+    let fraction = round_to_ms(rng.random_range(0.1..0.6));
     let count = few_backends;
     match rng.random_range(0..24) {
         0 => FaultKind::BackendStall { count },
@@ -125,7 +125,7 @@
         },
         11 => FaultKind::DiscoveryDown,
         12 => FaultKind::DiscoveryLate {
-            delay_seconds: round(rng.random_range(0.2..2.0)),
+            delay_seconds: round_to_ms(rng.random_range(0.2..2.0)),
         },
         13 => FaultKind::ProxyKill { count: few_proxies },
         14 => FaultKind::ProxyRestart { count: few_proxies },
@@ -142,8 +142,8 @@
     }
 }
 
-/// The first part of a fault's name, which plans show.
-fn name_of(kind: &FaultKind) -> &'static str {
+/// The prefix of a fault's name, from its kind.
+fn name_prefix(kind: &FaultKind) -> &'static str {
     match kind {
         FaultKind::BackendStall { .. } => "stall",
         FaultKind::BackendCrash { .. } => "crash",
