--- a/crates/soak/src/stalled_clients.rs
+++ b/crates/soak/src/stalled_clients.rs
@@ -1,6 +1,6 @@
 //! Clients that stall within a request or send nothing. A proxy must terminate each with an error response or a close.
 use crate::plan::{Fault, FaultKind, SoakPlan};
-use crate::scenario::targets;
+use crate::scenario::select_targets;
 use birchhub_backend_model::work::seeded_rng;
 use birchhub_emulator::Clock;
 use rand::Rng;
@@ -150,7 +150,7 @@
     /// Selects the proxy and the partial request of each client at random.
     fn clients(&self, plan: &SoakPlan, fault: &Fault, proxies: usize) -> Vec<StalledClient> {
         let mut rng = seeded_rng(plan.seed, STREAM ^ fault.start_seconds.to_bits());
-        let silent_clients_proxy = targets(plan, fault, 1, proxies)[0];
+        let silent_clients_proxy = select_targets(plan, fault, 1, proxies)[0];
         let requests = partial_requests();
         let client = |_| {
             let request = requests[rng.random_range(0..requests.len())].clone();
