--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,31 +1,31 @@
-//! The plan of a soak: which faults occur when, and its file.
+//! The plan of a soak: its faults with their times, and its file format.
 use crate::error::SoakError;
 use birchhub_emulator::relay::NetworkFault;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// What a soak runs. The same plan has the same faults in each run; only the machine's timing differs.
+/// The plan of a soak. Every run of a plan has the same faults; runs differ only in the machine's timing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct SoakPlan {
-    /// Seed of all random choices of a run.
+    /// Seed of all random decisions of a run.
     pub seed: u64,
-    /// Time for which clients send requests, in seconds.
+    /// Duration for which clients send requests, in seconds.
     pub seconds: f64,
     /// Number of proxies.
     pub proxies: usize,
     /// Number of backends.
     pub backends: usize,
-    /// Requests per second of all clients together.
+    /// Requests per second, over all clients.
     #[serde(rename = "rate")]
     pub requests_per_second: f64,
-    /// Fraction of requests whose client cancels before the response.
+    /// Fraction of requests that clients cancel before the response.
     #[serde(rename = "leaving")]
     pub cancelled_fraction: f64,
     /// Fraction of requests that are sent slowly.
     #[serde(rename = "slow")]
     pub slow_fraction: f64,
-    /// The faults in the order in which they begin.
+    /// The faults, ordered by their start.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -37,7 +37,7 @@
         Ok(toml::from_str(&text)?)
     }
 
-    /// The plan in the form of its file.
+    /// Encodes the plan as the contents of its file.
     pub fn to_text(&self) -> String {
         toml::to_string(self).expect("every plan can be written as TOML")
     }
@@ -49,40 +49,40 @@
 pub struct Fault {
     /// Name of the fault, unique in the plan.
     pub name: String,
-    /// When it begins, in seconds.
+    /// Start of the fault, in seconds.
     #[serde(rename = "at")]
     pub start_seconds: f64,
-    /// How long it lasts, in seconds.
+    /// Duration of the fault, in seconds.
     #[serde(rename = "lasts")]
     pub duration_seconds: f64,
-    /// What happens, and to how many.
+    /// Kind of the fault and its parameters.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
-/// What happens, and to how many.
+/// A kind of fault and its parameters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum FaultKind {
     /// Backends stall.
     BackendStall {
-        /// How many.
+        /// Number of backends.
         count: usize,
     },
-    /// Backends crash and restart cold at the end.
+    /// Backends crash, and restart cold when the fault ends.
     BackendCrash {
-        /// How many.
+        /// Number of backends.
         count: usize,
     },
     /// Backends are replaced, two at a time.
     Deploy {
-        /// How many.
+        /// Number of backends.
         count: usize,
     },
-    /// Some backends execute a fraction of the requests and reset the connection in place of a response.
+    /// Some backends execute a fraction of the requests and reset the connection instead of a response.
     #[serde(rename = "reset-answers")]
     ResetResponses {
-        /// How many backends.
+        /// Number of backends.
         count: usize,
         /// Fraction of the requests, 0 to 1.
         #[serde(rename = "share")]
@@ -91,25 +91,25 @@
     /// Some backends execute a fraction of the requests and send a truncated or malformed response.
     #[serde(rename = "spoilt-answers")]
     MalformedResponses {
-        /// How many backends.
+        /// Number of backends.
         count: usize,
         /// Fraction of the requests, 0 to 1.
         #[serde(rename = "share")]
         fraction: f64,
     },
-    /// Some backends never answer a fraction of the requests.
+    /// Some backends never respond to a fraction of the requests.
     #[serde(rename = "no-answers")]
     NoResponses {
-        /// How many backends.
+        /// Number of backends.
         count: usize,
         /// Fraction of the requests, 0 to 1.
         #[serde(rename = "share")]
         fraction: f64,
     },
-    /// Some backends answer a fraction of the requests with an error.
+    /// Some backends respond to a fraction of the requests with an error.
     #[serde(rename = "errors")]
     ErrorResponses {
-        /// How many backends.
+        /// Number of backends.
         count: usize,
         /// Fraction of the requests, 0 to 1.
         #[serde(rename = "share")]
@@ -117,18 +117,18 @@
     },
     /// Some backends are partitioned from all proxies.
     Partition {
-        /// How many backends.
+        /// Number of backends.
         count: usize,
     },
     /// The connections of all proxies to some backends go through a relay that applies a network fault.
     Network {
-        /// How many backends.
+        /// Number of backends.
         count: usize,
         /// The network fault.
         #[serde(rename = "disturbance")]
         fault: NetworkFault,
     },
-    /// Discovery resets all connections.
+    /// Discovery is down and resets all connections.
     DiscoveryDown,
     /// Discovery publishes changes late.
     DiscoveryLate {
@@ -138,35 +138,35 @@
     },
     /// Proxies are killed, one after another, and restarted.
     ProxyKill {
-        /// How many.
+        /// Number of proxies.
         count: usize,
     },
     /// Proxies are shut down gracefully, one after another, and restarted.
     ProxyRestart {
-        /// How many.
+        /// Number of proxies.
         count: usize,
     },
-    /// Proxies are paused for a tenth of a second, again and again.
+    /// Proxies are paused repeatedly for a tenth of a second.
     ProxyPause {
-        /// How many.
+        /// Number of proxies.
         count: usize,
     },
     /// Proxies reload their configuration.
     #[serde(rename = "reload")]
     ProxyReload {
-        /// How many.
+        /// Number of proxies.
         count: usize,
     },
-    /// System calls of some proxies fail, are interrupted or transfer fewer bytes, by `birchhub-fault-shim`.
+    /// System calls of some proxies fail, are interrupted or transfer fewer bytes. Uses `birchhub-fault-shim`.
     SystemCalls {
-        /// How many proxies.
+        /// Number of proxies.
         count: usize,
-        /// Faults in the form of the shim without their times, such as `recv=EINTR@0.2`.
+        /// Faults in the syntax of the shim, without their times, such as `recv=EINTR@0.2`.
         faults: Vec<String>,
     },
     /// The wall clock of some proxies is stepped.
     ClockStep {
-        /// How many proxies.
+        /// Number of proxies.
         count: usize,
         /// Size of the step in seconds.
         seconds: i64,
@@ -174,12 +174,12 @@
     /// Clients stall within a request and keep the connection open.
     #[serde(rename = "stopped-clients")]
     StalledClients {
-        /// How many.
+        /// Number of clients.
         count: usize,
     },
     /// Clients connect to one proxy and send nothing.
     SilentClients {
-        /// How many, all at once.
+        /// Number of clients, which connect at the same time.
         count: usize,
     },
 }
