--- a/crates/soak/src/result.rs
+++ b/crates/soak/src/result.rs
@@ -1,4 +1,4 @@
-//! The result of a soak, from the invariants of the proxies, the audit of the ledger and the stalled clients.
+//! The result of a soak: violated invariants of the proxies, failures of the audit and unterminated clients.
 use crate::stalled_clients::UnterminatedClient;
 use birchhub_rehearsal::{Report, Verdict};
 use std::fmt;
@@ -8,19 +8,19 @@
 const VIOLATION_MARKER: &str = "invariant violated";
 /// Marks a panic in a proxy's log.
 const PANIC_MARKER: &str = "panicked";
-/// Most findings of one check that are shown.
-const SHOWN_FINDINGS: usize = 5;
+/// Maximum number of findings that are shown for each check.
+const MAX_SHOWN_FINDINGS: usize = 5;
 
-/// What the checks of a soak found.
+/// Result of a soak, with the findings of all checks.
 #[derive(Debug)]
 pub struct SoakResult {
-    /// Lines of the proxies' logs with a violated invariant or a panic.
+    /// Lines of the proxies' logs that report a violated invariant or a panic.
     pub violations: Vec<String>,
-    /// Reasons for which the audit of the ledger failed; empty if it passed or the run is void.
+    /// Reasons why the audit of the ledger failed; empty if it passed or the run is void.
     pub audit_failures: Vec<String>,
-    /// Stalled clients that got no end in time.
+    /// Stalled clients that the proxies did not terminate in time.
     pub unterminated_clients: Vec<UnterminatedClient>,
-    /// Whether the machine was too busy for times to be checked.
+    /// Whether the machine was too busy for checks of times to be valid.
     pub is_void: bool,
     /// Number of RPCs.
     pub requests: usize,
@@ -29,7 +29,7 @@
 }
 
 impl SoakResult {
-    /// Checks the report and the logs of a run.
+    /// Evaluates the report, the logs and the stalled clients of a run.
     pub(crate) fn new(
         report: &Report,
         logs: &Path,
@@ -37,7 +37,7 @@
     ) -> Self {
         let counts = &report.findings.counts;
         Self {
-            violations: violations(logs),
+            violations: read_violations(logs),
             audit_failures: match report.verdict {
                 Verdict::Fail => report.reasons.clone(),
                 Verdict::Pass | Verdict::Void => Vec::new(),
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Whether a check failed. Checks that depend on times don't fail in a void run.
+    /// Whether a check failed. In a void run, checks that depend on times are ignored.
     pub fn has_failed(&self) -> bool {
         let has_unterminated_clients = !self.unterminated_clients.is_empty() && !self.is_void;
         !self.violations.is_empty() || !self.audit_failures.is_empty() || has_unterminated_clients
     }
 
-    /// The result in one word.
+    /// The result as one word: `PASS`, `FAIL` or `VOID`.
     pub fn word(&self) -> &'static str {
         match (self.has_failed(), self.is_void) {
             (true, _) => "FAIL",
@@ -65,8 +65,8 @@
     }
 }
 
-/// Lines of all proxies' logs with a violated invariant or a panic.
-fn violations(logs: &Path) -> Vec<String> {
+/// Collects the lines of all proxies' logs that report a violated invariant or a panic.
+fn read_violations(logs: &Path) -> Vec<String> {
     let Ok(folder) = std::fs::read_dir(logs) else {
         return Vec::new();
     };
@@ -103,11 +103,11 @@
             ("audit", &self.audit_failures),
             ("clients", &unterminated_clients),
         ] {
-            for finding in findings.iter().take(SHOWN_FINDINGS) {
+            for finding in findings.iter().take(MAX_SHOWN_FINDINGS) {
                 write!(formatter, "\n  {check}: {finding}")?;
             }
-            if findings.len() > SHOWN_FINDINGS {
-                let hidden = findings.len() - SHOWN_FINDINGS;
+            if findings.len() > MAX_SHOWN_FINDINGS {
+                let hidden = findings.len() - MAX_SHOWN_FINDINGS;
                 write!(formatter, "\n  {check}: {hidden} more")?;
             }
         }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a plan.
+//! Execution of a plan.
 use crate::error::SoakError;
 use crate::plan::SoakPlan;
 use crate::result::SoakResult;
@@ -9,21 +9,21 @@
 use std::path::PathBuf;
 use std::sync::mpsc::channel;
 
-/// Name of the plan's file in the folder of a run.
+/// Name of the plan's file in the output folder of a run.
 const PLAN_FILE: &str = "plan.toml";
 
 /// Options for running a soak plan.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// The program of the proxies.
+    /// Path of the proxies' executable.
     pub program: PathBuf,
-    /// The library that makes system calls fail.
+    /// Path of the fault shim.
     pub shim: PathBuf,
-    /// Folder for the plan, the ledger, the report and the proxies' logs. It is deleted first if it exists.
+    /// Output folder for the plan, the ledger, the report and the proxies' logs. An existing folder is deleted first.
     pub out: PathBuf,
 }
 
-/// Runs a plan to its end and checks what the proxies did.
+/// Runs a plan to its end and checks the behaviour of the proxies.
 pub fn run(plan: &SoakPlan, options: &SoakOptions) -> Result<SoakResult, SoakError> {
     if !options.shim.is_file() {
         return Err(SoakError::MissingShim(options.shim.clone()));
