--- a/crates/soak/tests/plan_file.rs
+++ b/crates/soak/tests/plan_file.rs
@@ -1,4 +1,4 @@
-//! The form of a plan's file, pinned by a plan with every kind of fault and every network fault.
+//! The file format of plans, pinned by a plan with every kind of fault and every network fault.
 use birchhub_soak::SoakPlan;
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 const PROXIES: usize = 24;
 
 #[test]
-fn a_stored_plan_is_written_back_to_the_same_bytes() {
+fn a_stored_plan_is_encoded_to_the_same_bytes() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/plan-seed-3.toml");
     let plan = SoakPlan::read(&file).expect("a plan");
     assert_eq!(plan.to_text(), FIXTURE);
--- a/crates/soak/tests/plans.rs
+++ b/crates/soak/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Plans: generated from a seed, written to a file, read back and shrunk.
+//! Plans: generation from a seed, writing to and reading from a file, and shrinking.
 use birchhub_soak::{SoakPlan, shrink};
 use std::collections::HashSet;
 use std::convert::Infallible;
@@ -7,7 +7,7 @@
 const PROXIES: usize = 24;
 
 #[test]
-fn a_seed_always_generates_the_same_plan_and_others_differ() {
+fn a_seed_always_generates_the_same_plan_and_other_seeds_generate_others() {
     let plan = SoakPlan::generate(7, SECONDS, PROXIES);
     assert_eq!(plan, SoakPlan::generate(7, SECONDS, PROXIES));
     assert_ne!(plan.faults, SoakPlan::generate(8, SECONDS, PROXIES).faults);
@@ -15,20 +15,16 @@
 
 #[test]
 fn a_plan_read_from_its_file_is_equal() {
-    let folder = std::env::temp_dir().join(format!("birchhub-plan-{}", std::process::id()));
+    let file = std::env::temp_dir().join(format!("birchhub-plan-{}", std::process::id()));
     for seed in 0..50 {
         let plan = SoakPlan::generate(seed, SECONDS, PROXIES);
-        std::fs::write(&folder, plan.to_text()).expect("a file");
-        assert_eq!(
-            SoakPlan::read(&folder).expect("a plan"),
-            plan,
-            "seed {seed}"
-        );
+        std::fs::write(&file, plan.to_text()).expect("a file");
+        assert_eq!(SoakPlan::read(&file).expect("a plan"), plan, "seed {seed}");
     }
-    std::fs::remove_file(folder).expect("the file");
+    std::fs::remove_file(file).expect("the file");
 }
 
-/// More than two faults overlap in each plan, and a number of plans has all kinds of faults.
+/// More than two faults overlap in each plan, and 40 plans together contain all kinds of faults.
 #[test]
 fn faults_overlap_and_all_kinds_are_generated() {
     let mut kinds = HashSet::new();
@@ -40,10 +36,10 @@
             });
             active.count()
         };
-        let most = (0..SECONDS as u32)
+        let max_active = (0..SECONDS as u32)
             .map(|second| active_at(second.into()))
             .max();
-        assert!(most > Some(2), "seed {seed}: {most:?}");
+        assert!(max_active > Some(2), "seed {seed}: {max_active:?}");
         let names = plan.faults.iter().map(|fault| fault.name.rsplit_once('-'));
         kinds.extend(names.flatten().map(|(kind, _)| kind.to_owned()));
         let names: HashSet<_> = plan.faults.iter().map(|fault| &fault.name).collect();
@@ -52,7 +48,7 @@
     assert_eq!(kinds.len(), 19, "{kinds:?}");
 }
 
-/// A plan that fails only with two certain faults together is shrunk to these two.
+/// A plan that fails only if it has two particular faults is shrunk to these two.
 #[test]
 fn shrink_keeps_only_the_faults_that_make_a_plan_fail() {
     let plan = SoakPlan::generate(3, SECONDS, PROXIES);
@@ -64,8 +60,8 @@
         Ok::<_, Infallible>(needed.iter().all(has))
     });
     let shrunk = shrunk.expect("no error");
-    let left: Vec<_> = shrunk.faults.iter().map(|fault| &fault.name).collect();
-    assert_eq!(left, needed);
+    let remaining: Vec<_> = shrunk.faults.iter().map(|fault| &fault.name).collect();
+    assert_eq!(remaining, needed);
     assert!(runs < 60, "{runs} runs");
 }
 
