--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -51,7 +51,7 @@
 
 /// A fault and the time during which it is active.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Window {
+pub struct FaultWindow {
     /// When it begins, in seconds of the clock.
     pub from: f64,
     /// When it ends, in seconds of the clock.
@@ -74,7 +74,7 @@
 pub struct Relay {
     clock: Clock,
     target: SocketAddr,
-    windows: Vec<Window>,
+    windows: Vec<FaultWindow>,
 }
 
 impl Relay {
@@ -83,7 +83,7 @@
         clock: Clock,
         ip: IpAddr,
         target: SocketAddr,
-        windows: Vec<Window>,
+        windows: Vec<FaultWindow>,
     ) -> io::Result<SocketAddr> {
         let listener = listen((ip, 0).into(), LISTEN_BACKLOG)?;
         let address = listener.local_addr()?;
@@ -151,7 +151,7 @@
     /// The first active fault that affects bytes in this direction.
     fn active_fault(&self, direction: Direction) -> Option<NetworkFault> {
         let now = self.clock.now();
-        let is_active = |window: &&Window| window.from <= now && now < window.until;
+        let is_active = |window: &&FaultWindow| window.from <= now && now < window.until;
         let affects = |fault: &NetworkFault| match fault {
             NetworkFault::DropOutbound => direction == Direction::Outbound,
             NetworkFault::DropInbound | NetworkFault::HalfClose => direction == Direction::Inbound,
--- a/crates/emulator/tests/emulator/relays.rs
+++ b/crates/emulator/tests/emulator/relays.rs
@@ -1,7 +1,7 @@
 //! The relay: the effects of each network fault on bytes and connections, at both ends.
 use crate::common::{LOCALHOST, on_one_thread};
 use birchhub_emulator::Clock;
-use birchhub_emulator::relay::{NetworkFault, Relay, Window};
+use birchhub_emulator::relay::{FaultWindow, NetworkFault, Relay};
 use birchhub_emulator::wire::listen;
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 /// Both ends of a connection through a relay that applies a fault from the start until [`END`].
 async fn connect_with(fault: NetworkFault) -> (TcpStream, TcpStream, Clock) {
-    connect_in(Window {
+    connect_in(FaultWindow {
         from: -1.0,
         until: END,
         fault,
@@ -23,7 +23,7 @@
 }
 
 /// Both ends of a connection through a relay with this window.
-async fn connect_in(window: Window) -> (TcpStream, TcpStream, Clock) {
+async fn connect_in(window: FaultWindow) -> (TcpStream, TcpStream, Clock) {
     let clock = Clock::starting_in(Duration::ZERO);
     let listener = listen((LOCALHOST, 0).into(), 8).expect("a listener");
     let target = listener.local_addr().expect("an address");
@@ -101,7 +101,7 @@
 #[test]
 fn a_reset_ends_both_sides_as_it_begins() {
     on_one_thread(|_, _| async {
-        let (mut proxy, _backend, clock) = connect_in(Window {
+        let (mut proxy, _backend, clock) = connect_in(FaultWindow {
             from: 0.1,
             until: 0.2,
             fault: NetworkFault::Reset,
--- a/crates/rehearsal/src/environment/mod.rs
+++ b/crates/rehearsal/src/environment/mod.rs
@@ -16,7 +16,7 @@
 use birchhub_audit::{EndpointState, Event};
 use birchhub_backend_model::{StartMode, WorkDistribution};
 use birchhub_emulator::discovery_service::{Endpoint, ServiceCapacity};
-use birchhub_emulator::relay::{Relay, Window};
+use birchhub_emulator::relay::{FaultWindow, Relay};
 use birchhub_emulator::{
     BackendSpec, Clock, DiscoveryService, EmulatedBackend, EventLog, Fleet, MethodCost,
 };
@@ -125,7 +125,7 @@
 fn reachable_addresses(
     backend: &EmulatedBackend,
     ips: &[IpAddr],
-    windows: Option<&Vec<Window>>,
+    windows: Option<&Vec<FaultWindow>>,
     clock: Clock,
 ) -> io::Result<Vec<SocketAddr>> {
     let own = (0..ips.len() as u16).filter_map(|proxy| backend.address(proxy));
--- a/crates/rehearsal/src/hooks.rs
+++ b/crates/rehearsal/src/hooks.rs
@@ -1,5 +1,5 @@
 //! Hooks: faults and tasks that a soak adds to a rehearsal and that no scenario has.
-use birchhub_emulator::relay::Window;
+use birchhub_emulator::relay::FaultWindow;
 use birchhub_emulator::{Clock, SlowSend};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
     /// Environment variables of each proxy's process, by proxy.
     pub environment: HashMap<u16, Vec<(String, String)>>,
     /// Windows in which the connections of all proxies to a backend are disturbed, by backend.
-    pub links: HashMap<u32, Vec<Window>>,
+    pub links: HashMap<u32, Vec<FaultWindow>>,
     /// Fraction of the clients' requests that is sent slowly, from 0 to 1.
     pub slow: f64,
     /// Whether each proxy receives SIGTERM at the end and is given the time to shut down gracefully.
--- a/crates/soak/src/scenario.rs
+++ b/crates/soak/src/scenario.rs
@@ -2,7 +2,7 @@
 use crate::error::SoakError;
 use crate::plan::{Fault, FaultKind, SoakPlan};
 use birchhub_backend_model::work::seeded_rng;
-use birchhub_emulator::relay::Window;
+use birchhub_emulator::relay::FaultWindow;
 use birchhub_rehearsal::duration::ScenarioDuration;
 use birchhub_rehearsal::hooks::Hooks;
 use birchhub_rehearsal::plan::Action;
@@ -162,7 +162,7 @@
         let end = planned.start_seconds + planned.duration_seconds;
         match &planned.kind {
             FaultKind::Network { count, fault } => {
-                let window = Window {
+                let window = FaultWindow {
                     from: start,
                     until: end,
                     fault: *fault,
