--- a/crates/soak/src/scenario.rs
+++ b/crates/soak/src/scenario.rs
@@ -22,7 +22,7 @@
 
 /// Size and timing of the batches of a deploy.
 const DEPLOY_TIMING: &str = "batch = 2\nevery = \"800ms\"\nlead = \"500ms\"\nstop-after = \"2s\"\n";
-/// Interval between the proxies that end, and the delay until each is restarted.
+/// Interval between the shutdowns of proxies, and the delay until each proxy is restarted.
 const RESTART_TIMING: &str = "every = \"400ms\"\nback-after = \"600ms\"\n";
 
 /// A rehearsal that is ready to run.
