--- a/crates/emulator/src/backend/connections.rs
+++ b/crates/emulator/src/backend/connections.rs
@@ -1,7 +1,8 @@
-//! Connections of proxies to an emulated backend: accepting, partitions, stalls and the order of requests.
+//! Connections of proxies to an emulated backend: accepts them, serves their requests in order, and applies partitions
+//! and stalls.
 use super::EmulatedBackend;
 use super::connection_slot::{ConnectionSlot, NextStep};
-use super::incarnation::Shutdown;
+use super::incarnation::IncarnationState;
 use super::requests::ReceivedRequest;
 use crate::protocol::{HEALTH_CHECK_PATH, LOAD_REPORT_PATH};
 use crate::wire::{MessageKind, Peer};
@@ -15,48 +16,51 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Pause before accepting again after an error, such as a lack of file descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(5);
+/// Delay before accepting again after an error, such as a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 impl EmulatedBackend {
     /// Accepts the connections of one proxy until the incarnation ends.
-    pub(super) async fn accept(
+    pub(super) async fn accept_connections(
         self: Rc<Self>,
         number: u32,
         proxy: u16,
         listener: TcpListener,
-        mut shutdown: watch::Receiver<Shutdown>,
+        mut state: watch::Receiver<IncarnationState>,
     ) {
         loop {
             let accepted = select! {
                 biased;
-                _ = shutdown.changed() => return,
-                () = self.until_partitioned(proxy, true) => {
-                    self.until_partitioned(proxy, false).await;
+                _ = state.changed() => return,
+                () = self.wait_for_partition(proxy, true) => {
+                    self.wait_for_partition(proxy, false).await;
                     reset_pending(&listener).await;
                     continue;
                 }
-                // Also while the process is stalled: the operating system completes connections for it.
+                // Accepts also during a stall: the kernel completes the handshakes of a stalled process.
                 accepted = listener.accept() => accepted,
             };
             match accepted {
                 Ok((stream, _)) => {
-                    let slot = self.clone().slot(number);
+                    let slot = self.clone().acquire_slot(number);
                     let peer = Peer::new(stream);
-                    spawn_local(self.clone().connection(peer, proxy, slot, shutdown.clone()));
+                    spawn_local(
+                        self.clone()
+                            .serve_connection(peer, proxy, slot, state.clone()),
+                    );
                 }
                 Err(error) => {
                     log::warn!("{}: accept failed, retrying: {error}", self.spec.name);
-                    sleep(ACCEPT_RETRY).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Takes a place for a connection, if the model has one left.
-    fn slot(self: Rc<Self>, number: u32) -> ConnectionSlot {
+    /// Registers a connection with the model, which grants a slot if its limit of connections is not reached.
+    fn acquire_slot(self: Rc<Self>, number: u32) -> ConnectionSlot {
         let is_granted = self
-            .with(number, |incarnation| incarnation.model.connect())
+            .with_incarnation(number, |incarnation| incarnation.model.connect())
             .unwrap_or(false);
         ConnectionSlot {
             backend: self,
@@ -65,35 +69,37 @@
         }
     }
 
-    /// Serves one connection until it or the incarnation ends. During a partition nothing is read or written; at its
-    /// end the connection is reset.
-    async fn connection(
+    /// Serves one connection until it or the incarnation ends. A partition suspends reads and writes; the connection is
+    /// reset when the partition ends.
+    async fn serve_connection(
         self: Rc<Self>,
         mut peer: Peer,
         proxy: u16,
         slot: ConnectionSlot,
-        mut shutdown: watch::Receiver<Shutdown>,
+        mut state: watch::Receiver<IncarnationState>,
     ) {
         let ended = async {
-            let shutdown = shutdown.wait_for(|state| *state != Shutdown::Running).await;
-            shutdown.map_or(Shutdown::Crashed, |shutdown| *shutdown)
+            let ended = state
+                .wait_for(|state| *state != IncarnationState::Running)
+                .await;
+            ended.map_or(IncarnationState::Crashed, |state| *state)
         };
         let is_reset = select! {
             biased;
-            shutdown = ended => shutdown == Shutdown::Crashed,
-            () = self.until_partitioned(proxy, true) => {
-                self.until_partitioned(proxy, false).await;
+            state = ended => state == IncarnationState::Crashed,
+            () = self.wait_for_partition(proxy, true) => {
+                self.wait_for_partition(proxy, false).await;
                 true
             }
-            next = self.serve(&mut peer, proxy, &slot) => next == NextStep::Reset,
+            next = self.serve_requests(&mut peer, proxy, &slot) => next == NextStep::Reset,
         };
         if is_reset {
             peer.reset();
         }
     }
 
-    /// Serves the requests of a connection, one after another.
-    async fn serve(&self, peer: &mut Peer, proxy: u16, slot: &ConnectionSlot) -> NextStep {
+    /// Serves the requests of a connection sequentially.
+    async fn serve_requests(&self, peer: &mut Peer, proxy: u16, slot: &ConnectionSlot) -> NextStep {
         let clock = self.fleet.event_log.clock;
         let idle_timeout = Duration::from_secs_f64(self.spec.idle_timeout_seconds);
         loop {
@@ -102,7 +108,7 @@
                 return NextStep::Close;
             };
             let request = ReceivedRequest {
-                closed_at: self.until_not_stalled(peer, slot.incarnation).await,
+                closed_at: self.wait_while_stalled(peer, slot.incarnation).await,
                 message,
                 proxy,
             };
@@ -122,20 +128,21 @@
         }
     }
 
-    /// Waits until this proxy is partitioned from the backend, or no longer is.
-    async fn until_partitioned(&self, proxy: u16, expected: bool) {
+    /// Waits until the backend is partitioned from this proxy, or is not if `expected` is false.
+    async fn wait_for_partition(&self, proxy: u16, expected: bool) {
         let mut fault_state = self.fault_state.subscribe();
         while self.faults.is_partitioned(proxy) != expected {
             let _ = fault_state.changed().await;
         }
     }
 
-    /// Waits until the process is not stalled. Returns when the peer closed the connection, if it did meanwhile.
-    async fn until_not_stalled(&self, peer: &mut Peer, number: u32) -> Option<f64> {
+    /// Waits until the process is not stalled. Returns the time at which the peer closed the connection, if it did so
+    /// during the stall.
+    async fn wait_while_stalled(&self, peer: &mut Peer, number: u32) -> Option<f64> {
         let mut fault_state = self.fault_state.subscribe();
         let mut closed_at = None;
         while self
-            .with(number, |incarnation| incarnation.is_stalled())
+            .with_incarnation(number, |incarnation| incarnation.is_stalled())
             .unwrap_or(false)
         {
             select! {
@@ -149,7 +156,7 @@
     }
 }
 
-/// Resets the connections that were opened during a partition.
+/// Resets the connections that the kernel accepted during a partition.
 async fn reset_pending(listener: &TcpListener) {
     while let Poll::Ready(Ok((stream, _))) =
         poll_fn(|context| Poll::Ready(listener.poll_accept(context))).await
--- a/crates/emulator/src/backend/incarnation.rs
+++ b/crates/emulator/src/backend/incarnation.rs
@@ -1,4 +1,4 @@
-//! One run of an emulated backend's process, from its start to its end.
+//! An incarnation of an emulated backend: one run of its process, from start to exit.
 use super::EmulatedBackend;
 use crate::wire::listen;
 use birchhub_audit::Event;
@@ -9,22 +9,22 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::spawn_local;
 
-/// Connections that may wait to be accepted at a listener.
+/// Backlog of each listener, in connections.
 const LISTEN_BACKLOG: u32 = 256;
 
-/// How an incarnation ends for its connections.
+/// Whether an incarnation runs, and otherwise how its connections end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Shutdown {
-    /// The incarnation has not ended.
+pub(super) enum IncarnationState {
+    /// The process is running.
     Running,
-    /// Connections are closed.
+    /// The process was stopped: its connections are closed.
     Stopped,
-    /// Connections are reset.
+    /// The process crashed: its connections are reset.
     Crashed,
 }
 
-/// Notifies the connection of an attempt that its execution is over. A sender that is dropped without it means that the
-/// incarnation has ended.
+/// Sent to the connection of an attempt when its execution ends. A sender that is dropped without sending it means that
+/// the incarnation has ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Completion;
 
@@ -33,10 +33,10 @@
     /// Number of the incarnation, unique in the fleet.
     pub number: u32,
     pub model: Backend,
-    /// Connections that wait for the execution of an attempt.
-    pub waiting: HashMap<AttemptId, oneshot::Sender<Completion>>,
-    pub shutdown: watch::Sender<Shutdown>,
-    /// Numbers of the stalls that last.
+    /// Senders to the connections that wait for the execution of an attempt.
+    pub completion_senders: HashMap<AttemptId, oneshot::Sender<Completion>>,
+    pub state: watch::Sender<IncarnationState>,
+    /// Numbers of the active stalls.
     pub stalls: BTreeSet<u64>,
 }
 
@@ -70,21 +70,23 @@
         cold: start == StartMode::Cold,
         warm_capacity: (spec.cores as f64 * spec.speed) as f32,
     });
-    let (shutdown, shutdown_seen) = watch::channel(Shutdown::Running);
+    let (state, state_receiver) = watch::channel(IncarnationState::Running);
     *backend.incarnation.borrow_mut() = Some(Incarnation {
         number,
         model,
-        waiting: HashMap::new(),
-        shutdown,
+        completion_senders: HashMap::new(),
+        state,
         stalls: BTreeSet::new(),
     });
     for (proxy, listener) in listeners.into_iter().enumerate() {
-        let accepting =
-            backend
-                .clone()
-                .accept(number, proxy as u16, listener, shutdown_seen.clone());
+        let accepting = backend.clone().accept_connections(
+            number,
+            proxy as u16,
+            listener,
+            state_receiver.clone(),
+        );
         spawn_local(accepting);
     }
-    spawn_local(backend.clone().drive(number, shutdown_seen));
+    spawn_local(backend.clone().drive(number, state_receiver));
     Ok(number)
 }
--- a/crates/emulator/src/discovery_service/connections.rs
+++ b/crates/emulator/src/discovery_service/connections.rs
@@ -11,8 +11,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Pause before accepting again after an error, such as a lack of file descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(5);
+/// Delay before accepting again after an error, such as a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// How the service ends a connection.
 enum ConnectionEnd {
@@ -23,31 +23,31 @@
 }
 
 impl From<io::Error> for ConnectionEnd {
-    /// A connection that can't be written to is closed.
+    /// Closes a connection after a write error.
     fn from(_: io::Error) -> Self {
         Self::Close
     }
 }
 
 impl DiscoveryService {
-    /// Accepts the connections of one proxy. Never ends.
-    pub(super) async fn accept(self: Rc<Self>, proxy: u16, listener: TcpListener) {
+    /// Accepts the connections of one proxy. Never returns.
+    pub(super) async fn accept_connections(self: Rc<Self>, proxy: u16, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) if self.is_down() => Peer::new(stream).reset(),
                 Ok((stream, _)) => {
-                    spawn_local(self.clone().connection(proxy, Peer::new(stream)));
+                    spawn_local(self.clone().serve_connection(proxy, Peer::new(stream)));
                 }
                 Err(error) => {
                     log::warn!("discovery service: accept failed, retrying: {error}");
-                    sleep(ACCEPT_RETRY).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
     /// Serves one connection until it ends.
-    async fn connection(self: Rc<Self>, proxy: u16, mut peer: Peer) {
+    async fn serve_connection(self: Rc<Self>, proxy: u16, mut peer: Peer) {
         loop {
             match self.serve_call(proxy, &mut peer).await {
                 Ok(()) => {}
@@ -62,7 +62,7 @@
         let clock = self.event_log.clock;
         let message = select! {
             message = peer.read(MessageKind::Request, &clock) => message,
-            () = self.until_down() => return Err(ConnectionEnd::Reset),
+            () = self.wait_until_down() => return Err(ConnectionEnd::Reset),
         };
         let message = message.map_err(|_| ConnectionEnd::Close)?;
         let Some(call) = ListCall::parse(&message) else {
@@ -77,23 +77,24 @@
                 return self.reject(peer).await;
             }
         }
-        if let Some(from) = call.from {
-            if self.with_snapshot(proxy, |list| list.version == from) {
-                // A watch that waits uses no capacity.
+        if let Some(since) = call.since {
+            if self.with_snapshot(proxy, |list| list.version == since) {
+                // A waiting watch uses no capacity, so its slot is released.
                 slot = None;
             }
             select! {
-                () = self.until_newer(proxy, from, call.hold) => {}
-                () = self.until_down() => return Err(ConnectionEnd::Reset),
+                () = self.wait_for_change(proxy, since, call.max_wait) => {}
+                () = self.wait_until_down() => return Err(ConnectionEnd::Reset),
                 () = peer.closed() => return Err(ConnectionEnd::Close),
             }
         }
-        // A version that was never given out is from another service: the response is then the complete list.
-        let from = call
-            .from
-            .filter(|from| self.with_snapshot(proxy, |list| *from <= list.version));
-        let response = self.process(proxy, from, capacity.as_ref(), slot).await?;
-        self.respond(proxy, peer, from, response).await
+        // A version that this service has not issued yet comes from another instance of the service: the response is then
+        // the complete list.
+        let since = call
+            .since
+            .filter(|since| self.with_snapshot(proxy, |list| *since <= list.version));
+        let response = self.process(proxy, since, capacity.as_ref(), slot).await?;
+        self.respond(proxy, peer, since, response).await
     }
 
     /// Rejects a call for lack of capacity.
@@ -103,11 +104,11 @@
         Ok(())
     }
 
-    /// Makes the response to a call, for which it needs a slot and takes time if the capacity is limited.
+    /// Prepares the response to a call. If the capacity is limited, this needs a slot and takes processing time.
     async fn process<'a>(
         &self,
         proxy: u16,
-        from: Option<u64>,
+        since: Option<u64>,
         capacity: Option<&'a ServiceCapacity>,
         mut slot: Option<SemaphorePermit<'a>>,
     ) -> Result<ListResponse, ConnectionEnd> {
@@ -115,23 +116,23 @@
             if slot.is_none() {
                 slot = capacity.acquire().await;
             }
-            let endpoints = self.response(proxy, from).notifications.len() as u32;
+            let endpoints = self.response(proxy, since).notifications.len() as u32;
             select! {
                 () = sleep(capacity.processing_time(endpoints)) => {}
-                () = self.until_down() => return Err(ConnectionEnd::Reset),
+                () = self.wait_until_down() => return Err(ConnectionEnd::Reset),
             }
         }
-        let response = self.response(proxy, from);
+        let response = self.response(proxy, since);
         drop(slot);
         Ok(response)
     }
 
-    /// Writes a response and records what it notifies the proxy of.
+    /// Writes a response and records the states that it notifies the proxy of.
     async fn respond(
         &self,
         proxy: u16,
         peer: &mut Peer,
-        from: Option<u64>,
+        since: Option<u64>,
         list: ListResponse,
     ) -> Result<(), ConnectionEnd> {
         let headers = [("Content-Type", "application/json")];
@@ -139,22 +140,23 @@
         peer.write(&response(200, &headers, body.as_bytes()))
             .await?;
         self.answered_calls.set(self.answered_calls.get() + 1);
-        self.record_notifications(proxy, from.is_none(), list.notifications);
+        self.record_notifications(proxy, since.is_none(), list.notifications);
         Ok(())
     }
 
-    async fn until_down(&self) {
+    /// Waits until a fault takes the service down.
+    async fn wait_until_down(&self) {
         let mut changed = self.changed.subscribe();
         while !self.is_down() {
             let _ = changed.changed().await;
         }
     }
 
-    /// Waits until the proxy's list has another version than `from`, at most for `hold`.
-    async fn until_newer(&self, proxy: u16, from: u64, hold: Duration) {
-        let deadline = Instant::now() + hold;
+    /// Waits until the proxy's list has another version than `since`, for at most `max_wait`.
+    async fn wait_for_change(&self, proxy: u16, since: u64, max_wait: Duration) {
+        let deadline = Instant::now() + max_wait;
         let mut changed = self.changed.subscribe();
-        while self.with_snapshot(proxy, |list| list.version == from) {
+        while self.with_snapshot(proxy, |list| list.version == since) {
             select! {
                 _ = changed.changed() => {}
                 () = sleep_until(deadline) => return,
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -1,5 +1,5 @@
-//! A fault-injecting relay: it forwards bytes between a proxy and the address that the proxy connects to, and disturbs
-//! them at planned times.
+//! Fault-injecting relay: it forwards bytes between a proxy and the address that the proxy connects to, and applies
+//! network faults at planned times.
 use crate::clock::Clock;
 use crate::wire::listen;
 use serde::{Deserialize, Serialize};
@@ -15,62 +15,66 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
-/// Connections that may wait to be accepted.
+/// Backlog of the listener, in connections.
 const LISTEN_BACKLOG: u32 = 256;
-/// Pause before accepting again after an error, such as a lack of file descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(5);
-/// Most bytes that are forwarded at a time.
+/// Delay before accepting again after an error, such as a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Maximum number of bytes that are forwarded at a time.
 const CHUNK_BYTES: usize = 16 << 10;
-/// Length of the segments into which [`Disturbance::Split`] splits a chunk.
+/// Length of the segments into which [`NetworkFault::Split`] splits a chunk.
 const SEGMENT_BYTES: usize = 7;
-/// Time for which [`Disturbance::Join`] holds bytes back to join them with the next ones.
-const JOIN_TIME: Duration = Duration::from_millis(3);
+/// Time for which [`NetworkFault::Coalesce`] delays a chunk to forward it together with the bytes that follow.
+const COALESCE_DELAY: Duration = Duration::from_millis(3);
 
-/// A disturbance of a connection or of its bytes. Outward is the direction from the proxy, inward the one to it.
+/// A fault of a connection or of the bytes on it. Outbound bytes come from the proxy, inbound bytes go to it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Disturbance {
+pub enum NetworkFault {
     /// Delays every chunk in both directions, in milliseconds.
     Delay(u64),
-    /// Drops what the proxy sends. The connection is reset when the disturbance ends.
-    SilenceOutward,
-    /// Drops what is sent to the proxy. The connection is reset when the disturbance ends.
-    SilenceInward,
-    /// Resets the connections that are open when the disturbance begins.
+    /// Drops the bytes that the proxy sends. The connection is reset when the fault ends.
+    #[serde(rename = "silence-outward")]
+    DropOutbound,
+    /// Drops the bytes that are sent to the proxy. The connection is reset when the fault ends.
+    #[serde(rename = "silence-inward")]
+    DropInbound,
+    /// Resets the connections that are open when the fault begins.
     Reset,
-    /// Closes the direction to the proxy, which may still write.
+    /// Closes the inbound direction; the proxy can still send.
     HalfClose,
     /// Splits chunks into segments of a few bytes.
     Split,
-    /// Holds chunks back for a moment and joins them with the next ones.
-    Join,
+    /// Delays each chunk briefly and forwards it together with the bytes that follow.
+    #[serde(rename = "join")]
+    Coalesce,
 }
 
-/// A disturbance and the time for which it lasts.
+/// A fault and the time during which it is active.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Window {
+pub struct FaultWindow {
     /// When it begins, in seconds of the clock.
     pub from: f64,
     /// When it ends, in seconds of the clock.
     pub until: f64,
-    /// What it does.
-    pub disturbance: Disturbance,
+    /// The fault.
+    #[serde(rename = "disturbance")]
+    pub fault: NetworkFault,
 }
 
 /// Direction in which bytes are forwarded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Direction {
     /// From the proxy.
-    Outward,
+    Outbound,
     /// To the proxy.
-    Inward,
+    Inbound,
 }
 
 /// The relay in front of one address.
 pub struct Relay {
     clock: Clock,
     target: SocketAddr,
-    windows: Vec<Window>,
+    windows: Vec<FaultWindow>,
 }
 
 impl Relay {
@@ -79,7 +83,7 @@
         clock: Clock,
         ip: IpAddr,
         target: SocketAddr,
-        windows: Vec<Window>,
+        windows: Vec<FaultWindow>,
     ) -> io::Result<SocketAddr> {
         let listener = listen((ip, 0).into(), LISTEN_BACKLOG)?;
         let address = listener.local_addr()?;
@@ -88,20 +92,20 @@
             target,
             windows,
         });
-        spawn_local(relay.accept(listener));
+        spawn_local(relay.accept_connections(listener));
         Ok(address)
     }
 
-    async fn accept(self: Rc<Self>, listener: TcpListener) {
+    async fn accept_connections(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => drop(spawn_local(self.clone().connection(stream))),
-                Err(_) => sleep(ACCEPT_RETRY).await,
+                Ok((stream, _)) => drop(spawn_local(self.clone().serve_connection(stream))),
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 
-    async fn connection(self: Rc<Self>, proxy: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, proxy: TcpStream) {
         let Ok(target) = TcpStream::connect(self.target).await else {
             return reset(&proxy);
         };
@@ -111,29 +115,29 @@
         let (proxy_read, mut proxy_write) = proxy.into_split();
         let (target_read, mut target_write) = target.into_split();
         let is_broken = {
-            let outward = self.forward(Direction::Outward, &proxy_read, &mut target_write);
-            let inward = self.forward(Direction::Inward, &target_read, &mut proxy_write);
-            let both = async { tokio::join!(outward, inward) };
+            let outbound = self.forward(Direction::Outbound, &proxy_read, &mut target_write);
+            let inbound = self.forward(Direction::Inbound, &target_read, &mut proxy_write);
+            let both = async { tokio::join!(outbound, inbound) };
             select! {
                 _ = both => false,
-                () = self.until_reset(opened_at) => true,
+                () = self.wait_for_reset(opened_at) => true,
             }
         };
         if is_broken {
             reset(proxy_read.as_ref());
             reset(target_read.as_ref());
-            // Dropping the write halves would close the connections before the reset.
+            // Dropping the write halves would shut the connections down before they are reset.
             proxy_write.forget();
             target_write.forget();
         }
     }
 
-    /// Waits until a connection that was opened at `opened_at` is to be reset.
-    async fn until_reset(&self, opened_at: f64) {
+    /// Waits until the first time after `opened_at` at which a fault resets connections; forever if there is none.
+    async fn wait_for_reset(&self, opened_at: f64) {
         let resets = self.windows.iter().filter_map(|window| {
-            let at = match window.disturbance {
-                Disturbance::Reset => window.from,
-                Disturbance::SilenceOutward | Disturbance::SilenceInward => window.until,
+            let at = match window.fault {
+                NetworkFault::Reset => window.from,
+                NetworkFault::DropOutbound | NetworkFault::DropInbound => window.until,
                 _ => return None,
             };
             Some(at).filter(|at| *at > opened_at)
@@ -144,24 +148,25 @@
         }
     }
 
-    /// The disturbance of bytes in this direction at the present time.
-    fn active(&self, direction: Direction) -> Option<Disturbance> {
+    /// The first active fault that affects bytes in this direction.
+    fn active_fault(&self, direction: Direction) -> Option<NetworkFault> {
         let now = self.clock.now();
-        let lasts = |window: &&Window| window.from <= now && now < window.until;
-        let concerns = |disturbance: &Disturbance| match disturbance {
-            Disturbance::SilenceOutward => direction == Direction::Outward,
-            Disturbance::SilenceInward | Disturbance::HalfClose => direction == Direction::Inward,
-            Disturbance::Reset => false,
-            Disturbance::Delay(_) | Disturbance::Split | Disturbance::Join => true,
+        let is_active = |window: &&FaultWindow| window.from <= now && now < window.until;
+        let affects = |fault: &NetworkFault| match fault {
+            NetworkFault::DropOutbound => direction == Direction::Outbound,
+            NetworkFault::DropInbound | NetworkFault::HalfClose => direction == Direction::Inbound,
+            NetworkFault::Reset => false,
+            NetworkFault::Delay(_) | NetworkFault::Split | NetworkFault::Coalesce => true,
         };
-        let active = self.windows.iter().filter(lasts);
-        active.map(|window| window.disturbance).find(concerns)
+        let active = self.windows.iter().filter(is_active);
+        active.map(|window| window.fault).find(affects)
     }
 
-    /// Forwards bytes in one direction until either side closes it, and forwards that too.
+    /// Forwards bytes in one direction until its sender closes it or a fault does, and then closes it for the receiver.
+    /// Stops without closing it after an error.
     async fn forward(&self, direction: Direction, from: &OwnedReadHalf, to: &mut OwnedWriteHalf) {
         let mut chunk = vec![0; CHUNK_BYTES];
-        let mut is_silent = false;
+        let mut is_dropping = false;
         loop {
             let Ok(length) = read_some(from, &mut chunk).await else {
                 return;
@@ -169,19 +174,19 @@
             if length == 0 {
                 break;
             }
-            let disturbance = self.active(direction);
-            is_silent |= matches!(
-                disturbance,
-                Some(Disturbance::SilenceOutward | Disturbance::SilenceInward)
+            let fault = self.active_fault(direction);
+            is_dropping |= matches!(
+                fault,
+                Some(NetworkFault::DropOutbound | NetworkFault::DropInbound)
             );
-            if disturbance == Some(Disturbance::HalfClose) {
+            if fault == Some(NetworkFault::HalfClose) {
                 break;
             }
-            // Bytes after dropped ones would not make sense to the receiver.
-            if is_silent {
+            // Once bytes were dropped, later bytes are dropped too: the receiver would read them in the wrong place.
+            if is_dropping {
                 continue;
             }
-            let forwarded = forward_chunk(&mut chunk, length, from, to, disturbance).await;
+            let forwarded = forward_chunk(&mut chunk, length, from, to, fault).await;
             if forwarded.is_err() {
                 return;
             }
@@ -190,7 +195,7 @@
     }
 }
 
-/// Reads the bytes that are there, and waits for the first; 0 at the end of the stream.
+/// Waits for bytes and reads those that are available. Returns 0 at the end of the stream.
 async fn read_some(from: &OwnedReadHalf, chunk: &mut [u8]) -> io::Result<usize> {
     loop {
         from.readable().await?;
@@ -201,21 +206,21 @@
     }
 }
 
-/// Forwards a chunk as the disturbance demands.
+/// Forwards a chunk with the effect of `fault`.
 async fn forward_chunk(
     chunk: &mut [u8],
     mut length: usize,
     from: &OwnedReadHalf,
     to: &mut OwnedWriteHalf,
-    disturbance: Option<Disturbance>,
+    fault: Option<NetworkFault>,
 ) -> io::Result<()> {
-    match disturbance {
-        Some(Disturbance::Delay(ms)) => sleep(Duration::from_millis(ms)).await,
-        Some(Disturbance::Join) => {
-            sleep(JOIN_TIME).await;
+    match fault {
+        Some(NetworkFault::Delay(ms)) => sleep(Duration::from_millis(ms)).await,
+        Some(NetworkFault::Coalesce) => {
+            sleep(COALESCE_DELAY).await;
             length += from.try_read(&mut chunk[length..]).unwrap_or(0);
         }
-        Some(Disturbance::Split) => {
+        Some(NetworkFault::Split) => {
             for segment in chunk[..length].chunks(SEGMENT_BYTES) {
                 to.write_all(segment).await?;
                 yield_now().await;
@@ -227,7 +232,7 @@
     to.write_all(&chunk[..length]).await
 }
 
-/// Makes the connection end with a reset when it is dropped.
+/// Sets a linger time of 0, so that the connection is reset when it is dropped.
 fn reset(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a plan.
+//! Execution of a plan.
 use crate::error::SoakError;
 use crate::plan::SoakPlan;
 use crate::result::SoakResult;
@@ -9,21 +9,21 @@
 use std::path::PathBuf;
 use std::sync::mpsc::channel;
 
-/// Name of the plan's file in the folder of a run.
+/// Name of the plan's file in the output folder of a run.
 const PLAN_FILE: &str = "plan.toml";
 
 /// Options for running a soak plan.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// The program of the proxies.
+    /// Path of the proxies' executable.
     pub program: PathBuf,
-    /// The library that makes system calls fail.
+    /// Path of the fault shim.
     pub shim: PathBuf,
-    /// Folder for the plan, the ledger, the report and the proxies' logs. It is deleted first if it exists.
+    /// Output folder for the plan, the ledger, the report and the proxies' logs. An existing folder is deleted first.
     pub out: PathBuf,
 }
 
-/// Runs a plan to its end and checks what the proxies did.
+/// Runs a plan to its end and checks the behaviour of the proxies.
 pub fn run(plan: &SoakPlan, options: &SoakOptions) -> Result<SoakResult, SoakError> {
     if !options.shim.is_file() {
         return Err(SoakError::MissingShim(options.shim.clone()));
@@ -36,10 +36,10 @@
     let plan_file = out.join(PLAN_FILE);
     std::fs::write(&plan_file, plan.to_text()).map_err(SoakError::io(&plan_file))?;
     let prepared = PreparedRehearsal::new(plan, &options.shim.to_string_lossy())?;
-    let (unended_sender, unended_clients) = channel();
+    let (unterminated_sender, unterminated_clients) = channel();
     let client_plan = plan.clone();
     let stalled_clients: BackgroundTask = Box::new(move |clock, proxies| {
-        stalled_clients::start(client_plan, clock, proxies, unended_sender)
+        stalled_clients::start(client_plan, clock, proxies, unterminated_sender)
     });
     let rehearsal = Options {
         seed: plan.seed,
@@ -54,6 +54,6 @@
         &prepared.hooks,
         Some(stalled_clients),
     )?;
-    let unended_clients = unended_clients.try_iter().collect();
-    Ok(SoakResult::new(&report, out, unended_clients))
+    let unterminated_clients = unterminated_clients.try_iter().collect();
+    Ok(SoakResult::new(&report, out, unterminated_clients))
 }
