--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,9 +1,8 @@
-//! Simulator of rehearsals: runs a scenario's plan against the decisions in simulated time, driven by one event queue.
+//! Discrete-event simulator: runs the plan of a rehearsal scenario with the proxies' decisions in simulated time.
 //!
-//! It uses neither sockets nor threads nor the machine's clock, so that the same scenario and seed give the same ledger to
-//! the byte everywhere. Beside the backends it models the network (a fixed delay), the endpoint list service with its delay,
-//! outages and stale copies, the load balancer in front of the proxies, clients and their retries, and each proxy's clock and
-//! pauses.
+//! It uses no sockets, threads or system clock, so that a scenario and a seed give a byte-identical ledger on every machine.
+//! It models the backends, the network (as a fixed delay), the endpoint list service with its delay, outages and stale
+//! copies, the load balancer in front of the proxies, clients and their retries, and each proxy's clock and pauses.
 
 mod queue;
 mod world;
