--- a/crates/simulation/src/queue.rs
+++ b/crates/simulation/src/queue.rs
@@ -1,11 +1,11 @@
-//! Event queue, in order of time and then of insertion.
+//! Priority queue of events, ordered by time and then by insertion.
 #[cfg(test)]
 mod tests;
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// An event with its time in seconds and its number in the order of insertion.
+/// An event with its time in seconds and a sequence number, which breaks ties in order of insertion.
 struct Entry<T> {
     at: f64,
     sequence: u64,
@@ -24,7 +24,7 @@
     }
 }
 impl<T> Ord for Entry<T> {
-    /// Orders entries in reverse, because the heap returns the greatest first.
+    /// Compares in reverse: `BinaryHeap` returns its greatest entry first, and the earliest one is needed.
     fn cmp(&self, other: &Self) -> Ordering {
         other
             .at
@@ -33,34 +33,34 @@
     }
 }
 
-/// Events by time.
-pub(crate) struct Queue<T> {
+/// Scheduled events; those of one time are returned in the order of insertion.
+pub(crate) struct EventQueue<T> {
     entries: BinaryHeap<Entry<T>>,
-    next: u64,
+    last_sequence: u64,
 }
 
-impl<T> Default for Queue<T> {
+impl<T> Default for EventQueue<T> {
     fn default() -> Self {
         Self {
             entries: BinaryHeap::new(),
-            next: 0,
+            last_sequence: 0,
         }
     }
 }
 
-impl<T> Queue<T> {
-    /// Adds an event at a time in seconds.
-    pub(crate) fn put(&mut self, at: f64, event: T) {
-        self.next += 1;
+impl<T> EventQueue<T> {
+    /// Schedules an event at a time in seconds.
+    pub(crate) fn push(&mut self, at: f64, event: T) {
+        self.last_sequence += 1;
         self.entries.push(Entry {
             at,
-            sequence: self.next,
+            sequence: self.last_sequence,
             event,
         });
     }
 
-    /// Takes the earliest event with its time; of several at that time, the one that was added first.
-    pub(crate) fn take(&mut self) -> Option<(f64, T)> {
+    /// Removes and returns the earliest event and its time; of several at that time, the one that was inserted first.
+    pub(crate) fn pop(&mut self) -> Option<(f64, T)> {
         self.entries.pop().map(|entry| (entry.at, entry.event))
     }
 }
--- a/crates/simulation/src/queue/tests.rs
+++ b/crates/simulation/src/queue/tests.rs
@@ -1,14 +1,14 @@
-//! The order of the event queue.
-use super::Queue;
+//! Tests of the order in which the event queue returns events.
+use super::EventQueue;
 
 #[test]
-fn events_of_one_time_are_taken_in_the_order_of_insertion() {
-    let mut queue = Queue::default();
-    for (at, what) in [(2.0, 'c'), (1.0, 'a'), (2.0, 'd'), (1.0, 'b'), (0.5, '0')] {
-        queue.put(at, what);
+fn simultaneous_events_are_returned_in_insertion_order() {
+    let mut queue = EventQueue::default();
+    for (at, event) in [(2.0, 'c'), (1.0, 'a'), (2.0, 'd'), (1.0, 'b'), (0.5, '0')] {
+        queue.push(at, event);
     }
-    let taken: String = std::iter::from_fn(|| queue.take())
-        .map(|(_, what)| what)
+    let order: String = std::iter::from_fn(|| queue.pop())
+        .map(|(_, event)| event)
         .collect();
-    assert_eq!(taken, "0abcd");
+    assert_eq!(order, "0abcd");
 }
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -165,7 +165,7 @@
         let version = machine.version;
         let backend = machine.backend.as_ref();
         if let Some(at) = backend.and_then(|backend| backend.model.next_event()) {
-            self.queue.put(
+            self.queue.push(
                 at.max(self.now),
                 SimulationEvent::BackendDue { node, version },
             );
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -169,7 +169,7 @@
     pub(super) fn schedule_timer_event(&mut self, process: ProcessId, at: f64) {
         let event = ProcessEvent::Timer;
         self.queue
-            .put(at, SimulationEvent::ToProcess { process, event });
+            .push(at, SimulationEvent::ToProcess { process, event });
     }
 
     /// Sends the response to a client, unless it was answered.
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -14,7 +14,7 @@
 mod retirement;
 mod rpcs;
 
-use crate::queue::Queue;
+use crate::queue::EventQueue;
 use attempts::ProxyAttempt;
 use birchhub::interface::Settings;
 use birchhub_audit::event::ProxyEnd;
@@ -57,7 +57,7 @@
     plan: &'a Plan,
     /// Seconds since the simulation began.
     now: f64,
-    queue: Queue<SimulationEvent>,
+    queue: EventQueue<SimulationEvent>,
     /// The ledger so far.
     entries: Vec<Entry>,
     machines: Vec<Machine>,
@@ -122,7 +122,7 @@
             scenario,
             plan,
             now: 0.0,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             entries: Vec::new(),
             machines: machines.collect(),
             deduplication: DeduplicationCache::default(),
@@ -152,7 +152,7 @@
 
     /// Schedules an event `delay` seconds from now.
     fn schedule(&mut self, delay: f64, event: SimulationEvent) {
-        self.queue.put(self.now + delay, event);
+        self.queue.push(self.now + delay, event);
     }
 
     /// Starts the first backends and the proxies, and schedules the plan.
@@ -169,17 +169,17 @@
             self.start_proxy(proxy);
         }
         for (action, (at, _)) in self.plan.actions.iter().enumerate() {
-            self.queue.put(*at, SimulationEvent::PlannedAction(action));
+            self.queue.push(*at, SimulationEvent::PlannedAction(action));
         }
         for (rpc, arrival) in (0..).zip(&self.plan.arrivals) {
-            self.queue.put(arrival.due, SimulationEvent::RpcDue(rpc));
+            self.queue.push(arrival.due, SimulationEvent::RpcDue(rpc));
         }
     }
 
     /// Handles the events up to the time `end` in seconds, then ends the proxies. Returns the number of events.
     fn run(&mut self, end: f64) -> u64 {
         let mut events = 0;
-        while let Some((at, event)) = self.queue.take().filter(|(at, _)| *at <= end) {
+        while let Some((at, event)) = self.queue.pop().filter(|(at, _)| *at <= end) {
             self.now = at;
             events += 1;
             self.dispatch(event);
