--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -1,4 +1,4 @@
-//! A proxy's attempts at backends, from their arrival at the machine to their outcome at the proxy.
+//! Attempts of proxies at backends, from their arrival at the machine to their outcome at the proxy.
 use super::clients::rpc_of_request;
 use super::event::{ProcessEvent, SimulationEvent};
 use super::process::ProcessId;
@@ -12,35 +12,35 @@
 
 /// An attempt of a proxy at a backend.
 pub(super) struct ProxyAttempt {
-    /// The process that made it.
+    /// The process that started it.
     pub(super) process: ProcessId,
-    /// The client's request that it is for.
+    /// The client's request that it serves.
     pub(super) request_id: u64,
     /// Its index among the attempts for that request.
     pub(super) attempt_index: usize,
     /// The machine that it was sent to.
     pub(super) node: u32,
-    /// The backend's incarnation that has it in flight.
+    /// The incarnation of the backend at which it is in flight; `None` before its arrival and once its outcome was sent.
     pub(super) incarnation: Option<u32>,
-    /// The fault that will affect its response.
+    /// The injected fault that will affect its response.
     pub(super) fault: Option<BackendFault>,
 }
 
-/// An attempt that a running backend has received.
+/// An attempt that has arrived at a running backend.
 struct ArrivingAttempt {
     attempt_id: u64,
     request_id: u64,
     proxy: u16,
     node: u32,
     incarnation: u32,
-    /// When its connection was opened, in seconds.
+    /// When its first byte arrived at the machine, in seconds; a stall defers the delivery beyond that.
     first_byte_at: f64,
     /// Work in seconds of a standard core.
     work: f64,
 }
 
 impl ArrivingAttempt {
-    /// Returns the ledger's event for it; `overload` is that of the backend at this time.
+    /// Returns the ledger event of its arrival; `overload` is the backend's current overload.
     fn record(&self, admission: Admission, overload: f64) -> Event {
         Event::AttemptReceived(ReceivedAttempt {
             incarnation: self.incarnation,
@@ -144,8 +144,9 @@
         );
     }
 
-    /// Delivers an attempt to its machine, where the backend receives it unless a fault prevents that.
-    pub(super) fn offer_to_backend(&mut self, attempt_id: u64, first_byte_at: f64) {
+    /// Delivers an attempt to the backend of its machine. It is dropped if a partition separates the two or the proxy
+    /// has ended it, deferred during a stall, and fails to connect if no backend runs.
+    pub(super) fn deliver_attempt(&mut self, attempt_id: u64, first_byte_at: f64) {
         let Some(entry) = self.proxy_attempts.get(&attempt_id) else {
             return;
         };
@@ -167,7 +168,7 @@
             return self.send_outcome(attempt_id, AttemptOutcome::ConnectFailed, 0.0);
         };
         let arrival = &self.plan.arrivals[rpc_of_request(request_id) as usize];
-        let received = ArrivingAttempt {
+        let arriving = ArrivingAttempt {
             attempt_id,
             request_id,
             proxy,
@@ -177,22 +178,22 @@
             work: arrival.work * self.method_slowdown[arrival.method as usize],
         };
         match self.injected_fault(node, request_id) {
-            Some(BackendFault::NoResponse { .. }) => self.hold_unanswered(&received),
-            Some(BackendFault::ErrorResponse { .. }) => self.reply_error(&received),
-            fault => self.start_work(&received, fault),
+            Some(BackendFault::NoResponse { .. }) => self.withhold_response(&arriving),
+            Some(BackendFault::ErrorResponse { .. }) => self.respond_with_error(&arriving),
+            fault => self.start_work(&arriving, fault),
         }
     }
 
-    /// Keeps the attempt in flight at the backend, which never responds.
-    fn hold_unanswered(&mut self, received: &ArrivingAttempt) {
-        self.hold(received, None);
-        self.record(received.record(Admission::Dropped, 0.0));
+    /// Keeps the attempt in flight at the backend without executing it: the backend never responds.
+    fn withhold_response(&mut self, arriving: &ArrivingAttempt) {
+        self.track_in_flight(arriving, None);
+        self.record(arriving.record(Admission::Dropped, 0.0));
     }
 
-    /// Responds with an error at once.
-    fn reply_error(&mut self, received: &ArrivingAttempt) {
-        let attempt_id = received.attempt_id;
-        self.record(received.record(Admission::Failed, 0.0));
+    /// Responds with an error without executing the attempt.
+    fn respond_with_error(&mut self, arriving: &ArrivingAttempt) {
+        let attempt_id = arriving.attempt_id;
+        self.record(arriving.record(Admission::Failed, 0.0));
         self.record(Event::AttemptEnded {
             attempt_id,
             how: AttemptEnd::Replied,
@@ -201,16 +202,16 @@
     }
 
     /// Offers the attempt to the backend, which admits or rejects it.
-    fn start_work(&mut self, received: &ArrivingAttempt, fault: Option<BackendFault>) {
+    fn start_work(&mut self, arriving: &ArrivingAttempt, fault: Option<BackendFault>) {
         let incoming = IncomingWork {
-            attempt_id: received.attempt_id,
-            work: received.work,
-            idempotency_key: self.deduplication_key(received),
+            attempt_id: arriving.attempt_id,
+            work: arriving.work,
+            idempotency_key: self.deduplication_key(arriving),
             first_on_connection: false,
         };
         let now = self.now;
         let mut events = Vec::new();
-        let machine = &mut self.machines[received.node as usize];
+        let machine = &mut self.machines[arriving.node as usize];
         let Some(backend) = machine.backend.as_mut() else {
             return;
         };
@@ -219,34 +220,34 @@
         let overload = node.overload();
         match admission {
             Ok(()) => {
-                self.hold(received, fault);
-                self.record(received.record(Admission::Admitted, overload));
+                self.track_in_flight(arriving, fault);
+                self.record(arriving.record(Admission::Admitted, overload));
             }
             Err(RejectionReason::Down) => {
-                self.record(received.record(Admission::Dropped, overload));
-                self.refuse(
-                    received.attempt_id,
+                self.record(arriving.record(Admission::Dropped, overload));
+                self.end_rejected_attempt(
+                    arriving.attempt_id,
                     AttemptEnd::Broken,
                     AttemptOutcome::Reset,
                 );
             }
             Err(_) => {
-                self.record(received.record(Admission::Rejected, overload));
-                self.refuse(
-                    received.attempt_id,
+                self.record(arriving.record(Admission::Rejected, overload));
+                self.end_rejected_attempt(
+                    arriving.attempt_id,
                     AttemptEnd::Replied,
                     AttemptOutcome::Rejected,
                 );
             }
         }
-        self.apply_backend_events(received.node, events);
+        self.apply_backend_events(arriving.node, events);
     }
 
-    /// Returns the key by which a group of backends drops duplicates of this RPC, if its method is deduplicated.
-    fn deduplication_key(&self, received: &ArrivingAttempt) -> Option<IdempotencyKey> {
-        let rpc = rpc_of_request(received.request_id);
+    /// Returns the key by which a group of backends detects duplicates of this RPC; `None` if its method is not deduplicated.
+    fn deduplication_key(&self, arriving: &ArrivingAttempt) -> Option<IdempotencyKey> {
+        let rpc = rpc_of_request(arriving.request_id);
         let method = self.plan.arrivals[rpc as usize].method;
-        let machine = &self.machines[received.node as usize];
+        let machine = &self.machines[arriving.node as usize];
         match self.scenario.methods[method as usize].idempotency() {
             Idempotency::Deduplicated { scope, window } => Some(IdempotencyKey {
                 group: scope.group_id(machine.zone, machine.rack),
@@ -257,24 +258,26 @@
         }
     }
 
-    fn hold(&mut self, received: &ArrivingAttempt, fault: Option<BackendFault>) {
-        let machine = &mut self.machines[received.node as usize];
-        machine.held_attempts.insert(received.attempt_id);
-        if let Some(entry) = self.proxy_attempts.get_mut(&received.attempt_id) {
-            entry.incarnation = Some(received.incarnation);
+    /// Adds the attempt to those in flight at its backend.
+    fn track_in_flight(&mut self, arriving: &ArrivingAttempt, fault: Option<BackendFault>) {
+        let machine = &mut self.machines[arriving.node as usize];
+        machine.attempts_in_flight.insert(arriving.attempt_id);
+        if let Some(entry) = self.proxy_attempts.get_mut(&arriving.attempt_id) {
+            entry.incarnation = Some(arriving.incarnation);
             entry.fault = fault;
         }
     }
 
-    fn refuse(&mut self, attempt_id: u64, how: AttemptEnd, outcome: AttemptOutcome) {
+    /// Ends an attempt that the backend did not admit.
+    fn end_rejected_attempt(&mut self, attempt_id: u64, how: AttemptEnd, outcome: AttemptOutcome) {
         self.record(Event::AttemptEnded { attempt_id, how });
         self.send_outcome(attempt_id, outcome, 0.0);
     }
 
     /// Sends the response to a finished attempt, altered by the attempt's fault.
-    pub(super) fn send_reply(&mut self, node: u32, attempt_id: u64) {
+    pub(super) fn send_backend_response(&mut self, node: u32, attempt_id: u64) {
         if !self.machines[node as usize]
-            .held_attempts
+            .attempts_in_flight
             .remove(&attempt_id)
         {
             return;
@@ -297,13 +300,13 @@
         self.send_outcome(attempt_id, outcome, delay);
     }
 
-    /// Cancels an attempt at its backend after the proxy closed its connection.
+    /// Cancels an attempt at its backend after the proxy has closed the connection.
     pub(super) fn close_connection(&mut self, attempt_id: u64) {
         let Some(entry) = self.proxy_attempts.remove(&attempt_id) else {
             return;
         };
         let machine = &mut self.machines[entry.node as usize];
-        if entry.incarnation.is_none() || !machine.held_attempts.remove(&attempt_id) {
+        if entry.incarnation.is_none() || !machine.attempts_in_flight.remove(&attempt_id) {
             return;
         }
         let mut events = Vec::new();
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -53,12 +53,12 @@
     fn stop_backend(&mut self, node: u32) -> Option<u32> {
         let machine = &mut self.machines[node as usize];
         let BackendProcess { incarnation, .. } = machine.backend.take()?;
-        let held_attempts = std::mem::take(&mut machine.held_attempts);
+        let attempts_in_flight = std::mem::take(&mut machine.attempts_in_flight);
         let deferred_events = std::mem::take(&mut machine.deferred_events);
         machine.stalls.clear();
         machine.version += 1;
         self.record(Event::BackendEnded { incarnation });
-        for attempt_id in held_attempts {
+        for attempt_id in attempts_in_flight {
             self.record(Event::AttemptEnded {
                 attempt_id,
                 how: AttemptEnd::Broken,
@@ -142,11 +142,11 @@
                 }
                 BackendEvent::Finished(attempt_id) => {
                     self.record(Event::ExecutionFinished { attempt_id });
-                    self.send_reply(node, attempt_id);
+                    self.send_backend_response(node, attempt_id);
                 }
                 BackendEvent::DuplicateDropped(attempt_id) => {
                     self.record(Event::DuplicateDropped { attempt_id });
-                    self.send_reply(node, attempt_id);
+                    self.send_backend_response(node, attempt_id);
                 }
                 BackendEvent::Collapsed => {
                     if let Some(incarnation) = self.machines[node as usize].incarnation() {
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -22,7 +22,7 @@
         process: ProcessId,
         event: ProcessEvent,
     },
-    /// A proxy's attempt arrives at its backend; its connection was opened at `first_byte_at`.
+    /// A proxy's attempt is delivered to its machine, where its first byte arrived at `first_byte_at`.
     AttemptAtBackend { attempt_id: u64, first_byte_at: f64 },
     /// A backend's next event is due, unless it was superseded by a later version.
     BackendDue { node: u32, version: u64 },
--- a/crates/simulation/src/world/machine.rs
+++ b/crates/simulation/src/world/machine.rs
@@ -43,7 +43,7 @@
     /// The faults at its sockets, in the order in which they began.
     pub(super) faults: Vec<InjectedFault>,
     /// The attempts in flight at its backend.
-    pub(super) held_attempts: BTreeSet<u64>,
+    pub(super) attempts_in_flight: BTreeSet<u64>,
     /// Version of the backend's next event; a scheduled event of an earlier version is dropped.
     pub(super) version: u64,
     /// Whether its backend is being replaced.
@@ -63,7 +63,7 @@
             stalls: BTreeSet::new(),
             deferred_events: Vec::new(),
             faults: Vec::new(),
-            held_attempts: BTreeSet::new(),
+            attempts_in_flight: BTreeSet::new(),
             version: 0,
             retiring: false,
         }
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -212,7 +212,7 @@
             Due::AttemptAtBackend {
                 attempt_id,
                 first_byte_at,
-            } => self.offer_to_backend(attempt_id, first_byte_at),
+            } => self.deliver_attempt(attempt_id, first_byte_at),
             Due::BackendDue { node, version } => self.advance_backend(node, version),
             Due::ConnectionClosed { attempt_id } => self.close_connection(attempt_id),
             Due::HealthCheckAtBackend { process, node } => self.answer_health_check(process, node),
