--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -64,8 +64,8 @@
         let running = self.proxies[entry.process.proxy as usize]
             .as_ref()
             .filter(|running| running.id == entry.process);
-        let held = running.and_then(|running| running.in_flight.get(&entry.request_id));
-        held.is_some_and(|held| held.open_attempt(entry.attempt_index).is_some())
+        let rpc_state = running.and_then(|running| running.in_flight.get(&entry.request_id));
+        rpc_state.is_some_and(|rpc_state| rpc_state.open_attempt(entry.attempt_index).is_some())
     }
 
     /// Reports the outcome of an open attempt to the decisions, and a successful response to the client.
@@ -91,11 +91,12 @@
             self.send_answer(proxy, request_id, RequestOutcome::Ok);
         }
         let running = self.proxies[proxy as usize].as_mut();
-        let Some(held) = running.and_then(|running| running.in_flight.get_mut(&request_id)) else {
+        let Some(rpc_state) = running.and_then(|running| running.in_flight.get_mut(&request_id))
+        else {
             return;
         };
-        held.attempts[attempt_index] = None;
-        let answered = held.answered;
+        rpc_state.attempts[attempt_index] = None;
+        let answered = rpc_state.answered;
         self.run_rpc_decision(proxy, request_id, |rpc, platform| {
             rpc.on_attempt_ended(attempt_index, outcome, answered, report, platform)
         });
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -41,8 +41,8 @@
         decide: impl FnOnce(&RpcHandle, &mut SimulationPlatform),
     ) {
         self.run_decision(proxy, |_, in_flight, platform| {
-            let held = in_flight.get(&request_id);
-            if let Some(rpc) = held.and_then(|held| held.rpc.as_ref()) {
+            let rpc_state = in_flight.get(&request_id);
+            if let Some(rpc) = rpc_state.and_then(|rpc_state| rpc_state.rpc.as_ref()) {
                 decide(rpc, platform);
             }
         });
@@ -53,8 +53,8 @@
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
         };
-        let held = running.in_flight.get(&request_id);
-        if held.is_some_and(InFlightRpc::is_finished) {
+        let rpc_state = running.in_flight.get(&request_id);
+        if rpc_state.is_some_and(InFlightRpc::is_finished) {
             running.in_flight.remove(&request_id);
         }
     }
@@ -99,14 +99,14 @@
         let Some(running) = self.proxies[process.proxy as usize].as_mut() else {
             return;
         };
-        let Some(held) = running.in_flight.get_mut(&request_id) else {
+        let Some(rpc_state) = running.in_flight.get_mut(&request_id) else {
             return;
         };
         let attempt_id = self.next_attempt_id;
         self.next_attempt_id += 1;
-        let attempt_index = held.attempts.len();
-        held.attempts.push(Some(attempt_id));
-        let until = (now + timeout).min(held.deadline);
+        let attempt_index = rpc_state.attempts.len();
+        rpc_state.attempts.push(Some(attempt_id));
+        let until = (now + timeout).min(rpc_state.deadline);
         self.proxy_attempts.insert(
             attempt_id,
             ProxyAttempt {
@@ -135,8 +135,10 @@
 
     fn cancel_attempt(&mut self, proxy: u16, request_id: u64, attempt_index: usize) {
         let running = self.proxies[proxy as usize].as_ref();
-        let held = running.and_then(|running| running.in_flight.get(&request_id));
-        let Some(attempt_id) = held.and_then(|held| held.open_attempt(attempt_index)) else {
+        let rpc_state = running.and_then(|running| running.in_flight.get(&request_id));
+        let Some(attempt_id) =
+            rpc_state.and_then(|rpc_state| rpc_state.open_attempt(attempt_index))
+        else {
             return;
         };
         self.schedule(
@@ -177,10 +179,10 @@
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
         };
-        let Some(held) = running.in_flight.get_mut(&request_id) else {
+        let Some(rpc_state) = running.in_flight.get_mut(&request_id) else {
             return;
         };
-        if !std::mem::replace(&mut held.answered, true) {
+        if !std::mem::replace(&mut rpc_state.answered, true) {
             self.schedule(
                 NETWORK_DELAY_SECONDS,
                 SimulationEvent::AnswerAtClient {
--- a/crates/simulation/src/world/proxies.rs
+++ b/crates/simulation/src/world/proxies.rs
@@ -89,11 +89,11 @@
             return;
         };
         self.record(Event::ProxyEnded { proxy, how });
-        for (request_id, held) in &ended.in_flight {
-            if !held.answered {
+        for (request_id, rpc_state) in &ended.in_flight {
+            if !rpc_state.answered {
                 self.lose_client_attempt(*request_id);
             }
-            for attempt_id in held.attempts.iter().flatten() {
+            for attempt_id in rpc_state.attempts.iter().flatten() {
                 let closed = SimulationEvent::ConnectionClosed {
                     attempt_id: *attempt_id,
                 };
--- a/crates/simulation/src/world/rpcs.rs
+++ b/crates/simulation/src/world/rpcs.rs
@@ -52,8 +52,8 @@
         self.run_decision(proxy, |balancer, in_flight, platform| {
             in_flight.insert(request_id, accepted);
             let rpc = balancer.accept(&incoming, platform);
-            if let Some(held) = in_flight.get_mut(&request_id) {
-                held.rpc = Some(rpc);
+            if let Some(rpc_state) = in_flight.get_mut(&request_id) {
+                rpc_state.rpc = Some(rpc);
             }
         });
     }
@@ -125,8 +125,8 @@
     /// Fails an RPC that was not answered by its deadline.
     fn expire_rpc(&mut self, proxy: u16, request_id: u64) {
         let running = self.proxies[proxy as usize].as_ref();
-        let held = running.and_then(|running| running.in_flight.get(&request_id));
-        if held.is_some_and(|held| !held.answered) {
+        let rpc_state = running.and_then(|running| running.in_flight.get(&request_id));
+        if rpc_state.is_some_and(|rpc_state| !rpc_state.answered) {
             self.send_answer(proxy, request_id, RequestOutcome::Aborted(BAD_GATEWAY));
             self.run_rpc_decision(proxy, request_id, |rpc, platform| {
                 rpc.on_client_disconnected(platform)
@@ -137,8 +137,9 @@
     /// Ends an RPC whose client has disconnected.
     fn abandon_rpc(&mut self, proxy: u16, request_id: u64) {
         let running = self.proxies[proxy as usize].as_mut();
-        if let Some(held) = running.and_then(|running| running.in_flight.get_mut(&request_id)) {
-            held.answered = true;
+        if let Some(rpc_state) = running.and_then(|running| running.in_flight.get_mut(&request_id))
+        {
+            rpc_state.answered = true;
         }
         self.run_rpc_decision(proxy, request_id, |rpc, platform| {
             rpc.on_client_disconnected(platform)
