--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -88,7 +88,7 @@
             self.proxy_attempts.remove(&attempt_id);
         }
         if outcome == AttemptOutcome::Succeeded {
-            self.send_answer(proxy, request_id, RequestOutcome::Ok);
+            self.send_client_response(proxy, request_id, RequestOutcome::Ok);
         }
         let running = self.proxies[proxy as usize].as_mut();
         let Some(rpc_state) = running.and_then(|running| running.in_flight.get_mut(&request_id))
@@ -125,11 +125,11 @@
             return;
         }
         let reports_load = self.scenario.fleet.load_reports == LoadReports::Responses;
-        let has_answer = !matches!(
+        let has_response = !matches!(
             outcome,
             AttemptOutcome::Reset | AttemptOutcome::ConnectFailed
         );
-        let report = if reports_load && has_answer {
+        let report = if reports_load && has_response {
             self.load_report(node)
         } else {
             None
--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -173,7 +173,7 @@
     }
 
     /// Delivers a health check to a machine, which responds if its backend runs.
-    pub(super) fn answer_health_check(&mut self, process: ProcessId, node: u32) {
+    pub(super) fn deliver_health_check(&mut self, process: ProcessId, node: u32) {
         if self.is_partitioned(node, process.proxy) {
             let event = ProcessEvent::HealthChecked {
                 node,
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -5,20 +5,20 @@
 use birchhub_rehearsal::clients;
 use birchhub_rehearsal::proxies::assign_proxy;
 
-/// Time in seconds that a client listens beyond its timeout: a response that was sent in time may arrive later.
+/// Time in seconds that a client waits beyond its timeout, since a response that was sent in time may arrive after it.
 const CLIENT_GRACE_SECONDS: f64 = 0.25;
 
-/// The low bits of a request's id number the client's requests for one RPC; the high bits are the RPC's number.
+/// Number of low bits of a request's id that number the client's requests for one RPC; the high bits are the RPC's number.
 const REQUEST_NUMBER_BITS: u32 = 8;
 
 /// Largest exponent of a client's backoff.
 const MAX_BACKOFF_EXPONENT: u8 = 16;
 
-/// A client's request without a response.
+/// A client's request that has not ended.
 pub(super) struct ClientRequest {
     /// The proxy that it was sent to.
     pub(super) proxy: u16,
-    /// How long the client waits, in seconds.
+    /// The client's timeout for it, in seconds.
     pub(super) client_timeout: f64,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl World<'_> {
-    /// Starts an RPC of the plan with its first request.
+    /// Starts a planned RPC by sending its first request.
     pub(super) fn start_rpc(&mut self, rpc: u32) {
         let arrival = &self.plan.arrivals[rpc as usize];
         self.record(Event::Arrival {
@@ -50,7 +50,7 @@
         self.send_client_request(rpc, 0);
     }
 
-    /// Sends a client's request to a proxy that accepts traffic, if its RPC has time left.
+    /// Sends a client's request to a proxy that accepts traffic, unless the RPC's deadline leaves no time for it.
     pub(super) fn send_client_request(&mut self, rpc: u32, number: u8) {
         let scenario = self.scenario;
         let arrival = &self.plan.arrivals[rpc as usize];
@@ -74,29 +74,35 @@
             proxy,
             client_timeout: client_timeout as f32,
         });
-        let at_proxy = SimulationEvent::RequestAtProxy { request_id, proxy };
-        self.schedule(NETWORK_DELAY_SECONDS, at_proxy);
-        let give_up = SimulationEvent::ClientGivesUp { request_id };
-        self.schedule(client_timeout + CLIENT_GRACE_SECONDS, give_up);
-        if let Some(part) = arrival.cancel_after.filter(|_| number == 0) {
+        let arrival_at_proxy = SimulationEvent::RequestAtProxy { request_id, proxy };
+        self.schedule(NETWORK_DELAY_SECONDS, arrival_at_proxy);
+        let timeout = SimulationEvent::ClientTimeout { request_id };
+        self.schedule(client_timeout + CLIENT_GRACE_SECONDS, timeout);
+        if let Some(fraction) = arrival.cancel_after.filter(|_| number == 0) {
             let disconnect = SimulationEvent::ClientDisconnects { request_id };
-            self.schedule(part * client_timeout, disconnect);
+            self.schedule(fraction * client_timeout, disconnect);
         }
     }
 
-    /// Returns the proxy that the load balancer chooses. Each request for an RPC uses other bits of its random number.
+    /// Returns the proxy that the load balancer chooses. Each request for an RPC uses different bits of its random number.
     fn choose_proxy(&self, rpc: u32, number: u8) -> u16 {
         let arrival = &self.plan.arrivals[rpc as usize];
-        let chance = arrival
+        let random_bits = arrival
             .assignment
             .rotate_left(u32::from(number) * REQUEST_NUMBER_BITS);
         let accepts = |proxy: &usize| self.accepts_traffic[*proxy];
         let zones = self.scenario.fleet.zones.len();
-        assign_proxy(self.proxies.len(), zones, arrival.zone, chance, accepts) as u16
+        assign_proxy(
+            self.proxies.len(),
+            zones,
+            arrival.zone,
+            random_bits,
+            accepts,
+        ) as u16
     }
 
-    /// Delivers a response to a client, which retries if its policy says so. Further responses are dropped.
-    pub(super) fn answer_client(&mut self, request_id: u64, outcome: RequestOutcome) {
+    /// Ends a client's request, which the client retries if its policy allows that. A request that has ended is left as it is.
+    pub(super) fn end_client_request(&mut self, request_id: u64, outcome: RequestOutcome) {
         if self.client_requests.remove(&request_id).is_none() {
             return;
         }
@@ -119,7 +125,7 @@
         }
     }
 
-    /// Returns the seconds that a client waits after the request with this number.
+    /// Returns the delay in seconds before the client retries the request with this number.
     fn retry_delay(&self, number: u8, outcome: RequestOutcome) -> f64 {
         let policy = &self.scenario.clients;
         let retry_after = match outcome {
@@ -136,11 +142,11 @@
 
     /// Closes the connection of a client's request without a response.
     pub(super) fn disconnect_client(&mut self, request_id: u64) {
-        let Some(sent) = self.client_requests.get(&request_id) else {
+        let Some(request) = self.client_requests.get(&request_id) else {
             return;
         };
-        let proxy = sent.proxy;
-        self.answer_client(request_id, RequestOutcome::Cancelled);
+        let proxy = request.proxy;
+        self.end_client_request(request_id, RequestOutcome::Cancelled);
         let disconnected = ProcessEvent::ClientDisconnected(request_id);
         self.send_to_process(proxy, NETWORK_DELAY_SECONDS, disconnected);
     }
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -76,10 +76,10 @@
                 retry_after,
             } => {
                 let retry_after = (retry_after > 0.0).then_some(retry_after as f32);
-                self.send_answer(proxy, request_id, RequestOutcome::Rejected(retry_after));
+                self.send_client_response(proxy, request_id, RequestOutcome::Rejected(retry_after));
             }
             Command::Fail { request_id } => {
-                self.send_answer(proxy, request_id, RequestOutcome::Aborted(BAD_GATEWAY))
+                self.send_client_response(proxy, request_id, RequestOutcome::Aborted(BAD_GATEWAY))
             }
             Command::HealthCheck { backend } => {
                 let node = backend;
@@ -175,7 +175,12 @@
     }
 
     /// Sends the response to a client, unless it was answered.
-    pub(super) fn send_answer(&mut self, proxy: u16, request_id: u64, outcome: RequestOutcome) {
+    pub(super) fn send_client_response(
+        &mut self,
+        proxy: u16,
+        request_id: u64,
+        outcome: RequestOutcome,
+    ) {
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
         };
@@ -185,7 +190,7 @@
         if !std::mem::replace(&mut rpc_state.answered, true) {
             self.schedule(
                 NETWORK_DELAY_SECONDS,
-                SimulationEvent::AnswerAtClient {
+                SimulationEvent::ResponseAtClient {
                     request_id,
                     outcome,
                 },
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -31,12 +31,12 @@
     /// A proxy's health check arrives at a machine.
     HealthCheckAtBackend { process: ProcessId, node: u32 },
     /// A response arrives at the client.
-    AnswerAtClient {
+    ResponseAtClient {
         request_id: u64,
         outcome: RequestOutcome,
     },
     /// The client's timeout for this request has passed.
-    ClientGivesUp { request_id: u64 },
+    ClientTimeout { request_id: u64 },
     /// The client closes its connection before it has a response.
     ClientDisconnects { request_id: u64 },
     /// The endpoint list service learns of a change.
@@ -49,8 +49,8 @@
     RetireBackend(Retirement),
     /// A backend starts cold on a machine without one.
     StartBackend { node: u32 },
-    /// The load balancer notices that a process drains or has ended.
-    FrontNoticesStop(ProcessId),
+    /// The load balancer in front of the proxies detects that a process drains or has ended.
+    LoadBalancerNoticesStop(ProcessId),
     /// A draining process is checked for RPCs in flight.
     StopProxyWhenIdle(ProcessId),
     /// A proxy whose start was due at `since` starts once its earlier process has ended.
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -215,13 +215,13 @@
             } => self.deliver_attempt(attempt_id, first_byte_at),
             Due::BackendDue { node, version } => self.advance_backend(node, version),
             Due::ConnectionClosed { attempt_id } => self.close_connection(attempt_id),
-            Due::HealthCheckAtBackend { process, node } => self.answer_health_check(process, node),
-            Due::AnswerAtClient {
+            Due::HealthCheckAtBackend { process, node } => self.deliver_health_check(process, node),
+            Due::ResponseAtClient {
                 request_id,
                 outcome,
-            } => self.answer_client(request_id, outcome),
-            Due::ClientGivesUp { request_id } => {
-                self.answer_client(request_id, RequestOutcome::TimedOut)
+            } => self.end_client_request(request_id, outcome),
+            Due::ClientTimeout { request_id } => {
+                self.end_client_request(request_id, RequestOutcome::TimedOut)
             }
             Due::ClientDisconnects { request_id } => self.disconnect_client(request_id),
             Due::PublishEndpoint { node, list_entry } => self.publish_endpoint(node, list_entry),
@@ -229,7 +229,7 @@
             Due::ListCallServed(process) => self.finish_list_call(process),
             Due::RetireBackend(retirement) => self.retire_backend(retirement),
             Due::StartBackend { node } => self.start_backend_cold(node),
-            Due::FrontNoticesStop(process) => self.stop_traffic(process),
+            Due::LoadBalancerNoticesStop(process) => self.stop_traffic(process),
             Due::StopProxyWhenIdle(process) => self.stop_proxy_when_idle(process),
             Due::StartProxy { proxy, since } => self.replace_proxy(proxy, since),
         }
--- a/crates/simulation/src/world/proxies.rs
+++ b/crates/simulation/src/world/proxies.rs
@@ -91,7 +91,7 @@
         self.record(Event::ProxyEnded { proxy, how });
         for (request_id, rpc_state) in &ended.in_flight {
             if !rpc_state.answered {
-                self.lose_client_attempt(*request_id);
+                self.lose_client_request(*request_id);
             }
             for attempt_id in rpc_state.attempts.iter().flatten() {
                 let closed = SimulationEvent::ConnectionClosed {
@@ -103,16 +103,16 @@
         // What had arrived during a pause and was not read is lost too.
         for event in std::mem::take(&mut self.deferred_events[proxy as usize]) {
             if let SimulationEvent::RequestAtProxy { request_id, .. } = event {
-                self.lose_client_attempt(request_id);
+                self.lose_client_request(request_id);
             }
         }
-        let noticed = SimulationEvent::FrontNoticesStop(ended.id);
+        let noticed = SimulationEvent::LoadBalancerNoticesStop(ended.id);
         self.schedule(self.scenario.proxies.front_detection_delay.0, noticed);
     }
 
-    fn lose_client_attempt(&mut self, request_id: u64) {
+    fn lose_client_request(&mut self, request_id: u64) {
         let outcome = RequestOutcome::Lost;
-        let lost = SimulationEvent::AnswerAtClient {
+        let lost = SimulationEvent::ResponseAtClient {
             request_id,
             outcome,
         };
@@ -126,7 +126,7 @@
         };
         running.stopping = true;
         let process = running.id;
-        let noticed = SimulationEvent::FrontNoticesStop(process);
+        let noticed = SimulationEvent::LoadBalancerNoticesStop(process);
         self.schedule(PLANNED_STOP_NOTICE_DELAY_SECONDS, noticed);
         let stop = SimulationEvent::StopProxyWhenIdle(process);
         self.schedule(SHUTDOWN_GRACE_SECONDS, stop);
--- a/crates/simulation/src/world/rpcs.rs
+++ b/crates/simulation/src/world/rpcs.rs
@@ -36,7 +36,7 @@
         };
         let Some(running) = self.proxies[proxy as usize].as_ref() else {
             let outcome = RequestOutcome::Unreachable;
-            let refusal = SimulationEvent::AnswerAtClient {
+            let refusal = SimulationEvent::ResponseAtClient {
                 request_id,
                 outcome,
             };
@@ -88,7 +88,9 @@
         match event {
             ProcessEvent::Timer => self.fire_timer(proxy),
             ProcessEvent::Deadline(request_id) => self.expire_rpc(proxy, request_id),
-            ProcessEvent::ClientDisconnected(request_id) => self.abandon_rpc(proxy, request_id),
+            ProcessEvent::ClientDisconnected(request_id) => {
+                self.handle_client_disconnect(proxy, request_id)
+            }
             ProcessEvent::AttemptEnded {
                 attempt_id,
                 outcome,
@@ -127,7 +129,7 @@
         let running = self.proxies[proxy as usize].as_ref();
         let rpc_state = running.and_then(|running| running.in_flight.get(&request_id));
         if rpc_state.is_some_and(|rpc_state| !rpc_state.answered) {
-            self.send_answer(proxy, request_id, RequestOutcome::Aborted(BAD_GATEWAY));
+            self.send_client_response(proxy, request_id, RequestOutcome::Aborted(BAD_GATEWAY));
             self.run_rpc_decision(proxy, request_id, |rpc, platform| {
                 rpc.on_client_disconnected(platform)
             });
@@ -135,7 +137,7 @@
     }
 
     /// Ends an RPC whose client has disconnected.
-    fn abandon_rpc(&mut self, proxy: u16, request_id: u64) {
+    fn handle_client_disconnect(&mut self, proxy: u16, request_id: u64) {
         let running = self.proxies[proxy as usize].as_mut();
         if let Some(rpc_state) = running.and_then(|running| running.in_flight.get_mut(&request_id))
         {
