--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -9,7 +9,7 @@
 use birchhub_audit::RequestOutcome;
 use std::collections::BTreeMap;
 
-/// Shortest delay of a timer in seconds: one that the clock can't tell from now would fire again and again.
+/// Shortest delay of a timer in seconds. A delay too short to advance the clock would make the timer fire endlessly.
 const TIMER_RESOLUTION_SECONDS: f64 = 1e-6;
 
 /// HTTP status of the response to a failed RPC.
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Calls the decisions about one RPC, which is released if it has finished.
+    /// Calls the decisions for one RPC, and releases it if it has finished.
     pub(super) fn run_rpc_decision(
         &mut self,
         proxy: u16,
@@ -106,7 +106,7 @@
         self.next_attempt_id += 1;
         let attempt_index = rpc_state.attempts.len();
         rpc_state.attempts.push(Some(attempt_id));
-        let until = (now + timeout).min(rpc_state.deadline);
+        let deadline = (now + timeout).min(rpc_state.deadline);
         self.proxy_attempts.insert(
             attempt_id,
             ProxyAttempt {
@@ -128,7 +128,7 @@
         );
         self.send_to_process(
             process.proxy,
-            (until - now).max(0.0),
+            (deadline - now).max(0.0),
             ProcessEvent::AttemptTimeout { attempt_id },
         );
     }
@@ -167,14 +167,14 @@
         }
     }
 
-    /// Schedules a timer event for a time of the simulation.
+    /// Schedules a timer event at a simulated time.
     pub(super) fn schedule_timer_event(&mut self, process: ProcessId, at: f64) {
         let event = ProcessEvent::Timer;
         self.queue
             .push(at, SimulationEvent::ToProcess { process, event });
     }
 
-    /// Sends the response to a client, unless it was answered.
+    /// Sends the response to a client, unless it has one already or has disconnected.
     pub(super) fn send_client_response(
         &mut self,
         proxy: u16,
