--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -11,8 +11,9 @@
 use birchhub_rehearsal::plan::{Action, BackendFault};
 use rand::Rng;
 
-/// Shortest pause in seconds that a proxy notices: it sets its clock back, and blames no backend for timeouts meanwhile.
-const NOTICEABLE_PAUSE_SECONDS: f64 = 0.02;
+/// Shortest pause in seconds that a proxy detects. It then excludes the pause from its clock, and does not attribute attempt
+/// timeouts during the pause to a backend.
+const MIN_DETECTED_PAUSE_SECONDS: f64 = 0.02;
 
 impl World<'_> {
     /// Executes a planned action.
@@ -45,7 +46,7 @@
                 number,
                 fault,
                 on,
-            } => self.set_faulty(node, number, fault, on),
+            } => self.set_injected_fault(node, number, fault, on),
             Action::DelayDiscovery { by } => self.list_delay += by,
             Action::SetDiscoveryDown { down } => self.set_list_down(down),
             Action::SetDiscoveryStale { proxy, stale } => self.set_list_stale(proxy, stale),
@@ -54,7 +55,7 @@
             Action::StartProxy { proxy } => self.schedule_proxy_start(proxy, self.now),
             Action::PauseProxy { proxy, on: true } => self.pause_proxy(proxy),
             Action::PauseProxy { proxy, on: false } => self.resume_proxy(proxy),
-            // The same settings again change nothing.
+            // The settings are unchanged, so a reload has no effect.
             Action::ReloadProxy { .. } => {}
         }
     }
@@ -102,7 +103,7 @@
         }
     }
 
-    fn set_faulty(&mut self, node: u32, number: u64, kind: BackendFault, on: bool) {
+    fn set_injected_fault(&mut self, node: u32, number: u64, kind: BackendFault, on: bool) {
         let faults = &mut self.machines[node as usize].faults;
         if on {
             faults.push(InjectedFault { number, kind });
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Begins or ends a stall of a machine. Events that arrived meanwhile are handled when the last stall ends.
+    /// Begins or ends a stall of a machine. Events that arrive during stalls are handled when the last one ends.
     fn set_stalled(&mut self, node: u32, number: u64, on: bool) {
         let machine = &mut self.machines[node as usize];
         if machine.backend.is_none() {
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Resumes a paused proxy, which handles the events that arrived meanwhile.
+    /// Resumes a paused proxy, which then handles the events that arrived during the pause.
     fn resume_proxy(&mut self, proxy: u16) {
         let now = self.now;
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
@@ -165,23 +166,24 @@
         let Some(since) = running.paused.take() else {
             return;
         };
-        let is_noticed = now - since > NOTICEABLE_PAUSE_SECONDS;
-        if is_noticed {
+        let is_detected = now - since > MIN_DETECTED_PAUSE_SECONDS;
+        if is_detected {
             self.set_clock_back(proxy, now - since);
         }
         for event in std::mem::take(&mut self.deferred_events[proxy as usize]) {
             match event {
-                // A timeout during a noticed pause says nothing about the backend.
+                // A timeout during a detected pause is no evidence against the backend.
                 SimulationEvent::ToProcess {
                     event: ProcessEvent::AttemptTimeout { attempt_id },
                     ..
-                } if is_noticed => self.abort_attempt(attempt_id, AttemptOutcome::Cancelled),
+                } if is_detected => self.abort_attempt(attempt_id, AttemptOutcome::Cancelled),
                 event => self.dispatch(event),
             }
         }
     }
 
-    /// Sets a proxy's clock back by the duration of a pause. Its timer moves with it; the earlier event is ignored.
+    /// Sets a proxy's clock back by the duration of a pause and reschedules its timer accordingly; the timer event that was
+    /// scheduled before is ignored.
     fn set_clock_back(&mut self, proxy: u16, pause: f64) {
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
@@ -194,15 +196,15 @@
         }
     }
 
-    /// Returns the fault that affects an attempt at a machine. It is drawn for each attempt, with the same probability as on
-    /// sockets.
+    /// Returns the fault that affects an attempt at a machine. It is drawn for each attempt, with the same probability as in
+    /// rehearsals on sockets.
     pub(super) fn injected_fault(&self, node: u32, request_id: u64) -> Option<BackendFault> {
-        let hits = |fault: &&InjectedFault| {
+        let affects = |fault: &&InjectedFault| {
             let share = affected_share(&fault.kind);
             let seed = self.plan.seed ^ fault.number;
             share > 0.0 && seeded_rng(seed, request_id).random::<f64>() < share
         };
-        let fault = self.machines[node as usize].faults.iter().find(hits);
+        let fault = self.machines[node as usize].faults.iter().find(affects);
         fault.map(|fault| fault.kind.clone())
     }
 
