--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -85,13 +85,16 @@
         let machine = &self.machines[retirement.node as usize];
         let backend = machine.backend.as_ref();
         let is_busy = backend.is_some_and(|backend| backend.model.in_flight() > 0);
-        if is_busy && self.now < retirement.by {
+        if is_busy && self.now < retirement.deadline {
             let retry = SimulationEvent::RetireBackend(retirement);
             return self.schedule(DRAIN_CHECK_SECONDS, retry);
         }
         self.remove_backend(retirement.node, self.scenario.discovery.update_delay.0);
         let node = retirement.successor;
-        self.schedule(retirement.after, SimulationEvent::StartBackend { node });
+        self.schedule(
+            retirement.successor_delay,
+            SimulationEvent::StartBackend { node },
+        );
     }
 
     /// Returns the current load report of a machine's backend.
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -37,9 +37,9 @@
                 after,
             } => self.start_retirement(Retirement {
                 node,
-                by,
+                deadline: by,
                 successor,
-                after,
+                successor_delay: after,
             }),
             Action::InjectFault {
                 node,
