--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -153,7 +153,7 @@
     fn pause_proxy(&mut self, proxy: u16) {
         let now = self.now;
         if let Some(running) = self.proxies[proxy as usize].as_mut() {
-            running.paused.get_or_insert(now);
+            running.paused_at.get_or_insert(now);
         }
     }
 
@@ -163,7 +163,7 @@
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
         };
-        let Some(since) = running.paused.take() else {
+        let Some(since) = running.paused_at.take() else {
             return;
         };
         let is_detected = now - since > MIN_DETECTED_PAUSE_SECONDS;
--- a/crates/simulation/src/world/process.rs
+++ b/crates/simulation/src/world/process.rs
@@ -57,7 +57,7 @@
     /// How far its clock lags behind the simulation because of pauses, in seconds.
     pub clock_lag: f64,
     /// When it was paused, in seconds of the simulation; `None` while it runs.
-    pub paused: Option<f64>,
+    pub paused_at: Option<f64>,
     /// Whether it has received SIGTERM.
     pub stopping: bool,
     /// Whether it has an endpoint list.
@@ -75,7 +75,7 @@
             platform: SimulationPlatform::default(),
             in_flight: BTreeMap::new(),
             clock_lag: 0.0,
-            paused: None,
+            paused_at: None,
             stopping: false,
             ready: false,
             timer_at: None,
--- a/crates/simulation/src/world/rpcs.rs
+++ b/crates/simulation/src/world/rpcs.rs
@@ -22,7 +22,7 @@
 
     fn is_paused(&self, proxy: u16) -> bool {
         let running = self.proxies[proxy as usize].as_ref();
-        running.is_some_and(|running| running.paused.is_some())
+        running.is_some_and(|running| running.paused_at.is_some())
     }
 
     /// Delivers a client's request to a proxy, which accepts it if it runs.
