--- a/crates/simulation/src/world/endpoint_list.rs
+++ b/crates/simulation/src/world/endpoint_list.rs
@@ -101,7 +101,7 @@
         self.can_update(proxy) && self.changed_entries(proxy).next().is_some()
     }
 
-    /// Changes the entry of a machine. Returns the proxies that receive it at once.
+    /// Changes the entry of a machine. Returns the proxies that receive the change at once.
     pub(crate) fn publish(&mut self, node: u32, entry: ListEntry) -> Vec<u16> {
         self.version += 1;
         let version = self.version;
@@ -146,7 +146,7 @@
 
     /// Begins or ends an outage. Returns the proxies whose waiting calls fail.
     pub(crate) fn set_down(&mut self, down: bool) -> Vec<u16> {
-        self.outages = count_fault(self.outages, down);
+        self.outages = adjust_fault_count(self.outages, down);
         let mut failed = Vec::new();
         for (proxy, reader) in (0..).zip(&mut self.readers) {
             if self.outages > 0 && std::mem::take(&mut reader.watching) {
@@ -159,13 +159,13 @@
     /// Begins or ends a fault that keeps a proxy's copy stale. Returns whether the proxy now receives what it missed.
     pub(crate) fn set_stale(&mut self, proxy: u16, stale: bool) -> bool {
         let reader = &mut self.readers[proxy as usize];
-        reader.stale_faults = count_fault(reader.stale_faults, stale);
+        reader.stale_faults = adjust_fault_count(reader.stale_faults, stale);
         self.can_update(proxy)
     }
 }
 
-/// Returns the number of active faults after one more begins or ends.
-fn count_fault(faults: usize, begins: bool) -> usize {
+/// Returns the number of active faults after one has begun or ended.
+fn adjust_fault_count(faults: usize, begins: bool) -> usize {
     if begins {
         faults + 1
     } else {
