--- a/crates/simulation/src/world/proxies.rs
+++ b/crates/simulation/src/world/proxies.rs
@@ -10,7 +10,7 @@
 use birchhub_backend_model::work::seeded_rng;
 use rand::Rng;
 
-/// Time in seconds after SIGTERM for which connections are still accepted.
+/// Time in seconds for which a process still accepts connections after SIGTERM.
 const SHUTDOWN_GRACE_SECONDS: f64 = 0.5;
 
 /// Time in seconds from the start of a process until it is ready.
@@ -19,10 +19,10 @@
 /// Time in seconds beyond the longest deadline after which a draining process is killed.
 const SHUTDOWN_MARGIN_SECONDS: f64 = 0.7;
 
-/// Time in seconds from SIGTERM until the load balancer notices it.
+/// Time in seconds from SIGTERM until the load balancer detects it.
 const PLANNED_STOP_NOTICE_DELAY_SECONDS: f64 = 0.3;
 
-/// The seed of a process has the proxy's number in the bits from this one on, and the time of its start in ms below.
+/// Lowest bit of the proxy's number in the random stream of a process; the lower bits hold its start time in ms.
 const PROXY_SEED_SHIFT: u32 = 48;
 
 /// Milliseconds in a second.
@@ -35,7 +35,7 @@
         running.is_some_and(|running| running.id == process)
     }
 
-    /// Starts a process, with a cached endpoint list if the scenario gives it one.
+    /// Starts a process, with a cached endpoint list if the scenario provides one.
     pub(super) fn start_proxy(&mut self, proxy: u16) {
         self.processes += 1;
         let process = ProcessId {
@@ -45,9 +45,9 @@
         let balancer = Balancer::new(&self.settings[proxy as usize], self.process_seed(proxy));
         self.proxies[proxy as usize] = Some(ProxyProcess::new(process, balancer));
         self.record(Event::ProxyStarted { proxy });
-        let known = self.first_list(proxy);
-        self.record_update(proxy, &known);
-        let endpoints = self.endpoints(proxy, &known);
+        let initial_list = self.initial_list(proxy);
+        self.record_update(proxy, &initial_list);
+        let endpoints = self.endpoints(proxy, &initial_list);
         self.run_decision(proxy, |balancer, _, platform| {
             balancer.update_endpoints(EndpointUpdateKind::StaleSnapshot, &endpoints, platform)
         });
@@ -62,7 +62,8 @@
         seeded_rng(self.plan.seed, stream).random()
     }
 
-    fn first_list(&mut self, proxy: u16) -> Vec<(u32, ListEntry)> {
+    /// Returns the endpoint list that a process starts with, which is empty unless the scenario provides one.
+    fn initial_list(&mut self, proxy: u16) -> Vec<(u32, ListEntry)> {
         if self.scenario.discovery.known_at_start {
             self.list.snapshot(proxy)
         } else {
@@ -100,7 +101,7 @@
                 self.schedule(NETWORK_DELAY_SECONDS, closed);
             }
         }
-        // What had arrived during a pause and was not read is lost too.
+        // Requests that arrived during a pause and were not read are lost too.
         for event in std::mem::take(&mut self.deferred_events[proxy as usize]) {
             if let SimulationEvent::RequestAtProxy { request_id, .. } = event {
                 self.lose_client_request(request_id);
@@ -119,7 +120,7 @@
         self.schedule(NETWORK_DELAY_SECONDS, lost);
     }
 
-    /// Starts the graceful shutdown of a process: it drains, and gets no more traffic once the load balancer notices.
+    /// Starts the graceful shutdown of a process: it drains, and gets no more traffic once the load balancer detects that.
     pub(super) fn terminate_proxy(&mut self, proxy: u16) {
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
