--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -31,13 +31,13 @@
 use process::ProxyProcess;
 use std::collections::HashMap;
 
-/// Delay between two machines in seconds, about that of loopback and two event loops.
+/// Network delay between two machines in seconds, about that of loopback and two event loops.
 const NETWORK_DELAY_SECONDS: f64 = 0.0002;
 
-/// Interval in seconds at which a draining process is checked for being idle.
+/// Interval in seconds at which a draining process or backend is checked for being idle.
 const DRAIN_CHECK_SECONDS: f64 = 0.01;
 
-/// Time in seconds that a run goes on after the last deadline, for responses in transit.
+/// Time in seconds that a run continues after the last deadline, so that responses in transit arrive.
 const RUN_TAIL_SECONDS: f64 = 1.0;
 
 /// The result of a simulation.
@@ -76,25 +76,25 @@
     list: EndpointListService,
     /// Seconds that faults add to the delay of the endpoint list service.
     list_delay: f64,
-    /// By attempt id.
+    /// The attempts at backends that have not ended, by attempt id.
     proxy_attempts: HashMap<u64, ProxyAttempt>,
-    /// By the id of the client's request.
+    /// The clients' requests that have not ended, by request id.
     client_requests: HashMap<u64, ClientRequest>,
     next_attempt_id: u64,
     next_incarnation: u32,
-    /// By proxy.
+    /// By proxy: its settings.
     settings: Vec<Settings>,
     /// Longest deadline of all methods, in seconds.
     longest_deadline: f64,
 }
 
-/// Plays a plan in simulated time.
+/// Runs a plan in simulated time.
 ///
 /// # Errors
 /// The settings that the scenario describes are invalid.
 pub fn simulate(scenario: &Scenario, plan: &Plan) -> Result<Outcome, SettingsError> {
     let mut world = World::new(scenario, plan)?;
-    world.set_up();
+    world.initialize();
     let events = world.run(plan.length + world.longest_deadline + RUN_TAIL_SECONDS);
     world.entries.sort_by(|a, b| a.at.total_cmp(&b.at));
     Ok(Outcome {
@@ -104,7 +104,7 @@
     })
 }
 
-/// Returns the settings of a proxy. The simulated service has its endpoint list polled.
+/// Returns the settings of a proxy, set to poll the endpoint list, as the simulated service requires.
 fn proxy_settings(scenario: &Scenario, proxy: u16) -> Result<Settings, SettingsError> {
     let file = settings::settings(scenario, proxy);
     let mut parsed = birchhub_settings::parse_value(&file)?;
@@ -155,8 +155,8 @@
         self.queue.push(self.now + delay, event);
     }
 
-    /// Starts the first backends and the proxies, and schedules the plan.
-    fn set_up(&mut self) {
+    /// Starts the initial backends and the proxies, and schedules the planned actions and RPCs.
+    fn initialize(&mut self) {
         for node in 0..self.plan.first_nodes() as u32 {
             let list_entry = ListEntry {
                 incarnation: self.start_backend(node, StartMode::Warm),
@@ -198,40 +198,47 @@
 
     /// Handles one event.
     fn dispatch(&mut self, event: SimulationEvent) {
-        use SimulationEvent as Due;
         match event {
-            Due::PlannedAction(action) => {
+            SimulationEvent::PlannedAction(action) => {
                 self.apply_planned_action(self.plan.actions[action].1.clone())
             }
-            Due::RpcDue(rpc) => self.start_rpc(rpc),
-            Due::SendClientRequest { rpc, number } => self.send_client_request(rpc, number),
-            Due::RequestAtProxy { request_id, proxy } => {
+            SimulationEvent::RpcDue(rpc) => self.start_rpc(rpc),
+            SimulationEvent::SendClientRequest { rpc, number } => {
+                self.send_client_request(rpc, number)
+            }
+            SimulationEvent::RequestAtProxy { request_id, proxy } => {
                 self.accept_client_request(request_id, proxy)
             }
-            Due::ToProcess { process, event } => self.deliver_to_process(process, event),
-            Due::AttemptAtBackend {
+            SimulationEvent::ToProcess { process, event } => {
+                self.deliver_to_process(process, event)
+            }
+            SimulationEvent::AttemptAtBackend {
                 attempt_id,
                 first_byte_at,
             } => self.deliver_attempt(attempt_id, first_byte_at),
-            Due::BackendDue { node, version } => self.advance_backend(node, version),
-            Due::ConnectionClosed { attempt_id } => self.close_connection(attempt_id),
-            Due::HealthCheckAtBackend { process, node } => self.deliver_health_check(process, node),
-            Due::ResponseAtClient {
+            SimulationEvent::BackendDue { node, version } => self.advance_backend(node, version),
+            SimulationEvent::ConnectionClosed { attempt_id } => self.close_connection(attempt_id),
+            SimulationEvent::HealthCheckAtBackend { process, node } => {
+                self.deliver_health_check(process, node)
+            }
+            SimulationEvent::ResponseAtClient {
                 request_id,
                 outcome,
             } => self.end_client_request(request_id, outcome),
-            Due::ClientTimeout { request_id } => {
+            SimulationEvent::ClientTimeout { request_id } => {
                 self.end_client_request(request_id, RequestOutcome::TimedOut)
             }
-            Due::ClientDisconnects { request_id } => self.disconnect_client(request_id),
-            Due::PublishEndpoint { node, list_entry } => self.publish_endpoint(node, list_entry),
-            Due::ListCallArrives(process) => self.start_list_call(process),
-            Due::ListCallServed(process) => self.finish_list_call(process),
-            Due::RetireBackend(retirement) => self.retire_backend(retirement),
-            Due::StartBackend { node } => self.start_backend_cold(node),
-            Due::LoadBalancerNoticesStop(process) => self.stop_traffic(process),
-            Due::StopProxyWhenIdle(process) => self.stop_proxy_when_idle(process),
-            Due::StartProxy { proxy, since } => self.replace_proxy(proxy, since),
+            SimulationEvent::ClientDisconnects { request_id } => self.disconnect_client(request_id),
+            SimulationEvent::PublishEndpoint { node, list_entry } => {
+                self.publish_endpoint(node, list_entry)
+            }
+            SimulationEvent::ListCallArrives(process) => self.start_list_call(process),
+            SimulationEvent::ListCallServed(process) => self.finish_list_call(process),
+            SimulationEvent::RetireBackend(retirement) => self.retire_backend(retirement),
+            SimulationEvent::StartBackend { node } => self.start_backend_cold(node),
+            SimulationEvent::LoadBalancerNoticesStop(process) => self.stop_traffic(process),
+            SimulationEvent::StopProxyWhenIdle(process) => self.stop_proxy_when_idle(process),
+            SimulationEvent::StartProxy { proxy, since } => self.replace_proxy(proxy, since),
         }
     }
 }
