--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -76,7 +76,7 @@
     list: EndpointListService,
     /// Seconds that faults add to the delay of the endpoint list service.
     list_delay: f64,
-    /// The attempts at backends that have not ended, by attempt id.
+    /// The attempts at backends that have not ended on both sides, by attempt id.
     proxy_attempts: HashMap<u64, ProxyAttempt>,
     /// The clients' requests that have not ended, by request id.
     client_requests: HashMap<u64, ClientRequest>,
--- a/crates/simulation/src/world/rpcs.rs
+++ b/crates/simulation/src/world/rpcs.rs
@@ -1,4 +1,4 @@
-//! Requests of clients and events that a proxy's process receives.
+//! Delivery of clients' requests and other events to a proxy's process.
 use super::clients::{request_number, rpc_of_request};
 use super::commands::BAD_GATEWAY;
 use super::endpoint_list::ListEntry;
@@ -25,13 +25,14 @@
         running.is_some_and(|running| running.paused_at.is_some())
     }
 
-    /// Delivers a client's request to a proxy, which accepts it if it runs.
+    /// Delivers a client's request to a proxy, or defers it while the proxy is paused. If the proxy does not run, the client
+    /// cannot reach it.
     pub(super) fn accept_client_request(&mut self, request_id: u64, proxy: u16) {
         if self.is_paused(proxy) {
             let arrival = SimulationEvent::RequestAtProxy { request_id, proxy };
             return self.deferred_events[proxy as usize].push(arrival);
         }
-        let Some(sent) = self.client_requests.get(&request_id) else {
+        let Some(request) = self.client_requests.get(&request_id) else {
             return;
         };
         let Some(running) = self.proxies[proxy as usize].as_ref() else {
@@ -42,13 +43,17 @@
             };
             return self.schedule(NETWORK_DELAY_SECONDS, refusal);
         };
-        let until = self.now + sent.client_timeout - NETWORK_DELAY_SECONDS;
+        let response_due = self.now + request.client_timeout - NETWORK_DELAY_SECONDS;
         let incoming = self.incoming_rpc(
             request_id,
-            until - DEADLINE_MARGIN_SECONDS - running.clock_lag,
+            response_due - DEADLINE_MARGIN_SECONDS - running.clock_lag,
+        );
+        let accepted = InFlightRpc::new(response_due - DEADLINE_MARGIN_SECONDS);
+        self.send_to_process(
+            proxy,
+            response_due - self.now,
+            ProcessEvent::Deadline(request_id),
         );
-        let accepted = InFlightRpc::new(until - DEADLINE_MARGIN_SECONDS);
-        self.send_to_process(proxy, until - self.now, ProcessEvent::Deadline(request_id));
         self.run_decision(proxy, |balancer, in_flight, platform| {
             in_flight.insert(request_id, accepted);
             let rpc = balancer.accept(&incoming, platform);
@@ -58,7 +63,7 @@
         });
     }
 
-    /// Returns a client's request as the decisions receive it; the deadline is by the proxy's own clock.
+    /// Converts a client's request for the decisions, with the deadline by the proxy's own clock.
     fn incoming_rpc(&self, request_id: u64, deadline: f64) -> IncomingRpc {
         let arrival = &self.plan.arrivals[rpc_of_request(request_id) as usize];
         let has_tenants = !self.scenario.tenants.is_empty();
@@ -75,7 +80,7 @@
         }
     }
 
-    /// Delivers an event to its process if that still runs, or once it is resumed.
+    /// Delivers an event to its process, or defers it while the process is paused. Events for an ended process are dropped.
     pub(super) fn deliver_to_process(&mut self, process: ProcessId, event: ProcessEvent) {
         let proxy = process.proxy;
         if !self.is_running(process) {
