--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -15,28 +15,28 @@
 
 impl World<'_> {
     /// Starts a backend on a machine and returns its incarnation.
-    pub(super) fn start_backend(&mut self, node: u32, how: StartMode) -> u32 {
+    pub(super) fn start_backend(&mut self, node: u32, mode: StartMode) -> u32 {
         let now = self.now;
         let incarnation = self.next_incarnation;
         self.next_incarnation += 1;
         let machine = &mut self.machines[node as usize];
         let factor = machine.capacity_factor;
-        let mut model = Backend::new(machine.spec.clone(), now, how);
+        let mut model = Backend::new(machine.spec.clone(), now, mode);
         model.scale(now, factor, &mut self.deduplication, &mut Vec::new());
         let warm_capacity = (machine.spec.cores as f64 * machine.spec.speed) as f32;
         machine.backend = Some(BackendProcess { incarnation, model });
-        machine.cold_started_at = (how == StartMode::Cold).then_some(now);
+        machine.cold_started_at = (mode == StartMode::Cold).then_some(now);
         machine.stalls.clear();
         self.record(Event::BackendStarted {
             incarnation,
             backend: node,
-            cold: how == StartMode::Cold,
+            cold: mode == StartMode::Cold,
             warm_capacity,
         });
         incarnation
     }
 
-    /// Starts a backend cold on a machine without one, and lists it.
+    /// Starts a cold backend on a machine without one, and schedules its publication.
     pub(super) fn start_backend_cold(&mut self, node: u32) {
         if self.machines[node as usize].backend.is_some() {
             return;
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Ends a backend once it is idle, or at its deadline, and schedules the start of its successor.
+    /// Ends a backend when it is idle or its deadline has passed, and schedules the start of its successor. Otherwise checks
+    /// again later.
     pub(super) fn retire_backend(&mut self, retirement: Retirement) {
         let machine = &self.machines[retirement.node as usize];
         let backend = machine.backend.as_ref();
@@ -109,7 +110,7 @@
         })
     }
 
-    /// Advances a backend to its scheduled event, unless that was superseded.
+    /// Advances a backend to its scheduled event, unless a later version has superseded that.
     pub(super) fn advance_backend(&mut self, node: u32, version: u64) {
         if self.machines[node as usize].version == version {
             self.change_backend(node, |node, now, deduplication, events| {
@@ -175,7 +176,8 @@
         }
     }
 
-    /// Delivers a health check to a machine, which responds if its backend runs.
+    /// Delivers a health check to a machine. It times out across a partition, is deferred during a stall, and fails to connect
+    /// if no backend runs.
     pub(super) fn deliver_health_check(&mut self, process: ProcessId, node: u32) {
         if self.is_partitioned(node, process.proxy) {
             let event = ProcessEvent::HealthChecked {
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -35,7 +35,7 @@
         request_id: u64,
         outcome: RequestOutcome,
     },
-    /// The client's timeout for this request has passed.
+    /// The client's timeout for this request, with its grace time, has passed.
     ClientTimeout { request_id: u64 },
     /// The client closes its connection before it has a response.
     ClientDisconnects { request_id: u64 },
@@ -43,7 +43,7 @@
     PublishEndpoint { node: u32, list_entry: ListEntry },
     /// A proxy's call arrives at the endpoint list service.
     ListCallArrives(ProcessId),
-    /// The endpoint list service, which serves a limited number of calls at a time, has finished one.
+    /// The endpoint list service has finished a call. Only a service with a limit of concurrent calls takes time for one.
     ListCallServed(ProcessId),
     /// A backend that is to be replaced is checked for being idle.
     RetireBackend(Retirement),
