--- a/crates/simulation/tests/simulated.rs
+++ b/crates/simulation/tests/simulated.rs
@@ -1,9 +1,10 @@
-//! Rehearsals in simulated time: the same ledger for a seed, and the rules in all shipped scenarios and at size.
-use birchhub_audit::{Event, RequestOutcome};
+//! Tests of simulated rehearsals: a seed determines the ledger, and no rule is violated in the shipped scenarios or in a
+//! large deployment.
+use birchhub_audit::{Entry, Event, RequestOutcome};
 use birchhub_rehearsal::{Plan, Report, Scenario, Verdict, shipped};
 use birchhub_simulation::{Outcome, simulate};
 
-fn play(text: &str, seed: u64) -> Outcome {
+fn simulate_scenario(text: &str, seed: u64) -> Outcome {
     let scenario = Scenario::read("s", text).expect("a scenario");
     let plan = Plan::generate(&scenario, seed, "s", text).expect("a plan");
     simulate(&scenario, &plan).expect("a simulation")
@@ -14,34 +15,40 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_ledger() {
+fn a_seed_determines_the_ledger() {
     for name in ["overlap", "pauses"] {
         let text = shipped::find(name).expect("it ships").text;
-        let (first, second, other) = (play(text, 1), play(text, 1), play(text, 2));
+        let (first, second, other) = (
+            simulate_scenario(text, 1),
+            simulate_scenario(text, 1),
+            simulate_scenario(text, 2),
+        );
         assert_eq!(first.entries, second.entries, "{name}");
         assert_ne!(first.entries, other.entries, "{name}");
     }
 }
 
-/// Every RPC that was sent has its answers in the ledger, whatever faults it met.
+/// Guards against requests and attempts that a fault leaves without an end in the ledger, and against clients that time out.
 #[test]
-fn every_shipped_scenario_keeps_the_rules_and_every_attempt_ends() {
+fn shipped_scenarios_violate_no_rule_and_every_attempt_ends() {
     for shipped in shipped::ALL {
-        let outcome = play(shipped.text, 3);
+        let outcome = simulate_scenario(shipped.text, 3);
         let report = report(&outcome);
         assert_eq!(report.verdict, Verdict::Pass, "{}", report.text());
-        let count =
-            |fits: fn(&Event) -> bool| outcome.entries.iter().filter(|e| fits(&e.event)).count();
-        let sent = count(|e| matches!(e, Event::RequestSent { .. }));
+        let count = |is_counted: fn(&Event) -> bool| {
+            let counted = |entry: &&Entry| is_counted(&entry.event);
+            outcome.entries.iter().filter(counted).count()
+        };
+        let sent = count(|event| matches!(event, Event::RequestSent { .. }));
         assert_eq!(
             sent,
-            count(|e| matches!(e, Event::RequestEnded { .. })),
+            count(|event| matches!(event, Event::RequestEnded { .. })),
             "{}",
             shipped.name
         );
         assert_eq!(
-            count(|e| matches!(
-                e,
+            count(|event| matches!(
+                event,
                 Event::RequestEnded {
                     outcome: RequestOutcome::TimedOut,
                     ..
@@ -51,20 +58,20 @@
             "{}",
             shipped.name
         );
-        let got = count(|e| matches!(e, Event::AttemptReceived { .. }));
+        let received = count(|event| matches!(event, Event::AttemptReceived { .. }));
         assert_eq!(
-            got,
-            count(|e| matches!(e, Event::AttemptEnded { .. })),
+            received,
+            count(|event| matches!(event, Event::AttemptEnded { .. })),
             "{}",
             shipped.name
         );
     }
 }
 
-/// A rolling deploy and the death of many of two thousand nodes.
+/// A rolling deployment and the crash of half of a zone, with 2,000 nodes.
 const LARGE: &str = r#"
 name = "large"
-about = "Size."
+about = "A rolling deployment and a mass crash with 2,000 nodes."
 length = "6s"
 [fleet]
 zones = ["a", "b"]
@@ -106,8 +113,8 @@
 "#;
 
 #[test]
-fn rules_hold_before_two_thousand_nodes() {
-    let outcome = play(LARGE, 1);
+fn rules_hold_with_two_thousand_nodes() {
+    let outcome = simulate_scenario(LARGE, 1);
     let report = report(&outcome);
     assert_eq!(report.verdict, Verdict::Pass, "{}", report.text());
     assert!(
