--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -6,9 +6,9 @@
 mod fields;
 mod instance;
 mod platform;
-mod process;
 mod protocol;
 mod session;
+mod simulated_proxies;
 
 use std::process::ExitCode;
 
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -3,8 +3,8 @@
 use crate::endpoints::ListEntry;
 use crate::error::{InputError, LineError};
 use crate::fields::Fields;
-use crate::process::Process;
 use crate::protocol::{LIST_NUMBER_BITS, command, field, message};
+use crate::simulated_proxies::SimulatedProxies;
 use std::fmt::Write as _;
 use std::io::{BufRead, Write};
 
@@ -50,7 +50,7 @@
 /// The state of the session.
 #[derive(Default)]
 struct Session {
-    process: Process,
+    proxies: SimulatedProxies,
     /// Serial number of the open batch.
     open_batch: Option<u64>,
     partial_list: Option<PartialList>,
@@ -78,19 +78,19 @@
             (_, None) => Err(LineError::BatchExpected(name.to_owned())),
             (message::BATCH_END, Some(serial)) => self.answer_batch(serial, output),
             (message::ENDPOINT_LIST, Some(_)) => self.open_list(&mut fields),
-            (_, Some(_)) => self.process.handle(name, &mut fields),
+            (_, Some(_)) => self.proxies.handle(name, &mut fields),
         }
     }
 
     fn open_batch(&mut self, fields: &mut Fields) -> Result<(), LineError> {
-        self.process.clock = fields.number(field::CLOCK)?;
+        self.proxies.clock = fields.number(field::CLOCK)?;
         self.open_batch = Some(fields.number(field::BATCH_SERIAL)?);
         Ok(())
     }
 
     fn answer_batch(&mut self, serial: u64, output: &mut impl Write) -> Result<(), LineError> {
         self.open_batch = None;
-        let answer = &mut self.process.output;
+        let answer = &mut self.proxies.output;
         writeln!(answer, "{}\t{serial}", command::BATCH_ANSWERED).expect("writing to a string");
         output.write_all(answer.as_bytes())?;
         output.flush()?;
@@ -116,10 +116,10 @@
         Ok(())
     }
 
-    /// Stores a complete list for the process, and an incomplete one for its next entry.
+    /// Stores a complete list for the proxies, and an incomplete one for its next entry.
     fn store_list(&mut self, list: PartialList) {
         if list.missing_entries == 0 {
-            self.process.lists.insert(list.number, list.entries);
+            self.proxies.lists.insert(list.number, list.entries);
         } else {
             self.partial_list = Some(list);
         }
--- a/crates/simulator-adapter/src/process.rs
+++ b/crates/simulator-adapter/src/simulated_proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies of a run, the endpoint lists that were sent, and the messages to the proxies.
+//! The simulated proxies of a session: handles the messages to them, and keeps the endpoint lists that they share.
 
 use crate::endpoints::ListEntry;
 use crate::error::LineError;
@@ -17,9 +17,9 @@
 use std::fmt::Write as _;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// All proxies of a run.
+/// All simulated proxies of a session, and the endpoint lists that they share.
 #[derive(Default)]
-pub(crate) struct Process {
+pub(crate) struct SimulatedProxies {
     /// Simulated time of the current batch in ns.
     pub(crate) clock: u64,
     /// The answer to the current batch so far.
@@ -30,7 +30,7 @@
     instances: BTreeMap<u64, Instance>,
 }
 
-impl Process {
+impl SimulatedProxies {
     /// Handles the message with this name.
     ///
     /// # Errors
