--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,11 +4,11 @@
 mod endpoints;
 mod error;
 mod fields;
-mod instance;
 mod platform;
 mod protocol;
 mod session;
 mod simulated_proxies;
+mod simulated_proxy;
 
 use std::process::ExitCode;
 
--- a/crates/simulator-adapter/src/simulated_proxies.rs
+++ b/crates/simulator-adapter/src/simulated_proxies.rs
@@ -3,12 +3,12 @@
 use crate::endpoints::ListEntry;
 use crate::error::LineError;
 use crate::fields::Fields;
-use crate::instance::Instance;
 use crate::platform::SimulatorPlatform;
 use crate::protocol::{
     self, EndpointUpdate, HAS_EXPECTED_WORK, IS_CLIENT_RETRY, NANOSECONDS_PER_SECOND, NO_TENANT,
     RPC_BITS, TIMER_BITS, command, field, message,
 };
+use crate::simulated_proxy::SimulatedProxy;
 use birchhub::balancer::RpcHandle;
 use birchhub::interface::{IncomingRpc, PacedBy};
 use birchhub_settings as settings;
@@ -27,7 +27,7 @@
     /// Endpoint lists, by number.
     pub(crate) lists: HashMap<u64, Vec<ListEntry>>,
     /// Running proxies, by id.
-    instances: BTreeMap<u64, Instance>,
+    proxies: BTreeMap<u64, SimulatedProxy>,
 }
 
 impl SimulatedProxies {
@@ -37,8 +37,8 @@
     /// The message is unknown or malformed.
     pub(crate) fn handle(&mut self, name: &str, fields: &mut Fields) -> Result<(), LineError> {
         match name {
-            message::PROXY_START => self.start_instance(fields),
-            message::PROXY_END => self.end_instance(fields),
+            message::PROXY_START => self.start_proxy(fields),
+            message::PROXY_END => self.end_proxy(fields),
             message::ENDPOINT_UPDATE => self.update_endpoints(fields),
             message::RPC => self.accept_rpc(fields),
             message::ATTEMPT_END => self.end_attempt(fields),
@@ -54,17 +54,18 @@
         }
     }
 
-    fn start_instance(&mut self, fields: &mut Fields) -> Result<(), LineError> {
+    fn start_proxy(&mut self, fields: &mut Fields) -> Result<(), LineError> {
         let proxy = fields.number(field::PROXY)?;
         let seed = fields.number(field::SEED)?;
-        let instance = Instance::new(fields.remainder(field::SETTINGS)?, seed, self.clock)?;
-        self.instances.insert(proxy, instance);
+        let simulated_proxy =
+            SimulatedProxy::new(fields.remainder(field::SETTINGS)?, seed, self.clock)?;
+        self.proxies.insert(proxy, simulated_proxy);
         Ok(())
     }
 
-    fn end_instance(&mut self, fields: &mut Fields) -> Result<(), LineError> {
+    fn end_proxy(&mut self, fields: &mut Fields) -> Result<(), LineError> {
         let proxy: u64 = fields.number(field::PROXY)?;
-        self.instances.remove(&proxy);
+        self.proxies.remove(&proxy);
         Ok(())
     }
 
@@ -75,8 +76,8 @@
         let kind = match fields.name(field::UPDATE_KIND, protocol::update_kind)? {
             EndpointUpdate::List(kind) => kind,
             EndpointUpdate::Failed => {
-                self.call(proxy, |instance, platform| {
-                    instance.balancer.on_discovery_failure(platform);
+                self.call(proxy, |simulated_proxy, platform| {
+                    simulated_proxy.balancer.on_discovery_failure(platform);
                 });
                 return Ok(());
             }
@@ -84,12 +85,15 @@
         let number = list.ok_or(LineError::Missing(field::LIST_NUMBER))?;
         let list = self.lists.get(&number);
         let list = list.ok_or(LineError::NoSuchList(number))?;
-        let Some(instance) = self.instances.get(&proxy) else {
+        let Some(simulated_proxy) = self.proxies.get(&proxy) else {
             return Ok(());
         };
-        let endpoints: Vec<_> = list.iter().map(|entry| instance.resolve(entry)).collect();
-        self.call(proxy, |instance, platform| {
-            let balancer = &instance.balancer;
+        let endpoints: Vec<_> = list
+            .iter()
+            .map(|entry| simulated_proxy.resolve(entry))
+            .collect();
+        self.call(proxy, |simulated_proxy, platform| {
+            let balancer = &simulated_proxy.balancer;
             balancer.update_endpoints(kind, &endpoints, platform);
         });
         Ok(())
@@ -104,25 +108,25 @@
         let deadline: u64 = fields.number(field::DEADLINE)?;
         let expected_work: Option<u64> = fields.optional_number(field::EXPECTED_WORK)?;
         let options = fields.optional_number::<u64>(field::OPTIONS)?.unwrap_or(0);
-        let Some(instance) = self.instances.get(&proxy) else {
+        let Some(simulated_proxy) = self.proxies.get(&proxy) else {
             return Ok(());
         };
         let tenant = tenant.filter(|name| *name != NO_TENANT && !name.is_empty());
         let expected_work = expected_work.filter(|_| options & HAS_EXPECTED_WORK != 0);
         let rpc = IncomingRpc {
             id,
-            method: instance.method(method)?,
-            tenant: tenant.and_then(|name| instance.tenant(name)),
-            deadline: instance.seconds(deadline),
+            method: simulated_proxy.method(method)?,
+            tenant: tenant.and_then(|name| simulated_proxy.tenant(name)),
+            deadline: simulated_proxy.seconds(deadline),
             expected_work: expected_work.map(|work| work as f64 / NANOSECONDS_PER_SECOND),
             client_retry: options & IS_CLIENT_RETRY != 0,
             streams_request: false,
             key,
         };
-        self.call(proxy, |instance, platform| {
-            let handle = instance.balancer.accept(&rpc, platform);
+        self.call(proxy, |simulated_proxy, platform| {
+            let handle = simulated_proxy.balancer.accept(&rpc, platform);
             if !handle.is_finished() {
-                instance.rpcs.insert(id, handle);
+                simulated_proxy.rpcs.insert(id, handle);
             }
         });
         Ok(())
@@ -165,8 +169,8 @@
     fn fire_timer(&mut self, fields: &mut Fields) -> Result<(), LineError> {
         let proxy = fields.number(field::PROXY)?;
         fields.number_of_bits(field::TIMER, TIMER_BITS)?;
-        self.call(proxy, |instance, platform| {
-            instance.balancer.on_timer(platform);
+        self.call(proxy, |simulated_proxy, platform| {
+            simulated_proxy.balancer.on_timer(platform);
         });
         Ok(())
     }
@@ -177,31 +181,31 @@
         let backend = fields.number(field::BACKEND)?;
         fields.number::<u64>(field::DURATION)?;
         let report = fields.load_report()?;
-        self.call(proxy, |instance, platform| {
-            let balancer = &instance.balancer;
+        self.call(proxy, |simulated_proxy, platform| {
+            let balancer = &simulated_proxy.balancer;
             balancer.on_health_check(backend, outcome, report, platform);
         });
         Ok(())
     }
 
     /// Calls the decisions of one proxy, if it runs. A panic in them ends the proxy.
-    fn call(&mut self, proxy: u64, act: impl FnOnce(&mut Instance, &mut SimulatorPlatform)) {
-        let Some(instance) = self.instances.get_mut(&proxy) else {
+    fn call(&mut self, proxy: u64, act: impl FnOnce(&mut SimulatedProxy, &mut SimulatorPlatform)) {
+        let Some(simulated_proxy) = self.proxies.get_mut(&proxy) else {
             return;
         };
-        let now = instance.seconds(self.clock);
+        let now = simulated_proxy.seconds(self.clock);
         let mut platform = SimulatorPlatform::new(&mut self.output, proxy, now);
-        let result = catch_unwind(AssertUnwindSafe(|| act(instance, &mut platform)));
+        let result = catch_unwind(AssertUnwindSafe(|| act(simulated_proxy, &mut platform)));
         if let Err(panic) = result {
             let text = panic_text(&*panic);
             let panicked = command::PROXY_PANICKED;
             writeln!(self.output, "{panicked}\t{proxy}\t{text}").expect("writing to a string");
-            self.instances.remove(&proxy);
+            self.proxies.remove(&proxy);
             return;
         }
         // An RPC that was pending may be answered in a call about another one: its handle must not leak.
         for rpc in platform.into_answered() {
-            instance.forget_if_finished(rpc);
+            simulated_proxy.forget_if_finished(rpc);
         }
     }
 
@@ -212,12 +216,12 @@
         id: u64,
         act: impl FnOnce(&RpcHandle, &mut SimulatorPlatform),
     ) {
-        self.call(proxy, |instance, platform| {
-            let Some(rpc) = instance.rpcs.get(&id) else {
+        self.call(proxy, |simulated_proxy, platform| {
+            let Some(rpc) = simulated_proxy.rpcs.get(&id) else {
                 return;
             };
             act(rpc, platform);
-            instance.forget_if_finished(id);
+            simulated_proxy.forget_if_finished(id);
         });
     }
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/simulated_proxy.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 
 /// One simulated proxy.
-pub(crate) struct Instance {
+pub(crate) struct SimulatedProxy {
     /// Its decisions.
     pub(crate) balancer: Balancer,
     /// RPCs that are not finished.
@@ -28,7 +28,7 @@
     has_sizes: bool,
 }
 
-impl Instance {
+impl SimulatedProxy {
     /// Creates a proxy that starts at this simulated time in ns.
     ///
     /// # Errors
