--- a/crates/simulator-adapter/src/simulated_proxies.rs
+++ b/crates/simulator-adapter/src/simulated_proxies.rs
@@ -76,7 +76,7 @@
         let kind = match fields.name(field::UPDATE_KIND, protocol::update_kind)? {
             EndpointUpdate::List(kind) => kind,
             EndpointUpdate::Failed => {
-                self.call(proxy, |simulated_proxy, platform| {
+                self.run_decision(proxy, |simulated_proxy, platform| {
                     simulated_proxy.balancer.on_discovery_failure(platform);
                 });
                 return Ok(());
@@ -92,7 +92,7 @@
             .iter()
             .map(|entry| simulated_proxy.resolve(entry))
             .collect();
-        self.call(proxy, |simulated_proxy, platform| {
+        self.run_decision(proxy, |simulated_proxy, platform| {
             let balancer = &simulated_proxy.balancer;
             balancer.update_endpoints(kind, &endpoints, platform);
         });
@@ -123,7 +123,7 @@
             streams_request: false,
             key,
         };
-        self.call(proxy, |simulated_proxy, platform| {
+        self.run_decision(proxy, |simulated_proxy, platform| {
             let handle = simulated_proxy.balancer.accept(&rpc, platform);
             if !handle.is_finished() {
                 simulated_proxy.rpcs.insert(id, handle);
@@ -141,7 +141,7 @@
         fields.number::<u64>(field::DURATION)?;
         let answered = fields.flag(field::IS_ANSWERED)?;
         let report = fields.load_report()?;
-        self.on_rpc(proxy, id, |rpc, platform| {
+        self.run_rpc_decision(proxy, id, |rpc, platform| {
             rpc.on_attempt_ended(attempt, outcome, answered, report, platform);
         });
         Ok(())
@@ -151,7 +151,7 @@
         let proxy = fields.number(field::PROXY)?;
         let id = fields.number_of_bits(field::RPC, RPC_BITS)?;
         let attempt = fields.number(field::ATTEMPT)?;
-        self.on_rpc(proxy, id, |rpc, platform| {
+        self.run_rpc_decision(proxy, id, |rpc, platform| {
             rpc.on_response_started(attempt, PacedBy::Backend, platform);
         });
         Ok(())
@@ -160,7 +160,7 @@
     fn disconnect_client(&mut self, fields: &mut Fields) -> Result<(), LineError> {
         let proxy = fields.number(field::PROXY)?;
         let id = fields.number_of_bits(field::RPC, RPC_BITS)?;
-        self.on_rpc(proxy, id, |rpc, platform| {
+        self.run_rpc_decision(proxy, id, |rpc, platform| {
             rpc.on_client_disconnected(platform);
         });
         Ok(())
@@ -169,7 +169,7 @@
     fn fire_timer(&mut self, fields: &mut Fields) -> Result<(), LineError> {
         let proxy = fields.number(field::PROXY)?;
         fields.number_of_bits(field::TIMER, TIMER_BITS)?;
-        self.call(proxy, |simulated_proxy, platform| {
+        self.run_decision(proxy, |simulated_proxy, platform| {
             simulated_proxy.balancer.on_timer(platform);
         });
         Ok(())
@@ -181,21 +181,25 @@
         let backend = fields.number(field::BACKEND)?;
         fields.number::<u64>(field::DURATION)?;
         let report = fields.load_report()?;
-        self.call(proxy, |simulated_proxy, platform| {
+        self.run_decision(proxy, |simulated_proxy, platform| {
             let balancer = &simulated_proxy.balancer;
             balancer.on_health_check(backend, outcome, report, platform);
         });
         Ok(())
     }
 
-    /// Calls the decisions of one proxy, if it runs. A panic in them ends the proxy.
-    fn call(&mut self, proxy: u64, act: impl FnOnce(&mut SimulatedProxy, &mut SimulatorPlatform)) {
+    /// Calls the decisions of one proxy, if it runs. A panic in them is reported to the simulator and ends the proxy.
+    fn run_decision(
+        &mut self,
+        proxy: u64,
+        decide: impl FnOnce(&mut SimulatedProxy, &mut SimulatorPlatform),
+    ) {
         let Some(simulated_proxy) = self.proxies.get_mut(&proxy) else {
             return;
         };
         let now = simulated_proxy.seconds(self.clock);
         let mut platform = SimulatorPlatform::new(&mut self.output, proxy, now);
-        let result = catch_unwind(AssertUnwindSafe(|| act(simulated_proxy, &mut platform)));
+        let result = catch_unwind(AssertUnwindSafe(|| decide(simulated_proxy, &mut platform)));
         if let Err(panic) = result {
             let text = panic_text(&*panic);
             let panicked = command::PROXY_PANICKED;
@@ -203,25 +207,25 @@
             self.proxies.remove(&proxy);
             return;
         }
-        // An RPC that was pending may be answered in a call about another one: its handle must not leak.
+        // A call for one RPC may also reject or fail another that is pending, whose handle must be released too.
         for rpc in platform.into_answered() {
-            simulated_proxy.forget_if_finished(rpc);
+            simulated_proxy.remove_if_finished(rpc);
         }
     }
 
-    /// Reports an event to an RPC, unless it is finished.
-    fn on_rpc(
+    /// Calls the decisions for one RPC, unless it has finished.
+    fn run_rpc_decision(
         &mut self,
         proxy: u64,
         id: u64,
-        act: impl FnOnce(&RpcHandle, &mut SimulatorPlatform),
+        decide: impl FnOnce(&RpcHandle, &mut SimulatorPlatform),
     ) {
-        self.call(proxy, |simulated_proxy, platform| {
+        self.run_decision(proxy, |simulated_proxy, platform| {
             let Some(rpc) = simulated_proxy.rpcs.get(&id) else {
                 return;
             };
-            act(rpc, platform);
-            simulated_proxy.forget_if_finished(id);
+            decide(rpc, platform);
+            simulated_proxy.remove_if_finished(id);
         });
     }
 }
--- a/crates/simulator-adapter/src/simulated_proxy.rs
+++ b/crates/simulator-adapter/src/simulated_proxy.rs
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Forgets an RPC if it is finished.
-    pub(crate) fn forget_if_finished(&mut self, rpc: u64) {
+    /// Releases the handle of an RPC that has finished.
+    pub(crate) fn remove_if_finished(&mut self, rpc: u64) {
         if self.rpcs.get(&rpc).is_some_and(RpcHandle::is_finished) {
             self.rpcs.remove(&rpc);
         }
