--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Adapter that runs the decisions on the operators' simulator: reads its protocol on standard input and writes the answers
-//! to standard output. Malformed input ends the program with exit code 2 and one line that names the input line and the field.
+//! Adapter that connects the decisions to the operators' simulator. It reads the simulator's protocol from standard input and
+//! writes the replies to standard output. On malformed input it prints the line number and the field to standard error and
+//! exits with code 2.
 
 mod endpoints;
 mod error;
