--- a/crates/simulator-adapter/src/endpoints.rs
+++ b/crates/simulator-adapter/src/endpoints.rs
@@ -1,22 +1,22 @@
-//! Endpoint lists as the simulator sends them.
+//! Parser of the endpoint lists that the simulator sends.
 
 use crate::error::LineError;
 use crate::fields::Fields;
 use crate::protocol::{self, field, message};
 use birchhub::interface::Endpoint;
 
-/// An entry of an endpoint list. Zone and start are resolved by each proxy, which has its own settings and clock.
+/// An entry of an endpoint list. Each proxy resolves the zone and the start time itself, by its own settings and clock.
 pub(crate) struct ListEntry {
     /// Name of the zone.
     pub(crate) zone: String,
-    /// Simulated time of the latest start in ns; `None` if it was long ago.
+    /// Simulated time of the backend's latest start in ns; `None` if it was long ago.
     pub(crate) started_at: Option<u64>,
-    /// The other facts.
+    /// The other fields; zone and start time are not set.
     pub(crate) endpoint: Endpoint,
 }
 
 impl ListEntry {
-    /// Parses one line of a list.
+    /// Parses one line of an endpoint list.
     pub(crate) fn parse(line: &str) -> Result<Self, LineError> {
         let mut fields = Fields::new(line);
         if fields.text(message::ENDPOINT_LIST_ENTRY)? != message::ENDPOINT_LIST_ENTRY {
@@ -31,7 +31,7 @@
         let readiness = fields.name(field::READINESS, protocol::readiness)?;
         Ok(Self {
             zone,
-            started_at: started_at.filter(|clock| *clock > 0),
+            started_at: started_at.filter(|at| *at > 0),
             endpoint: Endpoint {
                 backend,
                 relative_size,
