--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,25 +1,25 @@
-//! Errors of the input.
+//! Errors in the simulator's input.
 
 use birchhub_settings::{LoadReportError, SettingsError};
 use thiserror::Error;
 
-/// An error in one input line.
+/// An error and the number of the input line that it was found in.
 #[derive(Debug, Error)]
 #[error("line {line}: {error}")]
 pub(crate) struct InputError {
     /// Number of the line, counted from 1.
     pub(crate) line: u64,
-    /// What is wrong with it.
+    /// The error in the line.
     pub(crate) error: LineError,
 }
 
-/// What is wrong with one line.
+/// An error in an input line. The messages are matched by `tests/fixtures/malformed.json`.
 #[derive(Debug, Error)]
 pub(crate) enum LineError {
-    /// A field is missing, and with it all that follow.
+    /// The line ends before this field.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A field is not a number, or out of the range of its type.
+    /// A field is not a number, or exceeds the range of its type.
     #[error("{field} is not a number in range: {text}")]
     NotANumber {
         /// Name of the field.
@@ -27,7 +27,7 @@
         /// Its value.
         text: String,
     },
-    /// A number is outside the range of its field.
+    /// A number exceeds the range that the protocol permits.
     #[error("{field} is out of range: {value}")]
     OutOfRange {
         /// Name of the field.
@@ -35,7 +35,7 @@
         /// Its value.
         value: String,
     },
-    /// A name or code is unknown to the protocol, or a name to the settings.
+    /// The protocol does not define this name or code, or the settings do not define this method.
     #[error("{field} is not known: {value}")]
     Unknown {
         /// Name of the field.
@@ -63,7 +63,7 @@
     /// Another message arrived before the last entry of a list.
     #[error("nodes-list has fewer entries than it says")]
     IncompleteList,
-    /// A batch began within another.
+    /// A batch began before the previous one ended.
     #[error("BATCH before the last one's FLUSH")]
     NestedBatch,
     /// A message arrived outside a batch.
@@ -72,7 +72,7 @@
     /// The input ended within a batch.
     #[error("input ends before FLUSH")]
     UnfinishedBatch,
-    /// The input ended within the line.
+    /// The input ended before the line's end.
     #[error("the line is cut off")]
     Truncated,
     /// The line is not UTF-8.
