--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,4 +1,4 @@
-//! Reader of the fields of one line, which are separated by tabs.
+//! Reader of the tab-separated fields of one input line.
 
 use crate::error::LineError;
 use crate::protocol::{self, ABSENT, field};
@@ -12,7 +12,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Creates a reader of a line without its line end.
+    /// Creates a reader of a line, which must not include its line terminator.
     pub(crate) fn new(line: &'a str) -> Self {
         Self { rest: Some(line) }
     }
@@ -28,7 +28,7 @@
         Ok(text)
     }
 
-    /// Reads the next field as text, unless it is absent.
+    /// Reads the next field as text; `None` if it holds the mark of an absent value.
     pub(crate) fn optional_text(
         &mut self,
         field: &'static str,
@@ -43,7 +43,7 @@
         parse(field, text)
     }
 
-    /// Reads the next field as a number, unless it is absent.
+    /// Reads the next field as a number; `None` if it holds the mark of an absent value.
     pub(crate) fn optional_number<T: FromStr>(
         &mut self,
         field: &'static str,
@@ -84,7 +84,7 @@
         self.rest.take().ok_or(LineError::Missing(field))
     }
 
-    /// Reads the next field as the code of an outcome.
+    /// Reads the next field as the code of an attempt's outcome.
     pub(crate) fn outcome(&mut self) -> Result<AttemptOutcome, LineError> {
         let code: u32 = self.number(field::OUTCOME)?;
         protocol::outcome(code).ok_or_else(|| LineError::Unknown {
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Reads the next field as a name of the protocol, which `lookup` knows.
+    /// Reads the next field as a name that `lookup` resolves; `LineError::Unknown` if it returns `None`.
     pub(crate) fn name<T>(
         &mut self,
         field: &'static str,
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -69,7 +69,7 @@
     pub(crate) const UPDATE_KIND: &str = "kind";
 }
 
-/// Value of a field that is absent.
+/// Mark of an absent value in a field.
 pub(crate) const ABSENT: &str = "-";
 /// Value of [`field::TENANT`] of an RPC without one, beside the empty one.
 pub(crate) const NO_TENANT: &str = "0";
