--- a/crates/simulator-adapter/src/simulated_proxy.rs
+++ b/crates/simulator-adapter/src/simulated_proxy.rs
@@ -1,4 +1,4 @@
-//! One simulated proxy: its balancer, and the names of its settings.
+//! A simulated proxy: its balancer, its RPCs in flight and the names in its settings.
 
 use crate::endpoints::ListEntry;
 use crate::error::LineError;
@@ -8,24 +8,24 @@
 use birchhub_settings::{self as settings, ParsedSettings};
 use std::collections::HashMap;
 
-/// One simulated proxy.
+/// A simulated proxy.
 pub(crate) struct SimulatedProxy {
     /// Its decisions.
     pub(crate) balancer: Balancer,
-    /// RPCs that are not finished.
+    /// The handles of the RPCs that have not finished, by RPC id.
     pub(crate) rpcs: HashMap<u64, RpcHandle>,
-    names: Names,
-    /// Simulated time of its start in ns. Times of the decisions count from here, so that fractions keep their precision.
+    names: SettingsNames,
+    /// Simulated time of its start in ns. The decisions' times are relative to it, so that `f64` seconds keep their precision.
     started_at: u64,
 }
 
-/// Names in the settings, by index.
-struct Names {
+/// The names that the settings define, in the order of the decisions' indexes.
+struct SettingsNames {
     methods: Vec<String>,
     tenants: Vec<String>,
     zones: Vec<String>,
-    /// Whether endpoint lists tell the sizes of backends.
-    has_sizes: bool,
+    /// Whether endpoint lists contain the relative sizes of backends.
+    lists_endpoint_sizes: bool,
 }
 
 impl SimulatedProxy {
@@ -46,11 +46,11 @@
         Ok(Self {
             balancer: Balancer::new(&settings, seed),
             rpcs: HashMap::new(),
-            names: Names {
+            names: SettingsNames {
                 methods,
                 tenants,
                 zones,
-                has_sizes: lists_endpoint_sizes,
+                lists_endpoint_sizes,
             },
             started_at: clock,
         })
@@ -71,16 +71,16 @@
         })
     }
 
-    /// Returns the index of a tenant, if the settings have it.
+    /// Returns the index of a tenant; `None` if the settings do not define it.
     pub(crate) fn tenant(&self, name: &str) -> Option<usize> {
         self.names.tenants.iter().position(|tenant| tenant == name)
     }
 
-    /// Resolves the zone and the start of a list's entry.
+    /// Converts an entry of an endpoint list, with the zone's index and the start time relative to this proxy's start.
     pub(crate) fn resolve(&self, entry: &ListEntry) -> Endpoint {
         let zones = &self.names.zones;
         let zone = zones.iter().position(|zone| *zone == entry.zone);
-        let has_size = self.names.has_sizes && entry.endpoint.relative_size > 0.0;
+        let has_size = self.names.lists_endpoint_sizes && entry.endpoint.relative_size > 0.0;
         Endpoint {
             zone: zone.unwrap_or(zones.len()),
             relative_size: if has_size {
