--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,12 +1,13 @@
-//! The wire of the adapter: `fixtures/every-message.in` has each message that it reads, and what it writes for that is
-//! `fixtures/every-message.out`, as the code of 2026-12-02 wrote it. Names and fields stay; where the decisions
-//! themselves change, so may numbers in it, and the file is made anew by `birchhub-simulator-adapter <every-message.in`.
+//! Guards the simulator's protocol against changes of message names and fields. `fixtures/every-message.in` contains every
+//! message that the adapter reads, and `fixtures/every-message.out` its output, as the code of 2026-12-02 wrote it. If the
+//! decisions change, numbers in the output may change too: regenerate it by `birchhub-simulator-adapter <every-message.in`.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
 const INPUT: &str = include_str!("fixtures/every-message.in");
 const OUTPUT: &str = include_str!("fixtures/every-message.out");
-const BAD_INPUT: i32 = 2;
+/// Exit code for malformed input.
+const MALFORMED_INPUT: i32 = 2;
 
 fn run(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_birchhub-simulator-adapter"))
@@ -14,20 +15,20 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter");
-    let mut stdin = child.stdin.take().expect("its input");
-    // The adapter may refuse a line and end before it has read all.
+        .expect("the adapter starts");
+    let mut stdin = child.stdin.take().expect("the pipe to its standard input");
+    // The write fails if the adapter exits at a malformed line before it has read the whole input.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
-    child.wait_with_output().expect("its end")
+    child.wait_with_output().expect("the adapter exits")
 }
 
 fn text(bytes: &[u8]) -> &str {
-    std::str::from_utf8(bytes).expect("text")
+    std::str::from_utf8(bytes).expect("UTF-8 output")
 }
 
 #[test]
-fn each_message_is_read_and_answered_as_before() {
+fn output_for_every_message_matches_the_fixture() {
     let output = run(INPUT);
     assert_eq!(text(&output.stderr), "");
     assert_eq!(output.status.code(), Some(0));
@@ -35,12 +36,12 @@
 }
 
 #[test]
-fn the_fixture_has_the_messages_of_the_wire() {
-    let first_words = |text: &str| -> Vec<String> {
-        let words = text.lines().filter_map(|line| line.split('\t').next());
-        words.map(str::to_owned).collect()
+fn fixtures_contain_every_message_of_the_protocol() {
+    let message_names = |text: &str| -> Vec<String> {
+        let names = text.lines().filter_map(|line| line.split('\t').next());
+        names.map(str::to_owned).collect()
     };
-    let input = first_words(INPUT);
+    let input = message_names(INPUT);
     for name in [
         "BATCH",
         "TABLE",
@@ -56,9 +57,9 @@
         "KILLED",
         "FLUSH",
     ] {
-        assert!(input.iter().any(|word| word == name), "{name} is missing");
+        assert!(input.iter().any(|found| found == name), "{name} is missing");
     }
-    let output = first_words(OUTPUT);
+    let output = message_names(OUTPUT);
     for name in [
         "PLACE",
         "ABORT_ATTEMPT",
@@ -69,14 +70,17 @@
         "SET_ALARM",
         "YIELD",
     ] {
-        assert!(output.iter().any(|word| word == name), "{name} is missing");
+        assert!(
+            output.iter().any(|found| found == name),
+            "{name} is missing"
+        );
     }
 }
 
 #[test]
-fn an_unknown_message_ends_the_adapter_with_2_and_names_its_line() {
+fn unknown_message_exits_with_2_and_reports_its_line() {
     let output = run("BATCH\t1\t1\nDANCE\t1\n");
-    assert_eq!(output.status.code(), Some(BAD_INPUT));
+    assert_eq!(output.status.code(), Some(MALFORMED_INPUT));
     assert_eq!(
         text(&output.stderr),
         "birchhub-simulator-adapter: line 2: the message name is not known: DANCE\n"
