--- a/crates/simulator-adapter/tests/malformed_input.rs
+++ b/crates/simulator-adapter/tests/malformed_input.rs
@@ -1,5 +1,5 @@
-//! Malformed input ends the adapter with exit code 2 and one line that names the input line and the field.
-//! `fixtures/malformed.json` holds what the code of 2026-12-02 wrote for each case.
+//! Guards the adapter's errors for malformed input: it exits with code 2 after one line that names the input line and the
+//! field. `fixtures/malformed.json` contains the output of the code of 2026-12-02 for each case.
 
 use serde_json::Value;
 use std::io::Write;
@@ -14,11 +14,14 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut stdin = adapter.stdin.take().expect("a pipe");
-    // It may end before it has read all.
+    let mut stdin = adapter
+        .stdin
+        .take()
+        .expect("the pipe to its standard input");
+    // The write fails if the adapter exits at a malformed line before it has read the whole input.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
-    adapter.wait_with_output().expect("the adapter ends")
+    adapter.wait_with_output().expect("the adapter exits")
 }
 
 #[test]
@@ -27,7 +30,7 @@
     assert_eq!(cases.len(), 24);
     for case in &cases {
         let output = run(case["input"].as_str().expect("an input"));
-        let stderr = String::from_utf8(output.stderr).expect("text");
+        let stderr = String::from_utf8(output.stderr).expect("UTF-8 output");
         assert_eq!(stderr, case["stderr"], "{}", case["case"]);
         let exit_code = output.status.code().map(i64::from);
         assert_eq!(exit_code, case["exit_code"].as_i64(), "{}", case["case"]);
