--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! The session with the simulator: batches of messages, each answered as a whole at its end.
+//! A session with the simulator: reads batches of messages and writes the reply to a batch when it ends.
 
 use crate::endpoints::ListEntry;
 use crate::error::{InputError, LineError};
@@ -40,24 +40,24 @@
     Ok(Some(text))
 }
 
-/// An endpoint list of which some entries are still missing.
+/// An endpoint list that has not been received completely.
 struct PartialList {
     number: u64,
     missing_entries: usize,
     entries: Vec<ListEntry>,
 }
 
-/// The state of the session.
+/// The state of a session.
 #[derive(Default)]
 struct Session {
     proxies: SimulatedProxies,
-    /// Serial number of the open batch.
+    /// Serial number of the open batch; `None` between batches.
     open_batch: Option<u64>,
     partial_list: Option<PartialList>,
 }
 
 impl Session {
-    /// Checks that the input does not end within a batch.
+    /// Checks at the end of the input that no batch is open.
     fn end(&self) -> Result<(), LineError> {
         match self.open_batch {
             None => Ok(()),
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Stores a complete list for the proxies, and an incomplete one for its next entry.
+    /// Stores a list for the proxies if it is complete; otherwise keeps it until its next entry.
     fn store_list(&mut self, list: PartialList) {
         if list.missing_entries == 0 {
             self.proxies.lists.insert(list.number, list.entries);
