--- a/crates/simulator-adapter/src/platform.rs
+++ b/crates/simulator-adapter/src/platform.rs
@@ -1,10 +1,10 @@
-//! The platform of a simulated proxy: writes each action of the decisions as a line of the answer.
+//! Platform of a simulated proxy: writes each command of its decisions as a line of the reply.
 
 use crate::protocol::{MAX_TIMER_SECONDS, NANOSECONDS_PER_SECOND, command};
 use birchhub::interface::Platform;
 use std::fmt::{Arguments, Write as _};
 
-/// Writes the actions of one proxy's decisions.
+/// Writes the commands of one proxy's decisions in the simulator's protocol.
 pub(crate) struct SimulatorPlatform<'a> {
     output: &'a mut String,
     proxy: u64,
