--- a/crates/simulation/src/world/backends.rs
+++ b/crates/simulation/src/world/backends.rs
@@ -15,28 +15,28 @@
 
 impl World<'_> {
     /// Starts a backend on a machine and returns its incarnation.
-    pub(super) fn start_backend(&mut self, node: u32, how: StartMode) -> u32 {
+    pub(super) fn start_backend(&mut self, node: u32, mode: StartMode) -> u32 {
         let now = self.now;
         let incarnation = self.next_incarnation;
         self.next_incarnation += 1;
         let machine = &mut self.machines[node as usize];
         let factor = machine.capacity_factor;
-        let mut model = Backend::new(machine.spec.clone(), now, how);
+        let mut model = Backend::new(machine.spec.clone(), now, mode);
         model.scale(now, factor, &mut self.deduplication, &mut Vec::new());
         let warm_capacity = (machine.spec.cores as f64 * machine.spec.speed) as f32;
         machine.backend = Some(BackendProcess { incarnation, model });
-        machine.cold_started_at = (how == StartMode::Cold).then_some(now);
+        machine.cold_started_at = (mode == StartMode::Cold).then_some(now);
         machine.stalls.clear();
         self.record(Event::BackendStarted {
             incarnation,
             backend: node,
-            cold: how == StartMode::Cold,
+            cold: mode == StartMode::Cold,
             warm_capacity,
         });
         incarnation
     }
 
-    /// Starts a backend cold on a machine without one, and lists it.
+    /// Starts a cold backend on a machine without one, and schedules its publication.
     pub(super) fn start_backend_cold(&mut self, node: u32) {
         if self.machines[node as usize].backend.is_some() {
             return;
@@ -53,12 +53,12 @@
     fn stop_backend(&mut self, node: u32) -> Option<u32> {
         let machine = &mut self.machines[node as usize];
         let BackendProcess { incarnation, .. } = machine.backend.take()?;
-        let held_attempts = std::mem::take(&mut machine.held_attempts);
+        let attempts_in_flight = std::mem::take(&mut machine.attempts_in_flight);
         let deferred_events = std::mem::take(&mut machine.deferred_events);
         machine.stalls.clear();
         machine.version += 1;
         self.record(Event::BackendEnded { incarnation });
-        for attempt_id in held_attempts {
+        for attempt_id in attempts_in_flight {
             self.record(Event::AttemptEnded {
                 attempt_id,
                 how: AttemptEnd::Broken,
@@ -80,18 +80,22 @@
         }
     }
 
-    /// Ends a backend once it is idle, or at its deadline, and schedules the start of its successor.
+    /// Ends a backend when it is idle or its deadline has passed, and schedules the start of its successor. Otherwise checks
+    /// again later.
     pub(super) fn retire_backend(&mut self, retirement: Retirement) {
         let machine = &self.machines[retirement.node as usize];
         let backend = machine.backend.as_ref();
         let is_busy = backend.is_some_and(|backend| backend.model.in_flight() > 0);
-        if is_busy && self.now < retirement.by {
+        if is_busy && self.now < retirement.deadline {
             let retry = SimulationEvent::RetireBackend(retirement);
             return self.schedule(DRAIN_CHECK_SECONDS, retry);
         }
         self.remove_backend(retirement.node, self.scenario.discovery.update_delay.0);
         let node = retirement.successor;
-        self.schedule(retirement.after, SimulationEvent::StartBackend { node });
+        self.schedule(
+            retirement.successor_delay,
+            SimulationEvent::StartBackend { node },
+        );
     }
 
     /// Returns the current load report of a machine's backend.
@@ -106,7 +110,7 @@
         })
     }
 
-    /// Advances a backend to its scheduled event, unless that was superseded.
+    /// Advances a backend to its scheduled event, unless a later version has superseded that.
     pub(super) fn advance_backend(&mut self, node: u32, version: u64) {
         if self.machines[node as usize].version == version {
             self.change_backend(node, |node, now, deduplication, events| {
@@ -142,11 +146,11 @@
                 }
                 BackendEvent::Finished(attempt_id) => {
                     self.record(Event::ExecutionFinished { attempt_id });
-                    self.send_reply(node, attempt_id);
+                    self.send_backend_response(node, attempt_id);
                 }
                 BackendEvent::DuplicateDropped(attempt_id) => {
                     self.record(Event::DuplicateDropped { attempt_id });
-                    self.send_reply(node, attempt_id);
+                    self.send_backend_response(node, attempt_id);
                 }
                 BackendEvent::Collapsed => {
                     if let Some(incarnation) = self.machines[node as usize].incarnation() {
@@ -165,15 +169,16 @@
         let version = machine.version;
         let backend = machine.backend.as_ref();
         if let Some(at) = backend.and_then(|backend| backend.model.next_event()) {
-            self.queue.put(
+            self.queue.push(
                 at.max(self.now),
                 SimulationEvent::BackendDue { node, version },
             );
         }
     }
 
-    /// Delivers a health check to a machine, which responds if its backend runs.
-    pub(super) fn answer_health_check(&mut self, process: ProcessId, node: u32) {
+    /// Delivers a health check to a machine. It times out across a partition, is deferred during a stall, and fails to connect
+    /// if no backend runs.
+    pub(super) fn deliver_health_check(&mut self, process: ProcessId, node: u32) {
         if self.is_partitioned(node, process.proxy) {
             let event = ProcessEvent::HealthChecked {
                 node,
--- a/crates/simulation/src/world/commands.rs
+++ b/crates/simulation/src/world/commands.rs
@@ -9,7 +9,7 @@
 use birchhub_audit::RequestOutcome;
 use std::collections::BTreeMap;
 
-/// Shortest delay of a timer in seconds: one that the clock can't tell from now would fire again and again.
+/// Shortest delay of a timer in seconds. A delay too short to advance the clock would make the timer fire endlessly.
 const TIMER_RESOLUTION_SECONDS: f64 = 1e-6;
 
 /// HTTP status of the response to a failed RPC.
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Calls the decisions about one RPC, which is released if it has finished.
+    /// Calls the decisions for one RPC, and releases it if it has finished.
     pub(super) fn run_rpc_decision(
         &mut self,
         proxy: u16,
@@ -41,8 +41,8 @@
         decide: impl FnOnce(&RpcHandle, &mut SimulationPlatform),
     ) {
         self.run_decision(proxy, |_, in_flight, platform| {
-            let held = in_flight.get(&request_id);
-            if let Some(rpc) = held.and_then(|held| held.rpc.as_ref()) {
+            let rpc_state = in_flight.get(&request_id);
+            if let Some(rpc) = rpc_state.and_then(|rpc_state| rpc_state.rpc.as_ref()) {
                 decide(rpc, platform);
             }
         });
@@ -53,8 +53,8 @@
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
         };
-        let held = running.in_flight.get(&request_id);
-        if held.is_some_and(InFlightRpc::is_finished) {
+        let rpc_state = running.in_flight.get(&request_id);
+        if rpc_state.is_some_and(InFlightRpc::is_finished) {
             running.in_flight.remove(&request_id);
         }
     }
@@ -76,10 +76,10 @@
                 retry_after,
             } => {
                 let retry_after = (retry_after > 0.0).then_some(retry_after as f32);
-                self.send_answer(proxy, request_id, RequestOutcome::Rejected(retry_after));
+                self.send_client_response(proxy, request_id, RequestOutcome::Rejected(retry_after));
             }
             Command::Fail { request_id } => {
-                self.send_answer(proxy, request_id, RequestOutcome::Aborted(BAD_GATEWAY))
+                self.send_client_response(proxy, request_id, RequestOutcome::Aborted(BAD_GATEWAY))
             }
             Command::HealthCheck { backend } => {
                 let node = backend;
@@ -99,14 +99,14 @@
         let Some(running) = self.proxies[process.proxy as usize].as_mut() else {
             return;
         };
-        let Some(held) = running.in_flight.get_mut(&request_id) else {
+        let Some(rpc_state) = running.in_flight.get_mut(&request_id) else {
             return;
         };
         let attempt_id = self.next_attempt_id;
         self.next_attempt_id += 1;
-        let attempt_index = held.attempts.len();
-        held.attempts.push(Some(attempt_id));
-        let until = (now + timeout).min(held.deadline);
+        let attempt_index = rpc_state.attempts.len();
+        rpc_state.attempts.push(Some(attempt_id));
+        let deadline = (now + timeout).min(rpc_state.deadline);
         self.proxy_attempts.insert(
             attempt_id,
             ProxyAttempt {
@@ -128,15 +128,17 @@
         );
         self.send_to_process(
             process.proxy,
-            (until - now).max(0.0),
+            (deadline - now).max(0.0),
             ProcessEvent::AttemptTimeout { attempt_id },
         );
     }
 
     fn cancel_attempt(&mut self, proxy: u16, request_id: u64, attempt_index: usize) {
         let running = self.proxies[proxy as usize].as_ref();
-        let held = running.and_then(|running| running.in_flight.get(&request_id));
-        let Some(attempt_id) = held.and_then(|held| held.open_attempt(attempt_index)) else {
+        let rpc_state = running.and_then(|running| running.in_flight.get(&request_id));
+        let Some(attempt_id) =
+            rpc_state.and_then(|rpc_state| rpc_state.open_attempt(attempt_index))
+        else {
             return;
         };
         self.schedule(
@@ -165,25 +167,30 @@
         }
     }
 
-    /// Schedules a timer event for a time of the simulation.
+    /// Schedules a timer event at a simulated time.
     pub(super) fn schedule_timer_event(&mut self, process: ProcessId, at: f64) {
         let event = ProcessEvent::Timer;
         self.queue
-            .put(at, SimulationEvent::ToProcess { process, event });
+            .push(at, SimulationEvent::ToProcess { process, event });
     }
 
-    /// Sends the response to a client, unless it was answered.
-    pub(super) fn send_answer(&mut self, proxy: u16, request_id: u64, outcome: RequestOutcome) {
+    /// Sends the response to a client, unless it has one already or has disconnected.
+    pub(super) fn send_client_response(
+        &mut self,
+        proxy: u16,
+        request_id: u64,
+        outcome: RequestOutcome,
+    ) {
         let Some(running) = self.proxies[proxy as usize].as_mut() else {
             return;
         };
-        let Some(held) = running.in_flight.get_mut(&request_id) else {
+        let Some(rpc_state) = running.in_flight.get_mut(&request_id) else {
             return;
         };
-        if !std::mem::replace(&mut held.answered, true) {
+        if !std::mem::replace(&mut rpc_state.answered, true) {
             self.schedule(
                 NETWORK_DELAY_SECONDS,
-                SimulationEvent::AnswerAtClient {
+                SimulationEvent::ResponseAtClient {
                     request_id,
                     outcome,
                 },
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -22,7 +22,7 @@
         process: ProcessId,
         event: ProcessEvent,
     },
-    /// A proxy's attempt arrives at its backend; its connection was opened at `first_byte_at`.
+    /// A proxy's attempt is delivered to its machine, where its first byte arrived at `first_byte_at`.
     AttemptAtBackend { attempt_id: u64, first_byte_at: f64 },
     /// A backend's next event is due, unless it was superseded by a later version.
     BackendDue { node: u32, version: u64 },
@@ -31,26 +31,26 @@
     /// A proxy's health check arrives at a machine.
     HealthCheckAtBackend { process: ProcessId, node: u32 },
     /// A response arrives at the client.
-    AnswerAtClient {
+    ResponseAtClient {
         request_id: u64,
         outcome: RequestOutcome,
     },
-    /// The client's timeout for this request has passed.
-    ClientGivesUp { request_id: u64 },
+    /// The client's timeout for this request, with its grace time, has passed.
+    ClientTimeout { request_id: u64 },
     /// The client closes its connection before it has a response.
     ClientDisconnects { request_id: u64 },
     /// The endpoint list service learns of a change.
     PublishEndpoint { node: u32, list_entry: ListEntry },
     /// A proxy's call arrives at the endpoint list service.
     ListCallArrives(ProcessId),
-    /// The endpoint list service, which serves a limited number of calls at a time, has finished one.
+    /// The endpoint list service has finished a call. Only a service with a limit of concurrent calls takes time for one.
     ListCallServed(ProcessId),
     /// A backend that is to be replaced is checked for being idle.
     RetireBackend(Retirement),
     /// A backend starts cold on a machine without one.
     StartBackend { node: u32 },
-    /// The load balancer notices that a process drains or has ended.
-    FrontNoticesStop(ProcessId),
+    /// The load balancer in front of the proxies detects that a process drains or has ended.
+    LoadBalancerNoticesStop(ProcessId),
     /// A draining process is checked for RPCs in flight.
     StopProxyWhenIdle(ProcessId),
     /// A proxy whose start was due at `since` starts once its earlier process has ended.
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,10 +1,10 @@
-//! The session with the simulator: batches of messages, each answered as a whole at its end.
+//! A session with the simulator: reads batches of messages and writes the reply to a batch when it ends.
 
 use crate::endpoints::ListEntry;
 use crate::error::{InputError, LineError};
 use crate::fields::Fields;
-use crate::process::Process;
 use crate::protocol::{LIST_NUMBER_BITS, command, field, message};
+use crate::simulated_proxies::SimulatedProxies;
 use std::fmt::Write as _;
 use std::io::{BufRead, Write};
 
@@ -40,24 +40,24 @@
     Ok(Some(text))
 }
 
-/// An endpoint list of which some entries are still missing.
+/// An endpoint list that has not been received completely.
 struct PartialList {
     number: u64,
     missing_entries: usize,
     entries: Vec<ListEntry>,
 }
 
-/// The state of the session.
+/// The state of a session.
 #[derive(Default)]
 struct Session {
-    process: Process,
-    /// Serial number of the open batch.
+    proxies: SimulatedProxies,
+    /// Serial number of the open batch; `None` between batches.
     open_batch: Option<u64>,
     partial_list: Option<PartialList>,
 }
 
 impl Session {
-    /// Checks that the input does not end within a batch.
+    /// Checks at the end of the input that no batch is open.
     fn end(&self) -> Result<(), LineError> {
         match self.open_batch {
             None => Ok(()),
@@ -78,19 +78,19 @@
             (_, None) => Err(LineError::BatchExpected(name.to_owned())),
             (message::BATCH_END, Some(serial)) => self.answer_batch(serial, output),
             (message::ENDPOINT_LIST, Some(_)) => self.open_list(&mut fields),
-            (_, Some(_)) => self.process.handle(name, &mut fields),
+            (_, Some(_)) => self.proxies.handle(name, &mut fields),
         }
     }
 
     fn open_batch(&mut self, fields: &mut Fields) -> Result<(), LineError> {
-        self.process.clock = fields.number(field::CLOCK)?;
+        self.proxies.clock = fields.number(field::CLOCK)?;
         self.open_batch = Some(fields.number(field::BATCH_SERIAL)?);
         Ok(())
     }
 
     fn answer_batch(&mut self, serial: u64, output: &mut impl Write) -> Result<(), LineError> {
         self.open_batch = None;
-        let answer = &mut self.process.output;
+        let answer = &mut self.proxies.output;
         writeln!(answer, "{}\t{serial}", command::BATCH_ANSWERED).expect("writing to a string");
         output.write_all(answer.as_bytes())?;
         output.flush()?;
@@ -116,10 +116,10 @@
         Ok(())
     }
 
-    /// Stores a complete list for the process, and an incomplete one for its next entry.
+    /// Stores a list for the proxies if it is complete; otherwise keeps it until its next entry.
     fn store_list(&mut self, list: PartialList) {
         if list.missing_entries == 0 {
-            self.process.lists.insert(list.number, list.entries);
+            self.proxies.lists.insert(list.number, list.entries);
         } else {
             self.partial_list = Some(list);
         }
